--- a/crates/alderstile-node/src/admin.rs
+++ b/crates/alderstile-node/src/admin/server.rs
@@ -21,9 +21,9 @@
 
 use alderstile_cluster::agreed::MAX_DOCUMENT;
 
-use crate::agreed::{Control, Proposed};
+use crate::admin::service::Operators;
 use crate::config::CALLERS;
-use crate::operators::Operators;
+use crate::control::replicated_config::{Control, Proposed};
 
 /// Who has finished no call after this long goes: a caller waits no longer than 1 s.
 const CALL: Duration = Duration::from_secs(2);
--- a/crates/alderstile-node/src/operators.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -6,15 +6,15 @@
 
 use tracing::info;
 
-use crate::agreed::Control;
-use crate::clients::Clients;
-use crate::cluster::Cluster;
+use crate::admin::maintenance_store::{Kept, Stand};
+use crate::admin::metrics::Gauges;
 use crate::config::Current;
-use crate::counters::Gauges;
+use crate::control::membership::Cluster;
+use crate::control::replicated_config::Control;
 use crate::decisions::Decisions;
-use crate::kept::{Kept, Stand};
-use crate::list::server_id;
-use crate::process::Process;
+use crate::discovery::endpoint_list::server_id;
+use crate::lifecycle::process::Process;
+use crate::proxy::clients::Clients;
 
 /// What operators have said, and where what they ask for stands.
 pub struct Operators {
--- a/crates/alderstile-node/src/config.rs
+++ b/crates/alderstile-node/src/config/mod.rs
@@ -13,8 +13,8 @@
 use thiserror::Error;
 use tracing::warn;
 
-use crate::handshake::Handshake;
-use crate::list::List;
+use crate::discovery::endpoint_list::List;
+use crate::lifecycle::upgrade_state::Handshake;
 
 mod cluster;
 
--- a/crates/alderstile-node/src/choices.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -7,8 +7,8 @@
 use alderstile_cluster::subsets::{Node as Peer, Rule};
 use tracing::info;
 
-use crate::cluster::Cluster;
 use crate::config::{Config, Subsets};
+use crate::control::membership::Cluster;
 use crate::node::Node;
 
 /// How often members, hosts and what this node can't reach are looked at.
--- a/crates/alderstile-node/src/cluster.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -16,7 +16,7 @@
 use tracing::{debug, info, warn};
 
 use crate::config::{ClusterConfig, Config};
-use crate::handshake::MemberWord;
+use crate::lifecycle::upgrade_state::MemberWord;
 
 /// Where another process has the address, it is tried again this often.
 const TRY_AGAIN: Duration = Duration::from_millis(20);
--- /dev/null
+++ b/crates/alderstile-node/src/control/mod.rs
@@ -0,0 +1,9 @@
+//! Control plane between nodes: cluster membership, gossip, host assignment and the replicated configuration.
+
+pub mod host_assignment;
+pub mod membership;
+pub mod peer_gossip;
+pub mod replicated_config;
+pub mod replicated_config_client;
+pub mod replicated_config_document;
+pub mod replicated_config_store;
--- a/crates/alderstile-node/src/agreed.rs
+++ b/crates/alderstile-node/src/control/replicated_config.rs
@@ -18,12 +18,12 @@
 use tokio::time::timeout;
 use tracing::{debug, error, info, warn};
 
-use crate::agreed_document::Document;
-use crate::agreed_store::{Store, StoreError};
-use crate::cluster::Cluster;
+use crate::admin::maintenance_store::Stand;
 use crate::config::{ControlConfig, CutOff};
-use crate::kept::Stand;
-use crate::list::server_id;
+use crate::control::membership::Cluster;
+use crate::control::replicated_config_document::Document;
+use crate::control::replicated_config_store::{Store, StoreError};
+use crate::discovery::endpoint_list::server_id;
 use crate::node::Node;
 
 /// The tag of the fact by which a member tells on which port it hears of versions.
@@ -494,7 +494,7 @@
     config: &ControlConfig,
     node: &Weak<Node>,
     me: Option<u8>,
-    found: crate::agreed_store::Found,
+    found: crate::control::replicated_config_store::Found,
     now: Micros,
 ) -> Agreed {
     let node = node.clone();
--- a/crates/alderstile-node/src/agreed_client.rs
+++ b/crates/alderstile-node/src/control/replicated_config_client.rs
@@ -6,8 +6,8 @@
 
 use thiserror::Error;
 
-use crate::agreed::Shown;
-use crate::client;
+use crate::admin::client;
+use crate::control::replicated_config::Shown;
 
 /// A node answers an operator within two seconds.
 const ANSWER: Duration = Duration::from_secs(3);
--- a/crates/alderstile-node/src/agreed_store.rs
+++ b/crates/alderstile-node/src/control/replicated_config_store.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tracing::warn;
 
-use crate::kept;
+use crate::admin::maintenance_store;
 
 /// The form of the value; another one is not read.
 const FORMAT: u8 = 1;
@@ -47,7 +47,7 @@
 impl Store {
     /// Where the voter of that name keeps its memory.
     pub fn path(dir: &Path, name: &str) -> PathBuf {
-        kept::file(dir, name, "voter")
+        maintenance_store::file(dir, name, "voter")
     }
 
     /// Opens a voter's store, and reads what it holds: nothing where it is new or was damaged. What is damaged is set aside, never
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -18,8 +18,8 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, Current};
-use crate::lease::Lease;
-use crate::list::{Health, Host, List, server_id};
+use crate::discovery::endpoint_list::{Health, Host, List, server_id};
+use crate::discovery::lease::Lease;
 
 /// How often it is told what the watching instance would have done otherwise.
 const SHADOW_EVERY: Micros = Micros::from_millis(10_000);
--- a/crates/alderstile-node/src/discovery.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -15,7 +15,7 @@
 use tracing::{info, warn};
 
 use crate::decisions::Decisions;
-use crate::list::{List, Pieces};
+use crate::discovery::endpoint_list::{List, Pieces};
 
 /// How long a call may take: until a watch begins, or a whole list has come.
 const ANSWER: Duration = Duration::from_secs(4);
--- a/crates/alderstile-node/src/handover.rs
+++ b/crates/alderstile-node/src/lifecycle/connection_handover.rs
@@ -20,9 +20,9 @@
 use tracing::{info, warn};
 
 use crate::config::Config;
-use crate::list::server_id;
+use crate::discovery::endpoint_list::server_id;
 use crate::node::Node;
-use crate::relay::Carried;
+use crate::proxy::relay::Carried;
 
 /// The longest datagram: two buffers and a line, each of 4 KiB at most, with every byte written as a number.
 const MAX_DATAGRAM: usize = 64 << 10;
--- /dev/null
+++ b/crates/alderstile-node/src/lifecycle/mod.rs
@@ -0,0 +1,9 @@
+//! The life of the process: stop, reload, and upgrade to another process of the same node.
+
+pub mod connection_handover;
+pub mod process;
+pub mod reload;
+pub mod shutdown;
+pub mod upgrade;
+pub mod upgrade_channel;
+pub mod upgrade_state;
--- a/crates/alderstile-node/src/process.rs
+++ b/crates/alderstile-node/src/lifecycle/process.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-use crate::link::Link;
+use crate::lifecycle::upgrade_channel::Link;
 
 /// This process and the other one of its node, while there is one.
 #[derive(Default)]
--- a/crates/alderstile-node/src/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 use tracing::{info, warn};
 
-use crate::handover;
+use crate::lifecycle::connection_handover;
 use crate::node::Node;
 
 /// What is kept of the time that a stop may take: the last clients' lines and ends must pass before it is over.
@@ -59,7 +59,7 @@
         node.process.linked().iter().for_each(|link| link.tell_closed());
         // A successor that is told to leave first has nobody to pass them on to: the one that serves takes none back.
         if node.process.linked().is_some_and(|link| link.successor) {
-            match handover::sender(&node.config()) {
+            match connection_handover::sender(&node.config()) {
                 Ok(to) => node.clients.hand_over_all(to),
                 Err(error) => warn!("leaving: connections can't be passed on: {error}"),
             }
--- a/crates/alderstile-node/src/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -19,10 +19,10 @@
 use tracing::{info, warn};
 
 use crate::config::Identity;
-use crate::handover;
-use crate::handshake::Handshake;
-use crate::link::{Link, WORD, Word};
-use crate::list::server_id;
+use crate::discovery::endpoint_list::server_id;
+use crate::lifecycle::connection_handover;
+use crate::lifecycle::upgrade_channel::{Link, WORD, Word};
+use crate::lifecycle::upgrade_state::Handshake;
 use crate::node::Node;
 
 /// The form of the lines; a process that speaks another one starts alone.
@@ -209,7 +209,7 @@
 
 async fn share_door(node: &Node) -> io::Result<()> {
     let door = node.process.listens().ok_or(io::ErrorKind::NotConnected)?;
-    handover::share_door(&handover::sender(&node.config())?, &*door).await
+    connection_handover::share_door(&connection_handover::sender(&node.config())?, &*door).await
 }
 
 /// Speaks with the other process until the stream ends, which means that it has.
--- a/crates/alderstile-node/src/link.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_channel.rs
@@ -10,8 +10,8 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-use crate::handshake::Handshake;
-use crate::kept::Stand;
+use crate::admin::maintenance_store::Stand;
+use crate::lifecycle::upgrade_state::Handshake;
 
 /// A process that says nothing for this long where a word is owed is taken to have none.
 pub const WORD: Duration = Duration::from_millis(500);
--- a/crates/alderstile-node/src/handshake.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -6,8 +6,8 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::kept::Stand;
-use crate::list::List;
+use crate::admin::maintenance_store::Stand;
+use crate::discovery::endpoint_list::List;
 
 /// What the predecessor tells first.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -7,16 +7,19 @@
 use std::time::Duration;
 
 use alderstile_cluster::agreed::Memory;
-use alderstile_node::agreed::Control;
-use alderstile_node::agreed_client::{self, CallError};
-use alderstile_node::agreed_document::Document;
-use alderstile_node::agreed_store::Store;
-use alderstile_node::choices;
-use alderstile_node::cluster::Cluster;
+use alderstile_node::admin::{client, server};
 use alderstile_node::config::{ClusterConfig, Config};
+use alderstile_node::control::host_assignment;
+use alderstile_node::control::membership::Cluster;
+use alderstile_node::control::peer_gossip::{PeerPath, Peers};
+use alderstile_node::control::replicated_config::Control;
+use alderstile_node::control::replicated_config_client::{self, CallError};
+use alderstile_node::control::replicated_config_document::Document;
+use alderstile_node::control::replicated_config_store::Store;
+use alderstile_node::discovery::watch;
+use alderstile_node::lifecycle::{connection_handover, reload, shutdown, upgrade};
 use alderstile_node::node::Node;
-use alderstile_node::peers::{PeerPath, Peers};
-use alderstile_node::{admin, client, discovery, handover, listener, reload, session, shutdown, upgrade};
+use alderstile_node::proxy::{listener, session};
 use clap::{Parser, Subcommand, ValueEnum};
 use tokio::net::TcpListener;
 use tokio::signal::unix::{SignalKind, signal};
@@ -181,7 +184,7 @@
     };
     let done = match what {
         Agreement::Show => admin().and_then(|admin| {
-            let shown = agreed_client::show(admin).map_err(call)?;
+            let shown = replicated_config_client::show(admin).map_err(call)?;
             serde_json::to_string_pretty(&shown).map_err(|error| (1, error.to_string()))
         }),
         Agreement::Propose { file, expect } => admin().and_then(|admin| {
@@ -190,9 +193,9 @@
             Document::parse(&document).map_err(|error| faulty(format!("{shown}: {error}")))?;
             let expect = match expect {
                 Some(expect) => expect,
-                None => agreed_client::show(admin).map_err(call)?.known,
+                None => replicated_config_client::show(admin).map_err(call)?.known,
             };
-            let version = agreed_client::propose(admin, expect, &document).map_err(|error| {
+            let version = replicated_config_client::propose(admin, expect, &document).map_err(|error| {
                 let (code, error) = call(error);
                 (code, format!("{shown}: {error}"))
             })?;
@@ -247,12 +250,12 @@
     while !node.decisions.can_serve() {
         sleep(CAN_SERVE).await;
     }
-    match handover::receiver(&node.config()) {
+    match connection_handover::receiver(&node.config()) {
         Ok(from) => from.into_iter().for_each(|from| {
             let going = node.clone();
             let go_on =
                 move |passed, sockets| drop(spawn_local(session::resume(going.clone(), passed, sockets)));
-            spawn_local(handover::receive(node.clone(), from, go_on));
+            spawn_local(connection_handover::receive(node.clone(), from, go_on));
         }),
         Err(error) => warn!("connections can't be passed on to this process: {error}"),
     }
@@ -318,8 +321,8 @@
                 });
             }
             if let Some(subsets) = &cluster.subsets {
-                choices::begin(&node, subsets);
-                spawn_local(choices::run(node.clone(), member.clone()));
+                host_assignment::begin(&node, subsets);
+                spawn_local(host_assignment::run(node.clone(), member.clone()));
             }
             if predecessor.is_none() {
                 let socket = member.bind(|| false).await;
@@ -339,7 +342,7 @@
         if let Some(address) = node.config().admin_addr {
             let listener =
                 listener::bind(address).map_err(|error| format!("admin_addr {address}: {error}"))?;
-            spawn_local(admin::run(node.operators.clone(), listener));
+            spawn_local(server::run(node.operators.clone(), listener));
         }
         let path_to_peers = Rc::new(PeerPath::default());
         let accepting = match predecessor {
@@ -365,7 +368,7 @@
                 spawn_local(succeed(node.clone()))
             }
         };
-        spawn_local(discovery::run(node.decisions.clone()));
+        spawn_local(watch::run(node.decisions.clone()));
         spawn_local(node.clone().run(move |data| path_to_peers.tell(data)));
         let reloaded = || {
             reload::reload(&node, path, env);
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -4,13 +4,13 @@
 
 use alderstile::interface::{Micros, Part};
 
-use crate::clients::Clients;
+use crate::admin::service::Operators;
 use crate::config::{Config, Current};
 use crate::decisions::Decisions;
-use crate::handshake::Handshake;
-use crate::link::WORD;
-use crate::operators::Operators;
-use crate::process::Process;
+use crate::lifecycle::process::Process;
+use crate::lifecycle::upgrade_channel::WORD;
+use crate::lifecycle::upgrade_state::Handshake;
+use crate::proxy::clients::Clients;
 
 /// One node. A task is given the parts that it needs.
 pub struct Node {
--- a/crates/alderstile-node/src/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -8,11 +8,11 @@
 use tokio::net::UnixDatagram;
 use tokio::sync::Notify;
 
-use crate::backlog::Backlog;
+use crate::admin::metrics::{Counters, Gauges};
 use crate::config::Current;
-use crate::counters::{Counters, Gauges};
-use crate::process::Process;
-use crate::reason::Reason;
+use crate::lifecycle::process::Process;
+use crate::proxy::backlog::Backlog;
+use crate::proxy::termination_reason::Reason;
 
 /// Ids of ended requests that are still known: a repeated one comes within moments. At most 4 MB, at 4 KiB a line.
 const ENDED_IDS: usize = 1024;
--- a/crates/alderstile-node/src/side.rs
+++ b/crates/alderstile-node/src/proxy/line_stream.rs
@@ -7,7 +7,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use crate::buffer::{LineBuffer, MAX_LINE};
+use crate::proxy::line_buffer::{LineBuffer, MAX_LINE};
 
 /// How long an answer may wait for a client to take it.
 const ANSWER: Duration = Duration::from_millis(500);
--- a/crates/alderstile-node/src/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -10,10 +10,10 @@
 use tokio::time::Instant;
 use tracing::warn;
 
-use crate::clients::Counted;
 use crate::config::Config;
 use crate::node::Node;
-use crate::session;
+use crate::proxy::clients::Counted;
+use crate::proxy::session;
 
 /// Connections that the system may hold for us: a mass reconnect comes within a moment.
 const ACCEPT_QUEUE: u32 = 4096;
--- /dev/null
+++ b/crates/alderstile-node/src/proxy/mod.rs
@@ -0,0 +1,11 @@
+//! Serving clients: listening, the first line, connecting to a host and relaying lines.
+
+pub mod backlog;
+pub mod clients;
+pub mod line_buffer;
+pub mod line_stream;
+pub mod listener;
+pub mod protocol;
+pub mod relay;
+pub mod session;
+pub mod termination_reason;
--- a/crates/alderstile-node/src/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -8,11 +8,11 @@
 use tokio::time::Instant;
 use tracing::debug;
 
-use crate::clients::Mover;
 use crate::decisions::{Decisions, sleep_until};
-use crate::protocol::{HostLine, host_line};
-use crate::reason::Reason;
-use crate::side::{Pulled, Side};
+use crate::proxy::clients::Mover;
+use crate::proxy::line_stream::{Pulled, Side};
+use crate::proxy::protocol::{HostLine, host_line};
+use crate::proxy::termination_reason::Reason;
 
 /// A client whose lines have brought nothing back for this long is told to move: keep-alive does not see silence.
 /// Guards also against a host that stops right after an answer: that shows with the client's next line only, up to 2 s
--- a/crates/alderstile-node/src/session.rs
+++ b/crates/alderstile-node/src/proxy/session.rs
@@ -11,19 +11,19 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use tracing::{debug, info, warn};
 
-use crate::backlog::Pending;
-use crate::buffer::LineBuffer;
-use crate::clients::{Counted, OpenId};
-use crate::counters::Ended;
+use crate::admin::metrics::Ended;
 use crate::decisions::HostAt;
-use crate::handover::{self, Handover};
-use crate::link::{WORD, Word};
-use crate::list::server_id;
+use crate::discovery::endpoint_list::server_id;
+use crate::lifecycle::connection_handover::{self, Handover};
+use crate::lifecycle::upgrade_channel::{WORD, Word};
 use crate::node::Node;
-use crate::protocol::{ClientLine, HostLine, Open, client_line, host_line};
-use crate::reason::Reason;
-use crate::relay::{self, Carried, Ending};
-use crate::side::{self, Pulled, Side};
+use crate::proxy::backlog::Pending;
+use crate::proxy::clients::{Counted, OpenId};
+use crate::proxy::line_buffer::LineBuffer;
+use crate::proxy::line_stream::{self, Pulled, Side};
+use crate::proxy::protocol::{ClientLine, HostLine, Open, client_line, host_line};
+use crate::proxy::relay::{self, Carried, Ending};
+use crate::proxy::termination_reason::Reason;
 
 /// A client that has sent no whole first line after this long is none: it is owed a word or a close within 3 s.
 const FIRST_LINE: Duration = Duration::from_secs(2);
@@ -344,7 +344,7 @@
         let stream = match self.while_wanted(client, connected).await? {
             Ok(Ok(stream)) => stream,
             // Nothing was sent, and it says nothing of the host.
-            Ok(Err(error)) if side::is_own_want(&error) => return Ok(Tried::Failed(Outcome::Unsent)),
+            Ok(Err(error)) if line_stream::is_own_want(&error) => return Ok(Tried::Failed(Outcome::Unsent)),
             _ => return Ok(Tried::Failed(Outcome::ConnectFailed)),
         };
         let mut host = Side::new(stream);
@@ -445,7 +445,7 @@
             age_ms: millis(self.arrived.elapsed().as_millis()),
             number,
         };
-        handover::send(&to, passed, [&client.stream, &host.stream]).await?;
+        connection_handover::send(&to, passed, [&client.stream, &host.stream]).await?;
         // Guards against a successor that ends before it has read this: both sides are held until it says that it has them.
         // One of an older version never says so.
         let Some(taken) = taken else { return Ok(()) };
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_node::admin;
+use alderstile_node::admin::maintenance_store::{Kept, Stand};
+use alderstile_node::admin::server;
 use alderstile_node::config::CALLERS;
-use alderstile_node::kept::{Kept, Stand};
-use alderstile_node::list::server_id;
-use alderstile_node::listener;
+use alderstile_node::discovery::endpoint_list::server_id;
+use alderstile_node::proxy::listener;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -33,7 +33,7 @@
     .await;
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let admin = listener.local_addr().expect("bound");
-    spawn_local(admin::run(setup.node.operators.clone(), listener));
+    spawn_local(server::run(setup.node.operators.clone(), listener));
     Operated { setup, admin, _watch: watch }
 }
 
@@ -134,7 +134,7 @@
         let setup = start(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
         let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let admin = listener.local_addr().expect("bound");
-        spawn_local(admin::run(setup.node.operators.clone(), listener));
+        spawn_local(server::run(setup.node.operators.clone(), listener));
         let mut caller = Peer::connect(admin).await;
         caller.send("GET /control/ready HTTP/1.1\r\n\r\n").await;
         assert_eq!(caller.line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -6,13 +6,13 @@
 use std::time::{Duration, Instant};
 
 use alderstile_cluster::agreed::{Head, Memory, Stamp};
-use alderstile_node::agreed::{Control, Proposed, Shown};
-use alderstile_node::agreed_document::Document;
-use alderstile_node::agreed_store::{Store, StoreError, parse};
-use alderstile_node::cluster::Cluster;
 use alderstile_node::config::{ClusterConfig, Config};
-use alderstile_node::list::server_id;
-use alderstile_node::reload::reload;
+use alderstile_node::control::membership::Cluster;
+use alderstile_node::control::replicated_config::{Control, Proposed, Shown};
+use alderstile_node::control::replicated_config_document::Document;
+use alderstile_node::control::replicated_config_store::{Store, StoreError, parse};
+use alderstile_node::discovery::endpoint_list::server_id;
+use alderstile_node::lifecycle::reload::reload;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
@@ -369,7 +369,7 @@
     };
     let show = |admin: &str| {
         let admin = admin.parse().expect("an address");
-        alderstile_node::agreed_client::show(admin).ok()
+        alderstile_node::control::replicated_config_client::show(admin).ok()
     };
     let until = |admin: &str, what: &str, wanted: &dyn Fn(&Shown) -> bool| {
         let began = Instant::now();
@@ -486,7 +486,7 @@
         let out = || setup.node.decisions.decide(|facade, _| facade.maintenance().is_out(server_id("s-1")));
         agreed(&control, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
         in_force(&control, 1).await;
-        setup.node.operators.stand("s-1", alderstile_node::kept::Stand::Out);
+        setup.node.operators.stand("s-1", alderstile_node::admin::maintenance_store::Stand::Out);
         agreed(&control, &document(|_| {})).await;
         in_force(&control, 2).await;
         assert!(out(), "by hand");
--- a/crates/alderstile-node/tests/buffer.rs
+++ b/crates/alderstile-node/tests/buffer.rs
@@ -1,6 +1,6 @@
 //! The buffer keeps every byte, in order, however the bytes are split.
 
-use alderstile_node::buffer::{LineBuffer, MAX_LINE, Overlong};
+use alderstile_node::proxy::line_buffer::{LineBuffer, MAX_LINE, Overlong};
 use proptest::prelude::*;
 
 /// Puts bytes in as far as there is room; returns how many.
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use alderstile_node::config::Config;
-use alderstile_node::shutdown;
+use alderstile_node::lifecycle::shutdown;
 use serde_json::{Value, json};
 use tokio::io::AsyncWriteExt;
 use tokio::task::spawn_local;
--- a/crates/alderstile-node/tests/node.rs
+++ b/crates/alderstile-node/tests/node.rs
@@ -3,8 +3,8 @@
 use std::io::Write;
 use std::time::Duration;
 
-use alderstile_node::list::server_id;
-use alderstile_node::shutdown;
+use alderstile_node::discovery::endpoint_list::server_id;
+use alderstile_node::lifecycle::shutdown;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::task::spawn_local;
--- a/crates/alderstile-node/tests/peers.rs
+++ b/crates/alderstile-node/tests/peers.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use alderstile_node::config::Config;
+use alderstile_node::control::peer_gossip::{MAX_MESSAGE, Peers};
 use alderstile_node::node::Node;
-use alderstile_node::peers::{MAX_MESSAGE, Peers};
 use tokio::task::spawn_local;
 
 mod support;
--- a/crates/alderstile-node/tests/protocol.rs
+++ b/crates/alderstile-node/tests/protocol.rs
@@ -1,7 +1,7 @@
 //! The lines of clients and hosts.
 
-use alderstile_node::list::{Health, Host, List, Pieces};
-use alderstile_node::protocol::{ClientLine, HostLine, client_line, host_line};
+use alderstile_node::discovery::endpoint_list::{Health, Host, List, Pieces};
+use alderstile_node::proxy::protocol::{ClientLine, HostLine, client_line, host_line};
 use proptest::prelude::*;
 
 const OPEN: &[u8] = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59";
@@ -96,7 +96,7 @@
 #[test]
 fn the_on_call_page_explains_every_reason_code() {
     let page = include_str!("../../../docs/on-call.md");
-    for reason in alderstile_node::reason::Reason::ALL {
+    for reason in alderstile_node::proxy::termination_reason::Reason::ALL {
         assert!(page.contains(&format!("| `{reason}` |")), "{reason}");
     }
 }
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -4,9 +4,9 @@
 use std::process::Stdio;
 
 use alderstile_node::config::Config;
-use alderstile_node::handshake::Handshake;
-use alderstile_node::list::server_id;
-use alderstile_node::reload::reload;
+use alderstile_node::discovery::endpoint_list::server_id;
+use alderstile_node::lifecycle::reload::reload;
+use alderstile_node::lifecycle::upgrade_state::Handshake;
 use proptest::prelude::*;
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, BufReader};
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -8,9 +8,10 @@
 use std::time::Duration;
 
 use alderstile_node::config::Config;
-use alderstile_node::list::server_id;
+use alderstile_node::discovery::endpoint_list::server_id;
+use alderstile_node::discovery::watch;
 use alderstile_node::node::Node;
-use alderstile_node::{discovery, listener};
+use alderstile_node::proxy::listener;
 use serde_json::{Value, json};
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
@@ -189,7 +190,7 @@
     let node = Rc::new(Node::new(Config::of_file(value, |_| None).expect("a fine configuration")));
     let listener = listener::bind(node.config().listen).expect("a port");
     let address = listener.local_addr().expect("bound");
-    spawn_local(discovery::run(node.decisions.clone()));
+    spawn_local(watch::run(node.decisions.clone()));
     spawn_local(node.clone().run(|_| {}));
     let accepting = spawn_local(listener::run(node.clone(), listener));
     Setup { node, address, accepting, discovery }
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use alderstile_node::config::Identity;
-use alderstile_node::upgrade;
+use alderstile_node::lifecycle::upgrade;
 use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, UnixDatagram, UnixListener, UnixStream};
@@ -442,7 +442,8 @@
             clients.push(client);
         }
         // A successor that says that it serves, and then takes nothing.
-        let place = format!("alderstile-{:016x}", alderstile_node::list::server_id("n1").0);
+        let place =
+            format!("alderstile-{:016x}", alderstile_node::discovery::endpoint_list::server_id("n1").0);
         let mut stream =
             BufReader::new(UnixStream::connect(dir.join(format!("{place}.sock"))).await.expect("there"));
         let passed = UnixDatagram::bind(dir.join(format!("{place}.pass"))).expect("bound");
@@ -472,7 +473,8 @@
         let dir = dir("none");
         let config = Identity { name: "n1".to_owned(), dir: dir.clone() };
         assert!(upgrade::join(&config).await.expect("alone").is_none(), "nobody there");
-        let name = format!("alderstile-{:016x}.sock", alderstile_node::list::server_id("n1").0);
+        let name =
+            format!("alderstile-{:016x}.sock", alderstile_node::discovery::endpoint_list::server_id("n1").0);
         let path = dir.join(name);
         drop(UnixListener::bind(&path).expect("bound"));
         assert!(upgrade::join(&config).await.expect("alone").is_none(), "a socket that was left");
