--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -2,44 +2,25 @@
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
-use std::rc::Rc;
 use std::time::{Duration, Instant};
 
 use alderstile_cluster::agreed::{Head, Memory, Stamp};
-use alderstile_node::agreed::{Control, Proposed, Shown};
+use alderstile_node::agreed::Shown;
 use alderstile_node::agreed_document::Document;
 use alderstile_node::agreed_store::{Store, StoreError, parse};
-use alderstile_node::cluster::Cluster;
 use alderstile_node::config::{ClusterConfig, Config};
 use alderstile_node::list::server_id;
 use alderstile_node::reload::reload;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
-use tokio::task::spawn_local;
 
 mod support;
+use support::replicated_config::*;
 use support::*;
 
-const KEY: &str = "00112233445566778899aabbccddeeff";
 const OTHER_KEY: &str = "ffeeddccbbaa99887766554433221100";
 
-fn folder(name: &str) -> PathBuf {
-    let dir =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("agreed-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
-    dir
-}
-
-/// The settings that all nodes of the tests have alike, as a document.
-fn document(change: impl FnOnce(&mut Value)) -> Value {
-    let mut settings = config("127.0.0.1:1", "127.0.0.1:1")["settings"].take();
-    settings.as_object_mut().expect("an object").remove("my_zone");
-    let mut document = json!({ "settings": settings });
-    change(&mut document);
-    document
-}
-
 fn with_attempts(most: u64) -> Value {
     document(|document| document["settings"]["allowed"]["max_attempts"] = most.into())
 }
@@ -393,47 +374,6 @@
     std::fs::remove_dir_all(&shared).expect("taken away");
 }
 
-/// A node that is the only voter, in this process.
-async fn alone(net: u8, hosts: &[&Host]) -> (Setup, Peer, Rc<Control>, PathBuf) {
-    let (setup, watch) = serving(hosts).await;
-    let dir = folder(&format!("alone-{net}"));
-    let text = format!(
-        "name = \"edge\"\nlisten = \"127.0.{net}.1:19002\"\nkeys = [\"{KEY}\"]\n[control]\n\
-         listen = \"127.0.{net}.1:19003\"\nvoters = [\"127.0.{net}.1:19003\"]\nstate_dir = \"{}\"\n\
-         heartbeat_ms = 50\n",
-        dir.display()
-    );
-    let cluster = ClusterConfig::parse("c.toml", &text).expect("fine");
-    let control = cluster.control.as_ref().expect("a table");
-    let store = Store::path(&dir, &setup.node.config().name);
-    let (begun, _) = Store::open(&store, control.settings.voters_digest()).expect("opened");
-    begun.save(&Memory::genesis(), &[]).expect("saved");
-    drop(begun);
-    let member = Rc::new(Cluster::new(&setup.node.config(), &cluster, None).expect("a member"));
-    setup.node.operators.join(member.clone());
-    let control = Rc::new(Control::new(control, &setup.node));
-    setup.node.operators.agree(control.clone());
-    assert!(!setup.node.operators.ready(), "not before it knows which version counts");
-    spawn_local(control.clone().run(member));
-    (setup, watch, control, dir)
-}
-
-async fn agreed(control: &Control, document: &Value) -> u64 {
-    loop {
-        let expect = control.show().known;
-        if let Proposed::Agreed(version) = control.propose(expect, document.to_string().as_bytes()).await {
-            return version;
-        }
-        tokio::time::sleep(Duration::from_millis(20)).await;
-    }
-}
-
-async fn in_force(control: &Control, version: u64) {
-    while control.show().in_force < version {
-        tokio::time::sleep(Duration::from_millis(5)).await;
-    }
-}
-
 #[test]
 fn settings_and_hosts_out_count_at_the_node_and_the_stricter_of_both_while_a_version_waits() {
     run(async {
--- /dev/null
+++ b/crates/alderstile-node/tests/replicated_config_fixtures.rs
@@ -0,0 +1,154 @@
+//! What cc53de7 stored and answered of the replicated configuration: a voter's store, the admin interface's JSON and metrics.
+
+use std::path::PathBuf;
+use std::time::Duration;
+
+use alderstile_cluster::agreed::{Head, Memory, Stamp};
+use alderstile_node::admin;
+use alderstile_node::agreed::Shown;
+use alderstile_node::agreed_document::Document;
+use alderstile_node::agreed_store::Store;
+use alderstile_node::listener;
+use serde_json::{Value, json};
+use tokio::task::spawn_local;
+
+mod support;
+use support::replicated_config::*;
+use support::*;
+
+fn fixture(name: &str) -> PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests/fixtures/replicated_config", name].iter().collect()
+}
+
+/// A document with hosts out, as voters store it.
+fn stored_document() -> Vec<u8> {
+    let document = document(|document| document["hosts_out"] = json!(["s-1", "s-2"]));
+    let document = Document::parse(document.to_string().as_bytes()).expect("a document");
+    serde_json::to_vec(&document).expect("JSON")
+}
+
+fn stored_state(document: &[u8]) -> Memory {
+    let stamp = Stamp { term: 4, version: 9 };
+    let head = Head { stamp, digest: alderstile_cluster::digest(document), length: document.len() as u32 };
+    Memory { term: 5, vote: Some(2), head }
+}
+
+const VOTERS: u64 = 0x0102_0304_0506_0708;
+
+#[test]
+fn a_store_of_the_version_before_is_read_and_written_as_the_same_bytes() {
+    let dir = folder("store-fixture");
+    let path = Store::path(&dir, "n/1");
+    assert_eq!(path.file_name().and_then(|name| name.to_str()), Some("alderstile-n%2F1.voter"));
+    std::fs::copy(fixture("voter_store.bin"), &path).expect("copied");
+    let (store, found) = Store::open(&path, VOTERS).expect("opened");
+    let document = stored_document();
+    assert_eq!(found, Some((stored_state(&document), document.clone())));
+    std::fs::remove_file(&path).expect("taken away");
+    store.save(&stored_state(&document), &document).expect("saved");
+    let written = std::fs::read(&path).expect("read");
+    assert!(written == std::fs::read(fixture("voter_store.bin")).expect("read"));
+    std::fs::remove_dir_all(&dir).expect("taken away");
+}
+
+/// What a voter answers that has been told everything.
+fn shown() -> Shown {
+    Shown {
+        in_force: 8,
+        standing: "cut off".to_owned(),
+        known: 9,
+        waits_ms: 1_250,
+        age_ms: Some(321),
+        voter: Some("follower".to_owned()),
+        leader: Some("10.0.0.2:7950".parse().expect("an address")),
+        refused: Some("the key x: faulty".to_owned()),
+        digest: "00112233445566ff".to_owned(),
+        document: json!({"settings": {"a": 1}}),
+    }
+}
+
+#[test]
+fn the_admin_interface_s_answers_keep_their_keys() {
+    for (name, shown) in [("settings_full.json", shown()), ("settings_empty.json", Shown::default())] {
+        let text = std::fs::read_to_string(fixture(name)).expect("read");
+        assert_eq!(serde_json::to_string(&shown).expect("JSON"), text, "{name}");
+        let read: Shown = serde_json::from_str(&text).expect("readable");
+        assert_eq!(serde_json::to_string(&read).expect("JSON"), text, "{name}");
+    }
+}
+
+async fn call(to: std::net::SocketAddr, method: &str, path: &str, body: &str) -> (String, String) {
+    let mut peer = Peer::connect(to).await;
+    let length = body.len();
+    peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
+        .await;
+    let mut status = peer.line().await.expect("a status line");
+    while peer.line().await.is_some_and(|line| !line.is_empty()) {}
+    let mut text = String::new();
+    tokio::io::AsyncReadExt::read_to_string(&mut peer.0, &mut text).await.expect("a body");
+    status.truncate(12);
+    (status, text)
+}
+
+/// The time since the last news depends on the moment: any number stands for it.
+fn without_age(text: &str) -> Value {
+    let mut shown: Value = serde_json::from_str(text).expect("JSON");
+    assert!(shown["age_ms"].is_u64() || shown["age_ms"].is_null(), "{shown}");
+    shown["age_ms"] = Value::Null;
+    shown
+}
+
+/// Names and kinds of the metrics of a text, without their values.
+fn metric_names(text: &str) -> String {
+    let names = text.lines().filter(|line| line.contains("agreed_")).map(|line| {
+        let (name, value) = line.split_once(':').expect("a value");
+        format!("{name}|{}\n", value.split_once('|').expect("a kind").1)
+    });
+    names.collect()
+}
+
+/// What a node that is the only voter answers before and after a version, each under the name of its fixture.
+async fn answers() -> Vec<(&'static str, String)> {
+    let host = Host::new("s-1").await;
+    let (setup, _watch, control, dir) = alone(89, &[&host]).await;
+    let before = serde_json::to_string(&control.show()).expect("JSON");
+    let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
+    let to = listener.local_addr().expect("bound");
+    spawn_local(admin::run(setup.node.operators.clone(), listener));
+    let document = document(|_| {}).to_string();
+    let proposed = loop {
+        let (status, text) = call(to, "POST", "/settings/after/0", &document).await;
+        if status != "HTTP/1.1 409" {
+            break format!("{status}\n{text}");
+        }
+        tokio::time::sleep(Duration::from_millis(20)).await;
+    };
+    let (status, text) = call(to, "POST", "/settings/after/7", "{\"setings\": {}}").await;
+    let rejected = format!("{status}\n{text}");
+    in_force(&control, 1).await;
+    let (status, after) = call(to, "GET", "/settings", "").await;
+    assert_eq!(status, "HTTP/1.1 200");
+    let (_, counters) = call(to, "GET", "/control/counters", "").await;
+    std::fs::remove_dir_all(&dir).expect("taken away");
+    vec![
+        ("settings_before.json", before),
+        ("proposed.txt", proposed),
+        ("rejected.txt", rejected),
+        ("settings_after.json", after),
+        ("metric_names.txt", metric_names(&counters)),
+    ]
+}
+
+#[test]
+fn a_node_answers_as_the_version_before_did() {
+    run(async {
+        for (name, text) in answers().await {
+            let wanted = std::fs::read_to_string(fixture(name)).expect("read");
+            if name.ends_with(".json") {
+                assert_eq!(without_age(&text), without_age(&wanted), "{name}");
+            } else {
+                assert_eq!(text, wanted, "{name}");
+            }
+        }
+    });
+}
--- /dev/null
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -0,0 +1,74 @@
+//! Nodes that go by a replicated configuration: one alone in this process, and documents for it.
+
+use std::path::PathBuf;
+use std::rc::Rc;
+use std::time::Duration;
+
+use alderstile_cluster::agreed::Memory;
+use alderstile_node::agreed::{Control, Proposed};
+use alderstile_node::agreed_store::Store;
+use alderstile_node::cluster::Cluster;
+use alderstile_node::config::ClusterConfig;
+use serde_json::{Value, json};
+use tokio::task::spawn_local;
+
+use super::{Host, Peer, Setup, config, serving};
+
+pub const KEY: &str = "00112233445566778899aabbccddeeff";
+
+pub fn folder(name: &str) -> PathBuf {
+    let dir =
+        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("agreed-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&dir).expect("a folder");
+    dir
+}
+
+/// The settings that all nodes of the tests have alike, as a document.
+pub fn document(change: impl FnOnce(&mut Value)) -> Value {
+    let mut settings = config("127.0.0.1:1", "127.0.0.1:1")["settings"].take();
+    settings.as_object_mut().expect("an object").remove("my_zone");
+    let mut document = json!({ "settings": settings });
+    change(&mut document);
+    document
+}
+
+/// A node that is the only voter, in this process.
+pub async fn alone(net: u8, hosts: &[&Host]) -> (Setup, Peer, Rc<Control>, PathBuf) {
+    let (setup, watch) = serving(hosts).await;
+    let dir = folder(&format!("alone-{net}"));
+    let text = format!(
+        "name = \"edge\"\nlisten = \"127.0.{net}.1:19002\"\nkeys = [\"{KEY}\"]\n[control]\n\
+         listen = \"127.0.{net}.1:19003\"\nvoters = [\"127.0.{net}.1:19003\"]\nstate_dir = \"{}\"\n\
+         heartbeat_ms = 50\n",
+        dir.display()
+    );
+    let cluster = ClusterConfig::parse("c.toml", &text).expect("fine");
+    let control = cluster.control.as_ref().expect("a table");
+    let store = Store::path(&dir, &setup.node.config().name);
+    let (begun, _) = Store::open(&store, control.settings.voters_digest()).expect("opened");
+    begun.save(&Memory::genesis(), &[]).expect("saved");
+    drop(begun);
+    let member = Rc::new(Cluster::new(&setup.node.config(), &cluster, None).expect("a member"));
+    setup.node.operators.join(member.clone());
+    let control = Rc::new(Control::new(control, &setup.node));
+    setup.node.operators.agree(control.clone());
+    assert!(!setup.node.operators.ready(), "not before it knows which version counts");
+    spawn_local(control.clone().run(member));
+    (setup, watch, control, dir)
+}
+
+pub async fn agreed(control: &Control, document: &Value) -> u64 {
+    loop {
+        let expect = control.show().known;
+        if let Proposed::Agreed(version) = control.propose(expect, document.to_string().as_bytes()).await {
+            return version;
+        }
+        tokio::time::sleep(Duration::from_millis(20)).await;
+    }
+}
+
+pub async fn in_force(control: &Control, version: u64) {
+    while control.show().in_force < version {
+        tokio::time::sleep(Duration::from_millis(5)).await;
+    }
+}
