--- a/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
+++ b/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
@@ -2,7 +2,7 @@
 
 #![no_main]
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{Members, Record, Seal, Session, Settings};
 use libfuzzer_sys::fuzz_target;
 
--- a/crates/alderstile-cluster/src/agreed/blobs.rs
+++ b/crates/alderstile-cluster/src/agreed/blobs.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 
 use super::wire::{MAX_DOCUMENT, MAX_PART, Message};
 
--- a/crates/alderstile-cluster/src/agreed/mod.rs
+++ b/crates/alderstile-cluster/src/agreed/mod.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/alderstile-cluster/src/agreed/voting.rs
+++ b/crates/alderstile-cluster/src/agreed/voting.rs
@@ -12,7 +12,7 @@
 
 use std::collections::VecDeque;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/alderstile-cluster/src/choices.rs
+++ b/crates/alderstile-cluster/src/choices.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use alderstile::interface::{ListKind, Micros, ServerEntry, ServerId, ServerState};
+use alderstile::types::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 
 use crate::subsets::{Host, Node, Place, Rule, Shares, Subset, row};
 
--- a/crates/alderstile-cluster/src/members/mod.rs
+++ b/crates/alderstile-cluster/src/members/mod.rs
@@ -13,7 +13,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/alderstile-cluster/src/members/view.rs
+++ b/crates/alderstile-cluster/src/members/view.rs
@@ -3,7 +3,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use thiserror::Error;
 
 /// The longest name of a member, bytes.
--- a/crates/alderstile-cluster/src/subsets.rs
+++ b/crates/alderstile-cluster/src/subsets.rs
@@ -12,7 +12,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use alderstile::interface::{Micros, ServerId};
+use alderstile::types::{Micros, ServerId};
 
 use crate::hashed;
 
--- a/crates/alderstile-cluster/tests/agreed.rs
+++ b/crates/alderstile-cluster/tests/agreed.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::agreed::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/alderstile-cluster/tests/members.rs
+++ b/crates/alderstile-cluster/tests/members.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
--- a/crates/alderstile-cluster/tests/model.rs
+++ b/crates/alderstile-cluster/tests/model.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
--- a/crates/alderstile-cluster/tests/subsets.rs
+++ b/crates/alderstile-cluster/tests/subsets.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use alderstile::interface::{Micros, ServerId};
+use alderstile::types::{Micros, ServerId};
 use alderstile_cluster::subsets::{Host, Node, Place, Rule, Shares, Subset, order, table};
 use proptest::prelude::*;
 
--- a/crates/alderstile-drill/src/host.rs
+++ b/crates/alderstile-drill/src/host.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use alderstile::interface::Action;
 use alderstile::policy::Policy;
 use alderstile::settings::{self, Keys, SettingsError};
+use alderstile::types::Action;
 use thiserror::Error;
 
 use crate::wire::{Body, Header, Records, Reply, WireError};
--- a/crates/alderstile-drill/src/wire.rs
+++ b/crates/alderstile-drill/src/wire.rs
@@ -1,6 +1,6 @@
 //! The frames of the drill wire: little-endian, unpadded, a header and then records.
 
-use alderstile::interface::*;
+use alderstile::types::*;
 use bytes::{BufMut, BytesMut};
 use thiserror::Error;
 use winnow::Parser;
--- a/crates/alderstile-drill/tests/codec.rs
+++ b/crates/alderstile-drill/tests/codec.rs
@@ -5,8 +5,8 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use alderstile::interface::*;
 use alderstile::settings::{self, Keys, SettingsError};
+use alderstile::types::*;
 
 const SETTINGS: &str = "balancers=2\nmy_zone=1\nclasses.count=1\nclasses.0.aim=300000\n\
     classes.0.worth=2.0\nclasses.0.semantics=retryable\nclasses.0.window=5000000\nextra.message_aim=100000.0\n\
--- a/crates/alderstile-drill/tests/settings.rs
+++ b/crates/alderstile-drill/tests/settings.rs
@@ -1,7 +1,7 @@
 //! Each setting that a deployment states reaches the decisions: the first messages of three of them, as they came.
 
-use alderstile::interface::*;
 use alderstile::settings::{self, Keys, SettingsError};
+use alderstile::types::*;
 
 const DFA: &str = include_str!("first/dfa-photo-wire.txt");
 const DOGU: &str = include_str!("first/dogu-feed.txt");
--- a/crates/alderstile-lab/src/emulated/choosers.rs
+++ b/crates/alderstile-lab/src/emulated/choosers.rs
@@ -5,8 +5,8 @@
 use std::fmt;
 use std::str::FromStr;
 
-use alderstile::interface::*;
 use alderstile::policy::Policy;
+use alderstile::types::*;
 use clap::ValueEnum;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/fleet.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use alderstile::interface::*;
+use alderstile::types::*;
 use alderstile_cluster::choices::{self, Choices, Parts, TRAFFIC};
 use alderstile_cluster::members::Member;
 use alderstile_cluster::subsets::{self, Rule, Shares};
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -9,7 +9,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{Change, Members, Out, Record, Seal, Session, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -1,6 +1,6 @@
 //! Clients and their requests, from the front to a host and back.
 
-use alderstile::interface::*;
+use alderstile::types::*;
 use rand::RngExt;
 
 use super::fleet::{Fleet, Part, SERIAL_BITS, Stage, Step, of, request_id, server_id};
--- a/crates/alderstile-lab/src/emulated/supply.rs
+++ b/crates/alderstile-lab/src/emulated/supply.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use alderstile::interface::*;
+use alderstile::types::*;
 
 use super::fleet::{Part, Step, of, server_id};
 use super::hosts::TICK;
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -25,7 +25,7 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{
     Change, Counts, MAX_DATAGRAM, Members, Out, Record, Seal, Session, Settings,
 };
--- a/crates/alderstile-lab/src/scale.rs
+++ b/crates/alderstile-lab/src/scale.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{Seal, Settings};
 use serde::Deserialize;
 use serde_json::json;
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -10,7 +10,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{Members, Seal, Settings};
 use alderstile_lab::fit::Fit;
 use alderstile_lab::hollow::{Hollows, Network, Part, Setup, Spec, What};
--- a/crates/alderstile-node/src/agreed.rs
+++ b/crates/alderstile-node/src/agreed.rs
@@ -8,7 +8,7 @@
 use std::rc::{Rc, Weak};
 use std::time::{Duration, Instant};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::agreed::{Agreed, Out, Outcome, Role, Settings, Standing};
 use alderstile_cluster::members::MAX_DATAGRAM;
 use serde::{Deserialize, Serialize};
--- a/crates/alderstile-node/src/clients.rs
+++ b/crates/alderstile-node/src/clients.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-use alderstile::interface::RequestId;
+use alderstile::types::RequestId;
 use tokio::net::UnixDatagram;
 use tokio::sync::Notify;
 
--- a/crates/alderstile-node/src/clock.rs
+++ b/crates/alderstile-node/src/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 
 /// Steps of the system's clock after the start do not reach it.
 #[derive(Clone, Copy, Debug)]
--- a/crates/alderstile-node/src/cluster.rs
+++ b/crates/alderstile-node/src/cluster.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{Change, Counts, MAX_DATAGRAM, Members, Out, Record, Session, State};
 use serde::Serialize;
 use serde_json::Value;
--- a/crates/alderstile-node/src/config.rs
+++ b/crates/alderstile-node/src/config.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::interface::{Micros, Settings};
 use alderstile::settings::{self, Keys, SettingsError, absent};
+use alderstile::types::{Micros, Settings};
 use serde_json::{Map, Value};
 use thiserror::Error;
 use tracing::warn;
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::agreed;
 use alderstile_cluster::members::{self, MAX_CLUSTER, MIN_KEY, Seal};
 use serde::Deserialize;
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -6,10 +6,8 @@
 use std::rc::Rc;
 
 use alderstile::facade::Facade;
-use alderstile::interface::{
-    ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState, Settings, Weights,
-};
 use alderstile::shadow::Differences;
+use alderstile::types::{ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState, Settings, Weights};
 use alderstile_cluster::choices::Choices;
 use alderstile_cluster::subsets::Node as Peer;
 use tokio::sync::Notify;
--- a/crates/alderstile-node/src/discovery.rs
+++ b/crates/alderstile-node/src/discovery.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::interface::ListKind;
+use alderstile::types::ListKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response, StatusCode};
--- a/crates/alderstile-node/src/kept.rs
+++ b/crates/alderstile-node/src/kept.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 
 use alderstile::facade::Facade;
-use alderstile::interface::{Micros, ServerId};
+use alderstile::types::{Micros, ServerId};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
 
--- a/crates/alderstile-node/src/lease.rs
+++ b/crates/alderstile-node/src/lease.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use alderstile::interface::{Micros, ServerId};
+use alderstile::types::{Micros, ServerId};
 
 /// What discovery had, and what a silent watch missed, counts as told this long after. The grace at drains comes on top and
 /// is the margin of this.
--- a/crates/alderstile-node/src/list.rs
+++ b/crates/alderstile-node/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use alderstile::interface::{Micros, ServerEntry, ServerId, ServerState};
+use alderstile::types::{Micros, ServerEntry, ServerId, ServerState};
 use serde::{Deserialize, Serialize};
 
 /// A list of servers, or the changes of one.
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use alderstile::interface::{Micros, Part};
+use alderstile::types::{Micros, Part};
 
 use crate::clients::Clients;
 use crate::config::{Config, Current};
--- a/crates/alderstile-node/src/relay.rs
+++ b/crates/alderstile-node/src/relay.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use alderstile::interface::{RequestId, ServerId};
+use alderstile::types::{RequestId, ServerId};
 use serde::{Deserialize, Serialize};
 use tokio::io::Interest;
 use tokio::time::Instant;
--- a/crates/alderstile-node/src/session.rs
+++ b/crates/alderstile-node/src/session.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use alderstile::facade::{Answer, Ask};
-use alderstile::interface::{GroupId, Micros, Outcome, RequestId, ServerId};
+use alderstile::types::{GroupId, Micros, Outcome, RequestId, ServerId};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -273,7 +273,7 @@
 
 #[test]
 fn the_next_process_finds_the_hosts_that_are_out_and_trusts_no_damaged_file() {
-    let (dir, now) = (dir("kept"), alderstile::interface::Micros(7_000_000_000));
+    let (dir, now) = (dir("kept"), alderstile::types::Micros(7_000_000_000));
     let mut kept = Kept::default();
     kept.set("s-1", Stand::Out, now);
     kept.set("s-2", Stand::Back(now.0), now);
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use alderstile::facade::Facade;
-use alderstile::interface::{ListKind, Micros, ServerId};
+use alderstile::types::{ListKind, Micros, ServerId};
 use alderstile_node::config::Config;
 use alderstile_node::lease::Lease;
 use alderstile_node::node::Node;
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -7,11 +7,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
-use crate::interface::*;
 use crate::maintenance::Maintenance;
 use crate::notes::{Note, Notes};
 use crate::policy::Policy;
 use crate::shadow::{Differences, Shadow};
+use crate::types::*;
 
 /// What a client asks for; its number is the facade's to give.
 #[derive(Clone, Copy, Debug)]
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::interface::*;
+use crate::types::*;
 
 /// Which hosts are out, and what the list says of all of them.
 #[derive(Debug, Default)]
--- a/src/notes.rs
+++ b/src/notes.rs
@@ -9,7 +9,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::interface::{Micros, RequestId, ServerId};
+use crate::types::{Micros, RequestId, ServerId};
 
 /// A figure is far below a load that is this much higher. Of 6,600 changes of a connection's load by the operators'
 /// hosts 3.5% were to less than a twentieth, of 8,100 delays 77% were.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,4 @@
-//! All decisions of a node; the words they use are in `src/interface.rs`.
+//! All decisions of a node; the words they use are in `src/types/`.
 //!
 //! The ordinary path: a connection lands on the server lowest in this node's own record, and every second
 //! a server that stands above this node's mean for several periods sheds its excess. `docs/design.md` says
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::interface::*;
+use crate::types::*;
 
 mod record;
 mod sums;
--- a/src/policy/record.rs
+++ b/src/policy/record.rs
@@ -1,6 +1,6 @@
 //! What is held of one request: data that decides nothing.
 
-use crate::interface::{ClassSettings, Micros, Request};
+use crate::types::{ClassSettings, Micros, Request};
 
 use super::sums::is_load;
 
--- a/src/policy/sums.rs
+++ b/src/policy/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::interface::{GroupId, Micros, Part, ServerId};
+use crate::types::{GroupId, Micros, Part, ServerId};
 
 /// The weight of the newest value in running means.
 const NEWEST: f64 = 0.1;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -8,7 +8,7 @@
 
 use thiserror::Error;
 
-use crate::interface::*;
+use crate::types::*;
 
 /// The shared work of a group where nothing else is said, in usual connections: what the operators tell of the fleets
 /// whose connections share work.
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -7,8 +7,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use crate::interface::*;
 use crate::policy::Policy;
+use crate::types::*;
 
 /// How often the watching instance would have decided otherwise, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- /dev/null
+++ b/src/types/time.rs
@@ -0,0 +1,39 @@
+//! Time in whole microseconds.
+
+use std::ops::{Add, Sub};
+
+/// A point in time or a span of it, in whole microseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Micros(pub u64);
+
+impl Micros {
+    /// A span of whole milliseconds.
+    pub const fn from_millis(ms: u64) -> Self {
+        Micros(ms * 1_000)
+    }
+
+    /// The span in seconds.
+    pub fn as_secs_f64(self) -> f64 {
+        self.0 as f64 / 1e6
+    }
+
+    /// The span scaled by `factor`, which must not be negative.
+    pub fn scale(self, factor: f64) -> Self {
+        Micros((self.0 as f64 * factor) as u64)
+    }
+}
+
+impl Add for Micros {
+    type Output = Micros;
+    fn add(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_add(other.0))
+    }
+}
+
+/// Saturates at zero: a span that would be negative is none.
+impl Sub for Micros {
+    type Output = Micros;
+    fn sub(self, other: Micros) -> Micros {
+        Micros(self.0.saturating_sub(other.0))
+    }
+}
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use alderstile::interface::*;
+use alderstile::types::*;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use support::{Node, entry, ms, request, settings};
--- a/tests/facade.rs
+++ b/tests/facade.rs
@@ -1,7 +1,7 @@
 //! The facade hands on what the policy decides, and keeps its timers and numbers.
 
 use alderstile::facade::{Answer, Ask, Facade};
-use alderstile::interface::*;
+use alderstile::types::*;
 
 mod support;
 use support::{entry, ms, settings};
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use alderstile::interface::*;
 use alderstile::maintenance::Maintenance;
+use alderstile::types::*;
 use proptest::prelude::*;
 
 const NOW: Micros = Micros(5_000_000);
--- a/tests/notes.rs
+++ b/tests/notes.rs
@@ -1,7 +1,7 @@
 //! Loads and delays told in the same form are told apart.
 
-use alderstile::interface::{Micros, RequestId, ServerId};
 use alderstile::notes::{Note, Notes};
+use alderstile::types::{Micros, RequestId, ServerId};
 use proptest::prelude::*;
 
 const A: RequestId = RequestId(1);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use alderstile::interface::*;
+use alderstile::types::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use support::{Node, class, entry, ms, request, settings};
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use alderstile::interface::*;
+use alderstile::types::*;
 use support::{Node, class, entry, ms, request, settings};
 
 fn told(node: &mut Node, id: u64, load: f64) {
--- a/tests/shadow.rs
+++ b/tests/shadow.rs
@@ -1,8 +1,8 @@
 //! The watching instance changes nothing, and counts what it would have done otherwise.
 
 use alderstile::facade::{Answer, Ask, Facade};
-use alderstile::interface::*;
 use alderstile::shadow::{Differences, Shadow};
+use alderstile::types::*;
 use proptest::prelude::*;
 
 mod support;
--- a/tests/size.rs
+++ b/tests/size.rs
@@ -20,5 +20,5 @@
 #[test]
 fn policy_names_the_interface_at_its_top() {
     let top: Vec<&str> = POLICY.lines().take(3).collect();
-    assert!(top.join(" ").contains("src/interface.rs"));
+    assert!(top.join(" ").contains("src/types/"));
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,8 +3,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use alderstile::interface::*;
 use alderstile::policy::Policy;
+use alderstile::types::*;
 
 pub fn ms(ms: u64) -> Micros {
     Micros::from_millis(ms)
