--- a/crates/alderstile-cluster/src/lib.rs
+++ b/crates/alderstile-cluster/src/lib.rs
@@ -5,9 +5,9 @@
 
 use sha2::{Digest, Sha256};
 
-pub mod agreed;
 pub mod choices;
 pub mod members;
+pub mod replicated_config;
 pub mod subsets;
 
 /// A number for a name, the same on every machine and at every start (FNV-1a: Fowler, Noll and Vo).
--- a/crates/alderstile-cluster/src/agreed/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -18,12 +18,12 @@
 
 use crate::members::Unread;
 
-mod blobs;
-mod voting;
+mod chunked_transfer;
+mod raft;
 mod wire;
 
-pub use blobs::{Blobs, difference, patched};
-pub use voting::{Acts, Memory, Moment, Role, Voting};
+pub use chunked_transfer::{Blobs, difference, patched};
+pub use raft::{Acts, Memory, Moment, Role, Voting};
 pub use wire::{Ballot, Head, MAX_DOCUMENT, MAX_PART, MAX_REASON, Message, Outcome, Seal, Stamp};
 
 /// Who was not told anything newer for so many heartbeats asks another one.
--- a/crates/alderstile-cluster/tests/agreed.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use alderstile::types::Micros;
-use alderstile_cluster::agreed::*;
+use alderstile_cluster::replicated_config::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
--- a/crates/alderstile-cluster/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_fixtures.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use alderstile_cluster::agreed::{Ballot, Head, Message, Outcome, Seal, Stamp};
+use alderstile_cluster::replicated_config::{Ballot, Head, Message, Outcome, Seal, Stamp};
 
 /// One message of each kind, under the name of its fixture.
 fn messages() -> Vec<(&'static str, Message)> {
--- a/crates/alderstile-node/src/admin.rs
+++ b/crates/alderstile-node/src/admin.rs
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 use tracing::{debug, warn};
 
-use alderstile_cluster::agreed::MAX_DOCUMENT;
+use alderstile_cluster::replicated_config::MAX_DOCUMENT;
 
 use crate::agreed::{Control, Proposed};
 use crate::config::CALLERS;
--- a/crates/alderstile-node/src/agreed.rs
+++ b/crates/alderstile-node/src/agreed.rs
@@ -9,8 +9,8 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::agreed::{Agreed, Out, Outcome, Role, Settings, Standing};
 use alderstile_cluster::members::MAX_DATAGRAM;
+use alderstile_cluster::replicated_config::{Agreed, Out, Outcome, Role, Settings, Standing};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use tokio::net::UdpSocket;
--- a/crates/alderstile-node/src/agreed_store.rs
+++ b/crates/alderstile-node/src/agreed_store.rs
@@ -8,7 +8,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use alderstile_cluster::agreed::{Head, MAX_DOCUMENT, Memory, Stamp};
+use alderstile_cluster::replicated_config::{Head, MAX_DOCUMENT, Memory, Stamp};
 use thiserror::Error;
 use tracing::warn;
 
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -4,8 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use alderstile::types::Micros;
-use alderstile_cluster::agreed;
 use alderstile_cluster::members::{self, MAX_CLUSTER, MIN_KEY, Seal};
+use alderstile_cluster::replicated_config;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -77,9 +77,9 @@
     /// Where this node hears of versions, UDP.
     pub listen: SocketAddr,
     /// The cluster's name and keys, on every datagram.
-    pub seal: agreed::Seal,
+    pub seal: replicated_config::Seal,
     /// What the core goes by.
-    pub settings: agreed::Settings,
+    pub settings: replicated_config::Settings,
     /// Where a voter keeps its memory.
     pub state_dir: Option<PathBuf>,
     /// What a node does that is cut off.
@@ -200,8 +200,10 @@
                 Some(Subsets { size, users, zones_first, hold: Micros((hold_s * 1e6) as u64) })
             }
         };
-        let seal_of =
-            || agreed::Seal::new(&file.name, &keys).ok_or_else(|| bad("keys", "can't be used".to_owned()));
+        let seal_of = || {
+            replicated_config::Seal::new(&file.name, &keys)
+                .ok_or_else(|| bad("keys", "can't be used".to_owned()))
+        };
         let control = match file.control {
             None => None,
             Some(table) => Some(control(table, seal_of()?, bad)?),
@@ -222,7 +224,7 @@
 /// Checks the table `[control]`.
 fn control(
     table: ControlTable,
-    seal: agreed::Seal,
+    seal: replicated_config::Seal,
     bad: impl Fn(&str, String) -> ClusterError,
 ) -> Result<ControlConfig, ClusterError> {
     let ControlTable { listen, voters, state_dir, .. } = table;
@@ -230,8 +232,8 @@
     if listen.port() == 0 {
         return Err(bad("control.listen", "a port is wanted that others can know".to_owned()));
     }
-    if voters.is_empty() || voters.len() > agreed::MAX_VOTERS {
-        let what = format!("{}: 1 to {} are wanted", voters.len(), agreed::MAX_VOTERS);
+    if voters.is_empty() || voters.len() > replicated_config::MAX_VOTERS {
+        let what = format!("{}: 1 to {} are wanted", voters.len(), replicated_config::MAX_VOTERS);
         return Err(bad("control.voters", what));
     }
     for (i, voter) in voters.iter().enumerate() {
@@ -247,7 +249,7 @@
     if me.is_some() && state_dir.is_none() {
         return Err(bad("control.state_dir", "a voter wants a lasting place for its memory".to_owned()));
     }
-    let mut settings = agreed::Settings::usual(voters, me);
+    let mut settings = replicated_config::Settings::usual(voters, me);
     if let Some(heartbeat) = table.heartbeat_ms {
         if !(20..=10_000).contains(&heartbeat) {
             return Err(bad("control.heartbeat_ms", format!("{heartbeat}: 20 to 10000 is wanted")));
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::agreed::Memory;
+use alderstile_cluster::replicated_config::Memory;
 use alderstile_node::agreed::Control;
 use alderstile_node::agreed_client::{self, CallError};
 use alderstile_node::agreed_document::Document;
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use alderstile_cluster::agreed::{Head, Memory, Stamp};
+use alderstile_cluster::replicated_config::{Head, Memory, Stamp};
 use alderstile_node::agreed::Shown;
 use alderstile_node::agreed_document::Document;
 use alderstile_node::agreed_store::{Store, StoreError, parse};
--- a/crates/alderstile-node/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-node/tests/replicated_config_fixtures.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use alderstile_cluster::agreed::{Head, Memory, Stamp};
+use alderstile_cluster::replicated_config::{Head, Memory, Stamp};
 use alderstile_node::admin;
 use alderstile_node::agreed::Shown;
 use alderstile_node::agreed_document::Document;
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::agreed::Memory;
+use alderstile_cluster::replicated_config::Memory;
 use alderstile_node::agreed::{Control, Proposed};
 use alderstile_node::agreed_store::Store;
 use alderstile_node::cluster::Cluster;
