--- /dev/null
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -0,0 +1,158 @@
+//! Shares and assigned hosts as the version before worked them out (cc53de7): the same to nine digits.
+
+use std::collections::BTreeSet;
+use std::path::PathBuf;
+
+use alderstile::interface::{ListKind, Micros, ServerEntry, ServerId, ServerState};
+use alderstile_cluster::choices::{Choices, Parts, level, traffic};
+use alderstile_cluster::subsets::{Host, Node, Place, Rule, Subset, order, table};
+
+fn fixture(name: &str) -> String {
+    let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/subsetting").join(name);
+    std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
+}
+
+fn nodes(count: usize) -> Vec<Node> {
+    let node = |n: usize| Node {
+        name: format!("edge-{n}").into(),
+        zone: (n % 3) as u16,
+        traffic: 0.5 + (n * 5 % 7) as f64,
+    };
+    (0..count).map(node).collect()
+}
+
+fn hosts(count: usize) -> Vec<Host> {
+    let host = |h: usize| Host {
+        id: ServerId(h as u64 * 0x1_0001 + 77),
+        weight: 1.0 + (h * 7 % 4) as f64,
+        zone: (h % 3) as u16,
+        group: (h / 5) as u16,
+    };
+    (0..count).map(host).collect()
+}
+
+fn digest(text: &str) -> String {
+    format!("{:016x}", alderstile_cluster::digest(text.as_bytes()))
+}
+
+#[test]
+fn shares_and_orders_are_those_of_the_version_before() {
+    let mut lines = String::new();
+    for (nodes_count, hosts_count) in [(1, 6), (3, 30), (20, 30), (60, 90), (7, 1)] {
+        for (size, users, zones) in [(20, 4, false), (6, 2, true), (0, 0, false), (8, 3, true)] {
+            let rule = Rule { size, users, zones };
+            let (nodes, hosts) = (nodes(nodes_count), hosts(hosts_count));
+            let mut shares = String::new();
+            for (row, node) in table(rule, &nodes, &hosts).iter().zip(&nodes) {
+                row.iter().for_each(|(id, share)| shares += &format!("{} {share:.9} ", id.0));
+                shares +=
+                    &format!("{:?}\n", order(rule, node, &hosts).iter().map(|id| id.0).collect::<Vec<_>>());
+            }
+            lines += &format!("{nodes_count} {hosts_count} {size} {users} {zones} {}\n", digest(&shares));
+        }
+    }
+    assert_eq!(lines, fixture("shares.txt"));
+}
+
+#[test]
+fn a_subset_is_widened_and_narrowed_as_by_the_version_before() {
+    let (nodes, hosts) = (nodes(30), hosts(60));
+    let rule = Rule { size: 8, ..Rule::default() };
+    let mut subset = Subset::new(rule, nodes[4].clone(), Micros::from_millis(30_000));
+    subset.learn(&nodes, &hosts);
+    let cold: BTreeSet<ServerId> = hosts.iter().take(5).map(|host| host.id).collect();
+    let mut away = BTreeSet::new();
+    let mut lines = String::new();
+    for second in 0..80u64 {
+        match second {
+            10 => away = hosts.iter().step_by(2).map(|host| host.id).collect(),
+            12 => away = hosts.iter().map(|host| host.id).collect(),
+            14 => away.clear(),
+            _ => {}
+        }
+        let places = subset.places(Micros::from_millis(second * 1_000), &away, &cold);
+        let text: Vec<String> = places
+            .iter()
+            .map(|(id, place)| match place {
+                Place::Used(share) => format!("{} {share:.9}", id.0),
+                Place::Aside => format!("{} -", id.0),
+            })
+            .collect();
+        lines += &format!("{second} {:?} {}\n", subset.counts(), digest(&text.join(" ")));
+    }
+    assert_eq!(lines, fixture("widening.txt"));
+}
+
+#[test]
+fn assigned_hosts_are_those_of_the_version_before() {
+    let parts = Parts {
+        subsets: Some(Rule { size: 6, users: 2, zones: true }),
+        hold: Micros::from_millis(20_000),
+        cold: Micros::from_millis(5_000),
+    };
+    let mut nodes = nodes(12);
+    let me = nodes.swap_remove(3);
+    let mut assigned = Choices::new(parts, me, true);
+    let entry = |host: &Host| ServerEntry {
+        id: host.id,
+        zone: host.zone,
+        cell: host.group,
+        weight: host.weight,
+        state: ServerState::Ready,
+        ..ServerEntry::default()
+    };
+    let listed: Vec<ServerEntry> = hosts(30).iter().map(entry).collect();
+    let mut lines = String::new();
+    let shown = |entries: Vec<ServerEntry>| {
+        let one = |entry: &ServerEntry| {
+            let state = match entry.state {
+                ServerState::Ready => 0,
+                ServerState::Draining => 1,
+                ServerState::Gone => 2,
+                ServerState::Aside => 3,
+            };
+            let joined = entry.joined.map(|at| at.0);
+            format!("{} {state} {:.9} {joined:?}", entry.id.0, entry.weight)
+        };
+        let text: Vec<String> = entries.iter().map(one).collect();
+        format!("{} {}", entries.len(), digest(&text.join("\n")))
+    };
+    for second in 0..60u64 {
+        let now = Micros::from_millis(second * 1_000);
+        match second {
+            1 => lines += &format!("full {}\n", shown(assigned.lay_over(ListKind::Full, listed.clone()))),
+            5 => {
+                nodes.iter_mut().step_by(2).for_each(|node| node.traffic = 0.0);
+                assigned.members(nodes.clone());
+            }
+            9 => {
+                let gone = ServerEntry { state: ServerState::Gone, ..listed[4] };
+                let cold = ServerEntry { started: Some(now), ..listed[7] };
+                let changes = vec![gone, cold];
+                lines += &format!("change {}\n", shown(assigned.lay_over(ListKind::Delta, changes)));
+            }
+            20 => assigned.members(nodes[..5].to_vec()),
+            _ => {}
+        }
+        let away: BTreeSet<ServerId> = if (30..33).contains(&second) {
+            listed.iter().step_by(2).map(|e| e.id).collect()
+        } else {
+            BTreeSet::new()
+        };
+        let told = assigned.tell(now, (second * second) as usize);
+        let starved = assigned.starved();
+        let changed = shown(assigned.refresh(now, &away));
+        lines += &format!("{second} {told:?} {starved} {:?} {changed}\n", assigned.counts());
+    }
+    assert_eq!(lines, fixture("assignment.txt"));
+}
+
+#[test]
+fn traffic_levels_are_those_of_the_version_before() {
+    let counts = [0, 1, 2, 3, 10, 99, 1_000, 65_535, 1_999_999];
+    let levels: Vec<u8> = counts.map(level).to_vec();
+    let lines: String =
+        levels.iter().map(|&level| format!("{level} {:.9}\n", traffic(Some(&[level])))).collect();
+    assert_eq!(lines, fixture("levels.txt"));
+    assert!(traffic(None) == 0.0 && traffic(Some(&[1, 2])) == 0.0);
+}
