--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{
     Body, Change, Datagram, Header, Members, Out, Record, Rumor, Seal, Session, Settings, State,
 };
@@ -189,7 +189,7 @@
                     .members
                     .iter()
                     .position(|other| other.as_ref().is_some_and(|other| other.me().address == to));
-                let Some(receiver) = receiver.filter(|_| self.datagrams % 7 != 0) else { continue };
+                let Some(receiver) = receiver.filter(|_| !self.datagrams.is_multiple_of(7)) else { continue };
                 let side = |number: usize| apart.contains(&(number as u64 + 1));
                 if side(by) != side(receiver) {
                     continue;
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use alderstile::interface::{ListKind, Micros, ServerEntry, ServerId, ServerState};
+use alderstile::types::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 use alderstile_cluster::choices::{Choices, Parts, level, traffic};
 use alderstile_cluster::subsets::{Host, Node, Place, Rule, Subset, order, table};
 
