--- a/crates/alderstile-cluster/tests/agreed.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
 
-use alderstile::interface::Micros;
-use alderstile_cluster::agreed::*;
+use alderstile::types::Micros;
+use alderstile_cluster::replicated_config::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::agreed::Memory;
+use alderstile_cluster::replicated_config::Memory;
 use alderstile_node::admin::{client, server};
 use alderstile_node::config::{ClusterConfig, Config};
 use alderstile_node::control::host_assignment;
