--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -6,8 +6,7 @@
 
 use alderstile_cluster::replicated_config::{Head, Memory, Stamp};
 use alderstile_node::config::{ClusterConfig, Config};
-use alderstile_node::control::membership::Cluster;
-use alderstile_node::control::replicated_config::{Control, Proposed, Shown};
+use alderstile_node::control::replicated_config::Shown;
 use alderstile_node::control::replicated_config_document::Document;
 use alderstile_node::control::replicated_config_store::{Store, StoreError, parse};
 use alderstile_node::discovery::endpoint_list::server_id;
--- /dev/null
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -0,0 +1,333 @@
+//! What operators and deployments of cc53de7 rely on: the configuration's and the cluster file's keys, the maintenance
+//! file, the admin interface's answers, the metrics' names and the command line's output.
+
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::{Command, Stdio};
+use std::time::Duration;
+
+use alderstile_node::admin::maintenance_store::{Kept, Stand};
+use alderstile_node::config::{ClusterConfig, Config, CutOff};
+use serde_json::Value;
+use tokio::io::AsyncReadExt;
+
+mod support;
+use support::*;
+
+fn fixture(name: &str) -> PathBuf {
+    [env!("CARGO_MANIFEST_DIR"), "tests/fixtures/compatibility", name].iter().collect()
+}
+
+fn recorded(name: &str) -> String {
+    std::fs::read_to_string(fixture(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
+}
+
+/// Holds what the code says now against what the version before said.
+fn same(name: &str, now: &str) {
+    assert_eq!(now, recorded(name), "{name}");
+}
+
+fn folder(name: &str) -> PathBuf {
+    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&dir);
+    std::fs::create_dir_all(&dir).expect("a folder");
+    dir
+}
+
+// ---- the configuration's file ----
+
+fn every_key() -> Value {
+    serde_json::from_str(&recorded("config.json")).expect("JSON")
+}
+
+/// JSON pointers of all values that are neither objects nor arrays of objects.
+fn leaves(place: &str, value: &Value, found: &mut Vec<String>) {
+    match value {
+        Value::Object(fields) => {
+            fields.iter().for_each(|(key, value)| leaves(&format!("{place}/{key}"), value, found));
+        }
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            items.iter().enumerate().for_each(|(i, item)| leaves(&format!("{place}/{i}"), item, found));
+        }
+        _ => found.push(place.to_owned()),
+    }
+}
+
+/// A key that is no longer read under its name would be taken whatever it says.
+#[test]
+fn each_key_of_the_configuration_is_read_under_its_name() {
+    let mut places = Vec::new();
+    leaves("", &every_key(), &mut places);
+    let mut table = String::new();
+    for place in places {
+        let mut value = every_key();
+        *value.pointer_mut(&place).expect("a key") = "no such value".into();
+        let path = place.trim_start_matches('/').replace('/', ".");
+        let outcome = match Config::parse(value) {
+            Ok(_) => "taken",
+            Err(error) if error.to_string().contains(&path) => "refused by its name",
+            Err(_) => "refused",
+        };
+        table.push_str(&format!("{path}: {outcome}\n"));
+    }
+    same("config_keys.txt", &table);
+}
+
+#[test]
+fn a_configuration_with_every_key_has_its_values() {
+    let config = Config::of_file(every_key(), |_| None).expect("fine");
+    assert_eq!(config.name, "n/1");
+    let address = |text: &str| text.parse::<SocketAddr>().expect("an address");
+    assert_eq!(config.listen, address("127.0.0.1:9000"));
+    assert_eq!(config.admin_addr, Some(address("127.0.0.1:9001")));
+    assert_eq!(config.discovery, address("127.0.0.1:8500"));
+    assert_eq!(config.peer_listen, Some(address("127.0.0.1:7946")));
+    assert_eq!(config.peers, [address("127.0.0.1:7946"), address("127.0.0.1:7947")]);
+    assert_eq!(config.peers_all, Some(address("127.0.0.1:7940")));
+    assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 60));
+    assert_eq!(config.classes, ["chat", "presence", "poll"]);
+    assert_eq!(config.zones, ["a", "b"]);
+    assert_eq!((config.connect_timeout.as_millis(), config.stop_within.as_millis()), (240, 1_900));
+    assert_eq!(config.pushed.map(|grace| grace.0), Some(600_000));
+    assert_eq!((config.settings.must_ask, config.settings.must_ask_in.0), (true, 200_000));
+    assert_eq!((config.settings.balancers, config.settings.group_load), (2, 2.5));
+    let shadow = config.shadow.expect("on");
+    assert_eq!((shadow.balancers, shadow.group_load), (50, 3.5));
+    let mut told = every_key();
+    let known = told.as_object_mut().and_then(|fields| fields.remove("known"));
+    assert_eq!(config.told, told);
+    assert_eq!(serde_json::to_value(&config.known).ok(), known, "the endpoint list's keys");
+}
+
+#[test]
+fn each_environment_variable_stands_above_its_key() {
+    let env = |name: &str| match name {
+        "ROUTER_NAME" => Some("n2".to_owned()),
+        "ROUTER_LISTEN" => Some("127.0.0.9:1".to_owned()),
+        "ROUTER_DISCOVERY" => Some("127.0.0.9:2".to_owned()),
+        "ROUTER_ADMIN_ADDR" => Some("127.0.0.9:3".to_owned()),
+        "ROUTER_CONFIG" => Some(fixture("config.json").display().to_string()),
+        "TMPDIR" => Some("/of/its/own".to_owned()),
+        _ => None,
+    };
+    let config = Config::load(None, env).expect("fine");
+    let ports = [Some(config.listen), Some(config.discovery), config.admin_addr];
+    assert_eq!(config.name, "n2");
+    assert_eq!(ports.map(|address| address.map(|address| address.port())), [Some(1), Some(2), Some(3)]);
+    assert_eq!(config.state_dir.as_deref(), Some(Path::new("/of/its/own")));
+}
+
+// ---- the cluster's file ----
+
+#[test]
+fn a_cluster_file_with_every_key_has_its_values() {
+    let config = ClusterConfig::load(&fixture("cluster.toml")).expect("fine");
+    assert_eq!((config.name.as_str(), config.listen.port(), config.advertise.port()), ("edge", 19946, 19947));
+    assert_eq!(config.seeds.len(), 2);
+    assert_eq!((config.settings.period.0, config.settings.suspicion), (200_000, 3.5));
+    let subsets = config.subsets.expect("a table");
+    assert_eq!((subsets.size, subsets.users), (12, 3));
+    assert_eq!((subsets.zones_first, subsets.hold.0), (true, 12_500_000));
+    let control = config.control.expect("a table");
+    assert_eq!((control.listen.port(), control.settings.voters.len()), (19950, 2));
+    assert_eq!(control.settings.me, Some(0));
+    assert_eq!(control.state_dir.as_deref(), Some(Path::new("/var/lib/alderstile")));
+    assert_eq!((control.settings.heartbeat.0, control.settings.lease.0), (40_000, 750_000));
+    assert_eq!((control.settings.drift, control.settings.fanout), (0.02, 5));
+    assert_eq!(control.cut_off, CutOff::Refuse);
+    let other = recorded("cluster.toml").replace("\"refuse\"", "\"go-on\"");
+    let other = ClusterConfig::parse("cluster.toml", &other).expect("fine").control.expect("a table");
+    assert_eq!(other.cut_off, CutOff::GoOn);
+}
+
+// ---- the maintenance file ----
+
+#[test]
+fn the_maintenance_file_is_read_and_written_as_the_same_bytes() {
+    let dir = folder("maintenance");
+    let path = dir.join("alderstile-n%2F1.hosts.json");
+    std::fs::copy(fixture("hosts.json"), &path).expect("copied");
+    let kept = Kept::load(&dir, "n/1");
+    let hosts: Vec<(&str, Stand)> = kept.hosts().collect();
+    let [("s-1", Stand::Out), ("s-2", Stand::Back(since))] = hosts[..] else { panic!("{hosts:?}") };
+    assert!(since > 1_700_000_000_000_000, "microseconds of Unix time");
+    std::fs::remove_file(&path).expect("taken away");
+    kept.save(&dir, "n/1").expect("saved");
+    assert_eq!(std::fs::read_to_string(&path).expect("there"), recorded("hosts.json"));
+    std::fs::remove_dir_all(&dir).expect("taken away");
+}
+
+// ---- a process: admin interface, metrics, command line ----
+
+/// A node's process, ended with its owner.
+struct Running(std::process::Child);
+
+impl Drop for Running {
+    fn drop(&mut self) {
+        self.0.kill().unwrap_or_default();
+        let _ = self.0.wait();
+    }
+}
+
+const LISTEN: &str = "127.0.91.1:19000";
+const ADMIN: &str = "127.0.91.1:19001";
+
+/// The files of a node alone in its cluster, and its only voter.
+fn write_files(dir: &Path) {
+    let mut file = config(LISTEN, "127.0.0.1:1");
+    (file["name"], file["admin_addr"]) = ("n/1".into(), ADMIN.into());
+    file["settings"]["classes"][1]["name"] = "a:b|c d".into();
+    std::fs::write(dir.join("config.json"), file.to_string()).expect("written");
+    let cluster = recorded("cluster.toml")
+        .replace(", \"127.0.91.2:19950\"", "")
+        .replace("127.0.91.1:19947", "127.0.91.1:19946")
+        .replace("/var/lib/alderstile", &dir.display().to_string());
+    std::fs::write(dir.join("cluster.toml"), cluster).expect("written");
+    std::fs::write(dir.join("bad.json"), "{\"setings\": {}}").expect("written");
+}
+
+fn program(dir: &Path, discovery: SocketAddr, words: &[&str]) -> Command {
+    let mut program = Command::new(env!("CARGO_BIN_EXE_alderstile"));
+    program.args(words).arg("--config").arg(dir.join("config.json"));
+    program.arg("--cluster").arg(dir.join("cluster.toml"));
+    program.env("TMPDIR", dir).env("ROUTER_DISCOVERY", discovery.to_string());
+    program.stderr(Stdio::null());
+    program
+}
+
+/// What a command prints and how it ends.
+fn printed(dir: &Path, discovery: SocketAddr, words: &[&str]) -> String {
+    let output = program(dir, discovery, words).output().expect("run");
+    let text = String::from_utf8(output.stdout).expect("text").replace(&dir.display().to_string(), "DIR");
+    format!("$ alderstile {}\n{text}exit {}\n", words.join(" "), output.status.code().unwrap_or(-1))
+}
+
+/// All of an answer, its date masked, and its length where that may differ.
+async fn call(method: &str, path: &str, body: &str) -> String {
+    let mut peer = Peer::connect(ADMIN.parse().expect("an address")).await;
+    let length = body.len();
+    peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
+        .await;
+    let mut answer = String::new();
+    peer.0.read_to_string(&mut answer).await.expect("an answer");
+    let lines = answer.lines().map(|line| match line.split_once(": ") {
+        Some(("date", _)) => "date: DATE",
+        Some(("content-length", _)) if path == "/members" => "content-length: LENGTH",
+        _ => line,
+    });
+    lines.map(|line| format!("{line}\n")).collect()
+}
+
+/// The name and the kind of each metric, without its value.
+fn metric_names(text: &str) -> String {
+    let metrics = text.lines().filter_map(|line| {
+        let (rest, kind) = line.rsplit_once('|')?;
+        Some(format!("{}|{kind}\n", rest.rsplit_once(':')?.0))
+    });
+    metrics.collect()
+}
+
+/// The maintenance file with the time at which a host came back masked.
+fn without_time(text: &str) -> String {
+    let (head, tail) = text.split_once("\"back\":").expect("a host that is back");
+    format!("{head}\"back\":TIME{}", tail.trim_start_matches(|c: char| c.is_ascii_digit()))
+}
+
+/// A text that holds the members as JSON, with what differs from start to start masked.
+fn masked_members(text: &str) -> String {
+    let (Some(start), Some(end)) = (text.find('{'), text.rfind('}')) else { return text.to_owned() };
+    let mut members: Value = serde_json::from_str(&text[start..=end]).expect("JSON");
+    for member in members["members"].as_array_mut().into_iter().flatten() {
+        assert!(member["session"].is_string(), "{member}");
+        member["session"] = "SESSION".into();
+        for number in ["for_ms", "incarnation"] {
+            assert!(member[number].is_u64(), "{member}");
+            member[number] = "NUMBER".into();
+        }
+    }
+    format!("{}{members}{}", &text[..start], &text[end + 1..])
+}
+
+/// The table of members with the seconds masked.
+fn masked_table(text: &str) -> String {
+    let seconds = |line: &str| match line.rsplit_once("  this one") {
+        Some((rest, _)) => {
+            format!("{} SECONDS  this one\n", rest.trim_end_matches(|c: char| c != ' ').trim_end())
+        }
+        None => format!("{line}\n"),
+    };
+    text.lines().map(seconds).collect()
+}
+
+async fn answers() -> String {
+    let calls = [
+        ("GET", "/control/ready", ""),
+        ("POST", "/control/ready", ""),
+        ("GET", "/control/hosts/s-1/offline", ""),
+        ("POST", "/control/hosts/s-1/offline", ""),
+        ("POST", "/control/hosts/s-2/offline", ""),
+        ("POST", "/control/hosts/s-2/online", ""),
+        ("POST", "/control/hosts/s-3/offline", ""),
+        ("POST", "/control/hosts/s-1/sideways", ""),
+        ("PUT", "/control/counters", ""),
+        ("POST", "/members", ""),
+        ("POST", "/settings", ""),
+        ("GET", "/settings/after/1", ""),
+        ("POST", "/settings/after/x", ""),
+        ("GET", "/nowhere", ""),
+    ];
+    let mut all = String::new();
+    for (method, path, body) in calls {
+        all.push_str(&format!("> {method} {path}\n{}\n", call(method, path, body).await));
+    }
+    let body = "x".repeat(9 << 10);
+    all.push_str(&format!("> 9 KiB\n{}", call("POST", "/control/hosts/s-1/online", &body).await));
+    all
+}
+
+async fn until(status: &str) {
+    while !call("GET", "/control/ready", "").await.starts_with(&format!("HTTP/1.1 {status}")) {
+        tokio::time::sleep(Duration::from_millis(10)).await;
+    }
+}
+
+async fn until_reachable() {
+    while tokio::net::TcpStream::connect(ADMIN).await.is_err() {
+        tokio::time::sleep(Duration::from_millis(10)).await;
+    }
+}
+
+#[test]
+fn a_process_answers_and_prints_what_the_version_before_did() {
+    run(async {
+        let dir = folder("compatibility");
+        write_files(&dir);
+        let discovery = Discovery::new().await;
+        let at = discovery.0.local_addr().expect("bound");
+        let print = |words: &[&str]| printed(&dir, at, words);
+        let mut commands = print(&["check-config"]);
+        commands.push_str(&print(&["settings", "init"]));
+        commands.push_str(&print(&["settings", "init"]));
+        commands.push_str(&print(&["settings", "show"]));
+        let _node = Running(program(&dir, at, &["serve"]).spawn().expect("started"));
+        until_reachable().await;
+        let unready = call("GET", "/control/ready", "").await;
+        same("not_ready.txt", &unready);
+        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
+        let entries: Vec<Value> = hosts.iter().map(|host| host.entry("up")).collect();
+        let _watch = discovery.watch(&[&list(1, true, &entries)]).await;
+        until("200").await;
+        same("admin.txt", &answers().await);
+        same("metric_names.txt", &metric_names(&call("GET", "/control/counters", "").await));
+        same("members.txt", &masked_members(&call("GET", "/members", "").await));
+        let kept = std::fs::read_to_string(dir.join("alderstile-n%2F1.hosts.json")).expect("there");
+        assert_eq!(without_time(&kept), without_time(&recorded("hosts.json")));
+        commands.push_str(&masked_table(&print(&["members"])));
+        commands.push_str(&masked_members(&print(&["members", "--json"])));
+        let bad = dir.join("bad.json").display().to_string();
+        commands.push_str(&print(&["settings", "propose", &bad]).replace(&dir.display().to_string(), "DIR"));
+        commands.push_str(&print(&["version"]));
+        same("commands.txt", &commands);
+        std::fs::remove_dir_all(&dir).expect("taken away");
+    });
+}
