--- a/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
+++ b/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
@@ -3,7 +3,7 @@
 #![no_main]
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{Members, Record, Seal, Session, Settings};
+use alderstile_cluster::membership::{Members, Record, Seal, Session, Settings};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|bytes: &[u8]| {
--- a/crates/alderstile-cluster/src/agreed/mod.rs
+++ b/crates/alderstile-cluster/src/agreed/mod.rs
@@ -16,7 +16,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::members::Unread;
+use crate::membership::Unread;
 
 mod blobs;
 mod voting;
--- a/crates/alderstile-cluster/src/agreed/wire.rs
+++ b/crates/alderstile-cluster/src/agreed/wire.rs
@@ -19,7 +19,7 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::token::rest;
 
-use crate::members::{MAX_CLUSTER, MAX_DATAGRAM, MIN_KEY, Unread};
+use crate::membership::{MAX_CLUSTER, MAX_DATAGRAM, MIN_KEY, Unread};
 
 /// The longest document, bytes.
 pub const MAX_DOCUMENT: usize = 32 << 10;
--- a/crates/alderstile-cluster/src/choices.rs
+++ b/crates/alderstile-cluster/src/host_assignment.rs
@@ -7,7 +7,7 @@
 
 use alderstile::types::{ListKind, Micros, ServerEntry, ServerId, ServerState};
 
-use crate::subsets::{Host, Node, Place, Rule, Shares, Subset, row};
+use crate::subsetting::{Host, Node, Place, Rule, Shares, Subset, row};
 
 /// The tag of the fact by which a member tells what comes to it.
 pub const TRAFFIC: u8 = b't';
--- a/crates/alderstile-cluster/src/lib.rs
+++ b/crates/alderstile-cluster/src/lib.rs
@@ -6,9 +6,9 @@
 use sha2::{Digest, Sha256};
 
 pub mod agreed;
-pub mod choices;
-pub mod members;
-pub mod subsets;
+pub mod host_assignment;
+pub mod membership;
+pub mod subsetting;
 
 /// A number for a name, the same on every machine and at every start (FNV-1a: Fowler, Noll and Vo).
 pub fn hashed(name: &str) -> u64 {
--- a/crates/alderstile-cluster/tests/members.rs
+++ b/crates/alderstile-cluster/tests/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::*;
+use alderstile_cluster::membership::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{
+use alderstile_cluster::membership::{
     Body, Change, Datagram, Header, Members, Out, Record, Rumor, Seal, Session, Settings, State,
 };
 
--- a/crates/alderstile-cluster/tests/model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::*;
+use alderstile_cluster::membership::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -310,7 +310,7 @@
     search(128, 48);
 }
 
-/// A longer search, by hand: `VIEWS_CASES=10000 VIEWS_SEED=1 cargo test --release -p alderstile-cluster --test model --
+/// A longer search, by hand: `VIEWS_CASES=10000 VIEWS_SEED=1 cargo test --release -p alderstile-cluster --test membership_model --
 /// --ignored --nocapture`; each of four threads plays a quarter of the cases with a seed of its own.
 #[test]
 #[ignore = "a search by chance, run by hand"]
--- a/crates/alderstile-cluster/tests/subsets.rs
+++ b/crates/alderstile-cluster/tests/subsetting.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use alderstile::types::{Micros, ServerId};
-use alderstile_cluster::subsets::{Host, Node, Place, Rule, Shares, Subset, order, table};
+use alderstile_cluster::subsetting::{Host, Node, Place, Rule, Shares, Subset, order, table};
 use proptest::prelude::*;
 
 fn nodes(count: usize) -> Vec<Node> {
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 
 use alderstile::types::{ListKind, Micros, ServerEntry, ServerId, ServerState};
-use alderstile_cluster::choices::{Choices, Parts, level, traffic};
-use alderstile_cluster::subsets::{Host, Node, Place, Rule, Subset, order, table};
+use alderstile_cluster::host_assignment::{Choices, Parts, level, traffic};
+use alderstile_cluster::subsetting::{Host, Node, Place, Rule, Subset, order, table};
 
 fn fixture(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/subsetting").join(name);
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/fleet.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use alderstile::types::*;
-use alderstile_cluster::choices::{self, Choices, Parts, TRAFFIC};
-use alderstile_cluster::members::Member;
-use alderstile_cluster::subsets::{self, Rule, Shares};
+use alderstile_cluster::host_assignment::{self, Choices, Parts, TRAFFIC};
+use alderstile_cluster::membership::Member;
+use alderstile_cluster::subsetting::{self, Rule, Shares};
 use rand::RngExt;
 
 use super::choosers::{Choice, Chooser, Way};
@@ -324,9 +324,9 @@
 }
 
 /// A node as others know it.
-fn peer(plan: &Plan, node: usize) -> subsets::Node {
+fn peer(plan: &Plan, node: usize) -> subsetting::Node {
     let zone = (node % plan.zones.len()) as u16;
-    subsets::Node { name: format!("n{node}").into(), zone, traffic: 0.0 }
+    subsetting::Node { name: format!("n{node}").into(), zone, traffic: 0.0 }
 }
 
 /// Tables of shares that were worked out of late: emulated nodes with the same view share them.
@@ -335,8 +335,8 @@
 
 /// For whom a table is, and each node's row of it.
 struct Table {
-    nodes: Vec<subsets::Node>,
-    hosts: Vec<subsets::Host>,
+    nodes: Vec<subsetting::Node>,
+    hosts: Vec<subsetting::Host>,
     rows: BTreeMap<Box<str>, Shares>,
 }
 
@@ -347,9 +347,9 @@
     fn row(
         &mut self,
         rule: Rule,
-        me: &subsets::Node,
-        others: &[subsets::Node],
-        hosts: &[subsets::Host],
+        me: &subsetting::Node,
+        others: &[subsetting::Node],
+        hosts: &[subsetting::Host],
     ) -> Shares {
         let mut nodes = others.to_vec();
         nodes.push(me.clone());
@@ -357,7 +357,7 @@
         if let Some(known) = self.0.iter().find(|table| table.nodes == nodes && table.hosts == hosts) {
             return known.rows.get(&me.name).cloned().unwrap_or_default();
         }
-        let rows = subsets::table(rule, &nodes, hosts);
+        let rows = subsetting::table(rule, &nodes, hosts);
         let rows: BTreeMap<Box<str>, Shares> = nodes.iter().map(|node| node.name.clone()).zip(rows).collect();
         let row = rows.get(&me.name).cloned().unwrap_or_default();
         self.0.push_front(Table { nodes, hosts: hosts.to_vec(), rows });
@@ -535,7 +535,7 @@
     }
 
     /// The other nodes as this one sees them: all that there are, where nobody tells.
-    fn others(&self, node: usize) -> Vec<subsets::Node> {
+    fn others(&self, node: usize) -> Vec<subsetting::Node> {
         let Some(members) = &self.nodes[node].members else {
             return (0..self.plan.nodes)
                 .filter(|other| *other != node)
@@ -544,10 +544,10 @@
         };
         let lives = members.others().filter(|member| member.state.lives());
         let zone = |name: &str| self.plan.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
-        let node = |member: &Member| subsets::Node {
+        let node = |member: &Member| subsetting::Node {
             name: member.record.name.clone(),
             zone: zone(&member.record.zone),
-            traffic: choices::traffic(member.record.fact(TRAFFIC)),
+            traffic: host_assignment::traffic(member.record.fact(TRAFFIC)),
         };
         lives.map(node).collect()
     }
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{Change, Members, Out, Record, Seal, Session, Settings, State};
+use alderstile_cluster::membership::{Change, Members, Out, Record, Seal, Session, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use thiserror::Error;
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -26,7 +26,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{
+use alderstile_cluster::membership::{
     Change, Counts, MAX_DATAGRAM, Members, Out, Record, Seal, Session, Settings,
 };
 use rustix::time::{ClockId, clock_gettime};
--- a/crates/alderstile-lab/src/scale.rs
+++ b/crates/alderstile-lab/src/scale.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{Seal, Settings};
+use alderstile_cluster::membership::{Seal, Settings};
 use serde::Deserialize;
 use serde_json::json;
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{Members, Seal, Settings};
+use alderstile_cluster::membership::{Members, Seal, Settings};
 use alderstile_lab::fit::Fit;
 use alderstile_lab::hollow::{Hollows, Network, Part, Setup, Spec, What};
 use alderstile_lab::measure::{self, Sizes};
--- a/crates/alderstile-node/src/agreed.rs
+++ b/crates/alderstile-node/src/agreed.rs
@@ -10,7 +10,7 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::agreed::{Agreed, Out, Outcome, Role, Settings, Standing};
-use alderstile_cluster::members::MAX_DATAGRAM;
+use alderstile_cluster::membership::MAX_DATAGRAM;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use tokio::net::UdpSocket;
--- a/crates/alderstile-node/src/choices.rs
+++ b/crates/alderstile-node/src/choices.rs
@@ -3,8 +3,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::choices::{Choices, Parts, TRAFFIC, traffic};
-use alderstile_cluster::subsets::{Node as Peer, Rule};
+use alderstile_cluster::host_assignment::{Choices, Parts, TRAFFIC, traffic};
+use alderstile_cluster::subsetting::{Node as Peer, Rule};
 use tracing::info;
 
 use crate::cluster::Cluster;
--- a/crates/alderstile-node/src/cluster.rs
+++ b/crates/alderstile-node/src/cluster.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{Change, Counts, MAX_DATAGRAM, Members, Out, Record, Session, State};
+use alderstile_cluster::membership::{Change, Counts, MAX_DATAGRAM, Members, Out, Record, Session, State};
 use serde::Serialize;
 use serde_json::Value;
 use tokio::net::UdpSocket;
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -5,7 +5,7 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::agreed;
-use alderstile_cluster::members::{self, MAX_CLUSTER, MIN_KEY, Seal};
+use alderstile_cluster::membership::{self, MAX_CLUSTER, MIN_KEY, Seal};
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -129,7 +129,7 @@
     /// The cluster's name and keys, on every datagram.
     pub seal: Seal,
     /// What the members go by.
-    pub settings: members::Settings,
+    pub settings: membership::Settings,
     /// Each node uses a part of the hosts; all of them where this is not set.
     pub subsets: Option<Subsets>,
     /// Settings are agreed among the members; each node goes by its own file where this is not set.
@@ -172,7 +172,7 @@
         if !(50..=60_000).contains(&period_ms) {
             return Err(bad("period_ms", format!("{period_ms}: 50 to 60000 is wanted")));
         }
-        let mut settings = members::Settings::with_period(Micros::from_millis(period_ms));
+        let mut settings = membership::Settings::with_period(Micros::from_millis(period_ms));
         if let Some(suspicion) = file.suspicion {
             if !(1.0..=100.0).contains(&suspicion) {
                 return Err(bad("suspicion", format!("{suspicion}: 1 to 100 is wanted")));
--- a/crates/alderstile-node/src/counters.rs
+++ b/crates/alderstile-node/src/counters.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Write;
 
-use alderstile_cluster::members::Counts;
+use alderstile_cluster::membership::Counts;
 
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
