--- a/crates/alderstile-node/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-node/tests/replicated_config_fixtures.rs
@@ -3,12 +3,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use alderstile_cluster::agreed::{Head, Memory, Stamp};
-use alderstile_node::admin;
-use alderstile_node::agreed::Shown;
-use alderstile_node::agreed_document::Document;
-use alderstile_node::agreed_store::Store;
-use alderstile_node::listener;
+use alderstile_cluster::replicated_config::{Head, Memory, Stamp};
+use alderstile_node::admin::server;
+use alderstile_node::control::replicated_config::Shown;
+use alderstile_node::control::replicated_config_document::Document;
+use alderstile_node::control::replicated_config_store::Store;
+use alderstile_node::proxy::listener;
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
@@ -114,7 +114,7 @@
     let before = serde_json::to_string(&control.show()).expect("JSON");
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let to = listener.local_addr().expect("bound");
-    spawn_local(admin::run(setup.node.operators.clone(), listener));
+    spawn_local(server::run(setup.node.operators.clone(), listener));
     let document = document(|_| {}).to_string();
     let proposed = loop {
         let (status, text) = call(to, "POST", "/settings/after/0", &document).await;
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -4,11 +4,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::agreed::Memory;
-use alderstile_node::agreed::{Control, Proposed};
-use alderstile_node::agreed_store::Store;
-use alderstile_node::cluster::Cluster;
+use alderstile_cluster::replicated_config::Memory;
 use alderstile_node::config::ClusterConfig;
+use alderstile_node::control::membership::Cluster;
+use alderstile_node::control::replicated_config::{Control, Proposed};
+use alderstile_node::control::replicated_config_store::Store;
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
