--- a/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
+++ b/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
@@ -5,7 +5,7 @@
 
 use alderstile::types::Micros;
 
-use super::wire::{MAX_DOCUMENT, MAX_PART, Message};
+use super::wire::{MAX_CHUNK, MAX_DOCUMENT, Message};
 
 /// Documents held beside those in use: the last ones, as bases of differences.
 const KEPT: usize = 8;
@@ -51,13 +51,13 @@
 
 /// The documents that a node holds or fetches.
 #[derive(Default)]
-pub struct Blobs {
+pub struct ChunkedTransfer {
     held: BTreeMap<u64, Vec<u8>>,
     order: VecDeque<u64>,
     fetches: BTreeMap<u64, Fetch>,
 }
 
-impl Blobs {
+impl ChunkedTransfer {
     /// A document that is held.
     pub fn get(&self, digest: u64) -> Option<&[u8]> {
         self.held.get(&digest).map(Vec::as_slice)
@@ -95,7 +95,7 @@
         let again = now + AGAIN;
         let (bytes, ahead) = (Vec::new(), BTreeMap::new());
         self.fetches.insert(digest, Fetch { from, base, total: None, bytes, ahead, again, tries: 0 });
-        Some((from, Message::Want { digest, base, offset: 0 }))
+        Some((from, Message::ChunkRequest { digest, base, offset: 0 }))
     }
 
     /// What is asked for a second time by now.
@@ -105,12 +105,12 @@
         late.map(|(digest, fetch)| {
             (fetch.tries, fetch.again) = (fetch.tries + 1, now + AGAIN);
             let offset = fetch.bytes.len() as u32;
-            (fetch.from, Message::Want { digest: *digest, base: fetch.base, offset })
+            (fetch.from, Message::ChunkRequest { digest: *digest, base: fetch.base, offset })
         })
         .collect()
     }
 
-    /// When [`Blobs::tick`] has something to do next.
+    /// When [`ChunkedTransfer::tick`] has something to do next.
     pub fn due(&self) -> Option<Micros> {
         self.fetches.values().map(|fetch| fetch.again).min()
     }
@@ -124,14 +124,14 @@
         };
         let total = bytes.len() as u32;
         let rest = bytes.get(offset as usize..).unwrap_or_default();
-        let part = |(i, part): (usize, &[u8])| Message::Part {
+        let part = |(i, part): (usize, &[u8])| Message::Chunk {
             digest,
             base,
             total,
-            offset: offset + (i * MAX_PART) as u32,
+            offset: offset + (i * MAX_CHUNK) as u32,
             bytes: part.to_vec(),
         };
-        rest.chunks(MAX_PART).take(PARTS).enumerate().map(part).collect()
+        rest.chunks(MAX_CHUNK).take(PARTS).enumerate().map(part).collect()
     }
 
     /// Takes in a part; returns the document where it is whole now, and what to ask for next.
@@ -169,8 +169,8 @@
         (fetch.tries, fetch.again) = (0, now + AGAIN);
         if fetch.bytes.len() < total as usize {
             let next = fetch.bytes.len() as u32;
-            let last_of_call = next.div_ceil(MAX_PART as u32).is_multiple_of(PARTS as u32);
-            let want = Message::Want { digest, base, offset: next };
+            let last_of_call = next.div_ceil(MAX_CHUNK as u32).is_multiple_of(PARTS as u32);
+            let want = Message::ChunkRequest { digest, base, offset: next };
             return (None, last_of_call.then_some((fetch.from, want)));
         }
         let Some(fetch) = self.fetches.remove(&digest) else { return (None, None) };
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -1,13 +1,13 @@
 //! Agreed, versioned configuration: one document that voters agree on, spread to all members, which all act on from a moment on at
 //! which nobody acts on the one before any more.
 //!
-//! Time, messages and randomness are arguments. [`Voting`] agrees (Raft), a tree over the members spreads, and leases
+//! Time, messages and randomness are arguments. [`Raft`] agrees (Raft), a tree over the members spreads, and leases
 //! (Gray and Cheriton 1989) tell when a version counts: `docs/agreed.md` has the design and derives the bounds.
 //!
 //! A node *acts on* a version from the moment at which it takes it up until the lease on it has run out or a later one is taken up. The
-//! lease runs for [`Settings::lease`] from a moment at which that version was the latest one, by this node's clock: who tells it
+//! lease runs for [`ReplicationSettings::lease`] from a moment at which that version was the latest one, by this node's clock: who tells it
 //! echoes the receiver's own clock, so that neither transit times nor differences between clocks count. A version is taken up
-//! [`Settings::waits`] after it was agreed, by which time every lease on the one before has run out.
+//! [`ReplicationSettings::waits`] after it was agreed, by which time every lease on the one before has run out.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -22,9 +22,12 @@
 mod raft;
 mod wire;
 
-pub use chunked_transfer::{Blobs, difference, patched};
-pub use raft::{Acts, Memory, Moment, Role, Voting};
-pub use wire::{Ballot, Head, MAX_DOCUMENT, MAX_PART, MAX_REASON, Message, Outcome, Seal, Stamp};
+pub use chunked_transfer::{ChunkedTransfer, difference, patched};
+pub use raft::{HardState, Raft, RaftEffects, Role, StepTime};
+pub use wire::{
+    LogPosition, MAX_CHUNK, MAX_DOCUMENT, MAX_REASON, Message, ProposalOutcome, RaftPayload, Seal,
+    VersionHeader,
+};
 
 /// Who was not told anything newer for so many heartbeats asks another one.
 const PATIENCE: f64 = 2.5;
@@ -41,7 +44,7 @@
 
 /// How a node goes about it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct ReplicationSettings {
     /// Where the voters are reached, the same list at all members.
     pub voters: Vec<SocketAddr>,
     /// Which of them this is, if any.
@@ -56,11 +59,11 @@
     pub fanout: usize,
 }
 
-impl Settings {
+impl ReplicationSettings {
     /// Usual settings: half a second, a lease of 2.5 s, rates within 0.2%, four told by each.
     pub fn usual(voters: Vec<SocketAddr>, me: Option<u8>) -> Self {
         let (heartbeat, lease) = (Micros::from_millis(500), Micros::from_millis(2_500));
-        Settings { voters, me, heartbeat, lease, drift: 0.002, fanout: 4 }
+        ReplicationSettings { voters, me, heartbeat, lease, drift: 0.002, fanout: 4 }
     }
 
     /// How long after it was agreed a version counts: a lease on the one before runs out that long after at the latest, though its
@@ -78,40 +81,40 @@
 
 /// What a call of the core wants done, in this order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Out {
+pub enum Effect {
     /// Put this on disk, with this document, before anything after it is done; where that fails, nothing after it may be, and
-    /// [`Agreed::forget`] is due.
-    Save(Memory, Vec<u8>),
+    /// [`ReplicatedConfig::forget`] is due.
+    PersistHardState(HardState, Vec<u8>),
     /// Send these bytes there.
     Send(SocketAddr, Vec<u8>),
     /// A version was agreed and waits until it counts.
-    Waits(u64, Vec<u8>),
+    VersionCommitted(u64, Vec<u8>),
     /// A version counts.
-    InForce(u64, Vec<u8>),
+    VersionActive(u64, Vec<u8>),
     /// What became of the proposal with this number.
-    Proposed(u64, Outcome),
+    ProposalFinished(u64, ProposalOutcome),
     /// This voter has another role.
-    Became(Role),
+    RoleChanged(Role),
     /// A leader of another list of voters was heard, at this place in that list.
-    OtherVoters(u8),
+    VoterListMismatch(u8),
 }
 
 /// How a node stands to what it has in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum LeaseState {
     /// It has not heard of any version yet.
-    Unheard,
+    NeverHeard,
     /// It acts on it.
-    Counts,
+    Valid,
     /// A later one is agreed and doesn't count yet, and the lease on this one has run out.
-    Between,
+    Superseded,
     /// The lease has run out, and nothing later was heard of.
-    CutOff,
+    Expired,
 }
 
 /// What was sent and came.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct TrafficCounters {
     /// Datagrams sent.
     pub sent: u64,
     /// Their bytes.
@@ -132,20 +135,20 @@
 
 /// What is known to be agreed.
 #[derive(Clone, Copy, Debug)]
-struct Known {
-    head: Head,
+struct CommittedVersion {
+    head: VersionHeader,
     /// It was agreed that long ago at least, at that moment of this clock; none for version 0, which always was.
     since: Option<(Micros, Micros)>,
     /// It was the latest then.
     fresh: Option<Micros>,
 }
 
-struct Child {
+struct Subscriber {
     clock: u64,
     heard: Micros,
 }
 
-struct Proposal {
+struct OwnProposal {
     nonce: u64,
     expect: u64,
     digest: u64,
@@ -154,7 +157,7 @@
 }
 
 /// A proposal of another node, or of this one, at the leader.
-struct Put {
+struct PendingProposal {
     from: Option<SocketAddr>,
     nonce: u64,
     expect: u64,
@@ -164,22 +167,22 @@
 }
 
 /// Says what is wrong with a document.
-pub type Check = Box<dyn Fn(&[u8]) -> Result<(), String>>;
+pub type ValidateDocument = Box<dyn Fn(&[u8]) -> Result<(), String>>;
 
 /// One node's part.
-pub struct Agreed {
-    set: Settings,
+pub struct ReplicatedConfig {
+    set: ReplicationSettings,
     voters: u64,
     seal: Seal,
-    check: Check,
+    check: ValidateDocument,
     rng: Pcg64Mcg,
     now: Micros,
     base: u64,
-    voting: Option<Voting>,
-    blobs: Blobs,
-    known: Known,
+    voting: Option<Raft>,
+    blobs: ChunkedTransfer,
+    known: CommittedVersion,
     /// Version, digest, and the last moment at which it was the latest.
-    in_force: (Head, Option<Micros>),
+    in_force: (VersionHeader, Option<Micros>),
     /// The version whose document was told as waiting.
     waits: u64,
     others: Vec<SocketAddr>,
@@ -189,25 +192,25 @@
     attempt_at: Micros,
     told: Micros,
     asks_at: Micros,
-    children: BTreeMap<SocketAddr, Child>,
-    proposal: Option<Proposal>,
+    children: BTreeMap<SocketAddr, Subscriber>,
+    proposal: Option<OwnProposal>,
     guess: u8,
-    puts: Vec<Put>,
-    figures: Figures,
+    puts: Vec<PendingProposal>,
+    figures: TrafficCounters,
 }
 
-impl Agreed {
+impl ReplicatedConfig {
     /// A node that knows of no version, or a voter with its memory and the document in it. `check` says what is wrong with a document.
     pub fn new(
-        set: Settings,
+        set: ReplicationSettings,
         seal: Seal,
-        memory: Option<(Memory, Vec<u8>)>,
-        check: Check,
+        memory: Option<(HardState, Vec<u8>)>,
+        check: ValidateDocument,
         seed: u64,
         now: Micros,
     ) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut blobs = Blobs::default();
+        let mut blobs = ChunkedTransfer::default();
         blobs.hold(Vec::new(), &[]);
         let memory = memory.map(|(memory, document)| {
             blobs.hold(document, &[]);
@@ -215,14 +218,14 @@
         });
         let voting = set.me.map(|me| {
             let rng = Pcg64Mcg::seed_from_u64(rng.random());
-            Voting::new(me, set.voters.len(), set.heartbeat, memory, rng, now)
+            Raft::new(me, set.voters.len(), set.heartbeat, memory, rng, now)
         });
-        let genesis = Memory::genesis().head;
+        let genesis = HardState::genesis().head;
         // What an earlier process of this node was told must not fit this one's clock.
         let base = rng.random_range(1 << 61..1 << 62);
         let asks_at = now + set.heartbeat.scale(rng.random::<f64>());
         let guess = rng.random_range(0..set.voters.len().max(1)) as u8;
-        Agreed {
+        ReplicatedConfig {
             voters: set.voters_digest(),
             set,
             seal,
@@ -232,7 +235,7 @@
             base,
             voting,
             blobs,
-            known: Known { head: genesis, since: None, fresh: None },
+            known: CommittedVersion { head: genesis, since: None, fresh: None },
             in_force: (genesis, None),
             waits: 0,
             others: Vec::new(),
@@ -246,7 +249,7 @@
             proposal: None,
             guess,
             puts: Vec::new(),
-            figures: Figures::default(),
+            figures: TrafficCounters::default(),
         }
     }
 
@@ -275,17 +278,17 @@
     }
 
     /// How this node stands to what it has in force.
-    pub fn standing(&self, now: Micros) -> Standing {
+    pub fn standing(&self, now: Micros) -> LeaseState {
         let (head, fresh) = self.in_force;
         let Some(fresh) = fresh else {
-            return if self.known.fresh.is_some() { Standing::Between } else { Standing::Unheard };
+            return if self.known.fresh.is_some() { LeaseState::Superseded } else { LeaseState::NeverHeard };
         };
         if now < fresh + self.set.lease {
-            Standing::Counts
+            LeaseState::Valid
         } else if self.known.head.stamp.version > head.stamp.version {
-            Standing::Between
+            LeaseState::Superseded
         } else {
-            Standing::CutOff
+            LeaseState::Expired
         }
     }
 
@@ -296,17 +299,17 @@
 
     /// What this voter is, where it is one.
     pub fn role(&self) -> Option<Role> {
-        self.voting.as_ref().map(Voting::role)
+        self.voting.as_ref().map(Raft::role)
     }
 
     /// Who leads, as far as this voter knows.
     pub fn leader(&self) -> Option<u8> {
-        self.voting.as_ref().and_then(Voting::leader)
+        self.voting.as_ref().and_then(Raft::leader)
     }
 
     /// This voter's memory.
-    pub fn memory(&self) -> Option<&Memory> {
-        self.voting.as_ref().and_then(Voting::memory)
+    pub fn memory(&self) -> Option<&HardState> {
+        self.voting.as_ref().and_then(Raft::memory)
     }
 
     /// Nodes that are told by this one.
@@ -315,7 +318,7 @@
     }
 
     /// What was sent and came.
-    pub fn figures(&self) -> Figures {
+    pub fn figures(&self) -> TrafficCounters {
         self.figures
     }
 
@@ -345,20 +348,20 @@
         }
     }
 
-    /// Proposes a document as the version after `expect`; [`Out::Proposed`] names the nonce. One at a time: another one takes the
+    /// Proposes a document as the version after `expect`; [`Effect::ProposalFinished`] names the nonce. One at a time: another one takes the
     /// place of this node's own proposal before.
-    pub fn propose(&mut self, now: Micros, nonce: u64, expect: u64, document: Vec<u8>) -> Vec<Out> {
+    pub fn propose(&mut self, now: Micros, nonce: u64, expect: u64, document: Vec<u8>) -> Vec<Effect> {
         self.now = self.now.max(now);
         if document.is_empty() || document.len() > MAX_DOCUMENT {
             let reason = format!("{} bytes: 1 to {MAX_DOCUMENT} are wanted", document.len());
-            return vec![Out::Proposed(nonce, Outcome::Refused(reason))];
+            return vec![Effect::ProposalFinished(nonce, ProposalOutcome::Rejected(reason))];
         }
         if let Err(reason) = (self.check)(&document) {
-            return vec![Out::Proposed(nonce, Outcome::Refused(reason))];
+            return vec![Effect::ProposalFinished(nonce, ProposalOutcome::Rejected(reason))];
         }
         let length = document.len() as u32;
         let digest = self.hold(document);
-        self.proposal = Some(Proposal { nonce, expect, digest, length, again: self.now });
+        self.proposal = Some(OwnProposal { nonce, expect, digest, length, again: self.now });
         let mut out = Vec::new();
         self.put_up(&mut out);
         out
@@ -371,9 +374,9 @@
 
     // ---- time ----
 
-    /// When [`Agreed::tick`] has something to do next.
+    /// When [`ReplicatedConfig::tick`] has something to do next.
     pub fn due(&self) -> Micros {
-        let voting = self.voting.as_ref().map(Voting::due);
+        let voting = self.voting.as_ref().map(Raft::due);
         let proposal = self.proposal.as_ref().map(|proposal| proposal.again);
         let ready = self.ready_at();
         let asks = (!self.votes()).then_some(self.asks_at);
@@ -384,7 +387,7 @@
     }
 
     /// Does what is due. A clock that goes back stands still until it is where it was.
-    pub fn tick(&mut self, now: Micros) -> Vec<Out> {
+    pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
         self.now = self.now.max(now);
         let mut out = Vec::new();
         self.voting(&mut out, |voting, at, _, acts| voting.tick(at, acts));
@@ -417,17 +420,17 @@
     }
 
     /// Takes up what counts by now.
-    fn take_up(&mut self, out: &mut Vec<Out>) {
+    fn take_up(&mut self, out: &mut Vec<Effect>) {
         let head = self.known.head;
         let document = self.blobs.get(head.digest).map(<[u8]>::to_vec);
         if let Some(document) = document.filter(|_| head.stamp.version > self.waits) {
             self.waits = head.stamp.version;
-            out.push(Out::Waits(head.stamp.version, document));
+            out.push(Effect::VersionCommitted(head.stamp.version, document));
         }
         if self.ready_at().is_some_and(|ready| ready <= self.now) {
             self.in_force = (head, self.known.fresh);
             let (version, document) = self.in_force();
-            out.push(Out::InForce(version, document.to_vec()));
+            out.push(Effect::VersionActive(version, document.to_vec()));
         }
     }
 
@@ -439,33 +442,37 @@
         self.blobs.hold(document, &used)
     }
 
-    fn send(&mut self, out: &mut Vec<Out>, to: SocketAddr, message: &Message) {
+    fn send(&mut self, out: &mut Vec<Effect>, to: SocketAddr, message: &Message) {
         let bytes = self.seal.write(message);
         self.figures.sent += 1;
         self.figures.sent_bytes += bytes.len() as u64;
-        out.push(Out::Send(to, bytes));
+        out.push(Effect::Send(to, bytes));
     }
 
     // ---- voters ----
 
     /// Calls the voter and does what it wants done.
-    fn voting(&mut self, out: &mut Vec<Out>, call: impl FnOnce(&mut Voting, Moment, &Blobs, &mut Acts)) {
+    fn voting(
+        &mut self,
+        out: &mut Vec<Effect>,
+        call: impl FnOnce(&mut Raft, StepTime, &ChunkedTransfer, &mut RaftEffects),
+    ) {
         let since = self.since().unwrap_or_default();
-        let at = Moment { now: self.now, clock: self.clock(), since };
+        let at = StepTime { now: self.now, clock: self.clock(), since };
         let Some(voting) = &mut self.voting else { return };
-        let (mut acts, role) = (Acts::default(), voting.role());
+        let (mut acts, role) = (RaftEffects::default(), voting.role());
         let confirmed = voting.confirmed();
         call(voting, at, &self.blobs, &mut acts);
         let (voting_role, memory, agreed) = (voting.role(), voting.memory().copied(), voting.agreed());
         let fresh = voting.confirmed();
         if let Some(memory) = memory.filter(|_| acts.save) {
             let document = self.blobs.get(memory.head.digest).unwrap_or_default().to_vec();
-            out.push(Out::Save(memory, document));
+            out.push(Effect::PersistHardState(memory, document));
         }
         let (voters, from) = (self.voters, self.set.me.unwrap_or_default());
         for (to, term, ballot) in acts.send {
             if let Some(to) = self.set.voters.get(usize::from(to)).copied() {
-                self.send(out, to, &Message::Voter { voters, from, term, ballot });
+                self.send(out, to, &Message::Raft { voters, from, term, ballot });
             }
         }
         if let Some((digest, voter)) = acts.want
@@ -474,7 +481,7 @@
             self.want(out, digest, from);
         }
         if role != voting_role {
-            out.push(Out::Became(voting_role));
+            out.push(Effect::RoleChanged(voting_role));
             if role == Role::Leader {
                 self.puts.clear();
             }
@@ -484,7 +491,7 @@
         {
             self.learn(out, head, 0, fresh);
             // All hear at once that it is agreed.
-            let append: fn(&mut Voting, Moment, &Blobs, &mut Acts) =
+            let append: fn(&mut Raft, StepTime, &ChunkedTransfer, &mut RaftEffects) =
                 |voting, at, _, acts| voting.append(at, acts);
             self.voting(out, append);
             self.answer_agreed(out);
@@ -502,7 +509,7 @@
         clock.checked_sub(self.base).map(Micros).filter(|moment| *moment <= self.now)
     }
 
-    fn want(&mut self, out: &mut Vec<Out>, digest: u64, from: SocketAddr) {
+    fn want(&mut self, out: &mut Vec<Effect>, digest: u64, from: SocketAddr) {
         let base = self.known.head.digest;
         let base = if base == digest { self.in_force.0.digest } else { base };
         if let Some((to, message)) = self.blobs.want(self.now, digest, base, from) {
@@ -511,14 +518,14 @@
     }
 
     /// Takes in what is agreed.
-    fn learn(&mut self, out: &mut Vec<Out>, head: Head, since: u64, fresh: Option<Micros>) {
+    fn learn(&mut self, out: &mut Vec<Effect>, head: VersionHeader, since: u64, fresh: Option<Micros>) {
         let version = head.stamp.version;
         if version < self.known.head.stamp.version {
             return;
         }
         let newer = version > self.known.head.stamp.version;
         if newer {
-            self.known = Known { head, since: None, fresh: None };
+            self.known = CommittedVersion { head, since: None, fresh: None };
         } else if head.digest != self.known.head.digest {
             // Can't be, as versions are agreed on once; believed it would split the fleet.
             self.figures.contrary += 1;
@@ -549,13 +556,13 @@
     // ---- proposals ----
 
     /// Puts this node's own proposal up, here or at the voter that may lead.
-    fn put_up(&mut self, out: &mut Vec<Out>) {
+    fn put_up(&mut self, out: &mut Vec<Effect>) {
         let now = self.now;
-        let Some(Proposal { nonce, expect, digest, length, again }) = &mut self.proposal else { return };
+        let Some(OwnProposal { nonce, expect, digest, length, again }) = &mut self.proposal else { return };
         *again = now + PROPOSES;
         let (nonce, expect, digest, length) = (*nonce, *expect, *digest, *length);
         if self.role() == Some(Role::Leader) {
-            self.consider(out, Put { from: None, nonce, expect, digest, version: None });
+            self.consider(out, PendingProposal { from: None, nonce, expect, digest, version: None });
             return;
         }
         if let Some(leader) = self.leader() {
@@ -567,27 +574,33 @@
         self.send(out, to, &Message::Propose { nonce, expect, digest, length });
     }
 
-    fn answer(&mut self, out: &mut Vec<Out>, from: Option<SocketAddr>, nonce: u64, outcome: Outcome) {
+    fn answer(
+        &mut self,
+        out: &mut Vec<Effect>,
+        from: Option<SocketAddr>,
+        nonce: u64,
+        outcome: ProposalOutcome,
+    ) {
         match from {
-            Some(to) => self.send(out, to, &Message::Answer { nonce, outcome }),
+            Some(to) => self.send(out, to, &Message::ProposeReply { nonce, outcome }),
             None => {
                 self.give_up(nonce);
-                out.push(Out::Proposed(nonce, outcome));
+                out.push(Effect::ProposalFinished(nonce, outcome));
             }
         }
     }
 
     /// What a leader makes of a proposal whose document is held; nothing yet where it is to wait.
-    fn consider(&mut self, out: &mut Vec<Out>, put: Put) {
-        let Put { from, nonce, expect, digest, .. } = put;
+    fn consider(&mut self, out: &mut Vec<Effect>, put: PendingProposal) {
+        let PendingProposal { from, nonce, expect, digest, .. } = put;
         let Some(document) = self.blobs.get(digest) else { return };
         let known = self.known.head;
         let at = known.stamp.version;
         let (_, waits) = self.known();
         let length = document.len() as u32;
-        let settled = self.voting.as_ref().and_then(Voting::agreed);
+        let settled = self.voting.as_ref().and_then(Raft::agreed);
         let refused = if known.digest == digest && at == expect.saturating_add(1) {
-            return self.answer(out, from, nonce, Outcome::Agreed(at));
+            return self.answer(out, from, nonce, ProposalOutcome::Committed(at));
         } else if let Some(waiting) =
             self.puts.iter_mut().find(|put| put.digest == digest && put.version.is_some())
         {
@@ -607,23 +620,23 @@
         } else {
             let mut version = None;
             self.puts.retain(|put| put.version.is_some() || put.digest != digest);
-            self.puts.push(Put { version: Some(at.saturating_add(1)), ..put });
+            self.puts.push(PendingProposal { version: Some(at.saturating_add(1)), ..put });
             self.voting(out, |voting, at, _, acts| version = voting.propose(at, digest, length, acts));
             if version.is_none() {
                 self.puts.clear();
             }
             return;
         };
-        self.answer(out, from, nonce, Outcome::Refused(refused));
+        self.answer(out, from, nonce, ProposalOutcome::Rejected(refused));
     }
 
-    fn answer_agreed(&mut self, out: &mut Vec<Out>) {
+    fn answer_agreed(&mut self, out: &mut Vec<Effect>) {
         let (version, digest) = (self.known.head.stamp.version, self.known.head.digest);
         let puts = std::mem::take(&mut self.puts);
         for put in puts {
             match put.version {
                 Some(at) if at == version && put.digest == digest => {
-                    self.answer(out, put.from, put.nonce, Outcome::Agreed(version));
+                    self.answer(out, put.from, put.nonce, ProposalOutcome::Committed(version));
                 }
                 _ => self.puts.push(put),
             }
@@ -667,7 +680,7 @@
     }
 
     /// Says whom this node wants to be told by, of another one where that one is silent.
-    fn ask(&mut self, out: &mut Vec<Out>) {
+    fn ask(&mut self, out: &mut Vec<Effect>) {
         let late = self.told + self.beats(PATIENCE) <= self.now;
         if self.parent.is_some() && late {
             self.attempt += 1;
@@ -681,7 +694,7 @@
         }
         if let Some(parent) = self.parent {
             let (clock, in_force) = (self.clock(), self.in_force.0.stamp.version);
-            self.send(out, parent, &Message::Ask { clock, in_force });
+            self.send(out, parent, &Message::Subscribe { clock, in_force });
         }
         // Never all together; often enough to be told in time by another one.
         let early = self.rng.random::<f64>();
@@ -691,7 +704,7 @@
     }
 
     /// Tells those that asked what is agreed.
-    fn tell_children(&mut self, out: &mut Vec<Out>) {
+    fn tell_children(&mut self, out: &mut Vec<Effect>) {
         let (now, lasts) = (self.now, self.beats(3.0 * ASKS));
         self.children.retain(|_, child| now < child.heard + lasts);
         let told: Vec<(SocketAddr, Message)> =
@@ -701,20 +714,20 @@
         }
     }
 
-    fn word_for(&self, child: &Child) -> Message {
+    fn word_for(&self, child: &Subscriber) -> Message {
         // Whatever its clock said it had said before it was heard here.
         let fresh = self
             .known
             .fresh
             .map_or(0, |fresh| child.clock.saturating_add(fresh.0).saturating_sub(child.heard.0));
         let since = self.since().unwrap_or_default().0;
-        Message::Tell { head: self.known.head, since, fresh }
+        Message::Announce { head: self.known.head, since, fresh }
     }
 
     // ---- what comes ----
 
     /// Takes in a datagram.
-    pub fn received(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Out> {
+    pub fn received(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Effect> {
         self.now = self.now.max(now);
         let mut out = Vec::new();
         let message = match self.seal.read(bytes) {
@@ -738,13 +751,13 @@
         out
     }
 
-    fn take_in(&mut self, from: SocketAddr, message: Message, out: &mut Vec<Out>) {
+    fn take_in(&mut self, from: SocketAddr, message: Message, out: &mut Vec<Effect>) {
         match message {
-            Message::Voter { voters, from, .. } if voters != self.voters => {
+            Message::Raft { voters, from, .. } if voters != self.voters => {
                 self.figures.foreign += 1;
-                out.push(Out::OtherVoters(from));
+                out.push(Effect::VoterListMismatch(from));
             }
-            Message::Voter { from, term, ballot, .. } => {
+            Message::Raft { from, term, ballot, .. } => {
                 self.voting(out, |voting, at, blobs, acts| {
                     let held = |digest| blobs.get(digest).is_some();
                     voting.received(at, (from, term, ballot), held, acts);
@@ -754,13 +767,13 @@
                     self.fetch_known(out, voter);
                 }
             }
-            Message::Ask { clock, .. } => {
+            Message::Subscribe { clock, .. } => {
                 // A leader has the voters to tell besides.
                 let most = if self.role() == Some(Role::Leader) { 1 } else { 2 } * self.set.fanout;
                 let room = self.children.len() < most || self.children.contains_key(&from);
                 // Clocks begin far below; one that doesn't is none of this program's.
                 if room && clock < 1 << 63 {
-                    let child = Child { clock, heard: self.now };
+                    let child = Subscriber { clock, heard: self.now };
                     if self.blobs.get(self.known.head.digest).is_some() {
                         let word = self.word_for(&child);
                         self.send(out, from, &word);
@@ -768,7 +781,7 @@
                     self.children.insert(from, child);
                 }
             }
-            Message::Tell { head, since, fresh } => {
+            Message::Announce { head, since, fresh } => {
                 let fresh = self.echoed(fresh);
                 if Some(from) == self.parent
                     && (head.stamp.version, fresh) > (self.known.head.stamp.version, self.known.fresh)
@@ -778,12 +791,12 @@
                 self.learn(out, head, since, fresh);
                 self.fetch_known(out, from);
             }
-            Message::Want { digest, base, offset } => {
+            Message::ChunkRequest { digest, base, offset } => {
                 for part in self.blobs.parts(digest, base, offset) {
                     self.send(out, from, &part);
                 }
             }
-            Message::Part { digest, base, total, offset, bytes } => {
+            Message::Chunk { digest, base, total, offset, bytes } => {
                 let (whole, next) = self.blobs.part(self.now, digest, base, total, offset, &bytes);
                 if let Some((to, message)) = next {
                     self.send(out, to, &message);
@@ -795,11 +808,11 @@
             Message::Propose { nonce, expect, digest, length } => {
                 if self.role() != Some(Role::Leader) {
                     if let Some(leader) = self.leader() {
-                        self.answer(out, Some(from), nonce, Outcome::Elsewhere(leader));
+                        self.answer(out, Some(from), nonce, ProposalOutcome::NotLeader(leader));
                     }
                     return;
                 }
-                let put = Put { from: Some(from), nonce, expect, digest, version: None };
+                let put = PendingProposal { from: Some(from), nonce, expect, digest, version: None };
                 if self.blobs.get(digest).is_some() {
                     self.consider(out, put);
                 } else if length > 0 && self.puts.len() < PROPOSALS {
@@ -808,12 +821,12 @@
                     self.want(out, digest, from);
                 }
             }
-            Message::Answer { nonce, outcome } => {
+            Message::ProposeReply { nonce, outcome } => {
                 if self.proposal.as_ref().is_none_or(|proposal| proposal.nonce != nonce) {
                     return;
                 }
                 match outcome {
-                    Outcome::Elsewhere(voter) => {
+                    ProposalOutcome::NotLeader(voter) => {
                         let asked = usize::from(self.guess) + self.set.voters.len() - 1;
                         let asked = asked % self.set.voters.len().max(1);
                         if usize::from(voter) < self.set.voters.len() && usize::from(voter) != asked {
@@ -823,21 +836,21 @@
                     }
                     outcome => {
                         self.give_up(nonce);
-                        out.push(Out::Proposed(nonce, outcome));
+                        out.push(Effect::ProposalFinished(nonce, outcome));
                     }
                 }
             }
         }
     }
 
-    fn fetch_known(&mut self, out: &mut Vec<Out>, from: SocketAddr) {
+    fn fetch_known(&mut self, out: &mut Vec<Effect>, from: SocketAddr) {
         if self.known.head.stamp.version > 0 {
             self.want(out, self.known.head.digest, from);
         }
     }
 
     /// A document is here.
-    fn fetched(&mut self, out: &mut Vec<Out>, document: Vec<u8>) {
+    fn fetched(&mut self, out: &mut Vec<Effect>, document: Vec<u8>) {
         let digest = self.hold(document);
         self.voting(out, |voting, at, _, acts| voting.holds(at, digest, acts));
         if digest == self.known.head.digest {
--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -2,7 +2,7 @@
 //! and 6.2), with a log of one entry.
 //!
 //! Each entry of the log would be a whole document that takes the place of all before it, so the log is always compacted to its
-//! last entry, and its place in the order is the [`Stamp`]: the leader's term, then the version. An append carries that entry's name;
+//! last entry, and its place in the order is the [`LogPosition`]: the leader's term, then the version. An append carries that entry's name;
 //! a follower acknowledges it once it has the document on disk. A leader begins by putting what it holds under its own
 //! term, as Raft's empty entry does (section 8), and says nothing of what is agreed before a majority has that.
 //!
@@ -16,7 +16,7 @@
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 
-use super::wire::{Ballot, Head, Stamp};
+use super::wire::{LogPosition, RaftPayload, VersionHeader};
 
 /// Heartbeats that have to be missed before anyone stands for election; up to twice as many are waited for.
 const MISSED: u64 = 3;
@@ -27,20 +27,20 @@
 
 /// What a voter must not forget: on disk before anything that rests on it is said.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Memory {
+pub struct HardState {
     /// The highest term seen.
     pub term: u64,
     /// Whom it voted for in that term.
     pub vote: Option<u8>,
     /// The last document, by its name.
-    pub head: Head,
+    pub head: VersionHeader,
 }
 
-impl Memory {
+impl HardState {
     /// Before anything was agreed.
     pub fn genesis() -> Self {
-        let head = Head { digest: crate::digest(&[]), ..Head::default() };
-        Memory { term: 0, vote: None, head }
+        let head = VersionHeader { digest: crate::digest(&[]), ..VersionHeader::default() };
+        HardState { term: 0, vote: None, head }
     }
 }
 
@@ -61,7 +61,7 @@
 
 /// When a call is made.
 #[derive(Clone, Copy, Debug)]
-pub struct Moment {
+pub struct StepTime {
     /// Now.
     pub now: Micros,
     /// This process's clock as others are told it: begins anywhere.
@@ -72,15 +72,15 @@
 
 /// What a call wants done.
 #[derive(Debug, Default)]
-pub struct Acts {
+pub struct RaftEffects {
     /// The memory has changed: to disk before anything is sent.
     pub save: bool,
     /// To these voters, under these terms.
-    pub send: Vec<(u8, u64, Ballot)>,
+    pub send: Vec<(u8, u64, RaftPayload)>,
     /// A document is wanted from a voter.
     pub want: Option<(u64, u8)>,
     /// A leader told what is agreed: what, since when at least (a span), and when that was the latest on this clock.
-    pub told: Option<(Head, u64, u64)>,
+    pub told: Option<(VersionHeader, u64, u64)>,
     /// This leader has found that a majority holds what it holds.
     pub agreed: bool,
 }
@@ -88,17 +88,17 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Other {
     round: u64,
-    stored: Stamp,
+    stored: LogPosition,
     /// Its clock, and when it said so.
     clock: Option<(u64, Micros)>,
-    recalled: Option<(u64, Head)>,
+    recalled: Option<(u64, VersionHeader)>,
 }
 
 /// One voter.
-pub struct Voting {
+pub struct Raft {
     me: u8,
     heartbeat: Micros,
-    memory: Option<Memory>,
+    memory: Option<HardState>,
     role: Role,
     rng: Pcg64Mcg,
     others: Vec<Other>,
@@ -112,26 +112,26 @@
     beats_at: Micros,
     led_since: Micros,
     confirmed: Option<Micros>,
-    agreed: Option<Head>,
+    agreed: Option<VersionHeader>,
     // A follower's.
-    offered: Option<(Head, u64)>,
+    offered: Option<(VersionHeader, u64)>,
     // A learner's.
     nonce: u64,
 }
 
-impl Voting {
+impl Raft {
     /// A voter; without a memory it doesn't vote until it has asked all others.
     pub fn new(
         me: u8,
         count: usize,
         heartbeat: Micros,
-        memory: Option<Memory>,
+        memory: Option<HardState>,
         mut rng: Pcg64Mcg,
         now: Micros,
     ) -> Self {
         let nonce = rng.random();
         let role = if memory.is_some() { Role::Follower } else { Role::Learner };
-        let mut voting = Voting {
+        let mut voting = Raft {
             me,
             heartbeat,
             memory,
@@ -168,7 +168,7 @@
     }
 
     /// What it remembers.
-    pub fn memory(&self) -> Option<&Memory> {
+    pub fn memory(&self) -> Option<&HardState> {
         self.memory.as_ref()
     }
 
@@ -183,7 +183,7 @@
     }
 
     /// Of a leader: what is agreed, once a majority has confirmed something in its term.
-    pub fn agreed(&self) -> Option<Head> {
+    pub fn agreed(&self) -> Option<VersionHeader> {
         self.agreed.filter(|_| self.role == Role::Leader)
     }
 
@@ -209,17 +209,17 @@
         (0..self.others.len() as u8).filter(move |voter| *voter != me)
     }
 
-    fn all(&self, acts: &mut Acts, term: u64, ballot: Ballot) {
+    fn all(&self, acts: &mut RaftEffects, term: u64, ballot: RaftPayload) {
         acts.send.extend(self.peers().map(|voter| (voter, term, ballot)));
     }
 
-    /// When [`Voting::tick`] has something to do next.
+    /// When [`Raft::tick`] has something to do next.
     pub fn due(&self) -> Micros {
         if self.role == Role::Leader { self.beats_at } else { self.elects_at }
     }
 
     /// Does what is due.
-    pub fn tick(&mut self, at: Moment, acts: &mut Acts) {
+    pub fn tick(&mut self, at: StepTime, acts: &mut RaftEffects) {
         let now = at.now;
         match (self.role, self.memory) {
             (Role::Leader, Some(_)) if self.beats_at <= now => {
@@ -233,7 +233,7 @@
             }
             (Role::Learner, _) if self.elects_at <= now => {
                 self.elects_at = now + self.beats(RECALLED);
-                self.all(acts, 0, Ballot::Recall { nonce: self.nonce });
+                self.all(acts, 0, RaftPayload::HardStateRequest { nonce: self.nonce });
             }
             (Role::Follower | Role::PreCandidate | Role::Candidate, Some(memory))
                 if self.elects_at <= now =>
@@ -242,7 +242,7 @@
                 self.leader = None;
                 self.votes = 1 << self.me;
                 self.wait(now);
-                self.all(acts, memory.term.saturating_add(1), Ballot::PreVote(memory.head.stamp));
+                self.all(acts, memory.term.saturating_add(1), RaftPayload::PreVote(memory.head.stamp));
                 self.count(at, acts);
             }
             _ => {}
@@ -257,7 +257,7 @@
     }
 
     /// Counts votes, and stands for election or leads.
-    fn count(&mut self, at: Moment, acts: &mut Acts) {
+    fn count(&mut self, at: StepTime, acts: &mut RaftEffects) {
         let now = at.now;
         while self.votes.count_ones() as usize >= self.majority() {
             let Some(memory) = &mut self.memory else { return };
@@ -269,7 +269,7 @@
                     self.role = Role::Candidate;
                     self.votes = 1 << self.me;
                     self.wait(now);
-                    self.all(acts, term, Ballot::Vote(held));
+                    self.all(acts, term, RaftPayload::RequestVote(held));
                 }
                 Role::Candidate => {
                     memory.head.stamp.term = memory.term;
@@ -280,7 +280,7 @@
                     (self.confirmed, self.agreed, self.offered) = (None, None, None);
                     self.rounds.clear();
                     for other in &mut self.others {
-                        (other.stored, other.clock) = (Stamp::default(), None);
+                        (other.stored, other.clock) = (LogPosition::default(), None);
                     }
                     self.append(at, acts);
                     return;
@@ -291,7 +291,7 @@
     }
 
     /// Tells all others what this leader holds and what is agreed.
-    pub fn append(&mut self, at: Moment, acts: &mut Acts) {
+    pub fn append(&mut self, at: StepTime, acts: &mut RaftEffects) {
         let now = at.now;
         let Some(memory) = self.memory.filter(|_| self.role == Role::Leader) else { return };
         self.round += 1;
@@ -308,7 +308,7 @@
                 Some(agreed) if agreed == memory.head => None,
                 Some(agreed) => Some(agreed),
                 // Not known yet: version 0 is older than any.
-                None => Some(Memory::genesis().head),
+                None => Some(HardState::genesis().head),
             };
             let clock = self.others[usize::from(voter)].clock;
             let fresh = match (self.confirmed(), clock) {
@@ -319,12 +319,16 @@
                 _ => 0,
             };
             let (round, head, since) = (self.round, memory.head, at.since.0);
-            acts.send.push((voter, memory.term, Ballot::Append { round, head, agreed, since, fresh }));
+            acts.send.push((
+                voter,
+                memory.term,
+                RaftPayload::AppendEntry { round, head, agreed, since, fresh },
+            ));
         }
     }
 
     /// Looks what a majority has answered and holds.
-    fn confirm(&mut self, now: Micros, acts: &mut Acts) {
+    fn confirm(&mut self, now: Micros, acts: &mut RaftEffects) {
         let Some(memory) = self.memory else { return };
         let me = usize::from(self.me);
         let mut rounds: Vec<u64> = self.others.iter().map(|other| other.round).collect();
@@ -343,19 +347,19 @@
     }
 
     /// Puts a document up as the next version. It must be held. Not while another one is on its way.
-    pub fn propose(&mut self, at: Moment, digest: u64, length: u32, acts: &mut Acts) -> Option<u64> {
+    pub fn propose(&mut self, at: StepTime, digest: u64, length: u32, acts: &mut RaftEffects) -> Option<u64> {
         let agreed = self.agreed()?;
         let memory = self.memory.as_mut().filter(|memory| memory.head == agreed)?;
-        let stamp = Stamp { term: memory.term, version: agreed.stamp.version.saturating_add(1) };
-        memory.head = Head { stamp, digest, length };
+        let stamp = LogPosition { term: memory.term, version: agreed.stamp.version.saturating_add(1) };
+        memory.head = VersionHeader { stamp, digest, length };
         acts.save = true;
         self.append(at, acts);
         Some(stamp.version)
     }
 
     /// A document is held now.
-    pub fn holds(&mut self, at: Moment, digest: u64, acts: &mut Acts) {
-        let Moment { now, clock, .. } = at;
+    pub fn holds(&mut self, at: StepTime, digest: u64, acts: &mut RaftEffects) {
+        let StepTime { now, clock, .. } = at;
         if let (Some((head, round)), Some(memory), Some(leader)) =
             (self.offered, &mut self.memory, self.leader)
             && head.digest == digest
@@ -363,7 +367,7 @@
         {
             memory.head = head;
             acts.save = true;
-            let acked = Ballot::Acked { round, stored: head.stamp, clock };
+            let acked = RaftPayload::AppendReply { round, stored: head.stamp, clock };
             acts.send.push((leader, memory.term, acked));
             self.offered = None;
         }
@@ -371,11 +375,11 @@
     }
 
     /// Goes on with what the others remember, once each of them has told.
-    fn remember(&mut self, now: Micros, held: impl Fn(u64) -> bool, acts: &mut Acts) {
+    fn remember(&mut self, now: Micros, held: impl Fn(u64) -> bool, acts: &mut RaftEffects) {
         if self.role != Role::Learner || self.others.len() < 2 {
             return;
         }
-        let told: Option<Vec<(u64, Head, u8)>> = self
+        let told: Option<Vec<(u64, VersionHeader, u8)>> = self
             .peers()
             .map(|voter| self.others[usize::from(voter)].recalled.map(|(term, head)| (term, head, voter)))
             .collect();
@@ -386,7 +390,7 @@
             acts.want = Some((head.digest, voter));
             return;
         }
-        self.memory = Some(Memory { term, vote: None, head });
+        self.memory = Some(HardState { term, vote: None, head });
         acts.save = true;
         self.follow(now, None);
     }
@@ -394,22 +398,22 @@
     /// Takes in what another voter said. `held` tells which documents are.
     pub fn received(
         &mut self,
-        at: Moment,
-        (from, term, ballot): (u8, u64, Ballot),
+        at: StepTime,
+        (from, term, ballot): (u8, u64, RaftPayload),
         held: impl Fn(u64) -> bool,
-        acts: &mut Acts,
+        acts: &mut RaftEffects,
     ) {
-        let Moment { now, clock, .. } = at;
+        let StepTime { now, clock, .. } = at;
         if from == self.me || usize::from(from) >= self.others.len() {
             return;
         }
         let Some(mut memory) = self.memory else {
             match ballot {
-                Ballot::Append { head, agreed, since, fresh, .. } => {
+                RaftPayload::AppendEntry { head, agreed, since, fresh, .. } => {
                     self.leader = Some(from);
                     acts.told = Some((agreed.unwrap_or(head), since, fresh));
                 }
-                Ballot::Recalled { nonce, head } if nonce == self.nonce => {
+                RaftPayload::HardStateReply { nonce, head } if nonce == self.nonce => {
                     self.others[usize::from(from)].recalled = Some((term, head));
                     self.remember(now, held, acts);
                 }
@@ -421,26 +425,26 @@
         let led = self.role == Role::Leader
             || (self.leader.is_some() && self.heard.is_some_and(|heard| now < heard + self.beats(MISSED)));
         match ballot {
-            Ballot::Recall { nonce } => {
-                acts.send.push((from, memory.term, Ballot::Recalled { nonce, head: memory.head }));
+            RaftPayload::HardStateRequest { nonce } => {
+                acts.send.push((from, memory.term, RaftPayload::HardStateReply { nonce, head: memory.head }));
                 return;
             }
-            Ballot::Recalled { .. } => return,
-            Ballot::PreVote(stamp) => {
+            RaftPayload::HardStateReply { .. } => return,
+            RaftPayload::PreVote(stamp) => {
                 let yes = !led && term > memory.term && stamp >= memory.head.stamp;
                 // Under its own term, which tells a candidate that is behind where it stands.
                 let under = if yes { term } else { memory.term };
-                acts.send.push((from, under, Ballot::PreVoted(yes)));
+                acts.send.push((from, under, RaftPayload::PreVoteReply(yes)));
                 return;
             }
-            Ballot::PreVoted(true) => {
+            RaftPayload::PreVoteReply(true) => {
                 if self.role == Role::PreCandidate && term == memory.term.saturating_add(1) {
                     self.votes |= 1 << from;
                     self.count(at, acts);
                 }
                 return;
             }
-            Ballot::Vote(_) if led => return,
+            RaftPayload::RequestVote(_) if led => return,
             _ => {}
         }
         if term > memory.term {
@@ -451,7 +455,7 @@
             self.follow(now, None);
         }
         match ballot {
-            Ballot::Vote(stamp) => {
+            RaftPayload::RequestVote(stamp) => {
                 let free = memory.vote.is_none_or(|vote| vote == from);
                 let yes = term == memory.term && free && stamp >= memory.head.stamp;
                 if yes {
@@ -460,16 +464,16 @@
                     acts.save = true;
                     self.wait(now);
                 }
-                acts.send.push((from, memory.term, Ballot::Voted(yes)));
+                acts.send.push((from, memory.term, RaftPayload::VoteReply(yes)));
             }
-            Ballot::Voted(true) if self.role == Role::Candidate && term == memory.term => {
+            RaftPayload::VoteReply(true) if self.role == Role::Candidate && term == memory.term => {
                 self.votes |= 1 << from;
                 self.count(at, acts);
             }
-            Ballot::Append { round, head, agreed, since, fresh } => {
+            RaftPayload::AppendEntry { round, head, agreed, since, fresh } => {
                 if term < memory.term {
                     let stored = memory.head.stamp;
-                    acts.send.push((from, memory.term, Ballot::Acked { round: 0, stored, clock }));
+                    acts.send.push((from, memory.term, RaftPayload::AppendReply { round: 0, stored, clock }));
                     return;
                 }
                 if self.role == Role::Leader {
@@ -489,10 +493,10 @@
                     }
                 }
                 let stored = memory.head.stamp;
-                acts.send.push((from, memory.term, Ballot::Acked { round, stored, clock }));
+                acts.send.push((from, memory.term, RaftPayload::AppendReply { round, stored, clock }));
                 acts.told = Some((agreed.unwrap_or(head), since, fresh));
             }
-            Ballot::Acked { round, stored, clock }
+            RaftPayload::AppendReply { round, stored, clock }
                 if self.role == Role::Leader && term == memory.term && round <= self.round =>
             {
                 let other = &mut self.others[usize::from(from)];
--- a/crates/alderstile-cluster/src/replicated_config/wire.rs
+++ b/crates/alderstile-cluster/src/replicated_config/wire.rs
@@ -26,7 +26,7 @@
 /// The longest reason that an answer to a proposal carries, bytes.
 pub const MAX_REASON: usize = 400;
 /// Bytes of a blob in one datagram: with everything else below [`MAX_DATAGRAM`].
-pub const MAX_PART: usize = 1_000;
+pub const MAX_CHUNK: usize = 1_000;
 
 const MAGIC: &[u8] = b"AC";
 /// What this program writes.
@@ -35,7 +35,7 @@
 
 /// Orders what voters hold: by term, then by version (Raft, section 5.4.1, with the version for the index).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stamp {
+pub struct LogPosition {
     /// The leader's term that put it there.
     pub term: u64,
     /// The document's version.
@@ -44,9 +44,9 @@
 
 /// Names a version of the document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Head {
+pub struct VersionHeader {
     /// Where it stands in the order.
-    pub stamp: Stamp,
+    pub stamp: LogPosition,
     /// Of the document.
     pub digest: u64,
     /// Of the document, bytes.
@@ -55,67 +55,67 @@
 
 /// What voters say to each other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ballot {
+pub enum RaftPayload {
     /// Would you vote for the sender in this term? It holds this.
-    PreVote(Stamp),
+    PreVote(LogPosition),
     /// Whether.
-    PreVoted(bool),
+    PreVoteReply(bool),
     /// Vote for the sender, which holds this.
-    Vote(Stamp),
+    RequestVote(LogPosition),
     /// Whether.
-    Voted(bool),
+    VoteReply(bool),
     /// The leader's word.
-    Append {
+    AppendEntry {
         /// Counts the leader's rounds.
         round: u64,
         /// What the leader holds.
-        head: Head,
+        head: VersionHeader,
         /// What is agreed, where that is another one.
-        agreed: Option<Head>,
+        agreed: Option<VersionHeader>,
         /// That was agreed at least so long ago, microseconds.
         since: u64,
         /// It was the latest at this moment of the receiver's clock; 0 if the leader can't tell.
         fresh: u64,
     },
     /// The receiver of an append holds this.
-    Acked {
+    AppendReply {
         /// Of the append.
         round: u64,
         /// What is held.
-        stored: Stamp,
+        stored: LogPosition,
         /// The sender's clock.
         clock: u64,
     },
     /// A voter without a memory asks.
-    Recall {
+    HardStateRequest {
         /// Of this start.
         nonce: u64,
     },
     /// What another voter remembers.
-    Recalled {
+    HardStateReply {
         /// Of the call.
         nonce: u64,
         /// What it holds.
-        head: Head,
+        head: VersionHeader,
     },
 }
 
 /// How a proposal ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ProposalOutcome {
     /// It is this version.
-    Agreed(u64),
+    Committed(u64),
     /// It changes nothing, for this reason.
-    Refused(String),
+    Rejected(String),
     /// The sender is no leader, this voter may be.
-    Elsewhere(u8),
+    NotLeader(u8),
 }
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
     /// Among voters.
-    Voter {
+    Raft {
         /// Of the list of voters, which has to be the same at all.
         voters: u64,
         /// Which of them sends.
@@ -123,26 +123,26 @@
         /// Its term, or the term that it would begin.
         term: u64,
         /// What it says.
-        ballot: Ballot,
+        ballot: RaftPayload,
     },
     /// Tell me from now on what is agreed.
-    Ask {
+    Subscribe {
         /// The sender's clock.
         clock: u64,
         /// The version that it has in force.
         in_force: u64,
     },
     /// What is agreed.
-    Tell {
+    Announce {
         /// The version.
-        head: Head,
+        head: VersionHeader,
         /// Agreed at least so long ago, microseconds.
         since: u64,
         /// It was the latest at this moment of the receiver's clock; 0 if the sender can't tell.
         fresh: u64,
     },
     /// Send a blob.
-    Want {
+    ChunkRequest {
         /// Which.
         digest: u64,
         /// As a difference to this one, which the sender holds; 0 for the whole.
@@ -151,7 +151,7 @@
         offset: u32,
     },
     /// A part of a blob.
-    Part {
+    Chunk {
         /// Which.
         digest: u64,
         /// It is a difference to this one; 0 for the whole.
@@ -175,11 +175,11 @@
         length: u32,
     },
     /// What became of a proposal.
-    Answer {
+    ProposeReply {
         /// Of the proposal.
         nonce: u64,
         /// What.
-        outcome: Outcome,
+        outcome: ProposalOutcome,
     },
 }
 
@@ -249,34 +249,34 @@
     numbers.iter().for_each(|number| bytes.extend(number.to_le_bytes()));
 }
 
-fn put_head(bytes: &mut Vec<u8>, head: &Head) {
+fn put_head(bytes: &mut Vec<u8>, head: &VersionHeader) {
     put(bytes, &[head.stamp.term, head.stamp.version, head.digest]);
     bytes.extend(head.length.to_le_bytes());
 }
 
 fn put_message(bytes: &mut Vec<u8>, message: &Message) {
     match message {
-        Message::Voter { voters, from, term, ballot } => {
+        Message::Raft { voters, from, term, ballot } => {
             bytes.push(1);
             put(bytes, &[*voters, *term]);
             bytes.push(*from);
             put_ballot(bytes, ballot);
         }
-        Message::Ask { clock, in_force } => {
+        Message::Subscribe { clock, in_force } => {
             bytes.push(2);
             put(bytes, &[*clock, *in_force]);
         }
-        Message::Tell { head, since, fresh } => {
+        Message::Announce { head, since, fresh } => {
             bytes.push(3);
             put_head(bytes, head);
             put(bytes, &[*since, *fresh]);
         }
-        Message::Want { digest, base, offset } => {
+        Message::ChunkRequest { digest, base, offset } => {
             bytes.push(4);
             put(bytes, &[*digest, *base]);
             bytes.extend(offset.to_le_bytes());
         }
-        Message::Part { digest, base, total, offset, bytes: part } => {
+        Message::Chunk { digest, base, total, offset, bytes: part } => {
             bytes.push(5);
             put(bytes, &[*digest, *base]);
             bytes.extend(total.to_le_bytes());
@@ -288,15 +288,15 @@
             put(bytes, &[*nonce, *expect, *digest]);
             bytes.extend(length.to_le_bytes());
         }
-        Message::Answer { nonce, outcome } => {
+        Message::ProposeReply { nonce, outcome } => {
             bytes.push(7);
             put(bytes, &[*nonce]);
             match outcome {
-                Outcome::Agreed(version) => {
+                ProposalOutcome::Committed(version) => {
                     bytes.push(0);
                     put(bytes, &[*version]);
                 }
-                Outcome::Refused(reason) => {
+                ProposalOutcome::Rejected(reason) => {
                     bytes.push(1);
                     let mut reason = reason.as_str();
                     while reason.len() > MAX_REASON {
@@ -305,39 +305,39 @@
                     bytes.extend((reason.len() as u16).to_le_bytes());
                     bytes.extend(reason.as_bytes());
                 }
-                Outcome::Elsewhere(voter) => bytes.extend([2, *voter]),
+                ProposalOutcome::NotLeader(voter) => bytes.extend([2, *voter]),
             }
         }
     }
 }
 
-fn put_ballot(bytes: &mut Vec<u8>, ballot: &Ballot) {
+fn put_ballot(bytes: &mut Vec<u8>, ballot: &RaftPayload) {
     match ballot {
-        Ballot::PreVote(held) => {
+        RaftPayload::PreVote(held) => {
             bytes.push(0);
             put(bytes, &[held.term, held.version]);
         }
-        Ballot::PreVoted(yes) => bytes.extend([1, u8::from(*yes)]),
-        Ballot::Vote(held) => {
+        RaftPayload::PreVoteReply(yes) => bytes.extend([1, u8::from(*yes)]),
+        RaftPayload::RequestVote(held) => {
             bytes.push(2);
             put(bytes, &[held.term, held.version]);
         }
-        Ballot::Voted(yes) => bytes.extend([3, u8::from(*yes)]),
-        Ballot::Append { round, head, agreed, since, fresh } => {
+        RaftPayload::VoteReply(yes) => bytes.extend([3, u8::from(*yes)]),
+        RaftPayload::AppendEntry { round, head, agreed, since, fresh } => {
             bytes.extend([4, u8::from(agreed.is_some())]);
             put(bytes, &[*round, *since, *fresh]);
             put_head(bytes, head);
             agreed.iter().for_each(|agreed| put_head(bytes, agreed));
         }
-        Ballot::Acked { round, stored, clock } => {
+        RaftPayload::AppendReply { round, stored, clock } => {
             bytes.push(5);
             put(bytes, &[*round, stored.term, stored.version, *clock]);
         }
-        Ballot::Recall { nonce } => {
+        RaftPayload::HardStateRequest { nonce } => {
             bytes.push(6);
             put(bytes, &[*nonce]);
         }
-        Ballot::Recalled { nonce, head } => {
+        RaftPayload::HardStateReply { nonce, head } => {
             bytes.push(7);
             put(bytes, &[*nonce]);
             put_head(bytes, head);
@@ -355,38 +355,38 @@
     u8.verify(|byte| *byte <= 1).map(|byte| byte == 1).parse_next(input)
 }
 
-fn stamp(input: &mut &[u8]) -> Read<Stamp> {
-    Ok(Stamp { term: le_u64.parse_next(input)?, version: le_u64.parse_next(input)? })
+fn stamp(input: &mut &[u8]) -> Read<LogPosition> {
+    Ok(LogPosition { term: le_u64.parse_next(input)?, version: le_u64.parse_next(input)? })
 }
 
 fn length(input: &mut &[u8]) -> Read<u32> {
     le_u32.verify(|length| *length as usize <= MAX_DOCUMENT).parse_next(input)
 }
 
-fn head(input: &mut &[u8]) -> Read<Head> {
-    Ok(Head { stamp: stamp(input)?, digest: le_u64.parse_next(input)?, length: length(input)? })
+fn head(input: &mut &[u8]) -> Read<VersionHeader> {
+    Ok(VersionHeader { stamp: stamp(input)?, digest: le_u64.parse_next(input)?, length: length(input)? })
 }
 
-fn ballot(input: &mut &[u8]) -> Read<Ballot> {
+fn ballot(input: &mut &[u8]) -> Read<RaftPayload> {
     Ok(match u8.parse_next(input)? {
-        0 => Ballot::PreVote(stamp(input)?),
-        1 => Ballot::PreVoted(flag(input)?),
-        2 => Ballot::Vote(stamp(input)?),
-        3 => Ballot::Voted(flag(input)?),
+        0 => RaftPayload::PreVote(stamp(input)?),
+        1 => RaftPayload::PreVoteReply(flag(input)?),
+        2 => RaftPayload::RequestVote(stamp(input)?),
+        3 => RaftPayload::VoteReply(flag(input)?),
         4 => {
             let two = flag(input)?;
             let (round, since) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
             let (fresh, head) = (le_u64.parse_next(input)?, head(input)?);
             let agreed = if two { Some(self::head(input)?) } else { None };
-            Ballot::Append { round, head, agreed, since, fresh }
+            RaftPayload::AppendEntry { round, head, agreed, since, fresh }
         }
-        5 => Ballot::Acked {
+        5 => RaftPayload::AppendReply {
             round: le_u64.parse_next(input)?,
             stored: stamp(input)?,
             clock: le_u64.parse_next(input)?,
         },
-        6 => Ballot::Recall { nonce: le_u64.parse_next(input)? },
-        7 => Ballot::Recalled { nonce: le_u64.parse_next(input)?, head: head(input)? },
+        6 => RaftPayload::HardStateRequest { nonce: le_u64.parse_next(input)? },
+        7 => RaftPayload::HardStateReply { nonce: le_u64.parse_next(input)?, head: head(input)? },
         _ => return no(),
     })
 }
@@ -396,25 +396,25 @@
         1 => {
             let (voters, term) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
             let from = u8.parse_next(input)?;
-            Message::Voter { voters, from, term, ballot: ballot(input)? }
+            Message::Raft { voters, from, term, ballot: ballot(input)? }
         }
-        2 => Message::Ask { clock: le_u64.parse_next(input)?, in_force: le_u64.parse_next(input)? },
+        2 => Message::Subscribe { clock: le_u64.parse_next(input)?, in_force: le_u64.parse_next(input)? },
         3 => {
             let head = head(input)?;
-            Message::Tell { head, since: le_u64.parse_next(input)?, fresh: le_u64.parse_next(input)? }
+            Message::Announce { head, since: le_u64.parse_next(input)?, fresh: le_u64.parse_next(input)? }
         }
         4 => {
             let (digest, base) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
-            Message::Want { digest, base, offset: le_u32.parse_next(input)? }
+            Message::ChunkRequest { digest, base, offset: le_u32.parse_next(input)? }
         }
         5 => {
             let (digest, base) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
             let (total, offset) = (le_u32.parse_next(input)?, le_u32.parse_next(input)?);
             let bytes: &[u8] = rest.parse_next(input)?;
-            if bytes.len() > MAX_PART || total as usize > MAX_DOCUMENT + 8 {
+            if bytes.len() > MAX_CHUNK || total as usize > MAX_DOCUMENT + 8 {
                 return no();
             }
-            Message::Part { digest, base, total, offset, bytes: bytes.to_vec() }
+            Message::Chunk { digest, base, total, offset, bytes: bytes.to_vec() }
         }
         6 => {
             let (nonce, expect) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
@@ -424,18 +424,20 @@
         7 => {
             let nonce = le_u64.parse_next(input)?;
             let outcome = match u8.parse_next(input)? {
-                0 => Outcome::Agreed(le_u64.parse_next(input)?),
+                0 => ProposalOutcome::Committed(le_u64.parse_next(input)?),
                 1 => {
                     let reason: &[u8] = length_take(le_u16).parse_next(input)?;
                     match std::str::from_utf8(reason) {
-                        Ok(reason) if reason.len() <= MAX_REASON => Outcome::Refused(reason.to_owned()),
+                        Ok(reason) if reason.len() <= MAX_REASON => {
+                            ProposalOutcome::Rejected(reason.to_owned())
+                        }
                         _ => return no(),
                     }
                 }
-                2 => Outcome::Elsewhere(u8.parse_next(input)?),
+                2 => ProposalOutcome::NotLeader(u8.parse_next(input)?),
                 _ => return no(),
             };
-            Message::Answer { nonce, outcome }
+            Message::ProposeReply { nonce, outcome }
         }
         _ => return no(),
     };
--- a/crates/alderstile-cluster/tests/replicated_config.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -28,12 +28,12 @@
 
 /// One process: its core, its clock and what it did.
 struct Process {
-    core: Option<Agreed>,
+    core: Option<ReplicatedConfig>,
     /// When it started, true time; how quick its clock is; life count, so that old wakes and datagrams miss.
     began: u64,
     rate: f64,
     life: u64,
-    disk: Option<(Memory, Vec<u8>)>,
+    disk: Option<(HardState, Vec<u8>)>,
     disk_fails: bool,
     paused: bool,
     backlog: Vec<(SocketAddr, Vec<u8>)>,
@@ -54,7 +54,7 @@
     now: u64,
     rng: Pcg64Mcg,
     voters: usize,
-    set: Settings,
+    set: ReplicationSettings,
     processes: Vec<Process>,
     queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     events: Vec<Option<Event>>,
@@ -67,7 +67,7 @@
     /// Of single processes that hear and are heard by nobody.
     alone: Vec<bool>,
     delay: [(u64, u64); 2],
-    outcomes: BTreeMap<u64, Outcome>,
+    outcomes: BTreeMap<u64, ProposalOutcome>,
     in_force: Vec<BTreeMap<u64, u64>>,
     documents: BTreeMap<u64, Vec<u8>>,
     crash_in_batch: bool,
@@ -75,17 +75,17 @@
 
 impl Net {
     fn new(seed: u64, count: usize, voters: usize, rates: bool) -> Self {
-        Net::with(seed, count, rates, Settings::usual((0..voters).map(address).collect(), None))
+        Net::with(seed, count, rates, ReplicationSettings::usual((0..voters).map(address).collect(), None))
     }
 
-    fn with(seed: u64, count: usize, rates: bool, set: Settings) -> Self {
+    fn with(seed: u64, count: usize, rates: bool, set: ReplicationSettings) -> Self {
         let (mut rng, voters) = (Pcg64Mcg::seed_from_u64(seed), set.voters.len());
         let process = |n: usize, rng: &mut Pcg64Mcg| Process {
             core: None,
             began: 0,
             rate: if rates { 1.0 + 0.002 * (2.0 * rng.random::<f64>() - 1.0) } else { 1.0 },
             life: 0,
-            disk: (n < voters).then(|| (Memory::genesis(), Vec::new())),
+            disk: (n < voters).then(|| (HardState::genesis(), Vec::new())),
             disk_fails: false,
             paused: false,
             backlog: Vec::new(),
@@ -131,10 +131,10 @@
 
     fn start(&mut self, n: usize) {
         let me = (n < self.voters).then_some(n as u8);
-        let set = Settings { me, ..self.set.clone() };
+        let set = ReplicationSettings { me, ..self.set.clone() };
         let seed = self.rng.random();
         let disk = self.processes[n].disk.clone();
-        let mut core = Agreed::new(set, seal(), disk, Box::new(check), seed, Micros(0));
+        let mut core = ReplicatedConfig::new(set, seal(), disk, Box::new(check), seed, Micros(0));
         let others = (self.voters..self.processes.len()).map(address).collect();
         core.members(others, n.checked_sub(self.voters));
         let process = &mut self.processes[n];
@@ -213,7 +213,7 @@
         }
     }
 
-    fn act(&mut self, n: usize, out: Vec<Out>) {
+    fn act(&mut self, n: usize, out: Vec<Effect>) {
         let crash = (self.crash_in_batch && self.rng.random_range(0..2_000) == 0)
             .then(|| self.rng.random_range(0..=out.len()));
         for (i, out) in out.into_iter().enumerate() {
@@ -221,7 +221,7 @@
                 return self.kill(n);
             }
             match out {
-                Out::Save(memory, document) => {
+                Effect::PersistHardState(memory, document) => {
                     if self.processes[n].disk_fails {
                         let now = self.local(n);
                         if let Some(core) = &mut self.processes[n].core {
@@ -231,22 +231,22 @@
                     }
                     self.processes[n].disk = Some((memory, document));
                 }
-                Out::Send(to, bytes) => self.send(n, to, bytes),
-                Out::InForce(version, document) => {
+                Effect::Send(to, bytes) => self.send(n, to, bytes),
+                Effect::VersionActive(version, document) => {
                     let known = self.documents.entry(version).or_insert_with(|| document.clone());
                     assert_eq!(*known, document, "one document for version {version}");
                     let now = self.now;
                     self.in_force[n].entry(version).or_insert(now);
                 }
-                Out::Waits(version, document) => {
+                Effect::VersionCommitted(version, document) => {
                     let known = self.documents.entry(version).or_insert_with(|| document.clone());
                     assert_eq!(*known, document, "one document for version {version}");
                 }
-                Out::Proposed(nonce, outcome) => {
+                Effect::ProposalFinished(nonce, outcome) => {
                     self.outcomes.insert(nonce, outcome);
                 }
-                Out::Became(_) => {}
-                Out::OtherVoters(voter) => panic!("voters differ at {voter}"),
+                Effect::RoleChanged(_) => {}
+                Effect::VoterListMismatch(voter) => panic!("voters differ at {voter}"),
             }
         }
         self.note(n);
@@ -344,7 +344,7 @@
         (0..self.voters).find(|n| self.core(*n).is_some_and(|core| core.role() == Some(Role::Leader)))
     }
 
-    fn core(&self, n: usize) -> Option<&Agreed> {
+    fn core(&self, n: usize) -> Option<&ReplicatedConfig> {
         self.processes[n].core.as_ref()
     }
 
@@ -376,12 +376,12 @@
     net.run(6.0);
     assert!(net.leader().is_some());
     assert!((0..12).all(|n| net.core(n).is_some_and(|core| {
-        core.standing(net.local(n)) == Standing::Counts && core.in_force() == (0, &[][..])
+        core.standing(net.local(n)) == LeaseState::Valid && core.in_force() == (0, &[][..])
     })));
     let began = net.now;
     net.propose(11, 5, 0, &text(1, 2_000));
     net.run(1.0);
-    assert_eq!(net.outcomes.get(&5), Some(&Outcome::Agreed(1)));
+    assert_eq!(net.outcomes.get(&5), Some(&ProposalOutcome::Committed(1)));
     assert!(net.in_force.iter().all(BTreeMap::is_empty), "nobody takes it up before the wait is over");
     net.run(3.0);
     for n in 0..12 {
@@ -402,9 +402,9 @@
         net.run(1.5);
         net.outcomes.get(&nonce).cloned()
     };
-    let refused = |outcome: Option<Outcome>, why: &str| {
+    let refused = |outcome: Option<ProposalOutcome>, why: &str| {
         assert!(
-            matches!(&outcome, Some(Outcome::Refused(reason)) if reason.contains(why)),
+            matches!(&outcome, Some(ProposalOutcome::Rejected(reason)) if reason.contains(why)),
             "{outcome:?}, not {why}"
         );
     };
@@ -412,18 +412,23 @@
     refused(outcome(&mut net, 4, 0, b""), "0 bytes");
     refused(outcome(&mut net, 4, 0, &vec![b'a'; MAX_DOCUMENT + 1]), "32769 bytes");
     refused(outcome(&mut net, 4, 3, b"a"), "version 0 is agreed, not 3");
-    assert_eq!(outcome(&mut net, 4, 0, b"a"), Some(Outcome::Agreed(1)));
+    assert_eq!(outcome(&mut net, 4, 0, b"a"), Some(ProposalOutcome::Committed(1)));
     refused(outcome(&mut net, 3, 1, b"b"), "counts in");
     net.run(3.0);
     refused(outcome(&mut net, 3, 0, b"b"), "version 1 is agreed, not 0");
-    assert_eq!(outcome(&mut net, 3, 0, b"a"), Some(Outcome::Agreed(1)), "the same again is the same");
-    assert_eq!(outcome(&mut net, 3, 1, b"b"), Some(Outcome::Agreed(2)));
+    assert_eq!(
+        outcome(&mut net, 3, 0, b"a"),
+        Some(ProposalOutcome::Committed(1)),
+        "the same again is the same"
+    );
+    assert_eq!(outcome(&mut net, 3, 1, b"b"), Some(ProposalOutcome::Committed(2)));
     net.run(4.0);
     // Of two at once one is left.
     net.propose(3, 1, 2, b"c");
     net.propose(4, 2, 2, b"d");
     net.run(1.5);
-    let agreed = [1, 2].iter().filter(|n| net.outcomes.get(n) == Some(&Outcome::Agreed(3))).count();
+    let agreed =
+        [1, 2].iter().filter(|n| net.outcomes.get(n) == Some(&ProposalOutcome::Committed(3))).count();
     assert_eq!(agreed, 1, "{:?}", net.outcomes);
 }
 
@@ -439,11 +444,11 @@
     net.propose(20, 2, 1, b"two");
     net.propose(21, 3, 1, b"three");
     net.run(8.0);
-    assert_eq!(net.outcomes.get(&2), Some(&Outcome::Agreed(2)));
+    assert_eq!(net.outcomes.get(&2), Some(&ProposalOutcome::Committed(2)));
     assert_eq!(net.outcomes.get(&3), None, "nothing is agreed without a majority");
     for n in 0..40 {
         let core = net.core(n).expect("up");
-        let (version, standing) = if n % 2 == 0 { (2, Standing::Counts) } else { (1, Standing::CutOff) };
+        let (version, standing) = if n % 2 == 0 { (2, LeaseState::Valid) } else { (1, LeaseState::Expired) };
         assert_eq!((core.in_force().0, core.standing(net.local(n))), (version, standing), "{n}");
     }
     net.parted = false;
@@ -451,7 +456,7 @@
     net.run(8.0);
     for n in 0..40 {
         let core = net.core(n).expect("up");
-        assert_eq!((core.in_force().0, core.standing(net.local(n))), (2, Standing::Counts), "{n}");
+        assert_eq!((core.in_force().0, core.standing(net.local(n))), (2, LeaseState::Valid), "{n}");
     }
     let last = (1..40).step_by(2).map(|n| net.in_force[n][&2]).max().expect("some");
     assert!(last - healed < 6_000_000, "{} us", last - healed);
@@ -473,7 +478,7 @@
     assert!((2..12).all(|n| net.core(n).is_some_and(|core| core.in_force() == (1, b"one"))));
     net.start(0);
     net.run(8.0);
-    assert_eq!(net.outcomes.get(&2), Some(&Outcome::Agreed(2)), "it was still put up");
+    assert_eq!(net.outcomes.get(&2), Some(&ProposalOutcome::Committed(2)), "it was still put up");
 }
 
 #[test]
@@ -499,71 +504,71 @@
     net.run(8.0);
     net.propose(7, 1, 0, b"one");
     net.run(5.0);
-    assert_eq!(net.outcomes.get(&1), Some(&Outcome::Agreed(1)));
+    assert_eq!(net.outcomes.get(&1), Some(&ProposalOutcome::Committed(1)));
     net.go_on(leader);
     net.run(4.0);
     assert!((0..12).all(|n| net.core(n).is_some_and(|core| core.in_force().0 == 1)));
     assert_eq!(net.contradiction(), 0.0);
 }
 
-fn voter(me: u8, memory: Option<Memory>) -> Voting {
+fn voter(me: u8, memory: Option<HardState>) -> Raft {
     let rng = Pcg64Mcg::seed_from_u64(u64::from(me));
-    Voting::new(me, 3, Micros::from_millis(500), memory, rng, Micros(0))
+    Raft::new(me, 3, Micros::from_millis(500), memory, rng, Micros(0))
 }
 
-fn moment(ms: u64) -> Moment {
-    Moment { now: Micros::from_millis(ms), clock: ms, since: Micros(0) }
+fn moment(ms: u64) -> StepTime {
+    StepTime { now: Micros::from_millis(ms), clock: ms, since: Micros(0) }
 }
 
 #[test]
 fn a_voter_without_a_memory_neither_votes_nor_acknowledges_until_it_heard_from_all_others() {
     let mut blank = voter(0, None);
-    let say = |voter: &mut Voting, from: u8, term: u64, ballot: Ballot| {
-        let mut acts = Acts::default();
+    let say = |voter: &mut Raft, from: u8, term: u64, ballot: RaftPayload| {
+        let mut acts = RaftEffects::default();
         voter.received(moment(10), (from, term, ballot), |_| true, &mut acts);
         acts
     };
-    let stamp = Stamp { term: 7, version: 9 };
-    let head = Head { stamp, digest: 1, length: 1 };
+    let stamp = LogPosition { term: 7, version: 9 };
+    let head = VersionHeader { stamp, digest: 1, length: 1 };
     for ballot in [
-        Ballot::PreVote(stamp),
-        Ballot::Vote(stamp),
-        Ballot::Append { round: 1, head, agreed: None, since: 0, fresh: 0 },
-        Ballot::Recall { nonce: 4 },
+        RaftPayload::PreVote(stamp),
+        RaftPayload::RequestVote(stamp),
+        RaftPayload::AppendEntry { round: 1, head, agreed: None, since: 0, fresh: 0 },
+        RaftPayload::HardStateRequest { nonce: 4 },
     ] {
         let acts = say(&mut blank, 1, 8, ballot);
         assert!(acts.send.is_empty() && !acts.save, "{ballot:?}: {acts:?}");
     }
-    let mut acts = Acts::default();
+    let mut acts = RaftEffects::default();
     blank.tick(moment(1), &mut acts);
     let nonce = match acts.send[0].2 {
-        Ballot::Recall { nonce } => nonce,
+        RaftPayload::HardStateRequest { nonce } => nonce,
         other => panic!("{other:?}"),
     };
     assert_eq!(acts.send.len(), 2);
     // Of an earlier start.
-    say(&mut blank, 1, 8, Ballot::Recalled { nonce: nonce ^ 1, head });
-    say(&mut blank, 2, 8, Ballot::Recalled { nonce, head });
+    say(&mut blank, 1, 8, RaftPayload::HardStateReply { nonce: nonce ^ 1, head });
+    say(&mut blank, 2, 8, RaftPayload::HardStateReply { nonce, head });
     assert_eq!(blank.role(), Role::Learner, "one of two is not enough");
-    let higher = Head { stamp: Stamp { term: 8, version: 9 }, ..head };
-    let acts = say(&mut blank, 1, 11, Ballot::Recalled { nonce, head: higher });
+    let higher = VersionHeader { stamp: LogPosition { term: 8, version: 9 }, ..head };
+    let acts = say(&mut blank, 1, 11, RaftPayload::HardStateReply { nonce, head: higher });
     assert!(acts.save);
-    assert_eq!(blank.memory(), Some(&Memory { term: 12, vote: None, head: higher }));
+    assert_eq!(blank.memory(), Some(&HardState { term: 12, vote: None, head: higher }));
     // Whatever it may have promised before was for a term of 11 at most.
-    let acts = say(&mut blank, 2, 11, Ballot::Vote(stamp));
-    assert!(acts.send.iter().all(|(_, _, ballot)| *ballot == Ballot::Voted(false)), "{acts:?}");
+    let acts = say(&mut blank, 2, 11, RaftPayload::RequestVote(stamp));
+    assert!(acts.send.iter().all(|(_, _, ballot)| *ballot == RaftPayload::VoteReply(false)), "{acts:?}");
 }
 
 #[test]
 fn a_voter_votes_once_a_term_and_for_nobody_that_holds_less() {
-    let head = Head { stamp: Stamp { term: 3, version: 5 }, digest: 1, length: 1 };
-    let mut one = voter(0, Some(Memory { term: 3, vote: None, head }));
-    let mut vote = |from: u8, term: u64, held: Stamp| {
-        let mut acts = Acts::default();
-        one.received(moment(9_000), (from, term, Ballot::Vote(held)), |_| true, &mut acts);
-        (acts.send[0].2 == Ballot::Voted(true), acts.save)
+    let head = VersionHeader { stamp: LogPosition { term: 3, version: 5 }, digest: 1, length: 1 };
+    let mut one = voter(0, Some(HardState { term: 3, vote: None, head }));
+    let mut vote = |from: u8, term: u64, held: LogPosition| {
+        let mut acts = RaftEffects::default();
+        one.received(moment(9_000), (from, term, RaftPayload::RequestVote(held)), |_| true, &mut acts);
+        (acts.send[0].2 == RaftPayload::VoteReply(true), acts.save)
     };
-    assert_eq!(vote(1, 4, Stamp { term: 2, version: 9 }), (false, true), "it holds less");
+    assert_eq!(vote(1, 4, LogPosition { term: 2, version: 9 }), (false, true), "it holds less");
     assert_eq!(vote(2, 4, head.stamp), (true, true));
     assert_eq!(vote(1, 4, head.stamp), (false, false), "it has voted");
     assert_eq!(vote(2, 4, head.stamp), (true, true), "the same again");
@@ -587,15 +592,15 @@
     net.propose(5, 2, 1, b"two");
     net.run(8.0);
     assert_eq!(
-        net.core(1).map(Agreed::role),
+        net.core(1).map(ReplicatedConfig::role),
         Some(Some(Role::Learner)),
         "it says nothing by what is not on disk"
     );
     let two = net.outcomes.get(&2);
-    assert!(two.is_none_or(|two| *two == Outcome::Agreed(2)), "{two:?}");
+    assert!(two.is_none_or(|two| *two == ProposalOutcome::Committed(2)), "{two:?}");
     net.propose(5, 3, 1, b"two");
     net.run(8.0);
-    assert_eq!(net.outcomes.get(&3), Some(&Outcome::Agreed(2)), "two of three go on");
+    assert_eq!(net.outcomes.get(&3), Some(&ProposalOutcome::Committed(2)), "two of three go on");
     assert_eq!(net.contradiction(), 0.0);
 }
 
@@ -604,7 +609,8 @@
     let mut chance = Pcg64Mcg::seed_from_u64(seed ^ 0x5eed);
     let voters = [3, 5][chance.random_range(0..2)];
     let count = voters + chance.random_range(3..10);
-    let set = Settings { drift, ..Settings::usual((0..voters).map(address).collect(), None) };
+    let set =
+        ReplicationSettings { drift, ..ReplicationSettings::usual((0..voters).map(address).collect(), None) };
     let mut net = Net::with(seed, count, true, set);
     (net.loss, net.twice) = (chance.random_range(0.0..0.25), chance.random_range(0.0..0.2));
     net.crash_in_batch = chance.random_range(0..2) == 0;
@@ -657,12 +663,12 @@
         assert_eq!(core.figures().contrary, 0, "seed {seed}");
         assert_eq!(
             (core.in_force().0, core.standing(net.local(n))),
-            (latest, Standing::Counts),
+            (latest, LeaseState::Valid),
             "seed {seed}: {n}"
         );
     }
     for (nonce, outcome) in &net.outcomes {
-        if let Outcome::Agreed(version) = outcome {
+        if let ProposalOutcome::Committed(version) = outcome {
             assert!(*version <= latest, "seed {seed}: {nonce} is lost");
             if let Some(document) = net.documents.get(version) {
                 assert!(
@@ -729,7 +735,7 @@
         let (began, by) = (net.now, net.rng.random_range(0..count));
         net.propose(by, version, version - 1, &text(version, size));
         net.run(pause);
-        assert_eq!(net.outcomes.get(&version), Some(&Outcome::Agreed(version)), "seed {seed}");
+        assert_eq!(net.outcomes.get(&version), Some(&ProposalOutcome::Committed(version)), "seed {seed}");
         let last = (0..count).map(|n| net.in_force[n].get(&version).copied().unwrap_or(u64::MAX)).max();
         cost.took.push((last.expect("some") - began) as f64 / 1e6);
     }
@@ -780,56 +786,66 @@
 /// Any message.
 fn message() -> impl Strategy<Value = Message> {
     let number = any::<u64>;
-    let stamp = || (number(), number()).prop_map(|(term, version)| Stamp { term, version });
+    let stamp = || (number(), number()).prop_map(|(term, version)| LogPosition { term, version });
     let head = move || {
-        (stamp(), number(), 0..=MAX_DOCUMENT as u32).prop_map(|(stamp, digest, length)| Head {
+        (stamp(), number(), 0..=MAX_DOCUMENT as u32).prop_map(|(stamp, digest, length)| VersionHeader {
             stamp,
             digest,
             length,
         })
     };
     let ballot = prop_oneof![
-        stamp().prop_map(Ballot::PreVote),
-        any::<bool>().prop_map(Ballot::PreVoted),
-        stamp().prop_map(Ballot::Vote),
-        any::<bool>().prop_map(Ballot::Voted),
+        stamp().prop_map(RaftPayload::PreVote),
+        any::<bool>().prop_map(RaftPayload::PreVoteReply),
+        stamp().prop_map(RaftPayload::RequestVote),
+        any::<bool>().prop_map(RaftPayload::VoteReply),
         (number(), head(), proptest::option::of(head()), number(), number()).prop_map(
-            |(round, head, agreed, since, fresh)| Ballot::Append { round, head, agreed, since, fresh }
+            |(round, head, agreed, since, fresh)| RaftPayload::AppendEntry {
+                round,
+                head,
+                agreed,
+                since,
+                fresh
+            }
         ),
-        (number(), stamp(), number()).prop_map(|(round, stored, clock)| Ballot::Acked {
+        (number(), stamp(), number()).prop_map(|(round, stored, clock)| RaftPayload::AppendReply {
             round,
             stored,
             clock
         }),
-        number().prop_map(|nonce| Ballot::Recall { nonce }),
-        (number(), head()).prop_map(|(nonce, head)| Ballot::Recalled { nonce, head }),
+        number().prop_map(|nonce| RaftPayload::HardStateRequest { nonce }),
+        (number(), head()).prop_map(|(nonce, head)| RaftPayload::HardStateReply { nonce, head }),
     ];
     let outcome = prop_oneof![
-        number().prop_map(Outcome::Agreed),
-        "[a-zé]{0,100}".prop_map(Outcome::Refused),
-        any::<u8>().prop_map(Outcome::Elsewhere),
+        number().prop_map(ProposalOutcome::Committed),
+        "[a-zé]{0,100}".prop_map(ProposalOutcome::Rejected),
+        any::<u8>().prop_map(ProposalOutcome::NotLeader),
     ];
-    let part = proptest::collection::vec(any::<u8>(), 0..=MAX_PART);
+    let part = proptest::collection::vec(any::<u8>(), 0..=MAX_CHUNK);
     prop_oneof![
-        (number(), any::<u8>(), number(), ballot).prop_map(|(voters, from, term, ballot)| Message::Voter {
+        (number(), any::<u8>(), number(), ballot).prop_map(|(voters, from, term, ballot)| Message::Raft {
             voters,
             from,
             term,
             ballot
         }),
-        (number(), number()).prop_map(|(clock, in_force)| Message::Ask { clock, in_force }),
-        (head(), number(), number()).prop_map(|(head, since, fresh)| Message::Tell { head, since, fresh }),
-        (number(), number(), any::<u32>()).prop_map(|(digest, base, offset)| Message::Want {
+        (number(), number()).prop_map(|(clock, in_force)| Message::Subscribe { clock, in_force }),
+        (head(), number(), number()).prop_map(|(head, since, fresh)| Message::Announce {
+            head,
+            since,
+            fresh
+        }),
+        (number(), number(), any::<u32>()).prop_map(|(digest, base, offset)| Message::ChunkRequest {
             digest,
             base,
             offset
         }),
         (number(), number(), 0..=MAX_DOCUMENT as u32, any::<u32>(), part).prop_map(
-            |(digest, base, total, offset, bytes)| Message::Part { digest, base, total, offset, bytes }
+            |(digest, base, total, offset, bytes)| Message::Chunk { digest, base, total, offset, bytes }
         ),
         (number(), number(), number(), 0..=MAX_DOCUMENT as u32)
             .prop_map(|(nonce, expect, digest, length)| Message::Propose { nonce, expect, digest, length }),
-        (number(), outcome).prop_map(|(nonce, outcome)| Message::Answer { nonce, outcome }),
+        (number(), outcome).prop_map(|(nonce, outcome)| Message::ProposeReply { nonce, outcome }),
     ]
 }
 
@@ -851,9 +867,9 @@
         cut in any::<u8>(),
     ) {
         for me in [None, Some(1)] {
-            let set = Settings::usual((0..3).map(address).collect(), me);
-            let memory = me.map(|_| (Memory::genesis(), Vec::new()));
-            let mut core = Agreed::new(set.clone(), seal(), memory, Box::new(check), 5, Micros(0));
+            let set = ReplicationSettings::usual((0..3).map(address).collect(), me);
+            let memory = me.map(|_| (HardState::genesis(), Vec::new()));
+            let mut core = ReplicatedConfig::new(set.clone(), seal(), memory, Box::new(check), 5, Micros(0));
             let mut now = Micros(0);
             let mut give = |bytes: &[u8]| {
                 now = now + Micros(40_000);
--- a/crates/alderstile-node/src/agreed.rs
+++ b/crates/alderstile-node/src/agreed.rs
@@ -10,7 +10,9 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::members::MAX_DATAGRAM;
-use alderstile_cluster::replicated_config::{Agreed, Out, Outcome, Role, Settings, Standing};
+use alderstile_cluster::replicated_config::{
+    Effect, LeaseState, ProposalOutcome, ReplicatedConfig, ReplicationSettings, Role,
+};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 use tokio::net::UdpSocket;
@@ -76,7 +78,7 @@
 /// This node's part in agreed versions.
 pub struct Control {
     config: ControlConfig,
-    core: RefCell<Agreed>,
+    core: RefCell<ReplicatedConfig>,
     began: Instant,
     node: Weak<Node>,
     store: RefCell<Option<Store>>,
@@ -89,7 +91,7 @@
     cut_off: Cell<bool>,
     other_voters: Cell<Option<Instant>>,
     nonce: Cell<u64>,
-    asked: RefCell<BTreeMap<u64, oneshot::Sender<Outcome>>>,
+    asked: RefCell<BTreeMap<u64, oneshot::Sender<ProposalOutcome>>>,
 }
 
 impl Control {
@@ -243,10 +245,10 @@
         self.core.borrow_mut().members(others.into_iter().map(|(_, address)| address).collect(), place);
     }
 
-    fn act(&self, out: Vec<Out>) {
+    fn act(&self, out: Vec<Effect>) {
         for out in out {
             match out {
-                Out::Save(memory, document) => {
+                Effect::PersistHardState(memory, document) => {
                     let store = self.store.borrow();
                     let Some(store) = store.as_ref() else { continue };
                     if let Err(error) = store.save(&memory, &document) {
@@ -257,23 +259,23 @@
                         return;
                     }
                 }
-                Out::Send(to, bytes) => {
+                Effect::Send(to, bytes) => {
                     if let Some(socket) = self.socket.borrow().as_ref()
                         && let Err(error) = socket.try_send_to(&bytes, to)
                     {
                         debug!("agreed: datagram to {to} lost: {error}");
                     }
                 }
-                Out::Waits(version, document) => self.waits(version, &document),
-                Out::InForce(version, document) => self.take_up(version, &document),
-                Out::Proposed(nonce, outcome) => {
+                Effect::VersionCommitted(version, document) => self.waits(version, &document),
+                Effect::VersionActive(version, document) => self.take_up(version, &document),
+                Effect::ProposalFinished(nonce, outcome) => {
                     if let Some(asked) = self.asked.borrow_mut().remove(&nonce) {
                         // The caller may have gone.
                         let _ = asked.send(outcome);
                     }
                 }
-                Out::Became(role) => info!("agreed: this voter is {}", shown(role)),
-                Out::OtherVoters(voter) => {
+                Effect::RoleChanged(role) => info!("agreed: this voter is {}", shown(role)),
+                Effect::VoterListMismatch(voter) => {
                     let now = Instant::now();
                     if self.other_voters.get().is_none_or(|last| now - last > Duration::from_secs(60)) {
                         self.other_voters.set(Some(now));
@@ -373,7 +375,7 @@
 
     /// Tells when this node is cut off, and when it is not any more.
     fn tell_standing(&self) {
-        let cut_off = self.core.borrow().standing(self.now()) == Standing::CutOff;
+        let cut_off = self.core.borrow().standing(self.now()) == LeaseState::Expired;
         if self.cut_off.replace(cut_off) != cut_off {
             let version = self.applied.borrow().0;
             if cut_off {
@@ -392,14 +394,14 @@
         let (core, now) = (self.core.borrow(), self.now());
         let refuses = self.config.cut_off == CutOff::Refuse;
         match core.standing(now) {
-            Standing::Counts => true,
-            Standing::Unheard => now >= self.config.settings.lease && !refuses,
-            Standing::Between => {
+            LeaseState::Valid => true,
+            LeaseState::NeverHeard => now >= self.config.settings.lease && !refuses,
+            LeaseState::Superseded => {
                 self.applied.borrow().0 > 0
                     || core.known().0 == 0
                     || now >= self.config.settings.lease.scale(3.0)
             }
-            Standing::CutOff => !refuses,
+            LeaseState::Expired => !refuses,
         }
     }
 
@@ -411,10 +413,10 @@
         let (in_force, document) = core.in_force();
         let (known, waits) = core.known();
         let standing = match core.standing(now) {
-            Standing::Unheard => "unheard",
-            Standing::Counts => "counts",
-            Standing::Between => "between",
-            Standing::CutOff => "cut off",
+            LeaseState::NeverHeard => "unheard",
+            LeaseState::Valid => "counts",
+            LeaseState::Superseded => "between",
+            LeaseState::Expired => "cut off",
         };
         Shown {
             in_force,
@@ -442,7 +444,7 @@
         };
         line("version", core.in_force().0, 'g');
         line("known", core.known().0, 'g');
-        line("cut_off", u64::from(core.standing(now) == Standing::CutOff), 'g');
+        line("cut_off", u64::from(core.standing(now) == LeaseState::Expired), 'g');
         line("refused", u64::from(self.refused.borrow().is_some()), 'g');
         line("age_ms", core.age(now).map_or(0, |age| age.0 / 1_000), 'g');
         line("told", core.children() as u64, 'g');
@@ -476,8 +478,8 @@
         let told = timeout(PROPOSED, told).await;
         self.asked.borrow_mut().remove(&nonce);
         match told {
-            Ok(Ok(Outcome::Agreed(version))) => Proposed::Agreed(version),
-            Ok(Ok(Outcome::Refused(why))) => Proposed::Refused(why),
+            Ok(Ok(ProposalOutcome::Committed(version))) => Proposed::Agreed(version),
+            Ok(Ok(ProposalOutcome::Rejected(why))) => Proposed::Refused(why),
             _ => {
                 self.core.borrow_mut().give_up(nonce);
                 Proposed::Open
@@ -496,16 +498,16 @@
     me: Option<u8>,
     found: crate::agreed_store::Found,
     now: Micros,
-) -> Agreed {
+) -> ReplicatedConfig {
     let node = node.clone();
     let check = move |document: &[u8]| {
         let node = node.upgrade().ok_or("the node ends")?;
         let document = Document::parse(document).map_err(|error| error.to_string())?;
         document.check(&node.config()).map_err(|error| error.to_string())
     };
-    let set = Settings { me, ..config.settings.clone() };
+    let set = ReplicationSettings { me, ..config.settings.clone() };
     // Never the same at two starts: what an earlier process was told must not count for this one.
-    Agreed::new(set, config.seal.clone(), found, Box::new(check), seed(), now)
+    ReplicatedConfig::new(set, config.seal.clone(), found, Box::new(check), seed(), now)
 }
 
 fn shown(role: Role) -> &'static str {
--- a/crates/alderstile-node/src/agreed_store.rs
+++ b/crates/alderstile-node/src/agreed_store.rs
@@ -8,7 +8,7 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use alderstile_cluster::replicated_config::{Head, MAX_DOCUMENT, Memory, Stamp};
+use alderstile_cluster::replicated_config::{HardState, LogPosition, MAX_DOCUMENT, VersionHeader};
 use thiserror::Error;
 use tracing::warn;
 
@@ -42,7 +42,7 @@
 }
 
 /// What was found on disk.
-pub type Found = Option<(Memory, Vec<u8>)>;
+pub type Found = Option<(HardState, Vec<u8>)>;
 
 impl Store {
     /// Where the voter of that name keeps its memory.
@@ -79,7 +79,7 @@
     }
 
     /// Puts a memory on disk, and waits until it is there.
-    pub fn save(&self, memory: &Memory, document: &[u8]) -> Result<(), StoreError> {
+    pub fn save(&self, memory: &HardState, document: &[u8]) -> Result<(), StoreError> {
         let value = text(self.voters, memory, document);
         let new = self.path.with_extension("voter-new");
         let written = || {
@@ -98,9 +98,9 @@
     StoreError::Disk(path.display().to_string(), error.to_string())
 }
 
-fn text(voters: u64, memory: &Memory, document: &[u8]) -> Vec<u8> {
+fn text(voters: u64, memory: &HardState, document: &[u8]) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
-    let Memory { term, vote, head } = memory;
+    let HardState { term, vote, head } = memory;
     bytes.extend(voters.to_le_bytes());
     bytes.extend(term.to_le_bytes());
     bytes.push(vote.unwrap_or(u8::MAX));
@@ -115,7 +115,7 @@
 }
 
 /// Reads a value; none where it is cut short, damaged or of another form.
-pub fn parse(bytes: &[u8]) -> Option<(u64, Memory, Vec<u8>)> {
+pub fn parse(bytes: &[u8]) -> Option<(u64, HardState, Vec<u8>)> {
     if bytes.len() < LENGTH || bytes.len() > LENGTH + MAX_DOCUMENT || bytes[0] != FORMAT {
         return None;
     }
@@ -127,11 +127,11 @@
         said.get(at..at + 8).and_then(|bytes| bytes.try_into().ok()).map(u64::from_le_bytes).unwrap_or(0)
     };
     let (voters, term, vote) = (number(1), number(9), said[17]);
-    let stamp = Stamp { term: number(18), version: number(26) };
+    let stamp = LogPosition { term: number(18), version: number(26) };
     let length = u32::from_le_bytes(said.get(42..46)?.try_into().ok()?);
     let document = said.get(46..)?.to_vec();
-    let head = Head { stamp, digest: number(34), length };
+    let head = VersionHeader { stamp, digest: number(34), length };
     let whole = document.len() == length as usize && alderstile_cluster::digest(&document) == head.digest;
     let vote = (vote != u8::MAX).then_some(vote);
-    whole.then_some((voters, Memory { term, vote, head }, document))
+    whole.then_some((voters, HardState { term, vote, head }, document))
 }
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::replicated_config::Memory;
+use alderstile_cluster::replicated_config::HardState;
 use alderstile_node::agreed::Control;
 use alderstile_node::agreed_client::{self, CallError};
 use alderstile_node::agreed_document::Document;
@@ -225,7 +225,7 @@
         return Err(format!("{}: is there already, and stays as it is", path.display()));
     }
     let opened = Store::open(&path, control.settings.voters_digest());
-    let begun = opened.and_then(|(store, _)| store.save(&Memory::genesis(), &[]));
+    let begun = opened.and_then(|(store, _)| store.save(&HardState::genesis(), &[]));
     begun.map_err(|error| error.to_string())?;
     Ok(format!("{}: begun", path.display()))
 }
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use alderstile_cluster::replicated_config::{Head, Memory, Stamp};
+use alderstile_cluster::replicated_config::{HardState, LogPosition, VersionHeader};
 use alderstile_node::agreed::Shown;
 use alderstile_node::agreed_document::Document;
 use alderstile_node::agreed_store::{Store, StoreError, parse};
@@ -470,14 +470,15 @@
     }
 }
 
-fn memory(version: u64, document: &[u8]) -> Memory {
-    let stamp = Stamp { term: 4, version };
-    let head = Head { stamp, digest: alderstile_cluster::digest(document), length: document.len() as u32 };
-    Memory { term: 5, vote: Some(2), head }
+fn memory(version: u64, document: &[u8]) -> HardState {
+    let stamp = LogPosition { term: 4, version };
+    let head =
+        VersionHeader { stamp, digest: alderstile_cluster::digest(document), length: document.len() as u32 };
+    HardState { term: 5, vote: Some(2), head }
 }
 
 /// What a store holds. Processes that other tests start at this moment hold its lock until they have become themselves.
-fn open(path: &Path) -> Option<(Memory, Vec<u8>)> {
+fn open(path: &Path) -> Option<(HardState, Vec<u8>)> {
     let began = Instant::now();
     loop {
         match Store::open(path, 7) {
--- a/crates/alderstile-node/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-node/tests/replicated_config_fixtures.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use alderstile_cluster::replicated_config::{Head, Memory, Stamp};
+use alderstile_cluster::replicated_config::{HardState, LogPosition, VersionHeader};
 use alderstile_node::admin;
 use alderstile_node::agreed::Shown;
 use alderstile_node::agreed_document::Document;
@@ -27,10 +27,11 @@
     serde_json::to_vec(&document).expect("JSON")
 }
 
-fn stored_state(document: &[u8]) -> Memory {
-    let stamp = Stamp { term: 4, version: 9 };
-    let head = Head { stamp, digest: alderstile_cluster::digest(document), length: document.len() as u32 };
-    Memory { term: 5, vote: Some(2), head }
+fn stored_state(document: &[u8]) -> HardState {
+    let stamp = LogPosition { term: 4, version: 9 };
+    let head =
+        VersionHeader { stamp, digest: alderstile_cluster::digest(document), length: document.len() as u32 };
+    HardState { term: 5, vote: Some(2), head }
 }
 
 const VOTERS: u64 = 0x0102_0304_0506_0708;
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::replicated_config::Memory;
+use alderstile_cluster::replicated_config::HardState;
 use alderstile_node::agreed::{Control, Proposed};
 use alderstile_node::agreed_store::Store;
 use alderstile_node::cluster::Cluster;
@@ -46,7 +46,7 @@
     let control = cluster.control.as_ref().expect("a table");
     let store = Store::path(&dir, &setup.node.config().name);
     let (begun, _) = Store::open(&store, control.settings.voters_digest()).expect("opened");
-    begun.save(&Memory::genesis(), &[]).expect("saved");
+    begun.save(&HardState::genesis(), &[]).expect("saved");
     drop(begun);
     let member = Rc::new(Cluster::new(&setup.node.config(), &cluster, None).expect("a member"));
     setup.node.operators.join(member.clone());
