--- a/crates/alderstile-cluster/src/lib.rs
+++ b/crates/alderstile-cluster/src/lib.rs
@@ -5,6 +5,7 @@
 
 use sha2::{Digest, Sha256};
 
+pub mod authentication;
 pub mod host_assignment;
 pub mod membership;
 pub mod replicated_config;
--- a/crates/alderstile-cluster/src/membership/mod.rs
+++ b/crates/alderstile-cluster/src/membership/mod.rs
@@ -23,8 +23,9 @@
 mod wire;
 
 pub use view::{Change, Counts, Figures, MAX_FACTS, MAX_NAME, MAX_ZONE, Record, Session, State, Unfit};
-pub use wire::{Body, Datagram, Header, MAX_CLUSTER, MAX_DATAGRAM, MIN_KEY, Rumor, Seal, Unread};
+pub use wire::{Body, Datagram, DatagramCodec, Header, Rumor};
 
+use crate::authentication::{DecodeError, MAX_DATAGRAM_BYTES};
 use replay::Window;
 use rumors::Rumors;
 
@@ -161,7 +162,7 @@
 /// One member's view, and what it does to keep it.
 pub struct Members {
     set: Settings,
-    seal: Seal,
+    codec: DatagramCodec,
     me: Record,
     rng: Pcg64Mcg,
     now: Micros,
@@ -209,7 +210,7 @@
     /// A member that knows its seeds at most. `me` must have been checked ([`Record::check`]).
     pub fn new(
         set: Settings,
-        seal: Seal,
+        codec: DatagramCodec,
         me: Record,
         seeds: Vec<SocketAddr>,
         seed: u64,
@@ -222,7 +223,7 @@
         let seed = rng.random_range(0..seeds.len().max(1));
         Members {
             set,
-            seal,
+            codec,
             rng,
             now,
             others: BTreeMap::new(),
@@ -351,8 +352,8 @@
     }
 
     /// Other keys from now on.
-    pub fn set_seal(&mut self, seal: Seal) {
-        self.seal = seal;
+    pub fn set_codec(&mut self, codec: DatagramCodec) {
+        self.codec = codec;
     }
 
     /// This member is about to go: tells some others at once, which tell the rest.
@@ -747,9 +748,9 @@
         // What is told where perhaps nobody is would count as told.
         let asks = to == Session::default()
             || matches!(body, Body::Ping { .. }) && matches!(buddy, Some(Rumor::Dead { .. }));
-        let order = if asks { Vec::new() } else { self.rumors.order(MAX_DATAGRAM / 16) };
+        let order = if asks { Vec::new() } else { self.rumors.order(MAX_DATAGRAM_BYTES / 16) };
         let all: Vec<&Rumor> = buddy.iter().chain(self.rumors.at(&order)).collect();
-        let (bytes, written) = self.seal.write(header, body, &all);
+        let (bytes, written) = self.codec.encode(header, body, &all);
         let written = written.saturating_sub(usize::from(buddy.is_some()));
         let limit = RETRANSMISSIONS * (usize::BITS - self.count().leading_zeros());
         self.rumors.told(&order[..written], limit);
@@ -765,13 +766,13 @@
     pub fn received(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Out> {
         self.now = self.now.max(now);
         let mut out = Vec::new();
-        let datagram = match self.seal.read(bytes) {
+        let datagram = match self.codec.decode(bytes) {
             Ok(datagram) => datagram,
-            Err(unread) => {
-                let figure = match unread {
-                    Unread::Foreign => &mut self.figures.foreign,
-                    Unread::Damaged => &mut self.figures.damaged,
-                    Unread::Newer => &mut self.figures.newer,
+            Err(error) => {
+                let figure = match error {
+                    DecodeError::Unauthenticated => &mut self.figures.foreign,
+                    DecodeError::Malformed => &mut self.figures.damaged,
+                    DecodeError::UnsupportedFormat => &mut self.figures.newer,
                 };
                 *figure += 1;
                 return out;
@@ -899,7 +900,7 @@
         let next = Session(after.0.saturating_add(1));
         let row = |(_, member): (_, &'_ Member)| (member.state, member.record.clone());
         // More than fit, by the shortest record.
-        let most = MAX_DATAGRAM / 32;
+        let most = MAX_DATAGRAM_BYTES / 32;
         let mut later: Vec<(State, Record)> = self.others.range(next..).take(most).map(row).collect();
         let mut earlier: Vec<(State, Record)> = self.others.range(..next).take(most).map(row).collect();
         // This member stands among the others.
@@ -909,7 +910,7 @@
             part.insert(at, (State::Alive, self.me.clone()));
         }
         let to_the_end = later.len();
-        let mut room = self.seal.page_room();
+        let mut room = self.codec.page_room();
         let mut members = Vec::new();
         for (state, record) in later.into_iter().chain(earlier) {
             let size = wire::on_page(&record);
--- a/crates/alderstile-cluster/src/membership/wire.rs
+++ b/crates/alderstile-cluster/src/membership/wire.rs
@@ -16,27 +16,19 @@
 
 use std::net::{IpAddr, SocketAddr};
 
-use hmac::{Hmac, KeyInit, Mac};
-use sha2::Sha256;
 use winnow::Parser;
 use winnow::binary::{le_u16, le_u64, length_take, u8};
 use winnow::combinator::{eof, repeat};
 use winnow::error::{ContextError, ErrMode};
 use winnow::token::take;
 
-use super::view::{MAX_FACTS, MAX_NAME, MAX_ZONE, Record, Session, State};
+use crate::authentication::{Authenticator, DecodeError, KeyError, MAC_BYTES, MAX_DATAGRAM_BYTES};
 
-/// The longest datagram: below what any path carries whole (RFC 9000, section 14).
-pub const MAX_DATAGRAM: usize = 1_200;
-/// The shortest key, bytes: half of what HMAC-SHA-256 can use (RFC 2104, section 3).
-pub const MIN_KEY: usize = 16;
-/// The longest name of a cluster, bytes.
-pub const MAX_CLUSTER: usize = 40;
+use super::view::{MAX_FACTS, MAX_NAME, MAX_ZONE, Record, Session, State};
 
-const MAGIC: &[u8] = b"AM";
+const MAGIC: [u8; 2] = *b"AM";
 /// What this program writes.
 const FORMAT: u8 = 1;
-const MAC: usize = 16;
 
 /// Who sent a datagram to whom.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -152,108 +144,47 @@
     pub rumors: Vec<Rumor>,
 }
 
-/// Why a datagram is not taken in.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
-    /// Not of this cluster, or with no key in force.
-    Foreign,
-    /// Not in a form that this program knows.
-    Damaged,
-    /// In a newer form.
-    Newer,
-}
-
-/// The cluster's name and its keys: the first one signs, each of them is believed.
+/// Encodes and decodes the datagrams of one cluster's members.
 #[derive(Clone)]
-pub struct Seal {
-    head: Vec<u8>,
-    keys: Vec<Hmac<Sha256>>,
-}
-
-impl Seal {
-    /// None where the name or a key is too short or too long, or there is no key.
-    pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Option<Self> {
-        let length = u8::try_from(cluster.len()).ok().filter(|n| *n > 0 && usize::from(*n) <= MAX_CLUSTER)?;
-        if keys.is_empty() || keys.iter().any(|key| key.len() < MIN_KEY) {
-            return None;
-        }
-        let head = [MAGIC, &[FORMAT, length], cluster.as_bytes()].concat();
-        let keys = keys.iter().map(|key| Hmac::new_from_slice(key).ok()).collect::<Option<_>>()?;
-        Some(Seal { head, keys })
-    }
-
-    fn mac(key: &Hmac<Sha256>, bytes: &[u8]) -> [u8; MAC] {
-        let mut mac = key.clone();
-        mac.update(bytes);
-        let mut half = [0; MAC];
-        half.copy_from_slice(&mac.finalize().into_bytes()[..MAC]);
-        half
+pub struct DatagramCodec(Authenticator);
+
+impl DatagramCodec {
+    /// The datagrams of the cluster with this name; the first key signs, each of them is accepted.
+    ///
+    /// # Errors
+    /// The name or a key is out of bounds, or there is no key.
+    pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Result<Self, KeyError> {
+        Authenticator::new(MAGIC, FORMAT, cluster, keys).map(DatagramCodec)
     }
 
-    /// Writes a datagram with as many of the rumors as fit; returns how many do.
-    pub fn write(&self, header: Header, body: &Body, rumors: &[&Rumor]) -> (Vec<u8>, usize) {
-        let mut bytes = self.head.clone();
+    /// Encodes a datagram with as many of the rumors as fit; returns how many do.
+    pub fn encode(&self, header: Header, body: &Body, rumors: &[&Rumor]) -> (Vec<u8>, usize) {
+        let mut bytes = self.0.prefix().to_vec();
         for number in [header.from.0, header.to.0, header.counter] {
             put(&mut bytes, number);
         }
         put_body(&mut bytes, body);
-        let at = bytes.len();
-        bytes.push(0);
-        let mut written = 0;
-        for rumor in rumors {
-            let before = bytes.len();
-            put_rumor(&mut bytes, rumor);
-            if bytes.len() + MAC > MAX_DATAGRAM || written == usize::from(u8::MAX) {
-                bytes.truncate(before);
-                break;
-            }
-            written += 1;
-        }
-        bytes[at] = written as u8;
-        if let Some(key) = self.keys.first() {
-            let mac = Self::mac(key, &bytes);
-            bytes.extend(mac);
-        }
+        let written = put_rumors(&mut bytes, rumors);
+        self.0.sign(&mut bytes);
         (bytes, written)
     }
 
-    /// Any bytes as the inside of a datagram, with head and MAC: what a broken member could send.
-    pub fn sealed(&self, inside: &[u8]) -> Vec<u8> {
-        let mut bytes = [&*self.head, inside].concat();
-        if let Some(key) = self.keys.first() {
-            let mac = Self::mac(key, &bytes);
-            bytes.extend(mac);
-        }
-        bytes
+    /// Any bytes as a signed payload: what a faulty member that has the key could send.
+    pub fn sign_payload(&self, payload: &[u8]) -> Vec<u8> {
+        self.0.sign_payload(payload)
     }
 
     /// Room for members on a page, bytes.
     pub fn page_room(&self) -> usize {
-        MAX_DATAGRAM - self.head.len() - 3 * 8 - 4 - MAC
+        MAX_DATAGRAM_BYTES - self.0.prefix().len() - 3 * 8 - 4 - MAC_BYTES
     }
 
-    /// Reads a datagram; what is wrong with it otherwise.
-    pub fn read(&self, bytes: &[u8]) -> Result<Datagram, Unread> {
-        match bytes {
-            [b'A', b'M', format, ..] if *format > FORMAT => return Err(Unread::Newer),
-            [b'A', b'M', FORMAT, ..] if bytes.len() <= MAX_DATAGRAM => {}
-            _ => return Err(Unread::Damaged),
-        }
-        let rest = bytes.strip_prefix(&*self.head).ok_or(Unread::Foreign)?;
-        let Some(signed) = bytes.len().checked_sub(MAC).filter(|_| rest.len() >= MAC) else {
-            return Err(Unread::Damaged);
-        };
-        let (signed, mac) = bytes.split_at(signed);
-        let known = |key: &Hmac<Sha256>| {
-            let mut check = key.clone();
-            check.update(signed);
-            // Takes the same time wherever they differ.
-            check.verify_truncated_left(mac).is_ok()
-        };
-        if !self.keys.iter().any(known) {
-            return Err(Unread::Foreign);
-        }
-        datagram.parse(&signed[self.head.len()..]).map_err(|_| Unread::Damaged)
+    /// Decodes a datagram after its MAC has been verified.
+    ///
+    /// # Errors
+    /// It is malformed, in a newer format, or not signed with a key in force.
+    pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, DecodeError> {
+        datagram.parse(self.0.verify(bytes)?).map_err(|_| DecodeError::Malformed)
     }
 }
 
@@ -362,6 +293,24 @@
     }
 }
 
+/// Appends as many rumors as fit, behind their number; returns that number.
+fn put_rumors(bytes: &mut Vec<u8>, rumors: &[&Rumor]) -> usize {
+    let count_at = bytes.len();
+    bytes.push(0);
+    let mut written = 0;
+    for rumor in rumors {
+        let before = bytes.len();
+        put_rumor(bytes, rumor);
+        if bytes.len() + MAC_BYTES > MAX_DATAGRAM_BYTES || written == u8::MAX {
+            bytes.truncate(before);
+            break;
+        }
+        written += 1;
+    }
+    bytes[count_at] = written;
+    usize::from(written)
+}
+
 type Read<T> = Result<T, ErrMode<ContextError>>;
 
 fn no<T>() -> Read<T> {
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -16,7 +16,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::membership::Unread;
+use crate::authentication::DecodeError;
 
 mod chunked_transfer;
 mod raft;
@@ -732,15 +732,15 @@
         let mut out = Vec::new();
         let message = match self.seal.read(bytes) {
             Ok(message) => message,
-            Err(Unread::Foreign) => {
+            Err(DecodeError::Unauthenticated) => {
                 self.figures.foreign += 1;
                 return out;
             }
-            Err(Unread::Damaged) => {
+            Err(DecodeError::Malformed) => {
                 self.figures.damaged += 1;
                 return out;
             }
-            Err(Unread::Newer) => {
+            Err(DecodeError::UnsupportedFormat) => {
                 self.figures.newer += 1;
                 return out;
             }
--- a/crates/alderstile-cluster/src/replicated_config/wire.rs
+++ b/crates/alderstile-cluster/src/replicated_config/wire.rs
@@ -19,13 +19,13 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::token::rest;
 
-use crate::membership::{MAX_CLUSTER, MAX_DATAGRAM, MIN_KEY, Unread};
+use crate::authentication::{DecodeError, MAX_CLUSTER_NAME_BYTES, MAX_DATAGRAM_BYTES, MIN_KEY_BYTES};
 
 /// The longest document, bytes.
 pub const MAX_DOCUMENT: usize = 32 << 10;
 /// The longest reason that an answer to a proposal carries, bytes.
 pub const MAX_REASON: usize = 400;
-/// Bytes of a blob in one datagram: with everything else below [`MAX_DATAGRAM`].
+/// Bytes of a blob in one datagram: with everything else below [`MAX_DATAGRAM_BYTES`].
 pub const MAX_CHUNK: usize = 1_000;
 
 const MAGIC: &[u8] = b"AC";
@@ -193,8 +193,10 @@
 impl Seal {
     /// None where the name or a key is too short or too long, or there is no key.
     pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Option<Self> {
-        let length = u8::try_from(cluster.len()).ok().filter(|n| *n > 0 && usize::from(*n) <= MAX_CLUSTER)?;
-        if keys.is_empty() || keys.iter().any(|key| key.len() < MIN_KEY) {
+        let length = u8::try_from(cluster.len())
+            .ok()
+            .filter(|n| *n > 0 && usize::from(*n) <= MAX_CLUSTER_NAME_BYTES)?;
+        if keys.is_empty() || keys.iter().any(|key| key.len() < MIN_KEY_BYTES) {
             return None;
         }
         let head = [MAGIC, &[FORMAT, length], cluster.as_bytes()].concat();
@@ -224,14 +226,14 @@
     }
 
     /// Reads a datagram; what is wrong with it otherwise.
-    pub fn read(&self, bytes: &[u8]) -> Result<Message, Unread> {
+    pub fn read(&self, bytes: &[u8]) -> Result<Message, DecodeError> {
         match bytes {
-            [b'A', b'C', format, ..] if *format > FORMAT => return Err(Unread::Newer),
-            [b'A', b'C', FORMAT, ..] if bytes.len() <= MAX_DATAGRAM => {}
-            _ => return Err(Unread::Damaged),
+            [b'A', b'C', format, ..] if *format > FORMAT => return Err(DecodeError::UnsupportedFormat),
+            [b'A', b'C', FORMAT, ..] if bytes.len() <= MAX_DATAGRAM_BYTES => {}
+            _ => return Err(DecodeError::Malformed),
         }
-        let inside = bytes.strip_prefix(&*self.head).ok_or(Unread::Foreign)?;
-        let Some(length) = inside.len().checked_sub(MAC) else { return Err(Unread::Damaged) };
+        let inside = bytes.strip_prefix(&*self.head).ok_or(DecodeError::Unauthenticated)?;
+        let Some(length) = inside.len().checked_sub(MAC) else { return Err(DecodeError::Malformed) };
         let (signed, mac) = bytes.split_at(self.head.len() + length);
         let known = |key: &Hmac<Sha256>| {
             let mut check = key.clone();
@@ -239,9 +241,9 @@
             check.verify_truncated_left(mac).is_ok()
         };
         if !self.keys.iter().any(known) {
-            return Err(Unread::Foreign);
+            return Err(DecodeError::Unauthenticated);
         }
-        message.parse(&inside[..length]).map_err(|_| Unread::Damaged)
+        message.parse(&inside[..length]).map_err(|_| DecodeError::Malformed)
     }
 }
 
--- a/crates/alderstile-cluster/tests/membership.rs
+++ b/crates/alderstile-cluster/tests/membership.rs
@@ -3,14 +3,15 @@
 use std::net::SocketAddr;
 
 use alderstile::types::Micros;
+use alderstile_cluster::authentication::{KeyError, MAX_DATAGRAM_BYTES, MIN_KEY_BYTES};
 use alderstile_cluster::membership::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
 const KEY: &[u8] = b"sixteen bytes or more";
 
-fn seal() -> Seal {
-    Seal::new("test", &[KEY.to_vec()]).expect("a seal")
+fn codec() -> DatagramCodec {
+    DatagramCodec::new("test", &[KEY.to_vec()]).expect("a codec")
 }
 
 fn address(n: u64) -> SocketAddr {
@@ -27,14 +28,14 @@
     Micros::from_millis(1_000)
 }
 
-fn member_with(n: u64, seal: Seal, known: &[u64]) -> Members {
+fn member_with(n: u64, codec: DatagramCodec, known: &[u64]) -> Members {
     let set = Settings::with_period(period());
     let seeds = vec![address(1), address(2)];
-    Members::new(set, seal, record(n), seeds, n, Micros(0)).knowing(known.iter().map(|n| record(*n)))
+    Members::new(set, codec, record(n), seeds, n, Micros(0)).knowing(known.iter().map(|n| record(*n)))
 }
 
 fn member(n: u64, known: &[u64]) -> Members {
-    member_with(n, seal(), known)
+    member_with(n, codec(), known)
 }
 
 /// Carries all datagrams between these until nobody has anything to say; returns what changed, by whom.
@@ -121,7 +122,7 @@
     let again = Record { session: Session(33), ..record(3) };
     members.push(Members::new(
         Settings::with_period(period()),
-        seal(),
+        codec(),
         again,
         vec![address(1)],
         9,
@@ -141,7 +142,7 @@
     let other = Record { name: "n2".into(), ..record(5) };
     members.push(Members::new(
         Settings::with_period(period()),
-        seal(),
+        codec(),
         other,
         vec![address(1)],
         5,
@@ -164,7 +165,7 @@
 /// Tells a member something in the name of number 3, which never was.
 fn told(member: &mut Members, counter: u64, rumor: &Rumor) {
     let header = Header { from: Session(3_000), to: member.me().session, counter };
-    let (bytes, _) = seal().write(header, &Body::Nack { nonce: 0 }, &[rumor]);
+    let (bytes, _) = codec().encode(header, &Body::Nack { nonce: 0 }, &[rumor]);
     member.received(Micros(0), address(3), &bytes);
 }
 
@@ -195,10 +196,10 @@
     let mut one = member(1, &[2, 3]);
     told(&mut one, 1, &Rumor::Dead { session: Session(2_000), incarnation: 1 });
     let header = Header { from: Session(2_000), to: Session(1_000), counter: 1 };
-    let here = seal().write(header, &Body::Handshake { record: record(2) }, &[]).0;
+    let here = codec().encode(header, &Body::Handshake { record: record(2) }, &[]).0;
     let out = one.received(Micros(0), address(2), &here);
     let [Out::Send(to, bytes)] = &out[..] else { panic!("{out:?}") };
-    let rumors = seal().read(bytes).expect("a datagram").rumors;
+    let rumors = codec().decode(bytes).expect("a datagram").rumors;
     assert_eq!(*to, address(2));
     assert_eq!(rumors, [Rumor::Dead { session: Session(2_000), incarnation: 1 }]);
 }
@@ -237,14 +238,14 @@
     let mut now = Micros(0);
     pass(&mut members, &mut now, Micros::from_millis(36_000));
     let seeds = vec![address(1)];
-    members.push(Members::new(Settings::with_period(period()), seal(), record(99), seeds, 99, now));
+    members.push(Members::new(Settings::with_period(period()), codec(), record(99), seeds, 99, now));
     let (mut last, mut longest) = (now, Micros(0));
     while now < Micros::from_millis(160_000) {
         let (due, i) = members.iter().enumerate().map(|(i, m)| (m.due(), i)).min().expect("members");
         now = now.max(due);
         let out = members[i].tick(now);
         carry_watched(&mut members, now, vec![(i, out)], &mut |to, bytes| {
-            let ping = seal().read(bytes).is_ok_and(|datagram| matches!(datagram.body, Body::Ping { .. }));
+            let ping = codec().decode(bytes).is_ok_and(|datagram| matches!(datagram.body, Body::Ping { .. }));
             if ping && to == address(99) {
                 longest = longest.max(now - last);
                 last = now;
@@ -281,20 +282,20 @@
 #[test]
 fn foreign_damaged_replayed_old_and_newer_datagrams_change_nothing_and_are_counted() {
     let mut one = member(1, &[2]);
-    let ping = |to: u64, counter, seal: &Seal| {
+    let ping = |to: u64, counter, codec: &DatagramCodec| {
         let header = Header { from: Session(2_000), to: Session(to), counter };
         // It would bring a member that nobody knows.
         let news = Rumor::Alive(record(9));
-        seal.write(header, &Body::Ping { nonce: 1, record: record(2) }, &[&news]).0
+        codec.encode(header, &Body::Ping { nonce: 1, record: record(2) }, &[&news]).0
     };
     let take = |one: &mut Members, bytes: &[u8]| one.received(Micros(0), address(2), bytes);
-    let other_key = Seal::new("test", &[b"another key of a length".to_vec()]).expect("a seal");
-    let other_name = Seal::new("other", &[KEY.to_vec()]).expect("a seal");
-    for seal in [&other_key, &other_name] {
-        assert_eq!(take(&mut one, &ping(1_000, 1, seal)), []);
+    let other_key = DatagramCodec::new("test", &[b"another key of a length".to_vec()]).expect("a codec");
+    let other_name = DatagramCodec::new("other", &[KEY.to_vec()]).expect("a codec");
+    for codec in [&other_key, &other_name] {
+        assert_eq!(take(&mut one, &ping(1_000, 1, codec)), []);
     }
     assert_eq!(one.figures().foreign, 2);
-    let good = ping(1_000, 1, &seal());
+    let good = ping(1_000, 1, &codec());
     let mut newer = good.clone();
     newer[2] = 9;
     assert_eq!(take(&mut one, &newer), []);
@@ -306,7 +307,7 @@
         assert_eq!(take(&mut one, &good[..i]), [], "cut at {i}");
     }
     // Made for another process here: it is told who is here, and nothing else.
-    let told = take(&mut one, &ping(77, 1, &seal()));
+    let told = take(&mut one, &ping(77, 1, &codec()));
     assert!(matches!(told[..], [Out::Send(..)]), "{told:?}");
     assert_eq!((one.figures().stale, one.figures().taken), (1, 0));
     assert_eq!(state(&one, Session(9_000)), None, "nothing was believed so far");
@@ -322,7 +323,7 @@
     // Whether a datagram with that number is taken in.
     let mut take = |counter: u64| {
         let header = Header { from: Session(2_000), to: Session(1_000), counter };
-        let (bytes, _) = seal().write(header, &Body::Nack { nonce: 0 }, &[]);
+        let (bytes, _) = codec().encode(header, &Body::Nack { nonce: 0 }, &[]);
         let before = one.figures();
         one.received(Micros(0), address(2), &bytes);
         let (taken, replayed) =
@@ -340,15 +341,17 @@
 #[test]
 fn two_keys_are_believed_while_one_takes_the_others_place() {
     let (old, new) = (KEY.to_vec(), b"the key that comes next".to_vec());
-    let seals = [vec![old.clone()], vec![old.clone(), new.clone()], vec![new.clone(), old], vec![new]];
-    for pair in seals.windows(2) {
-        let seal = |keys| Seal::new("test", keys).expect("a seal");
-        let mut members = vec![member_with(1, seal(&pair[0]), &[2]), member_with(2, seal(&pair[1]), &[1])];
+    let codecs = [vec![old.clone()], vec![old.clone(), new.clone()], vec![new.clone(), old], vec![new]];
+    for pair in codecs.windows(2) {
+        let codec = |keys| DatagramCodec::new("test", keys).expect("a codec");
+        let mut members = vec![member_with(1, codec(&pair[0]), &[2]), member_with(2, codec(&pair[1]), &[1])];
         pass(&mut members, &mut Micros(0), Micros::from_millis(5_000));
         assert!(members.iter().all(|m| m.figures().foreign == 0 && m.figures().taken > 3));
     }
-    assert!(Seal::new("test", &[vec![1; MIN_KEY - 1]]).is_none(), "too short a key");
-    assert!(Seal::new("test", &[]).is_none() && Seal::new("", &[KEY.to_vec()]).is_none());
+    let error = |cluster, keys: &[Vec<u8>]| DatagramCodec::new(cluster, keys).err();
+    assert_eq!(error("test", &[vec![1; MIN_KEY_BYTES - 1]]), Some(KeyError::ShortKey));
+    assert_eq!(error("test", &[]), Some(KeyError::NoKey));
+    assert_eq!(error("", &[KEY.to_vec()]), Some(KeyError::ClusterName));
 }
 
 #[test]
@@ -372,12 +375,12 @@
     let mut sent = 0;
     for counter in 1..5_000 {
         let header = Header { from: Session(2_000), to: Session(1_000), counter };
-        let ping = seal().write(header, &Body::Ping { nonce: counter, record: record(2) }, &[]).0;
+        let ping = codec().encode(header, &Body::Ping { nonce: counter, record: record(2) }, &[]).0;
         let out = one.received(Micros(10), address(2), &ping);
         for one in &out {
             let Out::Send(_, bytes) = one else { continue };
             sent += 1;
-            assert!(bytes.len() <= MAX_DATAGRAM);
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         }
     }
     assert_eq!(sent, Settings::with_period(period()).most);
@@ -406,7 +409,7 @@
     let mut one = member(1, &[2]);
     let header = Header { from: Session(2_000), to: Session(1_000), counter: 1 };
     let top = Rumor::Suspect { session: Session(1_000), incarnation: u64::MAX, by: Session(2_000) };
-    let (bytes, _) = seal().write(header, &Body::Nack { nonce: 0 }, &[&top]);
+    let (bytes, _) = codec().encode(header, &Body::Nack { nonce: 0 }, &[&top]);
     one.received(Micros(0), address(2), &bytes);
     one.set_digest(8);
     one.leave(Micros(1));
@@ -469,9 +472,9 @@
             Body::Page { last: true, members: vec![(State::Suspect, record.clone())] },
         ] {
             let refs: Vec<&Rumor> = rumors.iter().collect();
-            let (bytes, written) = seal().write(header, &body, &refs);
-            prop_assert!(bytes.len() <= MAX_DATAGRAM);
-            let read = seal().read(&bytes).expect("read");
+            let (bytes, written) = codec().encode(header, &body, &refs);
+            prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
+            let read = codec().decode(&bytes).expect("read");
             prop_assert_eq!((read.header, &read.body, &read.rumors[..]), (header, &body, &rumors[..written]));
         }
     }
@@ -481,7 +484,7 @@
         let mut one = member(1, &[2]);
         prop_assert_eq!(one.received(Micros(0), address(2), &bytes), []);
         // The same from a broken member that has the key.
-        one.received(Micros(0), address(2), &seal().sealed(&bytes));
+        one.received(Micros(0), address(2), &codec().sign_payload(&bytes));
         prop_assert_eq!(one.count(), one.others().filter(|other| other.state.lives()).count() + 1);
     }
 
@@ -495,7 +498,7 @@
         for (counter, (rumor, nonce, late)) in words.into_iter().enumerate() {
             now = now + Micros::from_millis(late);
             let header = Header { from: Session(2_000), to: Session(1_000), counter: counter as u64 + 1 };
-            let (bytes, _) = seal().write(header, &Body::Nack { nonce }, &[&rumor]);
+            let (bytes, _) = codec().encode(header, &Body::Nack { nonce }, &[&rumor]);
             one.received(now, address(2), &bytes);
             one.tick(now);
             let living = one.others().filter(|member| member.state.lives()).count();
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -6,7 +6,7 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::membership::{
-    Body, Change, Datagram, Header, Members, Out, Record, Rumor, Seal, Session, Settings, State,
+    Body, Change, Datagram, DatagramCodec, Header, Members, Out, Record, Rumor, Session, Settings, State,
 };
 
 fn fixtures() -> PathBuf {
@@ -18,8 +18,8 @@
     std::fs::read(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn seal() -> Seal {
-    Seal::new("fixtures", &[b"a fixed key of the fixtures".to_vec()]).expect("a seal")
+fn codec() -> DatagramCodec {
+    DatagramCodec::new("fixtures", &[b"a fixed key of the fixtures".to_vec()]).expect("a codec")
 }
 
 fn record(number: u8) -> Record {
@@ -98,9 +98,9 @@
 fn each_kind_of_datagram_is_read_and_written_as_by_the_version_before() {
     for (name, datagram) in datagrams() {
         let bytes = fixture(name);
-        assert_eq!(seal().read(&bytes).as_ref(), Ok(&datagram), "{name} is read");
+        assert_eq!(codec().decode(&bytes).as_ref(), Ok(&datagram), "{name} is read");
         let rumors: Vec<&Rumor> = datagram.rumors.iter().collect();
-        let written = seal().write(datagram.header, &datagram.body, &rumors);
+        let written = codec().encode(datagram.header, &datagram.body, &rumors);
         assert_eq!(written, (bytes, datagram.rumors.len()), "{name} is written");
     }
 }
@@ -164,7 +164,7 @@
         };
         let seeds = [1, 2, 99].map(|seed| ([127, 0, 0, seed], 7_946).into()).to_vec();
         let settings = Settings::with_period(Micros::from_millis(1_000));
-        let member = Members::new(settings, seal(), me, seeds, session, self.now);
+        let member = Members::new(settings, codec(), me, seeds, session, self.now);
         self.members[number as usize - 1] = Some(member);
     }
 
--- a/crates/alderstile-cluster/tests/membership_model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -106,10 +106,10 @@
             digest: 1,
             facts: [].into(),
         };
-        let seal = Seal::new("model", &[b"a key that is long enough".to_vec()]).expect("a seal");
+        let codec = DatagramCodec::new("model", &[b"a key that is long enough".to_vec()]).expect("a codec");
         let settings = Settings::with_period(Micros::from_millis(1_000));
         let seeds = (0..NODES).map(address).collect();
-        self.members[node] = Some(Members::new(settings, seal, me, seeds, self.sessions, self.now));
+        self.members[node] = Some(Members::new(settings, codec, me, seeds, self.sessions, self.now));
     }
 
     /// Carries what is sent, to those that run and are on the same side.
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{Change, Members, Out, Record, Seal, Session, Settings, State};
+use alderstile_cluster::membership::{Change, DatagramCodec, Members, Out, Record, Session, Settings, State};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use thiserror::Error;
@@ -284,9 +284,11 @@
     fn joins(&mut self, node: usize, record: Record, known: &[Record]) {
         let seeds = (0..SEEDS.min(self.plan.nodes)).map(address).collect();
         // The lab's own key: what it protects is a run.
-        let Some(seal) = Seal::new("lab", &[b"a key of the lab, and no secret".to_vec()]) else { return };
+        let Ok(codec) = DatagramCodec::new("lab", &[b"a key of the lab, and no secret".to_vec()]) else {
+            return;
+        };
         let seed = self.rng.random();
-        let members = Members::new(self.set, seal, record, seeds, seed, self.local(node));
+        let members = Members::new(self.set, codec, record, seeds, seed, self.local(node));
         let members = members.knowing(known.iter().cloned());
         let now_s = self.seconds();
         let sim = &mut self.nodes[node];
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -26,8 +26,9 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
+use alderstile_cluster::authentication::MAX_DATAGRAM_BYTES;
 use alderstile_cluster::membership::{
-    Change, Counts, MAX_DATAGRAM, Members, Out, Record, Seal, Session, Settings,
+    Change, Counts, DatagramCodec, Members, Out, Record, Session, Settings,
 };
 use rustix::time::{ClockId, clock_gettime};
 use tokio::net::UdpSocket;
@@ -115,7 +116,7 @@
     /// What the members go by.
     pub settings: Settings,
     /// The cluster's name and keys.
-    pub seal: Seal,
+    pub codec: DatagramCodec,
     /// Whom a member asks that knows nobody.
     pub seeds: Vec<SocketAddr>,
     /// What lies between them.
@@ -396,7 +397,7 @@
         let socket = UdpSocket::bind(spec.address).await?;
         let (seeds, seed) = (setup.seeds.clone(), setup.seed ^ me.session.0);
         let mut members =
-            Members::new(setup.settings, setup.seal.clone(), me, seeds, seed, setup.network.now());
+            Members::new(setup.settings, setup.codec.clone(), me, seeds, seed, setup.network.now());
         if start == 1 {
             let others = setup.known.iter().filter(|other| other.number != spec.number);
             members = members.knowing(others.map(|other| setup.record(other, 1)));
@@ -422,7 +423,7 @@
     /// As the node's own adapter goes about it.
     async fn run(self: Rc<Self>, hollow: Rc<Hollow>, socket: UdpSocket) {
         let network = &self.setup.network;
-        let mut data = [0; MAX_DATAGRAM + 1];
+        let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due = network.began + Duration::from_micros(hollow.members.borrow().due().0);
             let out = tokio::select! {
--- a/crates/alderstile-lab/src/scale.rs
+++ b/crates/alderstile-lab/src/scale.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{Seal, Settings};
+use alderstile_cluster::membership::{DatagramCodec, Settings};
 use serde::Deserialize;
 use serde_json::json;
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
@@ -285,7 +285,7 @@
         let network = Network::new(regions);
         let mut settings = Settings::with_period(Micros::from_millis(runs.period_ms));
         settings.suspicion = runs.suspicion;
-        let seal = Seal::new("scale", &[KEY.to_vec()]).ok_or("no key")?;
+        let codec = DatagramCodec::new("scale", &[KEY.to_vec()]).map_err(|_| "no key")?;
         let seeds: Vec<SocketAddr> = specs.iter().take(3).map(|spec| spec.address).collect();
         let numbers: Vec<usize> =
             (0..size.members).filter(|&number| runs.may_be_real(number)).take(size.real).collect();
@@ -293,7 +293,7 @@
         let setup = Setup {
             known: Arc::new(known.cloned().collect()),
             settings,
-            seal,
+            codec,
             seeds: seeds.clone(),
             network: network.clone(),
             seed: runs.seed,
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{Members, Seal, Settings};
+use alderstile_cluster::membership::{DatagramCodec, Members, Settings};
 use alderstile_lab::fit::Fit;
 use alderstile_lab::hollow::{Hollows, Network, Part, Setup, Spec, What};
 use alderstile_lab::measure::{self, Sizes};
@@ -150,7 +150,7 @@
     let counted = came.clone();
     let setup = Setup {
         settings: Settings::with_period(Micros(50_000)),
-        seal: Seal::new("test", &[vec![7; 32]]).expect("a key"),
+        codec: DatagramCodec::new("test", &[vec![7; 32]]).expect("a key"),
         seeds: vec![at(0, 7_946)],
         network: network.clone(),
         seed: 1,
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -4,7 +4,8 @@
 use std::path::{Path, PathBuf};
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{self, MAX_CLUSTER, MIN_KEY, Seal};
+use alderstile_cluster::authentication::{MAX_CLUSTER_NAME_BYTES, MIN_KEY_BYTES};
+use alderstile_cluster::membership::{self, DatagramCodec};
 use alderstile_cluster::replicated_config;
 use serde::Deserialize;
 use thiserror::Error;
@@ -127,7 +128,7 @@
     /// Whom a member asks that knows nobody.
     pub seeds: Vec<SocketAddr>,
     /// The cluster's name and keys, on every datagram.
-    pub seal: Seal,
+    pub codec: DatagramCodec,
     /// What the members go by.
     pub settings: membership::Settings,
     /// Each node uses a part of the hosts; all of them where this is not set.
@@ -148,14 +149,17 @@
     pub fn parse(shown: &str, text: &str) -> Result<Self, ClusterError> {
         let file: File = toml::from_str(text).map_err(|error| ClusterError::Toml(shown.to_owned(), error))?;
         let bad = |key: &str, what: String| ClusterError::Key(shown.to_owned(), key.to_owned(), what);
-        if file.name.is_empty() || file.name.len() > MAX_CLUSTER {
-            return Err(bad("name", format!("1 to {MAX_CLUSTER} bytes are wanted")));
+        if file.name.is_empty() || file.name.len() > MAX_CLUSTER_NAME_BYTES {
+            return Err(bad("name", format!("1 to {MAX_CLUSTER_NAME_BYTES} bytes are wanted")));
         }
         let mut keys = Vec::new();
         for (i, key) in file.keys.iter().enumerate() {
-            let key = hex::decode(key).ok().filter(|key| key.len() >= MIN_KEY);
+            let key = hex::decode(key).ok().filter(|key| key.len() >= MIN_KEY_BYTES);
             let wanted = || {
-                bad(&format!("keys[{i}]"), format!("at least {} hexadecimal digits are wanted", 2 * MIN_KEY))
+                bad(
+                    &format!("keys[{i}]"),
+                    format!("at least {} hexadecimal digits are wanted", 2 * MIN_KEY_BYTES),
+                )
             };
             keys.push(key.ok_or_else(wanted)?);
         }
@@ -179,7 +183,8 @@
             }
             settings.suspicion = suspicion;
         }
-        let seal = Seal::new(&file.name, &keys).ok_or_else(|| bad("keys", "can't be used".to_owned()))?;
+        let codec =
+            DatagramCodec::new(&file.name, &keys).map_err(|_| bad("keys", "can't be used".to_owned()))?;
         let advertise = file.advertise.unwrap_or(file.listen);
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
             return Err(bad("advertise", format!("{advertise}: an address is wanted that others can reach")));
@@ -215,7 +220,7 @@
             listen: file.listen,
             advertise,
             seeds: file.seeds,
-            seal,
+            codec,
             settings,
         })
     }
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -7,7 +7,8 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{Change, Counts, MAX_DATAGRAM, Members, Out, Record, Session, State};
+use alderstile_cluster::authentication::MAX_DATAGRAM_BYTES;
+use alderstile_cluster::membership::{Change, Counts, Members, Out, Record, Session, State};
 use serde::Serialize;
 use serde_json::Value;
 use tokio::net::UdpSocket;
@@ -107,7 +108,7 @@
         me.check().map_err(|unfit| unfit.to_string())?;
         // Two processes of one member draw differently.
         let seed = config.seed ^ session ^ counter;
-        let members = Members::new(cluster.settings, cluster.seal.clone(), me, seeds, seed, Micros(0));
+        let members = Members::new(cluster.settings, cluster.codec.clone(), me, seeds, seed, Micros(0));
         let members = RefCell::new(members.taking_over(counter));
         let (name, listen, began) = (cluster.name.clone(), cluster.listen, Instant::now());
         Ok(Cluster {
@@ -140,7 +141,7 @@
     /// Takes part until it lets go.
     pub async fn run(self: Rc<Self>, socket: UdpSocket) {
         info!("members: {} listens at {}", self.name, self.listen);
-        let mut data = [0; MAX_DATAGRAM + 1];
+        let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let due = self.began + Duration::from_micros(self.members.borrow().due().0);
             tokio::select! {
@@ -219,7 +220,7 @@
 
     /// Other keys count from now on.
     pub fn renew_keys(&self, cluster: &ClusterConfig) {
-        self.members.borrow_mut().set_seal(cluster.seal.clone());
+        self.members.borrow_mut().set_codec(cluster.codec.clone());
     }
 
     /// Sets a fact of this member.
--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::MAX_DATAGRAM;
+use alderstile_cluster::authentication::MAX_DATAGRAM_BYTES;
 use alderstile_cluster::replicated_config::{
     Effect, LeaseState, ProposalOutcome, ReplicatedConfig, ReplicationSettings, Role,
 };
@@ -190,7 +190,7 @@
     }
 
     async fn serve(&self, socket: &UdpSocket, port: u16, cluster: &Cluster, until: Option<Instant>) {
-        let mut data = [0; MAX_DATAGRAM + 1];
+        let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         let mut look = self.began;
         loop {
             let now = Instant::now();
