--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -17,6 +17,8 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
+pub mod processes;
+
 /// A configuration as the platform writes it.
 pub fn config(listen: &str, discovery: &str) -> Value {
     let class = |name: &str| {
--- /dev/null
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -0,0 +1,170 @@
+//! Whole processes of a node, and the clients, hosts and discovery that they serve meanwhile.
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::path::{Path, PathBuf};
+use std::process::Stdio;
+use std::rc::Rc;
+use std::time::Duration;
+
+use serde_json::Value;
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+use tokio::process::{Child, Command};
+use tokio::task::spawn_local;
+use tokio::time::{sleep, timeout};
+
+use super::{Discovery, Host, Peer, config, list};
+
+/// A folder of its own, by a short path: the stream's address must fit in it.
+pub fn folder(name: &str) -> PathBuf {
+    let dir = std::env::temp_dir().join(format!("alderstile-{name}-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&dir);
+    std::fs::create_dir_all(&dir).expect("a folder");
+    dir
+}
+
+pub async fn free_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound")
+}
+
+/// Answers every call with this list, and every watch with nothing after it.
+pub fn serve_list(discovery: Discovery, entries: Vec<Value>) {
+    spawn_local(async move {
+        let mut open = Vec::new();
+        loop {
+            open.push(discovery.watch(&[&list(1, true, &entries)]).await);
+        }
+    });
+}
+
+/// Brings up whoever comes, and counts them by their ids.
+pub fn serve_host(host: Host, seen: Rc<RefCell<BTreeMap<String, u32>>>) {
+    spawn_local(async move {
+        loop {
+            let mut peer = host.accept().await;
+            let seen = seen.clone();
+            spawn_local(async move {
+                let Some(line) = peer.line().await else { return };
+                let id = line.split(' ').nth(1).expect("an id").to_owned();
+                *seen.borrow_mut().entry(id).or_default() += 1;
+                let _gone = peer.0.get_mut().write_all(b"UP 00ff\r\n").await;
+                while let Some(line) = peer.line().await {
+                    let _gone = peer.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
+                }
+            });
+        }
+    });
+}
+
+pub struct Process {
+    pub child: Child,
+    pub admin: SocketAddr,
+}
+
+impl Process {
+    /// This version's program.
+    pub async fn start(value: &Value, dir: &Path) -> Self {
+        Process::start_program(Path::new(env!("CARGO_BIN_EXE_alderstile")), value, dir).await
+    }
+
+    /// A program of any version.
+    pub async fn start_program(program: &Path, value: &Value, dir: &Path) -> Self {
+        let path = dir.join("config.json");
+        std::fs::write(&path, value.to_string()).expect("written");
+        let admin = free_address().await;
+        let child = Command::new(program)
+            .args(["serve", "--config"])
+            .arg(&path)
+            .env("ROUTER_ADMIN_ADDR", admin.to_string())
+            .env("TMPDIR", dir)
+            .env("RUST_LOG", "warn")
+            .stderr(Stdio::null())
+            .kill_on_drop(true)
+            .spawn()
+            .expect("started");
+        Process { child, admin }
+    }
+
+    /// The answer's status and text; none where nobody listens.
+    pub async fn call(&self, method: &str, path: &str) -> Option<(u16, String)> {
+        let mut caller = tokio::net::TcpStream::connect(self.admin).await.ok()?;
+        caller.write_all(format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await.ok()?;
+        let mut text = String::new();
+        tokio::io::AsyncReadExt::read_to_string(&mut caller, &mut text).await.ok()?;
+        Some((text.get(9..12)?.parse().ok()?, text))
+    }
+
+    pub async fn until_ready(&self) {
+        while self.call("GET", "/control/ready").await.is_none_or(|(status, _)| status != 200) {
+            sleep(Duration::from_millis(5)).await;
+        }
+    }
+
+    pub async fn figure(&self, name: &str) -> u64 {
+        self.figure_while_there(name).await.expect("figures")
+    }
+
+    pub async fn figure_while_there(&self, name: &str) -> Option<u64> {
+        let (_, text) = self.call("GET", "/control/counters").await?;
+        let start = format!("router.{name}:");
+        text.lines().find_map(|line| line.strip_prefix(&start))?.split('|').next()?.parse().ok()
+    }
+
+    pub async fn signal(&self, name: &str) {
+        let pid = self.child.id().expect("still there").to_string();
+        assert!(Command::new("kill").args([name, &pid]).status().await.expect("sent").success());
+    }
+}
+
+/// A configuration of a node that can be replaced.
+pub async fn replaceable(discovery: &Discovery) -> Value {
+    let listen = free_address().await.to_string();
+    let mut value = config(&listen, &discovery.0.local_addr().expect("bound").to_string());
+    value["settings"]["allowed"]["may_tell"] = false.into();
+    value["settings"]["balancers"] = 1.into();
+    value
+}
+
+pub fn listens_at(value: &Value) -> SocketAddr {
+    value["listen"].as_str().and_then(|text| text.parse().ok()).expect("an address")
+}
+
+/// What clients saw.
+#[derive(Default)]
+pub struct Seen {
+    pub up: u64,
+    pub moved: u64,
+    pub other: Vec<String>,
+}
+
+/// Comes as a client does, one after the other, until told to stop; each stays until it is moved or for a while.
+pub fn clients(address: SocketAddr, seen: Rc<RefCell<Seen>>, stop: Rc<std::cell::Cell<bool>>, lane: u64) {
+    spawn_local(async move {
+        for number in 0.. {
+            if stop.get() {
+                return;
+            }
+            let id = lane << 32 | number;
+            let Ok(stream) = tokio::net::TcpStream::connect(address).await else {
+                seen.borrow_mut().other.push(format!("{id:x} refused"));
+                continue;
+            };
+            let mut client = Peer(tokio::io::BufReader::new(stream));
+            let line = format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n");
+            if client.0.get_mut().write_all(line.as_bytes()).await.is_err() {
+                seen.borrow_mut().other.push(format!("{id:x} reset"));
+                continue;
+            }
+            match client.line().await.as_deref() {
+                Some("UP 00ff") => seen.borrow_mut().up += 1,
+                other => seen.borrow_mut().other.push(format!("{id:x} {other:?}")),
+            }
+            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * lane), client.line()).await {
+                assert_eq!(line, "MOVE");
+                seen.borrow_mut().moved += 1;
+            }
+        }
+    });
+}
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -2,174 +2,24 @@
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
-use std::path::PathBuf;
-use std::process::Stdio;
 use std::rc::Rc;
 use std::time::Duration;
 
 use alderstile_node::config::Identity;
 use alderstile_node::upgrade;
-use serde_json::Value;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::net::{TcpListener, UnixDatagram, UnixListener, UnixStream};
-use tokio::process::{Child, Command};
+use tokio::net::{UnixDatagram, UnixListener, UnixStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
 mod support;
+use support::processes::*;
 use support::*;
 
-/// A folder of its own, by a short path: the stream's address must fit in it.
-fn dir(name: &str) -> PathBuf {
-    let dir = std::env::temp_dir().join(format!("alderstile-{name}-{}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a folder");
-    dir
-}
-
-async fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound")
-}
-
-/// Answers every call with this list, and every watch with nothing after it.
-fn serve_list(discovery: Discovery, entries: Vec<Value>) {
-    spawn_local(async move {
-        let mut open = Vec::new();
-        loop {
-            open.push(discovery.watch(&[&list(1, true, &entries)]).await);
-        }
-    });
-}
-
-/// Brings up whoever comes, and counts them by their ids.
-fn serve_host(host: Host, seen: Rc<RefCell<BTreeMap<String, u32>>>) {
-    spawn_local(async move {
-        loop {
-            let mut peer = host.accept().await;
-            let seen = seen.clone();
-            spawn_local(async move {
-                let Some(line) = peer.line().await else { return };
-                let id = line.split(' ').nth(1).expect("an id").to_owned();
-                *seen.borrow_mut().entry(id).or_default() += 1;
-                let _gone = peer.0.get_mut().write_all(b"UP 00ff\r\n").await;
-                while let Some(line) = peer.line().await {
-                    let _gone = peer.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
-                }
-            });
-        }
-    });
-}
-
-struct Process {
-    child: Child,
-    admin: SocketAddr,
-}
-
-impl Process {
-    async fn start(value: &Value, dir: &PathBuf) -> Self {
-        let path = dir.join("config.json");
-        std::fs::write(&path, value.to_string()).expect("written");
-        let admin = free_address().await;
-        let child = Command::new(env!("CARGO_BIN_EXE_alderstile"))
-            .args(["serve", "--config"])
-            .arg(&path)
-            .env("ROUTER_ADMIN_ADDR", admin.to_string())
-            .env("TMPDIR", dir)
-            .env("RUST_LOG", "warn")
-            .stderr(Stdio::null())
-            .kill_on_drop(true)
-            .spawn()
-            .expect("started");
-        Process { child, admin }
-    }
-
-    /// The answer's status and text; none where nobody listens.
-    async fn call(&self, method: &str, path: &str) -> Option<(u16, String)> {
-        let mut caller = tokio::net::TcpStream::connect(self.admin).await.ok()?;
-        caller.write_all(format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await.ok()?;
-        let mut text = String::new();
-        tokio::io::AsyncReadExt::read_to_string(&mut caller, &mut text).await.ok()?;
-        Some((text.get(9..12)?.parse().ok()?, text))
-    }
-
-    async fn until_ready(&self) {
-        while self.call("GET", "/control/ready").await.is_none_or(|(status, _)| status != 200) {
-            sleep(Duration::from_millis(5)).await;
-        }
-    }
-
-    async fn figure(&self, name: &str) -> u64 {
-        self.figure_while_there(name).await.expect("figures")
-    }
-
-    async fn figure_while_there(&self, name: &str) -> Option<u64> {
-        let (_, text) = self.call("GET", "/control/counters").await?;
-        let start = format!("router.{name}:");
-        text.lines().find_map(|line| line.strip_prefix(&start))?.split('|').next()?.parse().ok()
-    }
-
-    async fn signal(&self, name: &str) {
-        let pid = self.child.id().expect("still there").to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().await.expect("sent").success());
-    }
-}
-
-/// A configuration of a node that can be replaced.
-async fn replaceable(discovery: &Discovery) -> Value {
-    let listen = free_address().await.to_string();
-    let mut value = config(&listen, &discovery.0.local_addr().expect("bound").to_string());
-    value["settings"]["allowed"]["may_tell"] = false.into();
-    value["settings"]["balancers"] = 1.into();
-    value
-}
-
-fn listens_at(value: &Value) -> SocketAddr {
-    value["listen"].as_str().and_then(|text| text.parse().ok()).expect("an address")
-}
-
-/// What clients saw.
-#[derive(Default)]
-struct Seen {
-    up: u64,
-    moved: u64,
-    other: Vec<String>,
-}
-
-/// Comes as a client does, one after the other, until told to stop; each stays until it is moved or for a while.
-fn clients(address: SocketAddr, seen: Rc<RefCell<Seen>>, stop: Rc<std::cell::Cell<bool>>, lane: u64) {
-    spawn_local(async move {
-        for number in 0.. {
-            if stop.get() {
-                return;
-            }
-            let id = lane << 32 | number;
-            let Ok(stream) = tokio::net::TcpStream::connect(address).await else {
-                seen.borrow_mut().other.push(format!("{id:x} refused"));
-                continue;
-            };
-            let mut client = Peer(tokio::io::BufReader::new(stream));
-            let line = format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n");
-            if client.0.get_mut().write_all(line.as_bytes()).await.is_err() {
-                seen.borrow_mut().other.push(format!("{id:x} reset"));
-                continue;
-            }
-            match client.line().await.as_deref() {
-                Some("UP 00ff") => seen.borrow_mut().up += 1,
-                other => seen.borrow_mut().other.push(format!("{id:x} {other:?}")),
-            }
-            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * lane), client.line()).await {
-                assert_eq!(line, "MOVE");
-                seen.borrow_mut().moved += 1;
-            }
-        }
-    });
-}
-
 #[test]
 fn two_processes_are_one_node_and_no_client_meets_a_closed_door() {
     run(async {
-        let (dir, discovery) = (dir("one"), Discovery::new().await);
+        let (dir, discovery) = (folder("one"), Discovery::new().await);
         let value = replaceable(&discovery).await;
         let hosts = [Host::new("s-1").await, Host::new("s-2").await, Host::new("s-3").await];
         serve_list(discovery, hosts.iter().map(|host| host.entry("up")).collect());
@@ -235,7 +85,7 @@
 #[test]
 fn connections_are_passed_on_with_what_is_under_way() {
     run(async {
-        let (dir, discovery) = (dir("pass"), Discovery::new().await);
+        let (dir, discovery) = (folder("pass"), Discovery::new().await);
         let value = replaceable(&discovery).await;
         let host = Host::new("s-1").await;
         serve_list(discovery, vec![host.entry("up")]);
@@ -307,7 +157,7 @@
 #[test]
 fn a_successor_that_is_told_to_leave_first_moves_its_clients_and_the_old_one_serves_on() {
     run(async {
-        let (dir, discovery) = (dir("first"), Discovery::new().await);
+        let (dir, discovery) = (folder("first"), Discovery::new().await);
         let value = replaceable(&discovery).await;
         let host = Host::new("s-1").await;
         serve_list(discovery, vec![host.entry("up")]);
@@ -347,7 +197,7 @@
 #[test]
 fn a_successor_that_cannot_serve_yet_leaves_the_old_one_serving() {
     run(async {
-        let (dir, discovery) = (dir("waits"), Discovery::new().await);
+        let (dir, discovery) = (folder("waits"), Discovery::new().await);
         let value = replaceable(&discovery).await;
         let host = Host::new("s-1").await;
         // The first call is answered, all others wait.
@@ -374,7 +224,7 @@
 #[test]
 fn a_successor_that_dies_and_a_third_process_do_no_harm() {
     run(async {
-        let (dir, discovery) = (dir("dies"), Discovery::new().await);
+        let (dir, discovery) = (folder("dies"), Discovery::new().await);
         let value = replaceable(&discovery).await;
         let host = Host::new("s-1").await;
         serve_list(discovery, vec![host.entry("up")]);
@@ -427,7 +277,7 @@
     // The system closes what lies unread at a process that ends: the one before holds both sides until it is told that
     // they have been taken.
     run(async {
-        let (dir, discovery) = (dir("unread"), Discovery::new().await);
+        let (dir, discovery) = (folder("unread"), Discovery::new().await);
         let value = replaceable(&discovery).await;
         let host = Host::new("s-1").await;
         serve_list(discovery, vec![host.entry("up")]);
@@ -469,7 +319,7 @@
 #[test]
 fn what_is_no_predecessor_is_passed_by() {
     run(async {
-        let dir = dir("none");
+        let dir = folder("none");
         let config = Identity { name: "n1".to_owned(), dir: dir.clone() };
         assert!(upgrade::join(&config).await.expect("alone").is_none(), "nobody there");
         let name = format!("alderstile-{:016x}.sock", alderstile_node::list::server_id("n1").0);
