--- a/crates/alderstile-node/src/cluster.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use alderstile::interface::Micros;
+use alderstile::types::Micros;
 use alderstile_cluster::members::{Change, Counts, MAX_DATAGRAM, Members, Out, Record, Session, State};
 use serde::Serialize;
 use serde_json::Value;
@@ -16,7 +16,7 @@
 use tracing::{debug, info, warn};
 
 use crate::config::{ClusterConfig, Config};
-use crate::handshake::MemberWord;
+use crate::lifecycle::upgrade_state::MemberWord;
 
 /// Where another process has the address, it is tried again this often.
 const TRY_AGAIN: Duration = Duration::from_millis(20);
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -6,10 +6,8 @@
 use std::rc::Rc;
 
 use alderstile::facade::Facade;
-use alderstile::interface::{
-    ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState, Settings, Weights,
-};
 use alderstile::shadow::Differences;
+use alderstile::types::{ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState, Settings, Weights};
 use alderstile_cluster::choices::Choices;
 use alderstile_cluster::subsets::Node as Peer;
 use tokio::sync::Notify;
@@ -18,8 +16,8 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, Current};
-use crate::lease::Lease;
-use crate::list::{Health, Host, List, server_id};
+use crate::discovery::endpoint_list::{Health, Host, List, server_id};
+use crate::discovery::lease::Lease;
 
 /// How often it is told what the watching instance would have done otherwise.
 const SHADOW_EVERY: Micros = Micros::from_millis(10_000);
--- a/crates/alderstile-node/src/discovery.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::interface::ListKind;
+use alderstile::types::ListKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response, StatusCode};
@@ -15,7 +15,7 @@
 use tracing::{info, warn};
 
 use crate::decisions::Decisions;
-use crate::list::{List, Pieces};
+use crate::discovery::endpoint_list::{List, Pieces};
 
 /// How long a call may take: until a watch begins, or a whole list has come.
 const ANSWER: Duration = Duration::from_secs(4);
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -11,11 +11,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+use alderstile_node::admin::maintenance_store::Stand;
 use alderstile_node::config::Config;
-use alderstile_node::handover::{self, Handover};
-use alderstile_node::kept::Stand;
-use alderstile_node::link::Word;
-use alderstile_node::list::Health;
+use alderstile_node::discovery::endpoint_list::Health;
+use alderstile_node::lifecycle::connection_handover::{self as handover, Handover};
+use alderstile_node::lifecycle::upgrade_channel::Word;
 use alderstile_node::node::Node;
 use rustix::net::{SendAncillaryBuffer, SendAncillaryMessage, SendFlags, sendmsg};
 use serde_json::{Value, json};
