--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::{self, MAX_CLUSTER, MIN_KEY, Seal};
+use alderstile_cluster::membership::{self, MAX_CLUSTER, MIN_KEY, Seal};
 use alderstile_cluster::replicated_config;
 use serde::Deserialize;
 use thiserror::Error;
@@ -79,7 +79,7 @@
     /// The cluster's name and keys, on every datagram.
     pub seal: replicated_config::Seal,
     /// What the core goes by.
-    pub settings: replicated_config::Settings,
+    pub settings: replicated_config::ReplicationSettings,
     /// Where a voter keeps its memory.
     pub state_dir: Option<PathBuf>,
     /// What a node does that is cut off.
@@ -129,7 +129,7 @@
     /// The cluster's name and keys, on every datagram.
     pub seal: Seal,
     /// What the members go by.
-    pub settings: members::Settings,
+    pub settings: membership::Settings,
     /// Each node uses a part of the hosts; all of them where this is not set.
     pub subsets: Option<Subsets>,
     /// Settings are agreed among the members; each node goes by its own file where this is not set.
@@ -172,7 +172,7 @@
         if !(50..=60_000).contains(&period_ms) {
             return Err(bad("period_ms", format!("{period_ms}: 50 to 60000 is wanted")));
         }
-        let mut settings = members::Settings::with_period(Micros::from_millis(period_ms));
+        let mut settings = membership::Settings::with_period(Micros::from_millis(period_ms));
         if let Some(suspicion) = file.suspicion {
             if !(1.0..=100.0).contains(&suspicion) {
                 return Err(bad("suspicion", format!("{suspicion}: 1 to 100 is wanted")));
@@ -249,7 +249,7 @@
     if me.is_some() && state_dir.is_none() {
         return Err(bad("control.state_dir", "a voter wants a lasting place for its memory".to_owned()));
     }
-    let mut settings = replicated_config::Settings::usual(voters, me);
+    let mut settings = replicated_config::ReplicationSettings::usual(voters, me);
     if let Some(heartbeat) = table.heartbeat_ms {
         if !(20..=10_000).contains(&heartbeat) {
             return Err(bad("control.heartbeat_ms", format!("{heartbeat}: 20 to 10000 is wanted")));
