--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -18,6 +18,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
+pub mod processes;
 pub mod replicated_config;
 
 /// A configuration as the platform writes it.
