--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config.rs
@@ -20,13 +20,11 @@
 use tokio::time::timeout;
 use tracing::{debug, error, info, warn};
 
-use crate::admin::maintenance_store::Stand;
 use crate::config::{ControlConfig, CutOff};
+use crate::control::configured_node::ConfiguredNode;
 use crate::control::membership::Cluster;
 use crate::control::replicated_config_document::Document;
 use crate::control::replicated_config_store::{Store, StoreError};
-use crate::discovery::endpoint_list::server_id;
-use crate::node::Node;
 
 /// The tag of the fact by which a member tells on which port it hears of versions.
 const PORT: u8 = b'c';
@@ -80,7 +78,7 @@
     config: ControlConfig,
     core: RefCell<ReplicatedConfig>,
     began: Instant,
-    node: Weak<Node>,
+    node: Weak<dyn ConfiguredNode>,
     store: RefCell<Option<Store>>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
     poked: Notify,
@@ -96,9 +94,10 @@
 
 impl Control {
     /// A node that has heard of nothing.
-    pub fn new(config: &ControlConfig, node: &Rc<Node>) -> Self {
+    pub fn new<N: ConfiguredNode + 'static>(config: &ControlConfig, node: &Rc<N>) -> Self {
         let began = Instant::now();
-        let node = Rc::downgrade(node);
+        let node: Weak<N> = Rc::downgrade(node);
+        let node: Weak<dyn ConfiguredNode> = node;
         let core = RefCell::new(core(config, &node, None, None, Micros(0)));
         Control {
             config: config.clone(),
@@ -298,9 +297,9 @@
             "agreed: version {version} is agreed and counts in {:.1} s",
             self.core.borrow().known().1.as_secs_f64()
         );
-        self.take_out(&node, &document.hosts_out);
+        self.take_out(&*node, &document.hosts_out);
         if let Ok(Some(config)) = document.waiting(&node.config()) {
-            node.renew(config);
+            node.apply_config(config);
         }
     }
 
@@ -314,40 +313,37 @@
         match taken {
             Ok((document, config)) => {
                 info!("agreed: version {version} counts");
-                node.renew(config);
-                node.clients.count(|counters| counters.reconfig_ok += 1);
-                self.take_out(&node, &document.hosts_out);
-                self.put_back(&node, &document.hosts_out);
+                node.apply_config(config);
+                node.count_reconfiguration(true);
+                self.take_out(&*node, &document.hosts_out);
+                self.put_back(&*node, &document.hosts_out);
                 self.refused.replace(None);
                 self.applied.replace((version, document));
             }
             Err(why) => {
                 error!("agreed: version {version} is turned down: {why}; the one held goes on");
-                node.clients.count(|counters| counters.reconfig_failed += 1);
+                node.count_reconfiguration(false);
                 self.refused.replace(Some(why.to_string()));
             }
         }
     }
 
-    fn take_out(&self, node: &Node, hosts: &BTreeSet<String>) {
+    fn take_out(&self, node: &dyn ConfiguredNode, hosts: &BTreeSet<String>) {
         for host in hosts {
             if self.out.borrow_mut().insert(host.clone()) {
                 info!("agreed: host {host} is out");
-                node.decisions.decide(|facade, now| Stand::Out.apply(facade, now, server_id(host)));
+                node.take_host_out(host);
             }
         }
     }
 
     /// Puts back what is out no more, but for what is out by hand at this node.
-    fn put_back(&self, node: &Node, out: &BTreeSet<String>) {
+    fn put_back(&self, node: &dyn ConfiguredNode, out: &BTreeSet<String>) {
         let back: Vec<String> = self.out.borrow().difference(out).cloned().collect();
-        let by_hand = node.operators.hosts();
         for host in back {
             self.out.borrow_mut().remove(&host);
             info!("agreed: host {host} is back");
-            if !by_hand.contains(&(host.clone(), Stand::Out)) {
-                node.decisions.decide(|facade, now| facade.put_back(now, server_id(&host), now));
-            }
+            node.put_host_back(&host);
         }
     }
 
@@ -494,7 +490,7 @@
 
 fn core(
     config: &ControlConfig,
-    node: &Weak<Node>,
+    node: &Weak<dyn ConfiguredNode>,
     me: Option<u8>,
     found: crate::control::replicated_config_store::Found,
     now: Micros,
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -4,9 +4,12 @@
 
 use alderstile::types::{Micros, Part};
 
+use crate::admin::maintenance_store::Stand;
 use crate::admin::service::Operators;
 use crate::config::{Config, Current};
+use crate::control::configured_node::ConfiguredNode;
 use crate::decisions::Decisions;
+use crate::discovery::endpoint_list::server_id;
 use crate::lifecycle::process::Process;
 use crate::lifecycle::upgrade_channel::WORD;
 use crate::lifecycle::upgrade_state::Handshake;
@@ -112,3 +115,31 @@
         self.decisions.ask_list.notify_one();
     }
 }
+
+impl ConfiguredNode for Node {
+    fn config(&self) -> Rc<Config> {
+        self.config.get()
+    }
+
+    fn apply_config(&self, config: Config) {
+        self.renew(config);
+    }
+
+    fn count_reconfiguration(&self, applied: bool) {
+        self.clients.count(|counters| match applied {
+            true => counters.reconfig_ok += 1,
+            false => counters.reconfig_failed += 1,
+        });
+    }
+
+    fn take_host_out(&self, host: &str) {
+        self.decisions.decide(|facade, now| facade.take_out(now, server_id(host)));
+    }
+
+    fn put_host_back(&self, host: &str) {
+        let out_by_hand = (host.to_owned(), Stand::Out);
+        if !self.operators.hosts().contains(&out_by_hand) {
+            self.decisions.decide(|facade, now| facade.put_back(now, server_id(host), now));
+        }
+    }
+}
