--- a/crates/alderstile-cluster/src/choices.rs
+++ b/crates/alderstile-cluster/src/choices.rs
@@ -5,7 +5,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use alderstile::types::{ListKind, Micros, ServerEntry, ServerId, ServerState};
+use alderstile::types::{Endpoint, EndpointListKind, EndpointState, Micros, ServerId};
 
 use crate::subsets::{Host, Node, Place, Rule, Shares, Subset, row};
 
@@ -60,9 +60,9 @@
     others: Vec<Node>,
     /// The level of its traffic that others were told last, and when.
     told: Option<(u8, Micros)>,
-    listed: BTreeMap<ServerId, ServerEntry>,
+    listed: BTreeMap<ServerId, Endpoint>,
     /// What the decisions were told last.
-    shown: BTreeMap<ServerId, ServerEntry>,
+    shown: BTreeMap<ServerId, Endpoint>,
     /// Members or hosts have changed since the subset was learnt.
     stale: bool,
 }
@@ -88,30 +88,30 @@
 
     /// Takes in a list as it came, and returns it as the decisions are to see it. A host that is new is set aside until
     /// [`Choices::refresh`], which is due at once where [`Choices::starved`].
-    pub fn lay_over(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<ServerEntry> {
+    pub fn lay_over(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) -> Vec<Endpoint> {
         if !self.on() {
             return entries;
         }
         let before = self.hosts();
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+        if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
             self.listed.clear();
         }
         for entry in &entries {
-            if entry.state == ServerState::Gone {
+            if entry.state == EndpointState::Gone {
                 self.listed.remove(&entry.id);
             } else {
                 self.listed.insert(entry.id, *entry);
             }
         }
         self.stale |= before != self.hosts();
-        let seen = |entry: ServerEntry| match self.shown.get(&entry.id) {
+        let seen = |entry: Endpoint| match self.shown.get(&entry.id) {
             _ if !entry.ready() => entry,
             Some(shown) => {
-                ServerEntry { state: shown.state, weight: shown.weight, joined: shown.joined, ..entry }
+                Endpoint { state: shown.state, weight: shown.weight, joined: shown.joined, ..entry }
             }
-            None => ServerEntry { state: ServerState::Aside, ..entry },
+            None => Endpoint { state: EndpointState::Cordoned, ..entry },
         };
-        let entries: Vec<ServerEntry> = entries.into_iter().map(seen).collect();
+        let entries: Vec<Endpoint> = entries.into_iter().map(seen).collect();
         self.shown.extend(entries.iter().map(|entry| (entry.id, *entry)));
         self.shown.retain(|id, _| self.listed.contains_key(id));
         entries
@@ -119,7 +119,7 @@
 
     /// Whether nothing that is listed is in use: nothing could be sent anywhere.
     pub fn starved(&self) -> bool {
-        self.on() && !self.shown.values().any(ServerEntry::ready)
+        self.on() && !self.shown.values().any(Endpoint::ready)
     }
 
     /// What other members are to be told of this node's traffic, where that has changed by enough.
@@ -137,7 +137,7 @@
 
     /// Brings what the decisions see up to date with the members, the hosts and those that this node can't reach; returns what has
     /// changed. To be called about once a second.
-    pub fn refresh(&mut self, now: Micros, unreached: &BTreeSet<ServerId>) -> Vec<ServerEntry> {
+    pub fn refresh(&mut self, now: Micros, unreached: &BTreeSet<ServerId>) -> Vec<Endpoint> {
         self.refresh_by(now, unreached, row)
     }
 
@@ -147,7 +147,7 @@
         now: Micros,
         unreached: &BTreeSet<ServerId>,
         row: impl FnOnce(Rule, &Node, &[Node], &[Host]) -> Shares,
-    ) -> Vec<ServerEntry> {
+    ) -> Vec<Endpoint> {
         if std::mem::take(&mut self.stale) {
             self.learn(row);
         }
@@ -162,7 +162,7 @@
     /// Hosts that may be sent new work, as the list has them.
     fn hosts(&self) -> Vec<Host> {
         let ready = self.listed.values().filter(|entry| entry.ready());
-        let weight = |entry: &ServerEntry| if self.sized { entry.weight } else { 1.0 };
+        let weight = |entry: &Endpoint| if self.sized { entry.weight } else { 1.0 };
         ready
             .map(|entry| Host { id: entry.id, weight: weight(entry), zone: entry.zone, group: entry.cell })
             .collect()
@@ -179,28 +179,27 @@
         }
     }
 
-    fn show(&mut self, now: Micros, unreached: &BTreeSet<ServerId>) -> Vec<ServerEntry> {
+    fn show(&mut self, now: Micros, unreached: &BTreeSet<ServerId>) -> Vec<Endpoint> {
         let Some(subset) = &mut self.subset else { return Vec::new() };
-        let cold =
-            |entry: &&ServerEntry| entry.started.is_some_and(|started| now < started + self.parts.cold);
+        let cold = |entry: &&Endpoint| entry.started.is_some_and(|started| now < started + self.parts.cold);
         // A cold host is sent its due and no more.
         let bound = self.listed.values().filter(cold).map(|entry| entry.id).collect();
         let places = subset.places(now, unreached, &bound);
         let used = places.values().filter(|place| matches!(place, Place::Used(_))).count() as f64;
-        let began = self.shown.values().any(ServerEntry::ready);
+        let began = self.shown.values().any(Endpoint::ready);
         let mut changed = Vec::new();
         for (id, place) in places {
             let Some(entry) = self.listed.get(&id) else { continue };
             let shown = self.shown.get(&id);
             // What comes to a subset that was in use already is filled by and by.
-            let old = shown.is_some_and(ServerEntry::ready);
+            let old = shown.is_some_and(Endpoint::ready);
             let joined = if old || !began { shown.and_then(|shown| shown.joined) } else { Some(now) };
             let seen = match place {
                 // Sizes of one in the mean: the decisions count in usual connections.
-                Place::Used(share) => ServerEntry { weight: share * used, joined, ..*entry },
-                Place::Aside => ServerEntry { state: ServerState::Aside, ..*entry },
+                Place::Used(share) => Endpoint { weight: share * used, joined, ..*entry },
+                Place::Aside => Endpoint { state: EndpointState::Cordoned, ..*entry },
             };
-            let same = |shown: &ServerEntry| {
+            let same = |shown: &Endpoint| {
                 (shown.state, shown.weight, shown.started) == (seen.state, seen.weight, seen.started)
             };
             if !shown.is_some_and(same) {
--- a/crates/alderstile-drill/src/wire.rs
+++ b/crates/alderstile-drill/src/wire.rs
@@ -154,7 +154,7 @@
         1 => Body::Event(Event::Timer(TimerToken(le_u64.parse_next(input)?))),
         2 => Body::Event(list(input)?),
         3 => Body::Event(note(input)?),
-        4 => Body::Event(Event::ClientGone(RequestId(le_u64.parse_next(input)?))),
+        4 => Body::Event(Event::ClientDisconnected(RequestId(le_u64.parse_next(input)?))),
         5 => Body::Event(done(input)?),
         6 => launch(input)?,
         7 => Body::PowerOff,
@@ -184,44 +184,52 @@
     Ok(ServerId(address << 16 | u64::from(port)))
 }
 
-fn entry(input: &mut &[u8]) -> Parsed<ServerEntry> {
+fn entry(input: &mut &[u8]) -> Parsed<Endpoint> {
     let id = server(input)?;
     let (zone, _kind, cell, state, weight, started) =
         (le_u16, le_u16, le_u16, le_u8, le_f32, le_u64).parse_next(input)?;
     let state = match state {
-        0 => ServerState::Gone,
-        1 => ServerState::Ready,
-        2 => ServerState::Draining,
+        0 => EndpointState::Gone,
+        1 => EndpointState::Ready,
+        2 => EndpointState::Draining,
         _ => return refuse("unknown server state"),
     };
     let started = (started != 0).then_some(Micros(started));
-    Ok(ServerEntry { id, zone, cell, state, weight: f64::from(weight), started, joined: None })
+    Ok(Endpoint { id, zone, cell, state, weight: f64::from(weight), started, joined: None })
 }
 
 fn list(input: &mut &[u8]) -> Parsed<Event> {
     let (_version, kind, count) = (le_u32, le_u8, le_u32).parse_next(input)?;
     let kind = match kind {
-        0 => ListKind::Delta,
-        1 => ListKind::Full,
-        2 => ListKind::Cached,
-        3 => ListKind::Failed,
+        0 => EndpointListKind::Delta,
+        1 => EndpointListKind::Full,
+        2 => EndpointListKind::Cached,
+        3 => EndpointListKind::Failed,
         _ => return refuse("unknown list kind"),
     };
     let mut entries = Vec::new();
     for _ in 0..count {
         entries.push(entry(input)?);
     }
-    Ok(Event::List(kind, entries))
+    Ok(Event::EndpointList(kind, entries))
 }
 
 /// The common end of requests and connections: an absent value is zero.
 #[allow(clippy::too_many_arguments, reason = "the fields of one record")]
-fn request(id: u64, group: u64, hint: u32, class: u16, remaining: u32, key: u64, flags: u16) -> Request {
+fn request(
+    id: u64,
+    group: u64,
+    expected_load: u32,
+    class: u16,
+    remaining: u32,
+    key: u64,
+    flags: u16,
+) -> Request {
     Request {
         id: RequestId(id),
         class,
         group: (group != 0).then_some(GroupId(group)),
-        hint: (flags & 1 != 0).then_some(f64::from(hint)),
+        expected_load: (flags & 1 != 0).then_some(f64::from(expected_load)),
         remaining: Micros(u64::from(remaining)),
         key: (key != 0).then_some(key),
         mid_flow: flags & 8 != 0,
@@ -238,15 +246,15 @@
     let (id, flags, _tenant, class, key) = (le_u64, le_u16, le_u16, le_u16, le_u64).parse_next(input)?;
     let server = server(input)?;
     let (hint, remaining, group) = (le_u32, le_u32, le_u64).parse_next(input)?;
-    Ok(Event::Open(request(id, group, hint, class, remaining, key, flags), server))
+    Ok(Event::ExistingConnection(request(id, group, hint, class, remaining, key, flags), server))
 }
 
 fn note(input: &mut &[u8]) -> Parsed<Event> {
     let (id, value, _attempt) = (le_u64, le_f32, le_u16).parse_next(input)?;
     let server = server(input)?;
     match le_u8.parse_next(input)? {
-        1 => Ok(Event::LoadTold(RequestId(id), f64::from(value))),
-        2 => Ok(Event::DelayTold(server, f64::from(value))),
+        1 => Ok(Event::LoadReported(RequestId(id), f64::from(value))),
+        2 => Ok(Event::DelayReported(server, f64::from(value))),
         _ => refuse("unknown note"),
     }
 }
@@ -255,12 +263,12 @@
     Ok(match le_u8.parse_next(input)? {
         0 => Outcome::Ok,
         1 => Outcome::Error,
-        2 => Outcome::Full,
+        2 => Outcome::Rejected,
         3 => Outcome::Timeout,
         4 => Outcome::ConnectFailed,
         5 => Outcome::Reset,
         6 => Outcome::Cancelled,
-        7 => Outcome::Moot,
+        7 => Outcome::NeverSent,
         _ => return refuse("unknown outcome"),
     })
 }
@@ -287,7 +295,7 @@
     let outcome = outcome(input)?;
     let _latency = le_u32.parse_next(input)?;
     let report = report(input)?;
-    Ok(Event::Probed { server, outcome, report })
+    Ok(Event::ProbeCompleted { server, outcome, report })
 }
 
 fn established(input: &mut &[u8]) -> Parsed<Event> {
@@ -300,7 +308,7 @@
 fn memo(input: &mut &[u8]) -> Parsed<Event> {
     let from = le_u32.parse_next(input)?;
     let data: &[u8] = length_take(le_u16).parse_next(input)?;
-    Ok(Event::Peer(from, data.to_vec()))
+    Ok(Event::PeerMessage(from, data.to_vec()))
 }
 
 /// Builds the reply to one batch.
@@ -323,23 +331,23 @@
     pub fn push(&mut self, instance: u16, action: &Action) {
         self.records += 1;
         match action {
-            Action::Send(id, server, time_out) => {
+            Action::Forward(id, server, time_out) => {
                 self.id(13, instance, id.0);
                 self.server(*server);
                 self.bytes.put_u32_le(time_out.map_or(0, clamp));
             }
-            Action::Refuse(id, wait) => {
+            Action::Reject(id, wait) => {
                 self.id(3, instance, id.0);
                 self.bytes.put_u32_le(wait.map_or(0, clamp));
             }
             Action::Fail(id) => self.id(7, instance, id.0),
-            Action::Move(id) => self.id(2, instance, id.0),
+            Action::Migrate(id) => self.id(2, instance, id.0),
             Action::SetTimer(after, token) => {
                 self.code(12, instance);
                 self.bytes.put_u32_le(clamp(*after));
                 self.bytes.put_u64_le(token.0);
             }
-            Action::Watch => {
+            Action::WatchEndpoints => {
                 self.code(4, instance);
                 self.bytes.put_u8(1);
             }
@@ -347,7 +355,7 @@
                 self.code(11, instance);
                 self.server(*server);
             }
-            Action::TellAll(data) => {
+            Action::Broadcast(data) => {
                 self.code(8, instance);
                 self.bytes.put_u32_le(u32::MAX);
                 self.text(data);
--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -216,7 +216,7 @@
                     id,
                     class: who.class as u16,
                     group: None,
-                    hint: None,
+                    expected_load: None,
                     remaining: Micros(kind.wait_ms * 1_000),
                     key: None,
                     mid_flow: false,
@@ -235,7 +235,7 @@
             Part::GivesUp => {
                 if !told {
                     self.write(Line::GaveUp { id: name(client, serial) });
-                    self.over(client, serial, Some(Event::ClientGone(id)), Some(soon));
+                    self.over(client, serial, Some(Event::ClientDisconnected(id)), Some(soon));
                 }
             }
             Part::Reaches { attempt, host } => {
@@ -248,7 +248,7 @@
                     () if it.silent => return,
                     () => match it.takes(self.now, (client, serial), node, load) {
                         Some(took) => (took, Outcome::Ok),
-                        None => (0, Outcome::Full),
+                        None => (0, Outcome::Rejected),
                     },
                 };
                 let receipt = (outcome == Outcome::Ok).then(|| {
@@ -276,7 +276,7 @@
                 self.fleet.clients[client].stage = Stage::Up(host);
                 self.decide(node, Event::Established { id, latency });
                 if load > 0.0 {
-                    self.decide(node, Event::LoadTold(id, load));
+                    self.decide(node, Event::LoadReported(id, load));
                 }
                 if let Some(way) = self.way(Actor::Node(node), Actor::Clients) {
                     let part = Part::Final { up: receipt, word: "up", wait: 0 };
@@ -314,7 +314,7 @@
             Part::Silent { by_client } => {
                 if let Stage::Up(host) = stage {
                     self.closed(client, if by_client { "silent" } else { "move" });
-                    let left = Event::ClientGone(id);
+                    let left = Event::ClientDisconnected(id);
                     let event = if by_client { left } else { ended(host, Outcome::Reset, true) };
                     self.over(client, serial, Some(event), Some(soon));
                 }
@@ -327,7 +327,7 @@
             }
             Part::Leaves => {
                 self.closed(client, "left");
-                self.over(client, serial, Some(Event::ClientGone(id)), None);
+                self.over(client, serial, Some(Event::ClientDisconnected(id)), None);
             }
         }
     }
--- a/crates/alderstile-lab/src/emulated/supply.rs
+++ b/crates/alderstile-lab/src/emulated/supply.rs
@@ -39,13 +39,13 @@
     }
 
     /// Discovery hears of a host a while later.
-    fn tell_of(&mut self, host: usize, state: ServerState) {
+    fn tell_of(&mut self, host: usize, state: EndpointState) {
         let started = self.fleet.hosts[host].started;
         let after = micros(self.plan.hosts.told_after_ms / 1e3);
         self.step(self.now + after, Step::Heard { host, state, started });
     }
 
-    pub(super) fn heard(&mut self, host: usize, state: ServerState, started: Option<u64>) {
+    pub(super) fn heard(&mut self, host: usize, state: EndpointState, started: Option<u64>) {
         self.fleet.listed[host] = (state, started);
         for node in 0..self.plan.nodes {
             let side = &self.fleet.sides[node];
@@ -66,27 +66,27 @@
     pub(super) fn lists(&mut self, node: usize, of: Option<Option<usize>>) {
         let rate = self.nodes[node].rate;
         let Some(which) = of else {
-            return self.decide(node, Event::List(ListKind::Failed, Vec::new()));
+            return self.decide(node, Event::EndpointList(EndpointListKind::Failed, Vec::new()));
         };
         let all = which.map_or(0..self.fleet.hosts.len(), |host| host..host + 1);
-        let entries: Vec<ServerEntry> =
+        let entries: Vec<Endpoint> =
             all.clone().filter_map(|host| self.fleet.entry(node, host, rate)).collect();
         for host in all {
             let named = entries.iter().find(|entry| entry.id == server_id(host));
-            let state = named.map_or(ServerState::Gone, |entry| entry.state);
+            let state = named.map_or(EndpointState::Gone, |entry| entry.state);
             let told = std::mem::replace(&mut self.fleet.sides[node].told[host], state);
             if told != state {
                 let health = match state {
-                    ServerState::Ready | ServerState::Aside => "up",
-                    ServerState::Draining => "draining",
-                    ServerState::Gone => "removed",
+                    EndpointState::Ready | EndpointState::Cordoned => "up",
+                    EndpointState::Draining => "draining",
+                    EndpointState::Gone => "removed",
                 };
                 self.write(Line::Told { node, host, health: health.to_owned() });
             }
         }
-        let kind = if which.is_some() { ListKind::Delta } else { ListKind::Full };
+        let kind = if which.is_some() { EndpointListKind::Delta } else { EndpointListKind::Full };
         let entries = self.fleet.sides[node].choices.lay_over(kind, entries);
-        self.decide(node, Event::List(kind, entries));
+        self.decide(node, Event::EndpointList(kind, entries));
         if self.fleet.sides[node].choices.starved() {
             self.shares(node);
         }
@@ -139,7 +139,7 @@
                 (Kind::HostRefuse, _) => it.refuses = begins,
                 (Kind::HostDrain, true) => {
                     it.drains = true;
-                    self.tell_of(host, ServerState::Draining);
+                    self.tell_of(host, EndpointState::Draining);
                 }
                 (Kind::HostDrain, false) => {
                     self.host_down(host);
@@ -158,7 +158,7 @@
                 self.step(self.now + late, of(client, serial, Part::Broke));
             }
         }
-        self.tell_of(host, ServerState::Gone);
+        self.tell_of(host, EndpointState::Gone);
     }
 
     pub(super) fn host_up(&mut self, host: usize, life: u64) {
@@ -166,7 +166,7 @@
         if it.life == life && !it.up {
             it.comes_up(self.now);
             self.write(Line::Host { host, fell: false });
-            self.tell_of(host, ServerState::Ready);
+            self.tell_of(host, EndpointState::Ready);
         }
     }
 
--- a/crates/alderstile-node/src/choices.rs
+++ b/crates/alderstile-node/src/choices.rs
@@ -19,7 +19,7 @@
     let config = node.config();
     let me = Peer { name: config.name.as_str().into(), zone: config.settings.zone, traffic: 0.0 };
     let rule = Rule { size: subsets.size, users: subsets.users, zones: subsets.zones_first };
-    let parts = Parts { subsets: Some(rule), hold: subsets.hold, cold: config.settings.cold };
+    let parts = Parts { subsets: Some(rule), hold: subsets.hold, cold: config.settings.warm_up };
     node.decisions.share(&config, |sized| Choices::new(parts, me, sized));
 }
 
--- a/crates/alderstile-node/src/config.rs
+++ b/crates/alderstile-node/src/config.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use alderstile::settings::{self, Keys, SettingsError, absent};
-use alderstile::types::{Micros, Settings};
+use alderstile::types::{BalancerSettings, Micros};
 use serde_json::{Map, Value};
 use thiserror::Error;
 use tracing::warn;
@@ -115,9 +115,9 @@
     /// Where lists are pushed: how long something new may still go to a host after its drain was told.
     pub pushed: Option<Micros>,
     /// What the decisions are told.
-    pub settings: Settings,
+    pub settings: BalancerSettings,
     /// What a second instance is told that only watches.
-    pub shadow: Option<Settings>,
+    pub shadow: Option<BalancerSettings>,
     /// The file as it was read, but for the list known.
     pub told: Value,
 }
@@ -239,14 +239,14 @@
         let mut next = self.clone();
         next.classes.extend(new.classes.iter().filter(|class| !self.classes.contains(class)).cloned());
         next.gone = next.classes.iter().filter(|class| !new.classes.contains(class)).cloned().collect();
-        let numbered = |mut settings: Settings, old: &Settings| {
+        let numbered = |mut settings: BalancerSettings, old: &BalancerSettings| {
             let place = |class: &String| new.classes.iter().position(|name| name == class);
             let of = |(i, class)| {
                 place(class).map_or_else(|| &old.classes[i], |new| &settings.classes[new]).clone()
             };
             let classes = next.classes.iter().enumerate().map(of).collect();
             settings.classes = classes;
-            Settings { zone: old.zone, ..settings }
+            BalancerSettings { zone: old.zone, ..settings }
         };
         let settings = numbered(new.settings.clone(), &self.settings);
         // A class that is gone is watched by what is held of it.
@@ -314,7 +314,7 @@
         let timeout = set.micros("allowed.connect_timeout").map(|span| Duration::from_micros(span.0));
         let settings = settings::parse(&set)?;
         let grace = set.micros("obligations.stop_sending_within").or_else(absent(GRACE))?;
-        let pushed = (!settings.must_ask).then_some(grace - GRACE_KEPT);
+        let pushed = (!settings.must_subscribe).then_some(grace - GRACE_KEPT);
         let settings = on_sockets(settings);
         let shadow = shadow.map(|section| self::shadow(section, &set, settings.classes.len())).transpose()?;
         Ok(Config {
@@ -407,19 +407,23 @@
 }
 
 /// On sockets the list comes to those who watch it, whatever brings it on the drill.
-fn on_sockets(mut settings: Settings) -> Settings {
-    let pushed = !std::mem::replace(&mut settings.must_ask, true);
+fn on_sockets(mut settings: BalancerSettings) -> BalancerSettings {
+    let pushed = !std::mem::replace(&mut settings.must_subscribe, true);
     if pushed {
-        settings.must_ask_in = PUSHED;
-    } else if settings.must_ask_in == Micros(0) {
-        settings.must_ask_in = MUST_ASK_IN;
+        settings.max_poll_interval = PUSHED;
+    } else if settings.max_poll_interval == Micros(0) {
+        settings.max_poll_interval = MUST_ASK_IN;
     }
     settings
 }
 
 /// The section of the watching instance: whether it is on, and which settings are others than the deciding ones'. It is
 /// checked also while it is off.
-fn shadow(mut section: Value, deciding: &Keys, classes: usize) -> Result<Option<Settings>, SettingsError> {
+fn shadow(
+    mut section: Value,
+    deciding: &Keys,
+    classes: usize,
+) -> Result<Option<BalancerSettings>, SettingsError> {
     let Some(fields) = section.as_object_mut() else {
         return Err(Keys::new("", []).bad("shadow", &plain(&section), "an object"));
     };
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -5,9 +5,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use alderstile::facade::Facade;
+use alderstile::facade::Balancer;
 use alderstile::shadow::Differences;
-use alderstile::types::{ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState, Settings, Weights};
+use alderstile::types::{
+    BalancerSettings, Endpoint, EndpointListKind, EndpointState, Micros, RequestId, ServerId, WeightMeaning,
+};
 use alderstile_cluster::choices::Choices;
 use alderstile_cluster::subsets::Node as Peer;
 use tokio::sync::Notify;
@@ -41,7 +43,7 @@
     /// The server list is to be had elsewhere from now on.
     pub discovery_moved: Notify,
     discovery: Cell<SocketAddr>,
-    facade: RefCell<Facade>,
+    facade: RefCell<Balancer>,
     /// What nodes share out among themselves; nothing where no cluster's file says so.
     choices: RefCell<Option<Choices>>,
     hosts: RefCell<BTreeMap<ServerId, HostAt>>,
@@ -58,7 +60,7 @@
     /// Decisions that know nothing yet but the settings.
     pub fn new(config: Rc<Current>) -> Self {
         let (clock, told) = (Clock::default(), config.get());
-        let facade = Facade::watched(told.settings.clone(), told.shadow.clone(), told.seed, clock.now());
+        let facade = Balancer::watched(told.settings.clone(), told.shadow.clone(), told.seed, clock.now());
         let lease = Lease::new(clock.now(), told.pushed);
         Decisions {
             config,
@@ -82,17 +84,17 @@
     pub fn begin(&self, known: &List) {
         self.take_addresses(known);
         self.decide(|facade, now| {
-            facade.report_list(now, ListKind::Cached, known.entries(&self.config.get().zones))
+            facade.report_list(now, EndpointListKind::Cached, known.entries(&self.config.get().zones))
         });
     }
 
     /// Other settings from now on.
     pub fn renew(&self, config: &Config) {
         let shares = self.choices.borrow().is_some();
-        let laid_over = |settings: &Settings| {
+        let laid_over = |settings: &BalancerSettings| {
             // What is laid over the list names this node's shares as weights.
-            let weights = if shares { Weights::Size } else { settings.weights };
-            Settings { weights, ..settings.clone() }
+            let weights = if shares { WeightMeaning::NominalCapacity } else { settings.weight_meaning };
+            BalancerSettings { weight_meaning: weights, ..settings.clone() }
         };
         let (settings, shadow) = (laid_over(&config.settings), config.shadow.as_ref().map(laid_over));
         self.lease.borrow_mut().renew(config.pushed);
@@ -101,9 +103,9 @@
 
     /// Something is laid over every list from now on, and over the one that is held. `make` is told whether weights are sizes.
     pub fn share(&self, config: &Config, make: impl FnOnce(bool) -> Choices) {
-        self.choices.replace(Some(make(config.settings.weights == Weights::Size)));
+        self.choices.replace(Some(make(config.settings.weight_meaning == WeightMeaning::NominalCapacity)));
         self.renew(config);
-        self.list(ListKind::Full, self.whole_list().entries(&config.zones));
+        self.list(EndpointListKind::Full, self.whole_list().entries(&config.zones));
     }
 
     /// Brings what is laid over the list up to date with the other nodes and with what this one can't reach.
@@ -115,7 +117,7 @@
             more(choices, now);
             let changed = choices.refresh(now, &facade.unreached());
             if !changed.is_empty() {
-                facade.report_list(now, ListKind::Delta, changed);
+                facade.report_list(now, EndpointListKind::Delta, changed);
             }
         });
     }
@@ -131,7 +133,7 @@
     }
 
     /// Asks the decisions or reports to them, at this moment.
-    pub fn decide<T>(&self, call: impl FnOnce(&mut Facade, Micros) -> T) -> T {
+    pub fn decide<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
         let mut facade = self.facade.borrow_mut();
         let done = call(&mut facade, self.clock.now());
         let due = facade.next_due();
@@ -144,12 +146,12 @@
     /// Takes in a list that discovery sent.
     pub fn learn(&self, list: &List) {
         self.take_addresses(list);
-        let kind = if list.whole { ListKind::Full } else { ListKind::Delta };
+        let kind = if list.whole { EndpointListKind::Full } else { EndpointListKind::Delta };
         self.list(kind, list.entries(&self.config.get().zones));
     }
 
     /// Reports a list, or that a call for it failed.
-    pub fn list(&self, kind: ListKind, entries: Vec<ServerEntry>) {
+    pub fn list(&self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         let mut choices = self.choices.borrow_mut();
         self.decide(|facade, now| match &mut *choices {
             None => facade.report_list(now, kind, entries),
@@ -158,7 +160,7 @@
                 facade.report_list(now, kind, entries);
                 if choices.starved() {
                     let changed = choices.refresh(now, &facade.unreached());
-                    facade.report_list(now, ListKind::Delta, changed);
+                    facade.report_list(now, EndpointListKind::Delta, changed);
                 }
             }
         });
@@ -179,7 +181,7 @@
             let hosts = restored.iter().filter_map(|id| listed.get(id)).cloned().collect();
             let entries = List { seq: 0, whole: false, hosts }.entries(&self.config.get().zones);
             drop(listed);
-            self.list(ListKind::Delta, entries);
+            self.list(EndpointListKind::Delta, entries);
         }
     }
 
@@ -222,9 +224,9 @@
         let hosts = out.iter().filter_map(|id| listed.get(id)).cloned().collect();
         let mut entries = List { seq: 0, whole: false, hosts }.entries(&self.config.get().zones);
         drop(listed);
-        entries.iter_mut().for_each(|entry| entry.state = ServerState::Aside);
+        entries.iter_mut().for_each(|entry| entry.state = EndpointState::Cordoned);
         // Past what nodes share out among themselves: that one is to go on with what is listed.
-        self.decide(|facade, now| facade.report_list(now, ListKind::Delta, entries));
+        self.decide(|facade, now| facade.report_list(now, EndpointListKind::Delta, entries));
     }
 
     fn take_addresses(&self, list: &List) {
--- a/crates/alderstile-node/src/discovery.rs
+++ b/crates/alderstile-node/src/discovery.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::types::ListKind;
+use alderstile::types::EndpointListKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response, StatusCode};
@@ -81,7 +81,7 @@
             () = std::future::ready(()) => {}
         }
         warn!("watch of the server list: {ended}");
-        decisions.list(ListKind::Failed, Vec::new());
+        decisions.list(EndpointListKind::Failed, Vec::new());
     }
 }
 
@@ -183,7 +183,7 @@
                 }
             } else if first {
                 // Nothing has changed since the version held: the call has succeeded all the same.
-                decisions.list(ListKind::Delta, Vec::new());
+                decisions.list(EndpointListKind::Delta, Vec::new());
             }
             decisions.heard();
             (first, heard) = (false, Instant::now());
--- a/crates/alderstile-node/src/kept.rs
+++ b/crates/alderstile-node/src/kept.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use alderstile::facade::Facade;
+use alderstile::facade::Balancer;
 use alderstile::types::{Micros, ServerId};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
@@ -26,7 +26,7 @@
 
 impl Stand {
     /// Tells the decisions.
-    pub fn apply(self, facade: &mut Facade, now: Micros, host: ServerId) {
+    pub fn apply(self, facade: &mut Balancer, now: Micros, host: ServerId) {
         match self {
             Stand::Out => facade.take_out(now, host),
             Stand::Back(since) => {
--- a/crates/alderstile-node/src/list.rs
+++ b/crates/alderstile-node/src/list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use alderstile::types::{Micros, ServerEntry, ServerId, ServerState};
+use alderstile::types::{Endpoint, EndpointState, Micros, ServerId};
 use serde::{Deserialize, Serialize};
 
 /// A list of servers, or the changes of one.
@@ -59,19 +59,19 @@
     }
 
     /// As the decisions want it. A zone that the settings do not name is none of theirs.
-    pub fn entries(&self, zones: &[String]) -> Vec<ServerEntry> {
+    pub fn entries(&self, zones: &[String]) -> Vec<Endpoint> {
         let zone =
             |site: &str| zones.iter().position(|zone| zone == site).and_then(|i| u16::try_from(i).ok());
         self.hosts
             .iter()
-            .map(|host| ServerEntry {
+            .map(|host| Endpoint {
                 id: server_id(&host.host),
                 zone: zone(&host.site).unwrap_or(u16::MAX),
                 cell: host.block,
                 state: match host.health {
-                    Health::Up => ServerState::Ready,
-                    Health::Draining => ServerState::Draining,
-                    Health::Removed => ServerState::Gone,
+                    Health::Up => EndpointState::Ready,
+                    Health::Draining => EndpointState::Draining,
+                    Health::Removed => EndpointState::Gone,
                 },
                 weight: host.share,
                 started: (host.born_ms > 0).then(|| Micros::from_millis(host.born_ms)),
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use alderstile::types::{Micros, Part};
+use alderstile::types::{Micros, RetryBudgetBucket};
 
 use crate::clients::Clients;
 use crate::config::{Config, Current};
@@ -84,7 +84,10 @@
             held: self.clients.held(),
             member: self.operators.cluster().map(|cluster| cluster.word()),
             spent: spent.map(|parts| {
-                parts.iter().map(|part| (part.from.0, part.to.0, part.taken, part.further)).collect()
+                parts
+                    .iter()
+                    .map(|part| (part.first_event.0, part.last_event.0, part.admitted, part.retries))
+                    .collect()
             }),
         }
     }
@@ -98,11 +101,11 @@
                 self.operators.stand(host, *stand);
             }
         }
-        let part = |&(from, to, taken, further): &(u64, u64, u32, u32)| Part {
-            from: Micros(from),
-            to: Micros(to),
-            taken,
-            further,
+        let part = |&(from, to, taken, further): &(u64, u64, u32, u32)| RetryBudgetBucket {
+            first_event: Micros(from),
+            last_event: Micros(to),
+            admitted: taken,
+            retries: further,
         };
         let spent = handshake.spent.as_ref().map(|parts| parts.iter().map(part).collect());
         let late = Micros(WORD.as_micros() as u64);
--- a/crates/alderstile-node/src/peers.rs
+++ b/crates/alderstile-node/src/peers.rs
@@ -69,7 +69,7 @@
         let (Some(listen), Some(all)) = (node.config().peer_listen, node.config().peers_all) else {
             return Ok(None);
         };
-        if !node.config().settings.may_tell {
+        if !node.config().settings.gossip_allowed {
             return Ok(None);
         }
         let socket = UdpSocket::bind(listen).await?;
--- a/crates/alderstile-node/src/session.rs
+++ b/crates/alderstile-node/src/session.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::facade::{Answer, Ask};
+use alderstile::facade::{ConnectionRequest, Verdict};
 use alderstile::types::{GroupId, Micros, Outcome, RequestId, ServerId};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -197,14 +197,14 @@
         );
     }
 
-    fn ask(&self, remaining: Duration) -> Ask {
+    fn ask(&self, remaining: Duration) -> ConnectionRequest {
         let group = self.open.group.map(group_number);
         // Whether it counts as a group is the settings' to say, and a watching instance may have others.
-        Ask {
+        ConnectionRequest {
             class: self.class,
             group: group.map(GroupId),
             key: group,
-            hint: self.open.hint,
+            expected_load: self.open.hint,
             remaining: micros(remaining),
         }
     }
@@ -222,13 +222,13 @@
         let (id, mut answer) = self.node.decisions.decide(|facade, now| facade.pick(now, ask));
         loop {
             let (server, within) = match answer {
-                Answer::Try(server, within) => (server, within),
-                Answer::Refuse(None) => return Placed::Answered(Reason::Refused, b"BUSY\r\n".to_vec()),
-                Answer::Refuse(Some(wait)) => {
+                Verdict::Forward(server, within) => (server, within),
+                Verdict::Reject(None) => return Placed::Answered(Reason::Refused, b"BUSY\r\n".to_vec()),
+                Verdict::Reject(Some(wait)) => {
                     let line = format!("BUSY {}\r\n", wait.0.div_ceil(1_000)).into_bytes();
                     return Placed::Answered(Reason::Refused, line);
                 }
-                Answer::Fail => return Placed::Answered(Reason::Failed, b"FAILED\r\n".to_vec()),
+                Verdict::Fail => return Placed::Answered(Reason::Failed, b"FAILED\r\n".to_vec()),
             };
             self.attempts += 1;
             let began = Instant::now();
@@ -323,7 +323,7 @@
         match self.exchange(client, at, until, may_go, &mut sent).await {
             Ok(tried) => tried,
             Err(CutShort::Client(ended)) => Tried::Unwanted(ended),
-            Err(CutShort::Stop) => Tried::Failed(if sent { Outcome::Timeout } else { Outcome::Unsent }),
+            Err(CutShort::Stop) => Tried::Failed(if sent { Outcome::Timeout } else { Outcome::NotForwarded }),
         }
     }
 
@@ -337,14 +337,14 @@
     ) -> Result<Tried, CutShort> {
         if !may_go() {
             // No connection is made for what would not be sent on it.
-            return Ok(Tried::Failed(Outcome::Unsent));
+            return Ok(Tried::Failed(Outcome::NotForwarded));
         }
         let connect_until = until.min(Instant::now() + self.node.config().connect_timeout);
         let connected = timeout_at(connect_until, TcpStream::connect(at.dial));
         let stream = match self.while_wanted(client, connected).await? {
             Ok(Ok(stream)) => stream,
             // Nothing was sent, and it says nothing of the host.
-            Ok(Err(error)) if side::is_own_want(&error) => return Ok(Tried::Failed(Outcome::Unsent)),
+            Ok(Err(error)) if side::is_own_want(&error) => return Ok(Tried::Failed(Outcome::NotForwarded)),
             _ => return Ok(Tried::Failed(Outcome::ConnectFailed)),
         };
         let mut host = Side::new(stream);
@@ -356,7 +356,7 @@
                 // word. It must be true at the first byte. The client itself was looked at in this very step.
                 let left = until.saturating_duration_since(Instant::now()).as_millis();
                 if left == 0 || !may_go() {
-                    return Ok(Tried::Failed(Outcome::Unsent));
+                    return Ok(Tried::Failed(Outcome::NotForwarded));
                 }
                 line = self.open.for_host(self.line, u64::try_from(left).unwrap_or(u64::MAX));
             }
@@ -380,7 +380,7 @@
             Ok(Err(_)) => Tried::Failed(Outcome::Reset),
             Ok(Ok(())) => match host_line(host.buffer.line().unwrap_or_default()) {
                 HostLine::Up => Tried::Up(host),
-                HostLine::Busy => Tried::Failed(Outcome::Full),
+                HostLine::Busy => Tried::Failed(Outcome::Rejected),
                 HostLine::Move => Tried::Failed(Outcome::Cancelled),
                 _ => Tried::Failed(Outcome::Error),
             },
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -1,7 +1,7 @@
 //! The decisions in blocking style for a program that serves connections: ask where a client goes, report what
 //! came of it, wake up when something is due.
 //!
-//! A [`Facade`] keeps the timers and the numbers of requests, takes the time as an argument and decides nothing:
+//! A [`Balancer`] keeps the timers and the numbers of requests, takes the time as an argument and decides nothing:
 //! every answer is the policy's.
 
 use std::cmp::Reverse;
@@ -15,7 +15,7 @@
 
 /// What a client asks for; its number is the facade's to give.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
+pub struct ConnectionRequest {
     /// Its class, by its number.
     pub class: u16,
     /// Its group, where connections share work.
@@ -23,25 +23,25 @@
     /// What it is about; the same for all tries of one client.
     pub key: Option<u64>,
     /// Its expected load in microseconds of work a second.
-    pub hint: Option<f64>,
+    pub expected_load: Option<f64>,
     /// How long the node may take to answer.
     pub remaining: Micros,
 }
 
 /// What to do with a request that is owed an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Verdict {
     /// Try this server, no longer than the time named or else until the client gives up.
-    Try(ServerId, Option<Micros>),
+    Forward(ServerId, Option<Micros>),
     /// Answer: declined, a further try does no harm; perhaps not before the time named.
-    Refuse(Option<Micros>),
+    Reject(Option<Micros>),
     /// Answer: failed, nothing promised.
     Fail,
 }
 
 /// What is due, whatever was asked.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Chores {
+pub struct PendingWork {
     /// Clients to be told to move.
     pub moves: Vec<RequestId>,
     /// Watch the server list from now on.
@@ -54,12 +54,12 @@
 
 /// On sockets there is no way to look at a server but to send it a client, and a client whose server stops may notice
 /// late: it is told to move before that.
-fn on_sockets(settings: Settings) -> Settings {
-    Settings { probes: false, empty_draining: true, ..settings }
+fn on_sockets(settings: BalancerSettings) -> BalancerSettings {
+    BalancerSettings { probes_allowed: false, migrate_from_draining: true, ..settings }
 }
 
 /// The decisions of one node as plain calls.
-pub struct Facade {
+pub struct Balancer {
     policy: Policy,
     /// Watches only.
     shadow: Option<Shadow>,
@@ -69,22 +69,22 @@
     timers: BinaryHeap<Reverse<(Micros, TimerToken)>>,
     last_id: u64,
     actions: Vec<Action>,
-    chores: Chores,
+    chores: PendingWork,
 }
 
-impl Facade {
+impl Balancer {
     /// A node that has just started and holds nothing.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+    pub fn new(settings: BalancerSettings, seed: u64, now: Micros) -> Self {
         let settings = on_sockets(settings);
-        let mut facade = Facade {
-            notes: settings.tells_delay.then(Notes::default),
+        let mut facade = Balancer {
+            notes: settings.servers_report_delay.then(Notes::default),
             policy: Policy::new(settings, seed, now),
             shadow: None,
             maintenance: Maintenance::default(),
             timers: BinaryHeap::new(),
             last_id: 0,
             actions: Vec::new(),
-            chores: Chores::default(),
+            chores: PendingWork::default(),
         };
         facade.policy.start(&mut facade.actions);
         facade.settle(now);
@@ -92,19 +92,24 @@
     }
 
     /// A node that has just started, and a second instance with other settings that watches it.
-    pub fn watched(settings: Settings, shadow: Option<Settings>, seed: u64, now: Micros) -> Self {
+    pub fn watched(
+        settings: BalancerSettings,
+        shadow: Option<BalancerSettings>,
+        seed: u64,
+        now: Micros,
+    ) -> Self {
         let shadow = shadow.map(|settings| Shadow::new(on_sockets(settings), seed, now));
-        Facade { shadow, ..Self::new(settings, seed, now) }
+        Balancer { shadow, ..Self::new(settings, seed, now) }
     }
 
     /// Other settings from now on, and others for the instance that watches; without any it watches no more. One that
     /// did not watch so far has no record to begin with, and none is begun.
-    pub fn renew(&mut self, now: Micros, settings: Settings, shadow: Option<Settings>) {
+    pub fn renew(&mut self, now: Micros, settings: BalancerSettings, shadow: Option<BalancerSettings>) {
         let settings = on_sockets(settings);
-        if settings.tells_delay != self.notes.is_some() {
-            self.notes = settings.tells_delay.then(Notes::default);
+        if settings.servers_report_delay != self.notes.is_some() {
+            self.notes = settings.servers_report_delay.then(Notes::default);
         }
-        self.policy.handle(now, Event::Settings(Box::new(settings)), &mut self.actions);
+        self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
         self.settle(now);
         self.shadow = self.shadow.take().zip(shadow).map(|(mut watching, settings)| {
             watching.renew(now, on_sockets(settings));
@@ -114,17 +119,25 @@
 
     /// What was counted of further attempts, as ages, for the process that takes this one's place; nothing where that is
     /// not known. This one makes no further attempts from now on.
-    pub fn hand_over(&mut self, now: Micros) -> Option<Vec<Part>> {
+    pub fn hand_over(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let told = self.policy.hand_over(now);
-        let aged = |part: Part| Part { from: now - part.from, to: now - part.to, ..part };
+        let aged = |part: RetryBudgetBucket| RetryBudgetBucket {
+            first_event: now - part.first_event,
+            last_event: now - part.last_event,
+            ..part
+        };
         told.map(|parts| parts.into_iter().map(aged).collect())
     }
 
     /// Takes over what the process before has counted, as ages that were true `late` ago at most. Where it told nothing,
     /// or where this one serves on after it had handed over, no further attempts are made until the span has passed.
-    pub fn inherit(&mut self, now: Micros, told: Option<Vec<Part>>, late: Micros) {
+    pub fn inherit(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>, late: Micros) {
         // Requests count as earlier than they may have been, attempts as later.
-        let dated = |part: Part| Part { from: now - part.from - late, to: now - part.to, ..part };
+        let dated = |part: RetryBudgetBucket| RetryBudgetBucket {
+            first_event: now - part.first_event - late,
+            last_event: now - part.last_event,
+            ..part
+        };
         self.policy.inherit(now, told.map(|parts| parts.into_iter().map(dated).collect()));
     }
 
@@ -134,17 +147,17 @@
     }
 
     /// A client asks to be served. Its number stands for it from now on.
-    pub fn pick(&mut self, now: Micros, ask: Ask) -> (RequestId, Answer) {
+    pub fn pick(&mut self, now: Micros, ask: ConnectionRequest) -> (RequestId, Verdict) {
         let request = self.number(ask);
         let answer = self.hand(now, Event::Request(request));
         // Every request is sent or answered at once where nothing is probed.
-        (request.id, answer.unwrap_or(Answer::Fail))
+        (request.id, answer.unwrap_or(Verdict::Fail))
     }
 
     /// A connection that was open at a server before this node started, or that this node is to take there.
-    pub fn adopt(&mut self, now: Micros, ask: Ask, server: ServerId) -> RequestId {
+    pub fn adopt(&mut self, now: Micros, ask: ConnectionRequest, server: ServerId) -> RequestId {
         let request = self.number(ask);
-        self.hand(now, Event::Open(request, server));
+        self.hand(now, Event::ExistingConnection(request, server));
         request.id
     }
 
@@ -165,9 +178,9 @@
         id: RequestId,
         server: ServerId,
         outcome: Outcome,
-    ) -> Answer {
+    ) -> Verdict {
         let event = Event::Ended { id, server, outcome, closed: false, report: Vec::new() };
-        self.hand(now, event).unwrap_or(Answer::Fail)
+        self.hand(now, event).unwrap_or(Verdict::Fail)
     }
 
     /// A connection has ended at its server's side, or because it was told to move.
@@ -179,7 +192,7 @@
     /// The client has left; nothing is owed to it.
     pub fn report_left(&mut self, now: Micros, id: RequestId) {
         self.forget(id);
-        self.hand(now, Event::ClientGone(id));
+        self.hand(now, Event::ClientDisconnected(id));
     }
 
     /// A figure told on a connection to this server: its load now in microseconds of work a second or, where servers
@@ -194,8 +207,8 @@
 
     fn note(&mut self, now: Micros, note: Note) {
         let event = match note {
-            Note::Load(id, load) => Event::LoadTold(id, load),
-            Note::Delay(server, ms) => Event::DelayTold(server, ms),
+            Note::Load(id, load) => Event::LoadReported(id, load),
+            Note::Delay(server, ms) => Event::DelayReported(server, ms),
         };
         self.hand(now, event);
     }
@@ -207,9 +220,9 @@
     }
 
     /// A server list has come, or a call for it has failed.
-    pub fn report_list(&mut self, now: Micros, kind: ListKind, entries: Vec<ServerEntry>) {
+    pub fn report_list(&mut self, now: Micros, kind: EndpointListKind, entries: Vec<Endpoint>) {
         let entries = self.maintenance.lay_over(kind, entries);
-        self.hand(now, Event::List(kind, entries));
+        self.hand(now, Event::EndpointList(kind, entries));
     }
 
     /// From now on nothing new goes to this server, whatever the list says: operators took it out.
@@ -224,9 +237,9 @@
         self.relist(now, change);
     }
 
-    fn relist(&mut self, now: Micros, change: Option<ServerEntry>) {
+    fn relist(&mut self, now: Micros, change: Option<Endpoint>) {
         if let Some(entry) = change {
-            self.hand(now, Event::List(ListKind::Delta, vec![entry]));
+            self.hand(now, Event::EndpointList(EndpointListKind::Delta, vec![entry]));
         }
     }
 
@@ -247,11 +260,11 @@
 
     /// Another node has sent a message.
     pub fn report_peer(&mut self, now: Micros, from: u32, data: Vec<u8>) {
-        self.hand(now, Event::Peer(from, data));
+        self.hand(now, Event::PeerMessage(from, data));
     }
 
     /// Lets everything happen that is due, and hands over what is to be done.
-    pub fn tick(&mut self, now: Micros) -> Chores {
+    pub fn tick(&mut self, now: Micros) -> PendingWork {
         while let Some(&Reverse((due, token))) = self.timers.peek()
             && due <= now
         {
@@ -263,9 +276,9 @@
         std::mem::take(&mut self.chores)
     }
 
-    /// When [`Facade::tick`] is due next; any report may bring that forward, at most to the present.
+    /// When [`Balancer::tick`] is due next; any report may bring that forward, at most to the present.
     pub fn next_due(&self) -> Option<Micros> {
-        if self.chores != Chores::default() {
+        if self.chores != PendingWork::default() {
             return Some(Micros(0));
         }
         let timer = self.timers.peek().map(|Reverse((due, _))| *due);
@@ -273,20 +286,20 @@
         timer.into_iter().chain(settles).min()
     }
 
-    fn number(&mut self, ask: Ask) -> Request {
+    fn number(&mut self, ask: ConnectionRequest) -> Request {
         self.last_id += 1;
         Request {
             id: RequestId(self.last_id),
             class: ask.class,
             group: ask.group,
-            hint: ask.hint,
+            expected_load: ask.expected_load,
             remaining: ask.remaining,
             key: ask.key,
             mid_flow: false,
         }
     }
 
-    fn hand(&mut self, now: Micros, event: Event) -> Option<Answer> {
+    fn hand(&mut self, now: Micros, event: Event) -> Option<Verdict> {
         let copy = self.shadow.as_mut().map(|shadow| {
             shadow.align(&self.policy);
             event.clone()
@@ -299,17 +312,17 @@
     }
 
     /// Sorts the actions into the answer, the timers and the chores.
-    fn settle(&mut self, now: Micros) -> Option<Answer> {
+    fn settle(&mut self, now: Micros) -> Option<Verdict> {
         let mut answer = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Send(_, server, time_out) => answer = Some(Answer::Try(server, time_out)),
-                Action::Refuse(_, wait) => answer = Some(Answer::Refuse(wait)),
-                Action::Fail(_) => answer = Some(Answer::Fail),
-                Action::Move(id) => self.chores.moves.push(id),
+                Action::Forward(_, server, time_out) => answer = Some(Verdict::Forward(server, time_out)),
+                Action::Reject(_, wait) => answer = Some(Verdict::Reject(wait)),
+                Action::Fail(_) => answer = Some(Verdict::Fail),
+                Action::Migrate(id) => self.chores.moves.push(id),
                 Action::SetTimer(after, token) => self.timers.push(Reverse((now + after, token))),
-                Action::Watch => self.chores.watch = true,
-                Action::TellAll(data) => self.chores.tell.push(data),
+                Action::WatchEndpoints => self.chores.watch = true,
+                Action::Broadcast(data) => self.chores.tell.push(data),
                 Action::Log(server, line) => self.chores.lines.push((server, line)),
                 // Never asked for: `new` says that nothing can be probed.
                 Action::Probe(_) => {}
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -11,7 +11,7 @@
 /// Which hosts are out, and what the list says of all of them.
 #[derive(Debug, Default)]
 pub struct Maintenance {
-    listed: BTreeMap<ServerId, ServerEntry>,
+    listed: BTreeMap<ServerId, Endpoint>,
     out: BTreeSet<ServerId>,
     /// When hosts were put back, until the list tells of a later start.
     returned: BTreeMap<ServerId, Micros>,
@@ -19,12 +19,12 @@
 
 impl Maintenance {
     /// Takes in a list as it came, and returns it as the decisions are to see it.
-    pub fn lay_over(&mut self, kind: ListKind, entries: Vec<ServerEntry>) -> Vec<ServerEntry> {
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+    pub fn lay_over(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) -> Vec<Endpoint> {
+        if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
             self.listed.clear();
         }
         for entry in &entries {
-            if entry.state == ServerState::Gone {
+            if entry.state == EndpointState::Gone {
                 self.listed.remove(&entry.id);
             } else {
                 self.listed.insert(entry.id, *entry);
@@ -37,9 +37,9 @@
     }
 
     /// A listed host as the decisions are to see it.
-    fn seen(&self, mut entry: ServerEntry) -> ServerEntry {
-        if self.is_out(entry.id) && entry.state != ServerState::Gone {
-            entry.state = ServerState::Draining;
+    fn seen(&self, mut entry: Endpoint) -> Endpoint {
+        if self.is_out(entry.id) && entry.state != EndpointState::Gone {
+            entry.state = EndpointState::Draining;
         }
         // None is long ago, and less than any time.
         entry.started = entry.started.max(self.returned.get(&entry.id).copied());
@@ -47,13 +47,13 @@
     }
 
     /// Takes a host out. Returns the change for the decisions; none where nothing changes for them.
-    pub fn take_out(&mut self, id: ServerId) -> Option<ServerEntry> {
+    pub fn take_out(&mut self, id: ServerId) -> Option<Endpoint> {
         self.out.insert(id);
         self.listed.get(&id).map(|entry| self.seen(*entry))
     }
 
     /// Puts a host back that is out. Returns the change for the decisions; none where nothing changes for them.
-    pub fn put_back(&mut self, now: Micros, id: ServerId) -> Option<ServerEntry> {
+    pub fn put_back(&mut self, now: Micros, id: ServerId) -> Option<Endpoint> {
         if !self.out.remove(&id) {
             return None;
         }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -112,8 +112,9 @@
 const TOKEN_LOOK: u64 = 1 << 63;
 
 /// From which delay on a server's messages are late.
-fn late_at(settings: &Settings) -> Micros {
-    let shortest = settings.classes.iter().map(|c| c.message_aim.unwrap_or(c.aim)).min();
+fn late_at(settings: &BalancerSettings) -> Micros {
+    let shortest =
+        settings.classes.iter().map(|c| c.message_latency_objective.unwrap_or(c.latency_objective)).min();
     shortest.unwrap_or(Micros(0)).scale(LATE_SHARE)
 }
 
@@ -139,7 +140,7 @@
 /// What this node holds of one server.
 #[derive(Default)]
 struct Server {
-    entry: ServerEntry,
+    entry: Endpoint,
     /// The latest time at which it may have started, none if long ago.
     started: Option<Micros>,
     told_sum: f64,
@@ -179,7 +180,7 @@
 
 /// The decisions of one node.
 pub struct Policy {
-    set: Settings,
+    set: BalancerSettings,
     rng: Pcg64Mcg,
     servers: Vec<Server>,
     by_id: BTreeMap<ServerId, usize>,
@@ -221,7 +222,7 @@
 
 impl Policy {
     /// A node that has just started and holds nothing.
-    pub fn new(settings: Settings, seed: u64, _now: Micros) -> Self {
+    pub fn new(settings: BalancerSettings, seed: u64, _now: Micros) -> Self {
         let classes = settings.classes.len();
         Policy {
             late_at: late_at(&settings),
@@ -256,9 +257,10 @@
     /// Timers and questions with which a node begins.
     pub fn start(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(PERIOD.scale(self.rng.random::<f64>()), TOKEN_PERIOD));
-        if self.set.must_ask {
+        if self.set.must_subscribe {
             // Nodes that start together must not ask together: the list is one service for all of them.
-            let spread = ASK_AGAIN.scale(f64::from(self.set.balancers)).min(self.set.must_ask_in).scale(0.5);
+            let spread =
+                ASK_AGAIN.scale(f64::from(self.set.node_count)).min(self.set.max_poll_interval).scale(0.5);
             actions.push(Action::SetTimer(spread.scale(self.rng.random::<f64>()), TOKEN_ASK));
         }
     }
@@ -267,7 +269,7 @@
     /// ended are ignored.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::List(kind, entries) => self.list(now, kind, entries, out),
+            Event::EndpointList(kind, entries) => self.list(now, kind, entries, out),
             Event::Request(request) => {
                 self.retry_tokens = (self.retry_tokens + RETRY_EARN).min(RETRY_CAP);
                 self.probe_tokens = (self.probe_tokens + 1.0).min(PROBE_CAP);
@@ -276,12 +278,12 @@
                 let conn = self.conn(now, request);
                 self.attempt(now, conn, out);
             }
-            Event::Open(request, server) => self.open(now, request, server),
+            Event::ExistingConnection(request, server) => self.open(now, request, server),
             Event::Established { id, latency } => self.established(now, id, latency, out),
             Event::Ended { id, outcome, closed, .. } => self.ended(now, id, outcome, closed, out),
-            Event::LoadTold(id, load) => self.load_told(id, load),
-            Event::DelayTold(server, ms) => self.delay_told(now, server, ms, false),
-            Event::ClientGone(id) => {
+            Event::LoadReported(id, load) => self.load_told(id, load),
+            Event::DelayReported(server, ms) => self.delay_told(now, server, ms, false),
+            Event::ClientDisconnected(id) => {
                 if let Some(conn) = self.conns.remove(&id) {
                     self.ended += u32::from(matches!(conn.stage, Stage::Open(_)));
                     self.leave(&conn);
@@ -290,17 +292,19 @@
             Event::Timer(TOKEN_PERIOD) => self.period(now, out),
             Event::Timer(TOKEN_ASK) => {
                 self.asking = false;
-                out.push(Action::Watch);
+                out.push(Action::WatchEndpoints);
             }
             Event::Timer(TimerToken(id)) => self.looked(now, RequestId(id & !TOKEN_LOOK), LOOKS, out),
-            Event::Probed { server, outcome, report } => self.probed(now, server, outcome, &report, out),
-            Event::Peer(_, data) => self.heard(now, &data),
-            Event::Settings(settings) => {
+            Event::ProbeCompleted { server, outcome, report } => {
+                self.probed(now, server, outcome, &report, out)
+            }
+            Event::PeerMessage(_, data) => self.heard(now, &data),
+            Event::SettingsChanged(settings) => {
                 // The record stays, and so does what was decided; the next attempt goes by the new word.
                 self.late_at = late_at(&settings);
                 self.class_load.resize(settings.classes.len(), Mean::default());
                 self.held_load.resize(settings.classes.len(), (0.0, 0));
-                if self.set.resends.is_none() {
+                if self.set.retry_budget.is_none() {
                     self.ledger.since = self.ledger.since.max(now);
                 }
                 self.set = *settings;
@@ -309,8 +313,8 @@
     }
 
     fn count(&mut self, now: Micros, taken: u32, further: u32) {
-        if let Some(budget) = self.set.resends {
-            self.ledger.add(now, budget.over, taken, further);
+        if let Some(budget) = self.set.retry_budget {
+            self.ledger.add(now, budget.window, taken, further);
         }
     }
 
@@ -323,13 +327,13 @@
 
     // ---- the server list ----
 
-    fn list(&mut self, now: Micros, kind: ListKind, entries: Vec<ServerEntry>, out: &mut Vec<Action>) {
-        if kind == ListKind::Failed {
+    fn list(&mut self, now: Micros, kind: EndpointListKind, entries: Vec<Endpoint>, out: &mut Vec<Action>) {
+        if kind == EndpointListKind::Failed {
             // A subscription that broke is asked for again, later each time but within the list's own limit.
             // From the list's return until what it has counts as told: half for the wait, half for its queue.
             let wait = ASK_AGAIN.scale(f64::from(1 << self.ask_failures.min(ASK_DOUBLINGS)));
-            let wait = wait.scale(0.5 + self.rng.random::<f64>()).min(self.set.must_ask_in.scale(0.5));
-            if self.set.must_ask && !self.asking {
+            let wait = wait.scale(0.5 + self.rng.random::<f64>()).min(self.set.max_poll_interval.scale(0.5));
+            if self.set.must_subscribe && !self.asking {
                 self.asking = true;
                 self.ask_failures += 1;
                 out.push(Action::SetTimer(wait, TOKEN_ASK));
@@ -339,11 +343,11 @@
         }
         self.ask_failures = 0;
         self.lists += 1;
-        if kind != ListKind::Delta {
+        if kind != EndpointListKind::Delta {
             let named: BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
             for server in self.servers.iter_mut().filter(|s| !named.contains(&s.entry.id)) {
-                if server.entry.state != ServerState::Gone {
-                    (server.entry.state, server.called) = (ServerState::Gone, self.lists);
+                if server.entry.state != EndpointState::Gone {
+                    (server.entry.state, server.called) = (EndpointState::Gone, self.lists);
                 }
             }
         }
@@ -354,39 +358,39 @@
         self.weigh_zones(now);
     }
 
-    fn listed(&mut self, now: Micros, entry: ServerEntry) {
+    fn listed(&mut self, now: Micros, entry: Endpoint) {
         let s = *self.by_id.entry(entry.id).or_insert(self.servers.len());
         if s == self.servers.len() {
             // Somewhere within its turn: with many nodes what was never used would be due at nearly all.
             let sent = now - self.turn().scale(self.rng.random::<f64>());
-            let entry = ServerEntry { started: None, ..entry };
+            let entry = Endpoint { started: None, ..entry };
             self.servers.push(Server { entry, sent, ..Server::default() });
         }
         if self.servers[s].entry.started != entry.started {
             // This node's place in the turns that the nodes take at a cold server.
-            let nodes = u64::from(self.set.balancers);
-            let place = self.set.index.map_or_else(|| self.rng.random(), u64::from);
+            let nodes = u64::from(self.set.node_count);
+            let place = self.set.node_index.map_or_else(|| self.rng.random(), u64::from);
             let server = &mut self.servers[s];
             server.credit = (place.wrapping_add(entry.id.0) % nodes) as f64 / nodes as f64;
             // Guards against stamps that are off: what is heard of has started by then.
-            server.started = entry.started.map(|started| (started + self.set.stamp_doubt).min(now));
+            server.started = entry.started.map(|started| (started + self.set.start_time_tolerance).min(now));
             // A process that starts anew has no history.
             (server.slowness, server.delay, server.limit, server.above) = (0.0, None, None, 0);
             (server.failures, server.shut, server.permits, server.paused_until) = (0, false, 0, Micros(0));
             server.kept_until = Micros(0);
         }
         let server = &mut self.servers[s];
-        if entry.state == ServerState::Gone && server.entry.state != ServerState::Gone {
+        if entry.state == EndpointState::Gone && server.entry.state != EndpointState::Gone {
             server.called = self.lists;
         }
         server.entry = entry;
-        server.drains = entry.state == ServerState::Draining || (server.drains && !entry.ready());
+        server.drains = entry.state == EndpointState::Draining || (server.drains && !entry.ready());
     }
 
     /// Whether this is called gone, or left out, where that is advice and no more, and did not drain before.
     fn called_gone(&self, s: usize) -> bool {
         let server = &self.servers[s];
-        self.set.gone_is_advice && server.entry.state == ServerState::Gone && !server.drains
+        self.set.removal_is_advisory && server.entry.state == EndpointState::Gone && !server.drains
     }
 
     /// Whether the list and what is known beside it let new work go there.
@@ -426,17 +430,17 @@
 
     /// A server is due for a set-up by this node this long after its last.
     fn turn(&self) -> Micros {
-        SETUP_EVERY.scale(f64::from(self.set.balancers))
+        SETUP_EVERY.scale(f64::from(self.set.node_count))
     }
 
     /// How far a server has warmed up, from nothing to one.
     fn warmth(&self, now: Micros, s: usize) -> f64 {
-        passed(self.servers[s].started, now, self.set.cold)
+        passed(self.servers[s].started, now, self.set.warm_up)
     }
 
     /// The same for what this node's record tells of it: the cluster may have given it the server of late.
     fn known(&self, now: Micros, s: usize) -> f64 {
-        self.warmth(now, s).min(passed(self.servers[s].entry.joined, now, self.set.cold))
+        self.warmth(now, s).min(passed(self.servers[s].entry.joined, now, self.set.warm_up))
     }
 
     /// What this node may send a cold server in this period: what warm ones of its size take anew, for its
@@ -445,15 +449,16 @@
     fn permit(&mut self, now: Micros, s: usize, held: f64) {
         let warmth = self.warmth(now, s);
         if warmth < 1.0 {
-            let share = self.set.cold_from + (1.0 - self.set.cold_from) * warmth;
-            let (span, period) = (self.set.overload_for.as_secs_f64(), PERIOD.as_secs_f64());
+            let share =
+                self.set.warm_up_initial_capacity + (1.0 - self.set.warm_up_initial_capacity) * warmth;
+            let (span, period) = (self.set.overload_window.as_secs_f64(), PERIOD.as_secs_f64());
             // They take what they hold over a connection's life. No server is longer in filling than in
             // warming up, and each can do more than it holds, but a span touches one period more than it has.
             // Where groups are, nodes begin one on the same servers and meet on a cold one: neither counts.
-            let (life, cold) = (self.stood / f64::from(self.ended.max(1)), self.set.cold.as_secs_f64());
+            let (life, cold) = (self.stood / f64::from(self.ended.max(1)), self.set.warm_up.as_secs_f64());
             let spare = SPARE * span / (span + period);
             let (life, spare) = if self.set.groups { (life, 1.0) } else { (life.min(cold), spare) };
-            let rate = spare * held * self.size(s) * share * self.set.fall_multiple / life.max(period);
+            let rate = spare * held * self.size(s) * share * self.set.overload_multiple / life.max(period);
             let kept = self.kept(now);
             let server = &mut self.servers[s];
             // What would be kept by now is there at the first, when most clients of those before come again.
@@ -473,7 +478,7 @@
         let up = (0..self.servers.len()).filter(|&s| self.up(now, s)).count();
         let elsewhere = 1.0 - (reach(up) as f64 / up.max(1) as f64).min(1.0);
         let meet = 1.0 - elsewhere.powi(self.conns.len().max(1) as i32);
-        let kept = self.set.overload_for.scale(1.0 / meet).max(PERIOD) - PERIOD;
+        let kept = self.set.overload_window.scale(1.0 / meet).max(PERIOD) - PERIOD;
         if self.set.groups { kept } else { Micros(0) }
     }
 
@@ -491,7 +496,7 @@
     /// What a group's shared work on a server is to one node: all of it to one alone, and less the more
     /// nodes hold the group there too.
     fn group_share(&self) -> f64 {
-        self.usual() * self.set.group_load * (2.0 / f64::from(self.set.balancers)).min(1.0)
+        self.usual() * self.set.group_load * (2.0 / f64::from(self.set.node_count)).min(1.0)
     }
 
     /// The usual load of a connection; before any was told, each counts as one.
@@ -503,7 +508,8 @@
     /// The listed size of a server.
     fn size(&self, s: usize) -> f64 {
         let weight = self.servers[s].entry.weight;
-        let told = self.set.weights == Weights::Size && weight > 0.0 && is_load(&weight);
+        let told =
+            self.set.weight_meaning == WeightMeaning::NominalCapacity && weight > 0.0 && is_load(&weight);
         if told { weight } else { 1.0 }
     }
 
@@ -628,7 +634,7 @@
         let last = self.servers[s].delay.filter(|last| now < last.at + DELAY_FRESH && now > last.at);
         let grown = |d: Delay| (span.as_secs_f64() - d.span.as_secs_f64()) / (now - d.at).as_secs_f64();
         // Set-ups at odd moments tell nothing of a growth.
-        let growth = last.filter(|_| self.set.tells_delay).map_or(0.0, grown);
+        let growth = last.filter(|_| self.set.servers_report_delay).map_or(0.0, grown);
         let before = last.filter(|d| d.span >= self.late_at);
         let still = before.map_or(span >= STILL, |d| d.still && growth < STILL_GROWTH);
         self.servers[s].delay = Some(Delay { span, at: now, still, growth, doubt });
@@ -638,7 +644,7 @@
         let Some(&s) = self.by_id.get(&server) else { return };
         let conn = Conn { stage: Stage::Open(s), ..self.conn(now, request) };
         self.enter(&conn);
-        self.learn(&request, request.hint);
+        self.learn(&request, request.expected_load);
         self.conns.insert(request.id, conn);
     }
 
@@ -658,11 +664,11 @@
     }
 
     /// Whether the stated budget allows one more further attempt.
-    fn allows(&self, now: Micros, budget: ResendBudget) -> bool {
-        let (taken, further) = self.ledger.within(now, budget.over);
+    fn allows(&self, now: Micros, budget: RetryBudget) -> bool {
+        let (taken, further) = self.ledger.within(now, budget.window);
         // Settings that name a longer span than before wait until that much is known.
-        self.ledger.known(now, budget.over)
-            && f64::from(further + 1) <= budget.free + budget.ratio * f64::from(taken)
+        self.ledger.known(now, budget.window)
+            && f64::from(further + 1) <= budget.min_retries + budget.retry_ratio * f64::from(taken)
     }
 
     /// Sends a request to a server, or answers it at once where that cannot be.
@@ -671,9 +677,9 @@
         let further = !conn.tried.is_empty();
         // What looks expired may not be, where clocks differ; but nothing waits for a look by a doubtful
         // clock.
-        let open = now < conn.deadline + self.set.deadline_drift;
+        let open = now < conn.deadline + self.set.deadline_tolerance;
         let more = open && (conn.tried.len() as u32) < self.set.max_attempts;
-        let allowed = !further || self.set.resends.is_none_or(|budget| self.allows(now, budget));
+        let allowed = !further || self.set.retry_budget.is_none_or(|budget| self.allows(now, budget));
         let Some(s) = (more && allowed).then(|| self.choose(now, &conn)).flatten() else {
             return self.give_up(&conn, out);
         };
@@ -683,7 +689,7 @@
         }
         self.count(now, 0, u32::from(further));
         let timeout = self.attempt_timeout(now, &conn);
-        out.push(Action::Send(id, self.servers[s].entry.id, timeout));
+        out.push(Action::Forward(id, self.servers[s].entry.id, timeout));
         self.send(now, s, Conn { timed: timeout.is_some(), ..conn });
     }
 
@@ -691,7 +697,7 @@
     /// where no time would be left for another, or where all take long: a repeat would wait anew.
     fn attempt_timeout(&self, now: Micros, conn: &Conn) -> Option<Micros> {
         let usual = Micros((self.usual_setup_ms.0? * 1_000.0 * UNUSUAL) as u64);
-        let wait = conn.class.as_ref()?.aim.max(usual);
+        let wait = conn.class.as_ref()?.latency_objective.max(usual);
         // Where more is out than the requests of such a wait (Little's law), or much goes unanswered, all
         // take long: clients that come back together, or wait for a slow store, would be sent over and over.
         let much = f64::from(self.trying) > 2.0 + self.usual_taken.0.unwrap_or(0.0) * wait.as_secs_f64();
@@ -714,7 +720,7 @@
 
     /// Whether probes tell the load ratio.
     fn reports(&self) -> bool {
-        self.set.probes && self.set.report_fields.contains(&ReportField::LoadRatio)
+        self.set.probes_allowed && self.set.report_fields.contains(&ReportField::LoadRatio)
     }
 
     /// Whether a request waits for a probe's load ratio before it lands: the record of one node of many says
@@ -765,24 +771,25 @@
 
     /// The final answer for a request that is given up: at once, so that the client can come again.
     fn give_up(&mut self, conn: &Conn, out: &mut Vec<Action>) {
-        use Semantics::{Dedup, Retryable};
-        let anywhere = |c: &ClassSettings| matches!(c.semantics, Retryable | Dedup(DedupGroup::All));
+        use Idempotency::{Deduplicated, Idempotent};
+        let anywhere =
+            |c: &ClassSettings| matches!(c.idempotency, Idempotent | Deduplicated(DedupScope::All));
         let anywhere = self.classes(conn).next().is_some() && self.classes(conn).all(anywhere);
         if !anywhere && conn.ran.is_some() {
             return out.push(Action::Fail(conn.request.id));
         }
         let class = self.set.classes.get(conn.request.class as usize);
         // Spread out, or those turned away together would come back together.
-        let aim = class.map_or(PERIOD, |class| class.aim);
+        let aim = class.map_or(PERIOD, |class| class.latency_objective);
         let wait = aim.min(self.set.max_retry_after).scale(0.5 + 0.5 * self.rng.random::<f64>());
-        out.push(Action::Refuse(conn.request.id, self.set.retry_after.then_some(wait)));
+        out.push(Action::Reject(conn.request.id, self.set.retry_after_allowed.then_some(wait)));
     }
 
     /// Where a connection lands: lowest in the own record, chance among equals, with its group where that has
     /// room. What was tried, is paused or is crowded comes after all others.
     fn choose(&mut self, now: Micros, conn: &Conn) -> Option<usize> {
         let (mean, held, usual, share) = (self.mean(now), self.held(now), self.usual(), self.group_share());
-        let nodes = f64::from(self.set.balancers.max(1));
+        let nodes = f64::from(self.set.node_count.max(1));
         let ticket = conn.request.group.unwrap_or(GroupId(self.rng.random()));
         // The other nodes are taken to hold their mean there.
         let group_room = mean * (1.0 + (GROUP_BAR - 1.0) * nodes);
@@ -820,7 +827,7 @@
             let landing = (self.record(s) + group) / self.power(s) + usual * (adds + chance).floor();
             // Guards against a slow server that no set-up shows because nothing new lands there.
             let doubted = server.delay.is_some_and(|d| d.doubt);
-            let due = (doubted || now > server.sent + self.turn()) && !self.set.tells_delay;
+            let due = (doubted || now > server.sent + self.turn()) && !self.set.servers_report_delay;
             let warm = self.warmth(now, s) >= 1.0;
             // Where records tie, a cold server with a permit goes first: it holds what permits let in, while
             // warm ones that are empty here are full of what other nodes moved.
@@ -845,7 +852,7 @@
     /// What a class is worth for its usual load.
     fn worth_of_load(&self, class: usize) -> f64 {
         let load = self.class_load.get(class).and_then(|mean| mean.0).filter(|load| *load > 0.0);
-        let worth = self.set.classes.get(class).map_or(0.0, |c| c.worth);
+        let worth = self.set.classes.get(class).map_or(0.0, |c| c.priority_weight);
         load.map_or(0.0, |load| worth / load)
     }
 
@@ -866,13 +873,13 @@
     fn repeats(&self, now: Micros, s: usize, conn: &Conn) -> bool {
         let Some((first, sent)) = conn.ran else { return true };
         let (first, entry) = (&self.servers[first].entry, &self.servers[s].entry);
-        self.classes(conn).all(|class| match class.semantics {
-            Semantics::Retryable => true,
-            Semantics::Fragile => false,
-            Semantics::Dedup(_) if now >= sent + class.dedup_window => false,
-            Semantics::Dedup(DedupGroup::All) => true,
-            Semantics::Dedup(DedupGroup::Zone) => first.zone == entry.zone,
-            Semantics::Dedup(DedupGroup::Cell) => first.cell == entry.cell,
+        self.classes(conn).all(|class| match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::Deduplicated(_) if now >= sent + class.dedup_window => false,
+            Idempotency::Deduplicated(DedupScope::All) => true,
+            Idempotency::Deduplicated(DedupScope::Zone) => first.zone == entry.zone,
+            Idempotency::Deduplicated(DedupScope::Cell) => first.cell == entry.cell,
         })
     }
 
@@ -891,7 +898,7 @@
         self.trying -= 1;
         conn.ran.get_or_insert((s, conn.sent));
         let request = conn.request;
-        self.learn(&request, request.hint);
+        self.learn(&request, request.expected_load);
         let server = &mut self.servers[s];
         // Guards against a restart that the list tells of late or never: its record is the lowest.
         if std::mem::take(&mut server.fell) {
@@ -903,7 +910,7 @@
         // A slow server must not pass for usual, but where all are slow that is the usual soon.
         self.usual_setup_ms.add(took.min(2.0 * usual));
         self.unanswered.add(0.0);
-        if !self.set.tells_delay {
+        if !self.set.servers_report_delay {
             self.setup_took(now, s, took - usual, out);
         }
     }
@@ -918,8 +925,8 @@
         let before = self.servers[s].delay.is_some_and(|d| d.span >= self.late_at);
         let doubt = !before && (bar..bar / LATE_SHARE).contains(&waits);
         self.delay_told(now, id, waits, doubt);
-        if self.set.may_tell && self.late(now, s) {
-            out.push(Action::TellAll([id.0.to_le_bytes(), waits.to_le_bytes()].concat()));
+        if self.set.gossip_allowed && self.late(now, s) {
+            out.push(Action::Broadcast([id.0.to_le_bytes(), waits.to_le_bytes()].concat()));
         }
     }
 
@@ -951,11 +958,11 @@
         }
         conn.stage = Stage::Held;
         // The client's time is over, whatever was told of it, unless the attempt had a time-out of its own.
-        let late = matches!(outcome, Outcome::Timeout | Outcome::Moot) && !conn.timed;
-        let over = late && self.set.deadline_drift > Micros(0);
+        let late = matches!(outcome, Outcome::Timeout | Outcome::NeverSent) && !conn.timed;
+        let over = late && self.set.deadline_tolerance > Micros(0);
         // What was not sent, or found no connection, is no load on anyone.
-        let saved =
-            self.set.resends.is_none() && !matches!(outcome, Outcome::Unsent | Outcome::ConnectFailed);
+        let saved = self.set.retry_budget.is_none()
+            && !matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
         if over || (saved && self.retry_tokens < 1.0) {
             return self.give_up(&conn, out);
         }
@@ -967,14 +974,14 @@
     /// new work: each failure doubles a pause, until it has kept clear of them for a while.
     fn judge(&mut self, now: Micros, s: usize, conn: &Conn, outcome: Outcome, out: &mut Vec<Action>) {
         use Outcome::*;
-        let harmless = matches!(outcome, Ok | Cancelled | Moot | Unsent);
+        let harmless = matches!(outcome, Ok | Cancelled | NeverSent | NotForwarded);
         if harmless || matches!(conn.stage, Stage::Leaving(_)) {
             return;
         }
         let holds = |id: &RequestId| self.conns.get(id).is_some_and(|conn| !conn.stage.trying());
         let held = self.servers[s].conns.iter().any(holds);
         let dropped_all = outcome == Outcome::Reset && !held;
-        let (server, nodes) = (&mut self.servers[s], f64::from(self.set.balancers));
+        let (server, nodes) = (&mut self.servers[s], f64::from(self.set.node_count));
         server.fell |= outcome == Outcome::ConnectFailed && !held;
         let paused = now < server.paused_until;
         if !paused {
@@ -990,7 +997,7 @@
             server.paused_until = now + pause;
         }
         // The list tells of lost servers seconds later, of a cut link never.
-        server.shut |= dropped_all || matches!(outcome, Outcome::ConnectFailed | Outcome::Full);
+        server.shut |= dropped_all || matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
         let (id, failures) = (server.entry.id, server.failures);
         if !paused && failures == PAUSE_TOLD {
             self.log(Some(id), format!("paused again after {failures} failures, last {outcome:?}"), out);
@@ -1020,12 +1027,13 @@
         }
         self.doubt(now);
         self.weigh_zones(now);
-        if self.set.probes {
+        if self.set.probes_allowed {
             self.probe_gone(now, out);
         }
         let mean = self.mean(now);
         for s in 0..self.servers.len() {
-            let drains = self.servers[s].entry.state == ServerState::Draining && self.set.empty_draining;
+            let drains =
+                self.servers[s].entry.state == EndpointState::Draining && self.set.migrate_from_draining;
             if self.up(now, s) || drains {
                 self.shed(now, s, mean, held < FEW, out);
             }
@@ -1130,7 +1138,7 @@
             excess -= load;
             if let Some(conn) = self.conns.get_mut(&id) {
                 conn.stage = Stage::Leaving(s);
-                out.push(Action::Move(id));
+                out.push(Action::Migrate(id));
             }
         }
     }
--- a/src/policy/record.rs
+++ b/src/policy/record.rs
@@ -64,7 +64,7 @@
             timed: false,
             started: None,
             class: None,
-            told: request.hint.filter(is_load),
+            told: request.expected_load.filter(is_load),
         }
     }
 }
--- a/src/policy/sums.rs
+++ b/src/policy/sums.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::types::{GroupId, Micros, Part, ServerId};
+use crate::types::{GroupId, Micros, RetryBudgetBucket, ServerId};
 
 /// The weight of the newest value in running means.
 const NEWEST: f64 = 0.1;
@@ -45,7 +45,8 @@
     mixed ^ mixed >> 32
 }
 
-/// A lot among servers of these sizes, from a draw that any of them may have: the lowest wins, as much more often as it is larger
+/// A lot among servers of these sizes, from a draw that any of them may have: the lowest wins, as much more
+/// often as it is larger
 /// (exponential draws).
 pub(super) fn lot(draw: u64, size: f64) -> f64 {
     -((draw as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / size
@@ -61,20 +62,25 @@
 /// for requests and as in for attempts, so the count is never laxer than the rule.
 #[derive(Default)]
 pub(super) struct Ledger {
-    pub(super) parts: VecDeque<Part>,
+    pub(super) parts: VecDeque<RetryBudgetBucket>,
     /// Nothing before is known: the start, or what was dropped.
     pub(super) since: Micros,
 }
 
 impl Ledger {
     pub(super) fn add(&mut self, now: Micros, over: Micros, taken: u32, further: u32) {
-        while let Some(part) = self.parts.front().filter(|part| part.to + over < now) {
-            self.since = self.since.max(part.to);
+        while let Some(part) = self.parts.front().filter(|part| part.last_event + over < now) {
+            self.since = self.since.max(part.last_event);
             self.parts.pop_front();
         }
-        match self.parts.back_mut().filter(|part| now < part.from + over.scale(1.0 / PARTS)) {
-            Some(p) => (p.to, p.taken, p.further) = (now, p.taken + taken, p.further + further),
-            None => self.parts.push_back(Part { from: now, to: now, taken, further }),
+        match self.parts.back_mut().filter(|part| now < part.first_event + over.scale(1.0 / PARTS)) {
+            Some(p) => (p.last_event, p.admitted, p.retries) = (now, p.admitted + taken, p.retries + further),
+            None => self.parts.push_back(RetryBudgetBucket {
+                first_event: now,
+                last_event: now,
+                admitted: taken,
+                retries: further,
+            }),
         }
     }
 
@@ -84,9 +90,9 @@
 
     /// Requests taken and further attempts within the span.
     pub(super) fn within(&self, now: Micros, over: Micros) -> (u32, u32) {
-        let within = self.parts.iter().filter(|part| part.to + over >= now);
+        let within = self.parts.iter().filter(|part| part.last_event + over >= now);
         within.fold((0, 0), |(taken, further), part| {
-            (taken + part.taken * u32::from(part.from + over > now), further + part.further)
+            (taken + part.admitted * u32::from(part.first_event + over > now), further + part.retries)
         })
     }
 }
--- a/src/policy/watch.rs
+++ b/src/policy/watch.rs
@@ -1,4 +1,5 @@
-//! What the program round the decisions may look at, and how an instance that only watches is kept in step with the
+//! What the program round the decisions may look at, and how an instance that only watches is kept in step
+//! with the
 //! one that decides. Nothing here decides anything.
 
 use super::*;
@@ -34,16 +35,17 @@
 
     /// Listed servers that draw nothing new now: for people, it decides nothing.
     pub fn avoided(&self, now: Micros) -> usize {
-        let listed = |&s: &usize| self.servers[s].entry.state != ServerState::Gone;
+        let listed = |&s: &usize| self.servers[s].entry.state != EndpointState::Gone;
         let away = |&s: &usize| {
             let server = &self.servers[s];
-            let drains = server.entry.state == ServerState::Draining;
+            let drains = server.entry.state == EndpointState::Draining;
             drains || (server.entry.ready() && (now < server.paused_until || self.late(now, s)))
         };
         (0..self.servers.len()).filter(listed).filter(away).count()
     }
 
-    /// Servers that this node could not reach, or that dropped all it held there or turned work away, until a set-up succeeds.
+    /// Servers that this node could not reach, or that dropped all it held there or turned work away, until a
+    /// set-up succeeds.
     pub fn unreached(&self) -> BTreeSet<ServerId> {
         let shut = self.servers.iter().filter(|server| server.shut || server.fell);
         shut.map(|server| server.entry.id).collect()
@@ -51,18 +53,20 @@
 
     // ---- two processes of one node ----
 
-    /// What was counted of further attempts, for the process that takes this one's place, or nothing where that is not
+    /// What was counted of further attempts, for the process that takes this one's place, or nothing where
+    /// that is not
     /// known. This one makes none from now on.
-    pub fn hand_over(&mut self, now: Micros) -> Option<Vec<Part>> {
-        let over = self.set.resends.map_or(Micros(0), |budget| budget.over);
+    pub fn hand_over(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
+        let over = self.set.retry_budget.map_or(Micros(0), |budget| budget.window);
         let known = self.ledger.known(now, over);
         self.ledger.since = Micros(u64::MAX);
         known.then(|| self.ledger.parts.iter().copied().collect())
     }
 
-    /// Takes over what the process before has counted. Where it told nothing, or this process serves on after one that
+    /// Takes over what the process before has counted. Where it told nothing, or this process serves on after
+    /// one that
     /// was to take its place, no further attempts are made until the span has passed.
-    pub fn inherit(&mut self, now: Micros, told: Option<Vec<Part>>) {
+    pub fn inherit(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>) {
         self.ledger.since = if told.is_some() { Micros(0) } else { now };
         let own = std::mem::take(&mut self.ledger.parts);
         self.ledger.parts = told.into_iter().flatten().chain(own).collect();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -129,7 +129,7 @@
 }
 
 /// Reads the settings.
-pub fn parse(keys: &Keys) -> Result<Settings, SettingsError> {
+pub fn parse(keys: &Keys) -> Result<BalancerSettings, SettingsError> {
     let balancers = keys.read("balancers", "a whole number")?;
     if balancers == 0 {
         return Err(keys.bad("balancers", "0", "one or more"));
@@ -144,35 +144,35 @@
             "of any use while extra.groups is not true",
         ));
     }
-    Ok(Settings {
-        balancers,
-        index: keys.read("index", "a whole number").map(Some).or_else(absent(None))?,
+    Ok(BalancerSettings {
+        node_count: balancers,
+        node_index: keys.read("index", "a whole number").map(Some).or_else(absent(None))?,
         zone: keys.read("my_zone", "a zone's number")?,
         classes: classes(keys)?,
-        must_ask: keys.word(
+        must_subscribe: keys.word(
             "discovery",
             &[("automatic", false), ("subscribe", true)],
             "automatic or subscribe",
         )?,
-        must_ask_in: keys.micros("obligations.must_ask_in").or_else(absent(Micros(0)))?,
+        max_poll_interval: keys.micros("obligations.must_ask_in").or_else(absent(Micros(0)))?,
         max_attempts: keys.read("allowed.max_attempts", "a whole number")?,
-        retry_after: keys.flag("allowed.retry_after")?,
+        retry_after_allowed: keys.flag("allowed.retry_after")?,
         max_retry_after: keys.micros("allowed.max_retry_after").or_else(absent(Micros(0)))?,
-        probes: keys.flag("allowed.probes")?,
-        may_tell: keys.flag("allowed.may_tell")?,
-        weights: keys.word(
+        probes_allowed: keys.flag("allowed.probes")?,
+        gossip_allowed: keys.flag("allowed.may_tell")?,
+        weight_meaning: keys.word(
             "weights",
             &[
-                ("silent", Weights::None),
-                ("nominal", Weights::Size),
-                ("rough", Weights::Size),
-                ("live", Weights::Live),
+                ("silent", WeightMeaning::Ignored),
+                ("nominal", WeightMeaning::NominalCapacity),
+                ("rough", WeightMeaning::NominalCapacity),
+                ("live", WeightMeaning::LiveLoad),
             ],
             "silent, nominal, rough or live",
         )?,
-        tells_delay: keys.flag("extra.tells_delay").or_else(absent(true))?,
+        servers_report_delay: keys.flag("extra.tells_delay").or_else(absent(true))?,
         // The facade asks for it; on the drill, where a break is told at once, it costs more than it gains.
-        empty_draining: false,
+        migrate_from_draining: false,
         groups,
         group_load: group_load.or_else(absent(GROUP_LOAD))?,
         report_fields: (keys.list("load_info.columns").iter())
@@ -181,14 +181,14 @@
                 _ => ReportField::Other,
             })
             .collect(),
-        cold: keys.micros("obligations.cold")?,
-        cold_from: keys.number("obligations.cold_from")?,
-        fall_multiple: keys.number("obligations.fall_multiple")?,
-        overload_for: keys.micros("obligations.overload_for")?,
-        resends: resends(keys)?,
-        deadline_drift: keys.micros("obligations.deadline_drift").or_else(absent(Micros(0)))?,
-        gone_is_advice: keys.flag("obligations.gone_is_advice").or_else(absent(false))?,
-        stamp_doubt: keys.micros("obligations.stamp_doubt").or_else(absent(Micros(0)))?,
+        warm_up: keys.micros("obligations.cold")?,
+        warm_up_initial_capacity: keys.number("obligations.cold_from")?,
+        overload_multiple: keys.number("obligations.fall_multiple")?,
+        overload_window: keys.micros("obligations.overload_for")?,
+        retry_budget: resends(keys)?,
+        deadline_tolerance: keys.micros("obligations.deadline_drift").or_else(absent(Micros(0)))?,
+        removal_is_advisory: keys.flag("obligations.gone_is_advice").or_else(absent(false))?,
+        start_time_tolerance: keys.micros("obligations.stamp_doubt").or_else(absent(Micros(0)))?,
         drain_grace: keys.micros("obligations.stop_sending_within").or_else(absent(Micros(0)))?,
         prices: prices(keys)?,
         tenants: tenants(keys)?,
@@ -213,26 +213,29 @@
     let count: u16 = keys.read("tenants.count", "a whole number").or_else(absent(0))?;
     let number = |i: u16, field: &str| keys.number(&format!("tenants.{i}.{field}")).or_else(absent(0.0));
     let tenant =
-        |i| Ok(TenantSettings { share: number(i, "share")?, quota_per_s: number(i, "quota_per_s")? });
+        |i| Ok(TenantSettings { quota_share: number(i, "share")?, quota_per_s: number(i, "quota_per_s")? });
     (0..count).map(tenant).collect()
 }
 
 /// The budget of further attempts: all three keys or none, as a part of them limits nothing.
-fn resends(keys: &Keys) -> Result<Option<ResendBudget>, SettingsError> {
+fn resends(keys: &Keys) -> Result<Option<RetryBudget>, SettingsError> {
     let [free, ratio, over] =
         ["free_resends", "resend_ratio", "counted_over"].map(|key| format!("obligations.{key}"));
     if [&free, &ratio, &over].iter().all(|key| matches!(keys.text(key), Err(SettingsError::Missing(_)))) {
         return Ok(None);
     }
-    let budget =
-        ResendBudget { free: keys.number(&free)?, ratio: keys.number(&ratio)?, over: keys.micros(&over)? };
-    if budget.free.fract() != 0.0 || budget.free > MOST_RESENDS {
+    let budget = RetryBudget {
+        min_retries: keys.number(&free)?,
+        retry_ratio: keys.number(&ratio)?,
+        window: keys.micros(&over)?,
+    };
+    if budget.min_retries.fract() != 0.0 || budget.min_retries > MOST_RESENDS {
         return Err(keys.bad(&free, keys.text(&free)?, "a whole number up to a million"));
     }
-    if budget.ratio > MOST_RESENDS {
+    if budget.retry_ratio > MOST_RESENDS {
         return Err(keys.bad(&ratio, keys.text(&ratio)?, "a number up to a million"));
     }
-    if budget.over == Micros(0) {
+    if budget.window == Micros(0) {
         return Err(keys.bad(&over, "0", "a span above 0"));
     }
     Ok(Some(budget))
@@ -252,12 +255,12 @@
     let mut classes = Vec::new();
     for i in 0..count {
         let key = |field: &str| format!("classes.{i}.{field}");
-        let group_words = [("all", DedupGroup::All), ("zone", DedupGroup::Zone), ("cell", DedupGroup::Cell)];
+        let group_words = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
         let group = || keys.word(&key("group"), &group_words, "all, zone or cell");
         let semantics = match keys.text(&key("semantics"))? {
-            "retryable" => Semantics::Retryable,
-            "dedup" => Semantics::Dedup(group()?),
-            "fragile" => Semantics::Fragile,
+            "retryable" => Idempotency::Idempotent,
+            "dedup" => Idempotency::Deduplicated(group()?),
+            "fragile" => Idempotency::NotIdempotent,
             other => return Err(keys.bad(&key("semantics"), other, "retryable, dedup or fragile")),
         };
         let message_aim = match message_aims.get(usize::from(i)) {
@@ -268,11 +271,11 @@
             None => None,
         };
         classes.push(ClassSettings {
-            aim: keys.micros(&key("aim"))?,
-            worth: keys.number(&key("worth"))?,
-            semantics,
+            latency_objective: keys.micros(&key("aim"))?,
+            priority_weight: keys.number(&key("worth"))?,
+            idempotency: semantics,
             dedup_window: keys.micros(&key("window")).or_else(absent(Micros(0)))?,
-            message_aim,
+            message_latency_objective: message_aim,
         });
     }
     Ok(classes)
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -56,21 +56,21 @@
 /// What a list of actions does about each request.
 fn answers(actions: &[Action]) -> BTreeMap<RequestId, Option<ServerId>> {
     let answer = |action: &Action| match action {
-        Action::Send(id, server, _) => Some((*id, Some(*server))),
-        Action::Refuse(id, _) | Action::Fail(id) => Some((*id, None)),
+        Action::Forward(id, server, _) => Some((*id, Some(*server))),
+        Action::Reject(id, _) | Action::Fail(id) => Some((*id, None)),
         _ => None,
     };
     actions.iter().filter_map(answer).collect()
 }
 
 fn moves(actions: &[Action]) -> BTreeSet<RequestId> {
-    let moved = |action: &Action| if let Action::Move(id) = action { Some(*id) } else { None };
+    let moved = |action: &Action| if let Action::Migrate(id) = action { Some(*id) } else { None };
     actions.iter().filter_map(moved).collect()
 }
 
 impl Shadow {
     /// An instance that has just started, as the deciding one has.
-    pub fn new(settings: Settings, seed: u64, now: Micros) -> Self {
+    pub fn new(settings: BalancerSettings, seed: u64, now: Micros) -> Self {
         Shadow {
             policy: Policy::new(settings, seed, now),
             actions: Vec::new(),
@@ -84,8 +84,8 @@
     }
 
     /// Other settings for this instance from now on.
-    pub fn renew(&mut self, now: Micros, settings: Settings) {
-        self.policy.handle(now, Event::Settings(Box::new(settings)), &mut self.actions);
+    pub fn renew(&mut self, now: Micros, settings: BalancerSettings) {
+        self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
     }
 
     /// Before the deciding instance takes in an event: chance is to fall alike.
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -1,57 +1,58 @@
-//! Lines of the server list.
+//! Endpoints: the servers of an endpoint list and their states.
 
 use super::id::ServerId;
 use super::time::Micros;
 
-/// What a server list says of one server.
+/// Whether a server may receive work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum ServerState {
-    /// It may be sent new work.
+pub enum EndpointState {
+    /// May receive new work.
     Ready,
-    /// It finishes what it has.
+    /// Finishes the work it has and receives none.
     Draining,
-    /// It serves on: what this node holds there stays, and new work goes elsewhere. No list says so, the cluster does.
-    Aside,
-    /// It is no more.
+    /// Keeps the connections that this node holds there and receives no new work. Discovery never lists this state:
+    /// the node sets it, for a server outside its subset or one whose entry may be out of date.
+    Cordoned,
+    /// Not in service.
     #[default]
     Gone,
 }
 
-/// A line of the server list.
+/// One server of an endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ServerEntry {
+pub struct Endpoint {
     /// The server.
     pub id: ServerId,
     /// Its zone.
     pub zone: u16,
     /// Its cell.
     pub cell: u16,
-    /// Its state.
-    pub state: ServerState,
-    /// Its weight; [`Settings::weights`] tells the meaning.
+    /// Whether it may receive work.
+    pub state: EndpointState,
+    /// Its weight, whose meaning [`super::BalancerSettings::weight_meaning`] tells.
     pub weight: f64,
     /// When it last started; none if long ago.
     pub started: Option<Micros>,
-    /// When the cluster gave it to this node, whose record of it says little until a while after; none if long ago.
+    /// When it joined this node's subset; none if long ago. Until well after that the node's record says little of it.
     pub joined: Option<Micros>,
 }
 
-impl ServerEntry {
-    /// Whether it may be sent new work.
+impl Endpoint {
+    /// Whether it may receive new work.
     pub fn ready(&self) -> bool {
-        self.state == ServerState::Ready
+        self.state == EndpointState::Ready
     }
 }
 
-/// Which list has come.
+/// How an endpoint list relates to the one before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
-    /// Changed lines only.
+pub enum EndpointListKind {
+    /// Changed endpoints only.
     Delta,
-    /// All lines; a server that is missing is gone.
+    /// All endpoints; a server that is missing is gone.
     Full,
-    /// All lines as last held before this start; they may be stale.
+    /// All endpoints as last held before this start; possibly out of date.
     Cached,
-    /// A call failed or the subscription broke; the list held goes on.
+    /// No list: a call failed or the subscription broke. The list held stays in force.
     Failed,
 }
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -11,12 +11,12 @@
 mod time;
 
 pub use action::Action;
-pub use endpoint::{ListKind, ServerEntry, ServerState};
+pub use endpoint::{Endpoint, EndpointListKind, EndpointState};
 pub use event::Event;
 pub use id::{GroupId, RequestId, ServerId, TimerToken};
 pub use request::{Outcome, Request};
 pub use settings::{
-    ClassSettings, DedupGroup, Part, Prices, ReportField, ResendBudget, Semantics, Settings, TenantSettings,
-    Weights,
+    BalancerSettings, ClassSettings, DedupScope, Idempotency, Prices, ReportField, RetryBudget,
+    RetryBudgetBucket, TenantSettings, WeightMeaning,
 };
 pub use time::Micros;
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -2,172 +2,172 @@
 
 use super::time::Micros;
 
-/// Whether a request may be repeated.
+/// Whether a request may be retried after an attempt that may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Semantics {
-    /// Repeating it does no harm.
-    Retryable,
-    /// The servers of one group drop repeats of it for a time.
-    Dedup(DedupGroup),
-    /// It may run once only.
-    Fragile,
+pub enum Idempotency {
+    /// Idempotent: retrying does no harm.
+    Idempotent,
+    /// Has an idempotency key: the servers of this scope drop repeats for a time.
+    Deduplicated(DedupScope),
+    /// May run at most once.
+    NotIdempotent,
 }
 
 /// The servers that drop one another's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DedupGroup {
-    /// All of them.
+pub enum DedupScope {
+    /// All servers.
     All,
-    /// Those of one zone.
+    /// The servers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The servers of one cell.
     Cell,
 }
 
-/// What a class of requests asks for.
+/// The objectives of one class of requests.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// A set-up within this time has its full worth.
-    pub aim: Micros,
-    /// What serving it is worth, beside other classes.
-    pub worth: f64,
-    /// Whether it may be repeated.
-    pub semantics: Semantics,
-    /// How long repeats are dropped, from the sending of the first attempt that may have run.
+    /// The latency objective of connection set-up.
+    pub latency_objective: Micros,
+    /// The priority weight beside other classes.
+    pub priority_weight: f64,
+    /// Whether it may be retried.
+    pub idempotency: Idempotency,
+    /// How long repeats are dropped, from when the first attempt that may have run was forwarded.
     pub dedup_window: Micros,
-    /// The time within which a message on an open connection is wanted, where stated.
-    pub message_aim: Option<Micros>,
+    /// The latency objective of a message on an open connection, where stated.
+    pub message_latency_objective: Option<Micros>,
 }
 
-/// What the weight of a listed server means.
+/// What the weight of a listed endpoint means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Weights {
+pub enum WeightMeaning {
     /// Nothing.
-    None,
-    /// Its size, to a fair degree.
-    Size,
-    /// Its size lowered by what it holds, some time ago: the same late figure for all nodes.
-    Live,
+    Ignored,
+    /// Its capacity, approximately.
+    NominalCapacity,
+    /// Its capacity less its recent load: the same late figure for all nodes.
+    LiveLoad,
 }
 
 /// One figure of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
-    /// Load asked over what the server can do.
+    /// Offered load divided by capacity.
     LoadRatio,
     /// Any other figure.
     Other,
 }
 
-/// How many attempts beyond requests' first ones a node may make (MORE, "Budget for attempts").
+/// The limit of a node's retries within any span of [`RetryBudget::window`].
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ResendBudget {
-    /// So many whatever the traffic.
-    pub free: f64,
-    /// So many more for each request taken.
-    pub ratio: f64,
-    /// Both count over any span of this length.
-    pub over: Micros,
+pub struct RetryBudget {
+    /// Retries allowed whatever the traffic.
+    pub min_retries: f64,
+    /// Retries allowed in addition for each admitted request.
+    pub retry_ratio: f64,
+    /// The length of the sliding window.
+    pub window: Micros,
 }
 
-/// What was counted in a part of such a span.
+/// What was counted in one bucket of a retry budget's sliding window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
-    /// When its first event was.
-    pub from: Micros,
-    /// When its last event was.
-    pub to: Micros,
-    /// Requests taken.
-    pub taken: u32,
-    /// Attempts beyond requests' first.
-    pub further: u32,
+pub struct RetryBudgetBucket {
+    /// The time of its first event.
+    pub first_event: Micros,
+    /// The time of its last event.
+    pub last_event: Micros,
+    /// Admitted requests.
+    pub admitted: u32,
+    /// Retries: attempts beyond requests' first.
+    pub retries: u32,
 }
 
-/// What the operators charge for what a node does, in shares of the service; nothing where none is stated.
+/// What the operators charge for a node's work, as shares of the service; zero where none is stated.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Prices {
-    /// Attempts that cross zones, for each first try.
+    /// Attempts that cross zones, for each request.
     pub cross_zone: f64,
-    /// Moves, for each first try.
+    /// Migrations, for each request.
     pub moves: f64,
-    /// Probes, for each first try.
+    /// Probes, for each request.
     pub probe: f64,
-    /// Work that served nothing, for all the work offered.
+    /// Server work that served nothing, for all the work offered.
     pub waste: f64,
-    /// New connections, for each first try.
+    /// New connections, for each request.
     pub handshake: f64,
-    /// Worth that ended unserved after its aim, for all the worth offered.
+    /// Priority weight that ended unserved after its latency objective, for all that was offered.
     pub late_fail: f64,
 }
 
-/// One who shares the service.
+/// The quota of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// The part of the service that is this tenant's.
-    pub share: f64,
-    /// New requests a second within it, at all nodes together.
+    /// The tenant's quota, as a share of the service.
+    pub quota_share: f64,
+    /// New requests a second within it, over all nodes.
     pub quota_per_s: f64,
 }
 
-/// What an instance is told at its start.
+/// The settings of an instance.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct BalancerSettings {
     /// How many nodes share the servers, this one included.
-    pub balancers: u32,
-    /// This node's number among them, from 0 on, where it is told.
-    pub index: Option<u32>,
+    pub node_count: u32,
+    /// This node's index among them, from 0 on, where stated.
+    pub node_index: Option<u32>,
     /// The zone of this node.
     pub zone: u16,
-    /// The classes of requests, by their number.
+    /// The classes of requests, by index.
     pub classes: Vec<ClassSettings>,
-    /// The server list must be asked for; otherwise changes are pushed.
-    pub must_ask: bool,
-    /// Without a subscription the list must be asked for at least this often.
-    pub must_ask_in: Micros,
-    /// Attempts allowed for a request.
+    /// The endpoint list has to be subscribed to; otherwise changes are pushed.
+    pub must_subscribe: bool,
+    /// The longest interval between polls of the endpoint list while there is no subscription.
+    pub max_poll_interval: Micros,
+    /// Attempts allowed for one request.
     pub max_attempts: u32,
-    /// Final refusals may carry a time after which to come back.
-    pub retry_after: bool,
-    /// The longest such time that a client honours.
+    /// Rejections may carry a Retry-After time.
+    pub retry_after_allowed: bool,
+    /// The longest Retry-After time that a client honours.
     pub max_retry_after: Micros,
     /// Servers may be probed.
-    pub probes: bool,
-    /// Peers may be sent messages.
-    pub may_tell: bool,
-    /// What the weight of a listed server means.
-    pub weights: Weights,
-    /// Servers tell how long messages take; otherwise only set-ups show that.
-    pub tells_delay: bool,
-    /// Clients of a draining server are to be moved before it stops.
-    pub empty_draining: bool,
+    pub probes_allowed: bool,
+    /// Messages may be sent to other nodes.
+    pub gossip_allowed: bool,
+    /// What the weight of a listed endpoint means.
+    pub weight_meaning: WeightMeaning,
+    /// Servers report how long messages take; otherwise only connection set-ups show that.
+    pub servers_report_delay: bool,
+    /// Connections are migrated away from a draining server before it stops.
+    pub migrate_from_draining: bool,
     /// Connections of one group share work.
     pub groups: bool,
-    /// That work on each server that holds any of a group, in usual connections.
+    /// That work on each server that holds any of a group, in typical connections.
     pub group_load: f64,
     /// The figures of a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// A started server is warm after this at most.
-    pub cold: Micros,
-    /// A started server has at least this share of its capacity.
-    pub cold_from: f64,
-    /// A cold server that is sent this multiple of its present capacity ...
-    pub fall_multiple: f64,
-    /// ... for this long falls over.
-    pub overload_for: Micros,
-    /// The limit of further attempts, where one is stated.
-    pub resends: Option<ResendBudget>,
-    /// How far the time left on a request may be off, either way.
-    pub deadline_drift: Micros,
-    /// Only draining binds: a server listed as gone, or left out, that did not drain may still be sent to.
-    pub gone_is_advice: bool,
-    /// How far a listed start may be off, either way.
-    pub stamp_doubt: Micros,
-    /// Sending must stop this long after a drain was told of at the latest; the decisions stop at once.
+    /// The longest time that a started server takes to warm up.
+    pub warm_up: Micros,
+    /// The least share of its capacity that a started server has at once.
+    pub warm_up_initial_capacity: f64,
+    /// The multiple of its present capacity at which a warming-up server fails ...
+    pub overload_multiple: f64,
+    /// ... when it receives that much for this long.
+    pub overload_window: Micros,
+    /// The limit of retries, where one is stated.
+    pub retry_budget: Option<RetryBudget>,
+    /// How far a request's remaining time may be off, either way.
+    pub deadline_tolerance: Micros,
+    /// A server listed as gone, or left out of a full list, may still receive work unless it drained before.
+    pub removal_is_advisory: bool,
+    /// How far a listed start time may be off, either way.
+    pub start_time_tolerance: Micros,
+    /// The time after a drain notice within which forwarding has to stop; the decisions stop at once.
     pub drain_grace: Micros,
-    /// What is charged.
+    /// What the operators charge.
     pub prices: Prices,
-    /// Those who share the service, where shares are stated.
+    /// The tenants, where quotas are stated.
     pub tenants: Vec<TenantSettings>,
-    /// The CPU that decisions may take, in microseconds a second, where stated.
+    /// The CPU time that decisions may take, in microseconds a second, where stated.
     pub cpu_us_per_s: Option<f64>,
 }
