--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -8,11 +8,11 @@
 use support::{Node, class, entry, ms, request, settings};
 
 fn told(node: &mut Node, id: u64, load: f64) {
-    node.event(Event::LoadTold(RequestId(id), load));
+    node.event(Event::LoadReported(RequestId(id), load));
 }
 
 fn late(node: &mut Node, server: u64, span_ms: f64) {
-    node.event(Event::DelayTold(ServerId(server), span_ms));
+    node.event(Event::DelayReported(ServerId(server), span_ms));
 }
 
 /// Passes `n` periods and returns all connections moved.
@@ -52,7 +52,11 @@
     let first = |seed| {
         let mut policy = alderstile::policy::Policy::new(settings(), seed, ms(0));
         let mut actions = Vec::new();
-        policy.handle(ms(1), Event::List(ListKind::Full, (1..=4).map(entry).collect()), &mut actions);
+        policy.handle(
+            ms(1),
+            Event::EndpointList(EndpointListKind::Full, (1..=4).map(entry).collect()),
+            &mut actions,
+        );
         policy.handle(ms(2), Event::Request(request(1)), &mut actions);
         format!("{actions:?}")
     };
@@ -225,7 +229,7 @@
     // Found on an incident: servers at their cap were sent most attempts.
     let mut node = Node::new(settings(), 1);
     node.ask(request(1));
-    node.end(1, Outcome::Full);
+    node.end(1, Outcome::Rejected);
     assert!(node.refused(1).is_some());
     node.ask(request(2));
     assert!(node.refused(2).is_some());
@@ -319,8 +323,8 @@
 #[test]
 fn where_many_nodes_hold_a_group_its_last_own_connection_stays() {
     // Found with 11 nodes: each moved its one connection of a group, freed nothing and began a copy elsewhere.
-    let moved = |balancers: u32| {
-        let mut node = Node::new(Settings { balancers, groups: true, ..settings() }, 2);
+    let moved = |node_count: u32| {
+        let mut node = Node::new(BalancerSettings { node_count, groups: true, ..settings() }, 2);
         for id in 1..=8 {
             let request = Request { group: Some(GroupId(id)), ..request(id) };
             node.ask(request);
@@ -356,12 +360,12 @@
     // Found at size and on days with a slow session store: every repeat went to the back of its queue.
     let mut node = Node::new(settings(), 4);
     node.ask(request(1));
-    assert!(node.last.iter().any(|action| matches!(action, Action::Send(_, _, None))));
+    assert!(node.last.iter().any(|action| matches!(action, Action::Forward(_, _, None))));
 }
 
-fn looking() -> Settings {
+fn looking() -> BalancerSettings {
     let report_fields = vec![ReportField::Other, ReportField::LoadRatio];
-    Settings { balancers: 28, probes: true, report_fields, ..settings() }
+    BalancerSettings { node_count: 28, probes_allowed: true, report_fields, ..settings() }
 }
 
 fn probes(node: &Node) -> Vec<u64> {
@@ -374,7 +378,7 @@
 
 fn told_ratio(node: &mut Node, server: u64, ratio: f64) {
     let report = vec![f64::NAN, ratio];
-    node.event(Event::Probed { server: ServerId(server), outcome: Outcome::Ok, report });
+    node.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
 }
 
 #[test]
@@ -410,7 +414,11 @@
     node.ask(request(3));
     if let [server] = probes(&node)[..] {
         told_ratio(&mut node, server, f64::NAN);
-        node.event(Event::Probed { server: ServerId(server), outcome: Outcome::Timeout, report: Vec::new() });
+        node.event(Event::ProbeCompleted {
+            server: ServerId(server),
+            outcome: Outcome::Timeout,
+            report: Vec::new(),
+        });
     }
     node.pass(ms(60));
     assert!(node.where_is(3).is_some(), "a ratio that is none tells nothing");
@@ -433,16 +441,17 @@
 
 #[test]
 fn absurd_and_repeated_lines_of_a_list_change_nothing_they_should_not() {
-    let mut node = Node::new(Settings { weights: Weights::Size, ..settings() }, 0);
-    let mut lines: Vec<ServerEntry> = (1..=4).chain(1..=4).map(entry).collect();
+    let mut node =
+        Node::new(BalancerSettings { weight_meaning: WeightMeaning::NominalCapacity, ..settings() }, 0);
+    let mut lines: Vec<Endpoint> = (1..=4).chain(1..=4).map(entry).collect();
     for (line, weight) in lines.iter_mut().zip([f64::NAN, f64::INFINITY, -1.0, 0.0].repeat(2)) {
         line.weight = weight;
     }
-    node.list(ListKind::Full, lines);
+    node.list(EndpointListKind::Full, lines);
     node.fill(1, 8);
     assert!(counts(&node, 1..9).values().all(|&n| n == 2), "all count as one");
-    node.list(ListKind::Full, (1..=20_000).map(entry).collect());
-    node.list(ListKind::Full, vec![entry(2)]);
+    node.list(EndpointListKind::Full, (1..=20_000).map(entry).collect());
+    node.list(EndpointListKind::Full, vec![entry(2)]);
     node.ask(request(9));
     assert_eq!(node.where_is(9), Some(2));
 }
@@ -452,9 +461,13 @@
     // Found with 25 nodes: each tore every group anew, and each copy cost its server a mean load.
     let first = |seed: u64, group: u64| {
         let mut policy =
-            alderstile::policy::Policy::new(Settings { groups: true, ..settings() }, seed, ms(0));
+            alderstile::policy::Policy::new(BalancerSettings { groups: true, ..settings() }, seed, ms(0));
         let mut actions = Vec::new();
-        policy.handle(ms(1), Event::List(ListKind::Full, (1..=50).map(entry).collect()), &mut actions);
+        policy.handle(
+            ms(1),
+            Event::EndpointList(EndpointListKind::Full, (1..=50).map(entry).collect()),
+            &mut actions,
+        );
         let request = Request { group: Some(GroupId(group)), ..request(1) };
         policy.handle(ms(2), Event::Request(request), &mut actions);
         format!("{actions:?}")
@@ -469,7 +482,7 @@
     // Found with a node to a host: in a jam each node began each group wherever no message was late, and the copies
     // kept the jam alive. The root of 49 servers and two more is nine, alike at all nodes.
     let grouped = |id| Request { group: Some(GroupId(1)), ..request(id) };
-    let many = Settings { groups: true, balancers: 50, ..settings() };
+    let many = BalancerSettings { groups: true, node_count: 50, ..settings() };
     let mut used = std::collections::BTreeSet::new();
     for seed in 1..=5 {
         let mut node = Node::with_seed(many.clone(), 49, seed);
@@ -516,7 +529,7 @@
 fn where_few_servers_are_late_a_light_connection_leaves_its_group_behind() {
     // Found on small fleets with slow hosts: grouped connections stayed on a late server though all others had room.
     let moved = |others_late: u64| {
-        let mut node = Node::new(Settings { balancers: 8, groups: true, ..settings() }, 20);
+        let mut node = Node::new(BalancerSettings { node_count: 8, groups: true, ..settings() }, 20);
         for id in 1..=8 {
             let grouped = Request { group: Some(GroupId(1)), ..request(id) };
             node.open_as(grouped, 1);
@@ -533,7 +546,7 @@
 fn many_nodes_together_keep_the_budget_of_cold_servers() {
     // Found with 35 nodes: each sent every cold server something soon, and 56 servers fell over.
     let (nodes, warm, cold, held) = (28, 20, 2, 100);
-    let set = Settings { balancers: nodes, ..settings() };
+    let set = BalancerSettings { node_count: nodes, ..settings() };
     let mut nodes: Vec<Node> = (0..nodes).map(|n| Node::with_seed(set.clone(), warm, n.into())).collect();
     for node in &mut nodes {
         (0..held).for_each(|id| node.open(10_000 + id, 1 + id % warm));
@@ -543,8 +556,8 @@
         for (n, node) in nodes.iter_mut().enumerate() {
             if tick == 0 {
                 let started = Some(node.now);
-                let entries = (warm + 1..=warm + cold).map(|id| ServerEntry { started, ..entry(id) });
-                node.list(ListKind::Delta, entries.collect());
+                let entries = (warm + 1..=warm + cold).map(|id| Endpoint { started, ..entry(id) });
+                node.list(EndpointListKind::Delta, entries.collect());
             }
             // Thirty connections a second each, and nothing that is warm can be reached: cold servers draw all.
             node.pass(ms(3 * n as u64));
@@ -579,8 +592,8 @@
 fn many_nodes_that_begin_a_group_on_the_same_cold_server_keep_its_budget() {
     // Found on an incident with 58 nodes: 21 connections of five groups came to one cold server within 2 s, where its
     // life-long work allowed nine, and it fell over.
-    let set = Settings { balancers: 50, groups: true, ..settings() };
-    let cold = ServerEntry { started: Some(ms(1_012_000)), ..entry(50) };
+    let set = BalancerSettings { node_count: 50, groups: true, ..settings() };
+    let cold = Endpoint { started: Some(ms(1_012_000)), ..entry(50) };
     let mut sends = [0; 8];
     for seed in 1..=50 {
         let mut node = Node::with_seed(set.clone(), 49, seed);
@@ -595,7 +608,7 @@
                 node.open_as(grouped(id + 100 * (round + 1)), 1 + (seed + id) % 49);
             }
         }
-        node.list(ListKind::Delta, vec![cold]);
+        node.list(EndpointListKind::Delta, vec![cold]);
         for (second, sent) in sends.iter_mut().enumerate() {
             for i in 0..8 {
                 // Groups that no node holds yet, each on the same few servers at all nodes.
@@ -618,7 +631,7 @@
     node.ask(request(1));
     assert!(node.refused(1).flatten().is_some());
     let mut quiet = settings();
-    quiet.retry_after = false;
+    quiet.retry_after_allowed = false;
     let mut node = Node::new(quiet, 0);
     node.ask(request(1));
     assert_eq!(node.refused(1), Some(None));
@@ -627,7 +640,7 @@
 #[test]
 fn a_fragile_request_that_may_have_run_fails_and_is_not_sent_again() {
     let mut fragile = settings();
-    fragile.classes = vec![class(Semantics::Fragile)];
+    fragile.classes = vec![class(Idempotency::NotIdempotent)];
     let mut node = Node::new(fragile, 3);
     node.ask(request(1));
     node.end(1, Outcome::Timeout);
@@ -640,7 +653,7 @@
 #[test]
 fn a_dedup_request_stays_in_its_cell_and_window() {
     let mut dedup = settings();
-    dedup.classes = vec![class(Semantics::Dedup(DedupGroup::Cell))];
+    dedup.classes = vec![class(Idempotency::Deduplicated(DedupScope::Cell))];
     let mut node = Node::new(dedup, 6);
     node.ask(request(1));
     let first = node.where_is(1);
@@ -655,8 +668,11 @@
 #[test]
 fn nothing_goes_to_a_draining_or_missing_server() {
     let mut node = Node::new(settings(), 3);
-    node.list(ListKind::Delta, vec![ServerEntry { state: ServerState::Draining, ..entry(1) }]);
-    node.list(ListKind::Full, vec![ServerEntry { state: ServerState::Draining, ..entry(1) }, entry(2)]);
+    node.list(EndpointListKind::Delta, vec![Endpoint { state: EndpointState::Draining, ..entry(1) }]);
+    node.list(
+        EndpointListKind::Full,
+        vec![Endpoint { state: EndpointState::Draining, ..entry(1) }, entry(2)],
+    );
     node.fill(1, 12);
     assert_eq!(counts(&node, 1..13).keys().copied().collect::<Vec<_>>(), [2]);
 }
@@ -664,10 +680,10 @@
 #[test]
 fn an_empty_list_refuses_and_a_list_of_one_serves() {
     let mut node = Node::new(settings(), 3);
-    node.list(ListKind::Full, Vec::new());
+    node.list(EndpointListKind::Full, Vec::new());
     node.ask(request(1));
     assert!(node.refused(1).is_some());
-    node.list(ListKind::Full, vec![entry(2)]);
+    node.list(EndpointListKind::Full, vec![entry(2)]);
     node.ask(request(2));
     assert_eq!(node.where_is(2), Some(2));
 }
@@ -689,7 +705,7 @@
     };
     (0..3).for_each(|_| storm(&mut node));
     let started = node.now;
-    node.list(ListKind::Delta, vec![ServerEntry { started: Some(started), ..entry(5) }]);
+    node.list(EndpointListKind::Delta, vec![Endpoint { started: Some(started), ..entry(5) }]);
     (0..10).for_each(|_| storm(&mut node));
     let sends = node.cold_sends(5);
     assert!(!sends.is_empty(), "it is warmed up");
@@ -704,7 +720,7 @@
 #[test]
 fn many_nodes_that_start_together_spread_their_first_calls_for_the_list() {
     // Found with 23 nodes: half of the first calls were turned away within half a second.
-    let set = Settings { balancers: 24, must_ask: true, ..settings() };
+    let set = BalancerSettings { node_count: 24, must_subscribe: true, ..settings() };
     let first = |seed| Node::with_seed(set.clone(), 1, seed).timers.iter().map(|(at, _)| *at).max();
     let begin = ms(1_000_000);
     let after: Vec<Micros> = (0..24).filter_map(first).map(|at| at - begin).collect();
@@ -716,18 +732,18 @@
 #[test]
 fn a_broken_subscription_is_asked_for_again_later_each_time() {
     let mut asked = settings();
-    asked.must_ask = true;
+    asked.must_subscribe = true;
     let mut node = Node::new(asked, 2);
     let mut waits = Vec::new();
     for _ in 0..6 {
         node.timers.clear();
-        node.list(ListKind::Failed, Vec::new());
+        node.list(EndpointListKind::Failed, Vec::new());
         let (at, _) = node.timers[0];
         waits.push(at - node.now);
-        node.list(ListKind::Failed, Vec::new());
+        node.list(EndpointListKind::Failed, Vec::new());
         assert_eq!(node.timers.len(), 1, "one call at a time");
         node.pass(at - node.now);
-        assert!(node.last.contains(&Action::Watch));
+        assert!(node.last.contains(&Action::WatchEndpoints));
     }
     assert!(waits[5] > waits[0]);
     assert!(waits.iter().all(|&wait| wait <= ms(5_000)), "well within the list's own limit");
@@ -740,8 +756,8 @@
     // Found on overloaded days: heavy connections of little worth took the room of many light ones.
     let mut two = settings();
     two.classes = vec![
-        ClassSettings { worth: 5.0, ..class(Semantics::Retryable) },
-        ClassSettings { worth: 1.0, ..class(Semantics::Retryable) },
+        ClassSettings { priority_weight: 5.0, ..class(Idempotency::Idempotent) },
+        ClassSettings { priority_weight: 1.0, ..class(Idempotency::Idempotent) },
     ];
     let mut node = Node::new(two, 1);
     let heavy = |id| Request { class: 1, ..request(id) };
@@ -807,7 +823,7 @@
     // Found with 100 nodes: each held one connection there, an excess of a part of it moved none, and the server
     // stayed late to the end of the day.
     let moved = |seed: u64| {
-        let mut node = Node::with_seed(Settings { balancers: 100, ..settings() }, 4, seed);
+        let mut node = Node::with_seed(BalancerSettings { node_count: 100, ..settings() }, 4, seed);
         node.open(1, 1);
         node.open(2, 2);
         (1..=2).for_each(|id| told(&mut node, id, 100.0));
@@ -824,13 +840,13 @@
 fn hints_teach_the_usual_load() {
     // Found by reading: with hints but no told loads the usual load stayed at one, a millionth of a real one.
     let mut node = Node::new(settings(), 3);
-    let hinted = |id, load| Request { hint: Some(load), ..request(id) };
+    let hinted = |id, load| Request { expected_load: Some(load), ..request(id) };
     for (id, load) in [(1, 60_000.0), (2, 60_000.0), (3, 50_000.0)] {
         node.ask(hinted(id, load));
         node.establish(id);
     }
     node.end(1, Outcome::Ok);
-    // This one brings no hint: it lands on the empty server and counts as a usual connection there.
+    // This one brings no expected_load: it lands on the empty server and counts as a usual connection there.
     node.ask(request(4));
     node.establish(4);
     node.ask(request(5));
@@ -838,12 +854,12 @@
 }
 
 /// Sockets tell no delay of messages; nodes may talk.
-fn untold() -> Settings {
-    Settings { tells_delay: false, may_tell: true, ..settings() }
+fn untold() -> BalancerSettings {
+    BalancerSettings { servers_report_delay: false, gossip_allowed: true, ..settings() }
 }
 
 /// Two nodes whose set-ups usually take 10 ms; the first has just seen one of 200 ms at server 1.
-fn after_a_slow_set_up(settings: Settings) -> (Node, Vec<Vec<u8>>) {
+fn after_a_slow_set_up(settings: BalancerSettings) -> (Node, Vec<Vec<u8>>) {
     let mut node = Node::new(settings, 2);
     for id in 1..=6 {
         node.ask(request(id));
@@ -856,7 +872,7 @@
     assert_eq!(node.where_is(20), Some(1));
     node.establish_after(20, ms(200));
     let told = node.last.iter().filter_map(|action| match action {
-        Action::TellAll(data) => Some(data.clone()),
+        Action::Broadcast(data) => Some(data.clone()),
         _ => None,
     });
     let told = told.collect();
@@ -891,12 +907,12 @@
         node.ask(request(20));
         assert_eq!(node.where_is(20), Some(1));
         node.establish_after(20, ms(60));
-        assert!(node.last.iter().all(|action| !matches!(action, Action::TellAll(_))));
+        assert!(node.last.iter().all(|action| !matches!(action, Action::Broadcast(_))));
         (30..=34).for_each(|id| node.open(id, 1));
         node.ask(request(21));
         assert_eq!(node.where_is(21), Some(1), "its turn at once, though the other is a little lower");
         node.establish_after(21, ms(second));
-        let told = node.last.iter().any(|action| matches!(action, Action::TellAll(_)));
+        let told = node.last.iter().any(|action| matches!(action, Action::Broadcast(_)));
         node.ask(request(22));
         (told, node.where_is(22))
     };
@@ -926,11 +942,11 @@
     let mut absurd = told[0].clone();
     absurd[8..].copy_from_slice(&f64::NAN.to_le_bytes());
     for data in [Vec::new(), told[0][..15].to_vec(), [told[0].clone(), vec![0]].concat(), unknown, absurd] {
-        node.event(Event::Peer(1, data));
+        node.event(Event::PeerMessage(1, data));
     }
     node.ask(request(10));
     assert_eq!(node.where_is(10), Some(1));
-    node.event(Event::Peer(1, told[0].clone()));
+    node.event(Event::PeerMessage(1, told[0].clone()));
     node.ask(request(11));
     assert_eq!(node.where_is(11), Some(2));
 }
@@ -938,7 +954,7 @@
 #[test]
 fn where_no_delay_is_told_each_server_has_a_set_up_now_and_then() {
     // Found on a slow day on sockets with few new clients: none landed on the slow host, so nothing told of it.
-    let second = |settings: Settings| {
+    let second = |settings: BalancerSettings| {
         let mut node = Node::new(settings, 2);
         (1..=10).for_each(|id| node.open(id, 2));
         (11..=20).for_each(|id| node.open(id, 1));
@@ -961,7 +977,7 @@
     // Found with 100 nodes: what a node had sent nothing to since its start was due, which was nearly everything
     // that was warm, and the servers that replaced others got nothing.
     let due = |seed: u64| {
-        let mut node = Node::with_seed(Settings { balancers: 100, ..untold() }, 2, seed);
+        let mut node = Node::with_seed(BalancerSettings { node_count: 100, ..untold() }, 2, seed);
         (1..=10).for_each(|id| node.open(id, 1 + id % 2));
         (1..=10).for_each(|id| told(&mut node, id, if id % 2 == 0 { 100.0 } else { 104.0 }));
         node.ask(request(20));
@@ -979,11 +995,12 @@
     // Found with 100 nodes: the mean that a cold server counts at is a part of a connection, so every server that
     // is empty in the own record came before it until it was warm.
     let landed = |seed: u64| {
-        let mut node = Node::with_seed(Settings { cold_from: 0.9, ..settings() }, 6, seed);
+        let mut node =
+            Node::with_seed(BalancerSettings { warm_up_initial_capacity: 0.9, ..settings() }, 6, seed);
         // Half a connection a server.
         (1..=3).for_each(|id| node.open(id, id));
         let started = Some(node.now);
-        node.list(ListKind::Delta, vec![ServerEntry { started, ..entry(7) }]);
+        node.list(EndpointListKind::Delta, vec![Endpoint { started, ..entry(7) }]);
         node.pass(ms(1_500));
         node.ask(request(200));
         node.where_is(200) == Some(7)
@@ -1001,12 +1018,12 @@
     // Found with 300 nodes (join+mass): each held nothing on 30 of 36 warm servers and had a permit for two of 27
     // new ones, so that of 1,166 connections that moved within two seconds 84 went to new servers.
     let landed = |seed: u64| {
-        let mut node = Node::with_seed(Settings { balancers: 60, ..settings() }, 30, seed);
+        let mut node = Node::with_seed(BalancerSettings { node_count: 60, ..settings() }, 30, seed);
         (1..=15).for_each(|id| node.open(id, id));
         node.pass(ms(10_000));
         let started = Some(node.now);
-        let new = (31..=50).map(|id| ServerEntry { started, ..entry(id) });
-        node.list(ListKind::Delta, new.collect());
+        let new = (31..=50).map(|id| Endpoint { started, ..entry(id) });
+        node.list(EndpointListKind::Delta, new.collect());
         node.pass(ms(1_000));
         node.ask(request(200));
         node.where_is(200).is_some_and(|server| server > 30)
@@ -1018,11 +1035,11 @@
 #[test]
 fn clients_of_a_draining_server_are_told_to_move_before_it_stops() {
     // Asked for by the operators: connections last long, and those that are left break when their server stops.
-    let mut node = Node::new(Settings { empty_draining: true, ..settings() }, 2);
+    let mut node = Node::new(BalancerSettings { migrate_from_draining: true, ..settings() }, 2);
     (1..=8).for_each(|id| node.open(id, 1));
     // An idle connection would break as well.
     (1..=4).for_each(|id| told(&mut node, id, 0.0));
-    node.list(ListKind::Delta, vec![ServerEntry { state: ServerState::Draining, ..entry(1) }]);
+    node.list(EndpointListKind::Delta, vec![Endpoint { state: EndpointState::Draining, ..entry(1) }]);
     assert_eq!(periods(&mut node, 1).len(), 4, "half of them at once, not all");
     assert_eq!(periods(&mut node, 3).len(), 4, "and all soon");
     assert_eq!(counts(&node, 1..9).get(&1), None);
@@ -1031,8 +1048,8 @@
 #[test]
 fn further_attempts_stay_within_the_budget_in_any_span() {
     // Found on nam-profiles, overload: 7 further attempts in 10 s where 35 requests allowed 6.
-    let budget = ResendBudget { free: 2.0, ratio: 0.1, over: ms(1_000) };
-    let mut node = Node::new(Settings { resends: Some(budget), ..settings() }, 4);
+    let budget = RetryBudget { min_retries: 2.0, retry_ratio: 0.1, window: ms(1_000) };
+    let mut node = Node::new(BalancerSettings { retry_budget: Some(budget), ..settings() }, 4);
     // The checker counts each attempt anew; here all that fails asks for one, many at one instant.
     let mut again = 0;
     for id in 1..=400 {
@@ -1052,8 +1069,8 @@
 
 #[test]
 fn a_budget_that_is_new_or_longer_waits_until_its_span_is_known() {
-    let budget = |over| Some(ResendBudget { free: 1.0, ratio: 0.0, over: ms(over) });
-    let mut node = Node::new(Settings { resends: budget(1_000), ..settings() }, 4);
+    let budget = |over| Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: ms(over) });
+    let mut node = Node::new(BalancerSettings { retry_budget: budget(1_000), ..settings() }, 4);
     let tried_again = |node: &mut Node, id| {
         node.ask(request(id));
         node.end(id, Outcome::Error);
@@ -1062,8 +1079,8 @@
     assert!(tried_again(&mut node, 1));
     node.pass(ms(1_500));
     assert!(tried_again(&mut node, 2));
-    node.settings.resends = budget(4_000);
-    node.event(Event::Settings(Box::new(node.settings.clone())));
+    node.settings.retry_budget = budget(4_000);
+    node.event(Event::SettingsChanged(Box::new(node.settings.clone())));
     node.pass(ms(2_000));
     assert!(!tried_again(&mut node, 3), "the second is 2 s back, and the first was dropped from the count");
     node.pass(ms(4_500));
@@ -1072,7 +1089,7 @@
 
 #[test]
 fn a_request_that_looks_expired_is_tried_where_clocks_differ() {
-    let mut node = Node::new(Settings { deadline_drift: ms(3_200), ..settings() }, 2);
+    let mut node = Node::new(BalancerSettings { deadline_tolerance: ms(3_200), ..settings() }, 2);
     node.ask(Request { remaining: ms(0), ..request(1) });
     assert!(node.where_is(1).is_some());
     let mut node = Node::new(settings(), 2);
@@ -1080,8 +1097,9 @@
     assert!(node.refused(1).is_some(), "where they agree it is over");
     // Found by the drill's check on berg-shared: with the drift in the deadline 12 of 998 requests waited for a look until
     // their time was over.
-    let probes = Settings { probes: true, report_fields: vec![ReportField::LoadRatio], ..settings() };
-    let mut node = Node::new(Settings { deadline_drift: ms(3_200), ..probes }, 2);
+    let probes =
+        BalancerSettings { probes_allowed: true, report_fields: vec![ReportField::LoadRatio], ..settings() };
+    let mut node = Node::new(BalancerSettings { deadline_tolerance: ms(3_200), ..probes }, 2);
     node.ask(Request { remaining: ms(60), ..request(1) });
     assert!(node.where_is(1).is_some(), "no wait beyond what is told of its time");
     node.end(1, Outcome::Timeout);
@@ -1091,11 +1109,11 @@
 #[test]
 fn a_start_stamped_too_early_is_cold_until_the_latest_start_possible_is_warm() {
     let sent_to_cold = |stamp_doubt, heard_late| {
-        let mut node = Node::new(Settings { stamp_doubt, ..settings() }, 3);
+        let mut node = Node::new(BalancerSettings { start_time_tolerance: stamp_doubt, ..settings() }, 3);
         node.fill(1, 30);
         let started = Some(node.now - ms(23_000));
         node.pass(heard_late);
-        node.list(ListKind::Delta, vec![ServerEntry { started, ..entry(4) }]);
+        node.list(EndpointListKind::Delta, vec![Endpoint { started, ..entry(4) }]);
         node.fill(100, 12);
         counts(&node, 100..112).get(&4).copied().unwrap_or(0)
     };
@@ -1108,21 +1126,21 @@
 fn nodes_whose_clients_all_come_back_at_one_moment_take_turns_at_a_cold_server() {
     // Found on nam-profiles (hunted deploy day h8132e3): a batch of hosts stopped, and 14 of 19 nodes sent a
     // connection each to the same cold one within 0.17 s, six times what it could do.
-    let set = Settings {
-        balancers: 19,
-        cold: ms(20_000),
-        cold_from: 0.15,
-        fall_multiple: 2.0,
-        overload_for: ms(1_000),
+    let set = BalancerSettings {
+        node_count: 19,
+        warm_up: ms(20_000),
+        warm_up_initial_capacity: 0.15,
+        overload_multiple: 2.0,
+        overload_window: ms(1_000),
         ..settings()
     };
     let mut at: Vec<Micros> = Vec::new();
     for index in 0..19u32 {
-        let index_told = Settings { index: Some(index), ..set.clone() };
+        let index_told = BalancerSettings { node_index: Some(index), ..set.clone() };
         let mut node = Node::with_seed(index_told, 16, u64::from(index) + 1);
         (1..=16).for_each(|id| node.open(id, id));
         let started = Some(node.now);
-        node.list(ListKind::Delta, vec![ServerEntry { started, ..entry(20) }]);
+        node.list(EndpointListKind::Delta, vec![Endpoint { started, ..entry(20) }]);
         for second in 0..19 {
             for id in second * 100 + 100..second * 100 + 130 {
                 node.ask(request(id));
@@ -1201,7 +1219,8 @@
 
 #[test]
 fn a_server_that_stood_still_and_holds_nothing_of_this_nodes_is_probed_for_its_return() {
-    let set = Settings { probes: true, report_fields: vec![ReportField::LoadRatio], ..settings() };
+    let set =
+        BalancerSettings { probes_allowed: true, report_fields: vec![ReportField::LoadRatio], ..settings() };
     let mut node = Node::new(set, 2);
     let mut probed = |peak: f64| {
         late(&mut node, 1, peak);
@@ -1213,7 +1232,7 @@
             probes += node.last.iter().filter(|a| **a == Action::Probe(ServerId(1))).count();
         }
         let report = vec![0.3];
-        node.event(Event::Probed { server: ServerId(1), outcome: Outcome::Ok, report });
+        node.event(Event::ProbeCompleted { server: ServerId(1), outcome: Outcome::Ok, report });
         node.policy.avoided(node.now) == 0 && probes > 0
     };
     assert!(probed(6_300.0), "asked, and back as soon as a report says that it does its work");
@@ -1239,12 +1258,12 @@
 
 #[test]
 fn a_server_that_is_called_gone_is_used_while_it_shows_that_it_runs() {
-    let set = Settings { gone_is_advice: true, probes: true, ..settings() };
-    let gone = |id| ServerEntry { state: ServerState::Gone, ..entry(id) };
-    let draining = |id| ServerEntry { state: ServerState::Draining, ..entry(id) };
+    let set = BalancerSettings { removal_is_advisory: true, probes_allowed: true, ..settings() };
+    let gone = |id| Endpoint { state: EndpointState::Gone, ..entry(id) };
+    let draining = |id| Endpoint { state: EndpointState::Draining, ..entry(id) };
     let mut node = Node::new(set.clone(), 3);
     node.open(1, 1);
-    (1..=3).for_each(|id| node.list(ListKind::Delta, vec![gone(id)]));
+    (1..=3).for_each(|id| node.list(EndpointListKind::Delta, vec![gone(id)]));
     node.ask(request(10));
     assert_eq!(
         node.where_is(10),
@@ -1267,7 +1286,7 @@
     }
     asked.sort_unstable();
     assert_eq!(asked, [1, 2, 3], "so they are asked, and no more than that");
-    node.event(Event::Probed { server: ServerId(2), outcome: Outcome::Ok, report: Vec::new() });
+    node.event(Event::ProbeCompleted { server: ServerId(2), outcome: Outcome::Ok, report: Vec::new() });
     node.ask(request(12));
     node.ask(request(13));
     assert_eq!(node.where_is(12), Some(2), "and what answers is tried");
@@ -1275,19 +1294,19 @@
     // Draining binds, whatever comes after it; elsewhere gone is gone.
     let mut node = Node::new(set.clone(), 1);
     node.open(1, 1);
-    node.list(ListKind::Delta, vec![draining(1)]);
-    node.list(ListKind::Delta, vec![gone(1)]);
+    node.list(EndpointListKind::Delta, vec![draining(1)]);
+    node.list(EndpointListKind::Delta, vec![gone(1)]);
     node.ask(request(2));
     assert!(node.refused(2).is_some());
-    node.list(ListKind::Full, Vec::new());
+    node.list(EndpointListKind::Full, Vec::new());
     node.ask(request(3));
     assert!(node.refused(3).is_some());
-    node.list(ListKind::Delta, vec![entry(1)]);
+    node.list(EndpointListKind::Delta, vec![entry(1)]);
     node.ask(request(4));
     assert_eq!(node.where_is(4), Some(1), "ready again");
-    let mut node = Node::new(Settings { gone_is_advice: false, ..set }, 1);
+    let mut node = Node::new(BalancerSettings { removal_is_advisory: false, ..set }, 1);
     node.open(1, 1);
-    node.list(ListKind::Delta, vec![gone(1)]);
+    node.list(EndpointListKind::Delta, vec![gone(1)]);
     node.ask(request(2));
     assert!(node.refused(2).is_some());
 }
@@ -1296,12 +1315,13 @@
 fn a_list_that_is_wrong_about_one_is_wrong_about_all_that_it_called_gone_with_it() {
     // Found on days with a wrong list: each of 150 nodes probed each of 35 running servers once a second, at 0.09 to 0.22 of
     // the service, though connections stood at some of them all the while.
-    let set = Settings { gone_is_advice: true, probes: true, balancers: 100, ..settings() };
-    let gone = |id| ServerEntry { state: ServerState::Gone, ..entry(id) };
+    let set =
+        BalancerSettings { removal_is_advisory: true, probes_allowed: true, node_count: 100, ..settings() };
+    let gone = |id| Endpoint { state: EndpointState::Gone, ..entry(id) };
     let mut node = Node::new(set, 20);
     node.open(1, 1);
-    node.list(ListKind::Delta, vec![gone(20)]);
-    node.list(ListKind::Delta, (1..=15).map(gone).collect());
+    node.list(EndpointListKind::Delta, vec![gone(20)]);
+    node.list(EndpointListKind::Delta, (1..=15).map(gone).collect());
     let probes = |node: &mut Node, n: u64| -> usize {
         let probe = |a: &&Action| matches!(a, Action::Probe(_));
         (0..n * 10)
@@ -1320,7 +1340,7 @@
     // Nothing of this node's stands there any more: one probe for each request taken, and what answers speaks for all.
     (1..=19).for_each(|id| node.end(id, Outcome::Ok));
     assert!(probes(&mut node, 10) <= 3);
-    node.event(Event::Probed { server: ServerId(4), outcome: Outcome::Ok, report: Vec::new() });
+    node.event(Event::ProbeCompleted { server: ServerId(4), outcome: Outcome::Ok, report: Vec::new() });
     assert_eq!(probes(&mut node, 5), 0);
     for id in 30..50 {
         node.ask(request(id));
@@ -1334,7 +1354,7 @@
     for id in 1..=12 {
         node.open(id, 1 + id % 3);
     }
-    node.list(ListKind::Delta, vec![ServerEntry { state: ServerState::Aside, ..entry(1) }]);
+    node.list(EndpointListKind::Delta, vec![Endpoint { state: EndpointState::Cordoned, ..entry(1) }]);
     for id in 13..=40 {
         node.ask(request(id));
         assert_ne!(node.where_is(id), Some(1), "nothing new");
@@ -1355,7 +1375,7 @@
         node.open(id, 1 + id % 2);
     }
     let joined = Some(node.now);
-    node.list(ListKind::Delta, vec![ServerEntry { joined, ..entry(3) }]);
+    node.list(EndpointListKind::Delta, vec![Endpoint { joined, ..entry(3) }]);
     let landed = |node: &mut Node, ids: std::ops::Range<u64>| {
         ids.filter(|&id| {
             node.ask(request(id));
@@ -1367,7 +1387,7 @@
     let few = landed(&mut node, 41..51);
     assert!((1..=6).contains(&few), "its part, and not all at once: {few}");
     assert_eq!(periods(&mut node, 5), [] as [u64; 0], "the others shed nothing for it");
-    node.pass(node.settings.cold);
+    node.pass(node.settings.warm_up);
     assert!(landed(&mut node, 51..61) >= 8, "the lowest record in the end");
 }
 
@@ -1375,9 +1395,13 @@
 fn ties_fall_by_size() {
     let mut first = [0; 2];
     for seed in 0..400 {
-        let mut node = Node::with_seed(Settings { weights: Weights::Size, ..settings() }, 0, seed);
-        let sizes = [(1, 3.0), (2, 1.0)].map(|(id, weight)| ServerEntry { weight, ..entry(id) });
-        node.list(ListKind::Full, sizes.to_vec());
+        let mut node = Node::with_seed(
+            BalancerSettings { weight_meaning: WeightMeaning::NominalCapacity, ..settings() },
+            0,
+            seed,
+        );
+        let sizes = [(1, 3.0), (2, 1.0)].map(|(id, weight)| Endpoint { weight, ..entry(id) });
+        node.list(EndpointListKind::Full, sizes.to_vec());
         node.ask(request(1));
         first[node.where_is(1).map_or(1, |server| server as usize - 1)] += 1;
     }
@@ -1385,7 +1409,7 @@
 }
 
 /// A node with an attempt out, and the server that it went to.
-fn trying(settings: Settings, servers: u64) -> (Node, u64) {
+fn trying(settings: BalancerSettings, servers: u64) -> (Node, u64) {
     let mut node = Node::new(settings, servers);
     node.ask(request(1));
     let server = node.where_is(1).expect("an attempt");
@@ -1395,34 +1419,35 @@
 #[test]
 fn an_attempt_goes_out_only_where_what_it_was_decided_by_still_holds() {
     // What comes between the decision and the first byte: a connection may take long to come up.
-    let news = |change: fn(&mut ServerEntry)| {
+    let news = |change: fn(&mut Endpoint)| {
         let (mut node, server) = trying(settings(), 2);
         assert!(node.policy.may_go(node.now, RequestId(1)));
         let mut told = entry(server);
         change(&mut told);
-        node.list(ListKind::Delta, vec![told]);
+        node.list(EndpointListKind::Delta, vec![told]);
         node.policy.may_go(node.now, RequestId(1))
     };
     assert!(news(|_| {}));
-    assert!(!news(|entry| entry.state = ServerState::Draining));
-    assert!(!news(|entry| entry.state = ServerState::Gone));
+    assert!(!news(|entry| entry.state = EndpointState::Draining));
+    assert!(!news(|entry| entry.state = EndpointState::Gone));
     assert!(!news(|entry| entry.started = Some(ms(1))), "it has started anew and is cold");
     assert!(!node_after_left(), "the client has left");
-    let advice = Settings { gone_is_advice: true, ..settings() };
+    let advice = BalancerSettings { removal_is_advisory: true, ..settings() };
     let (mut node, server) = trying(advice, 2);
-    node.list(ListKind::Delta, vec![ServerEntry { state: ServerState::Gone, ..entry(server) }]);
+    node.list(EndpointListKind::Delta, vec![Endpoint { state: EndpointState::Gone, ..entry(server) }]);
     assert!(node.policy.may_go(node.now, RequestId(1)), "gone is advice there");
 }
 
 fn node_after_left() -> bool {
     let (mut node, _) = trying(settings(), 2);
-    node.event(Event::ClientGone(RequestId(1)));
+    node.event(Event::ClientDisconnected(RequestId(1)));
     node.policy.may_go(node.now, RequestId(1))
 }
 
 #[test]
 fn a_repeat_goes_out_only_within_its_window() {
-    let dedup = Settings { classes: vec![class(Semantics::Dedup(DedupGroup::All))], ..settings() };
+    let dedup =
+        BalancerSettings { classes: vec![class(Idempotency::Deduplicated(DedupScope::All))], ..settings() };
     let (mut node, server) = trying(dedup, 2);
     node.pass(ms(100));
     node.end(1, Outcome::Reset);
@@ -1439,7 +1464,7 @@
 #[test]
 fn what_was_not_sent_blames_nobody_costs_no_saved_attempt_and_goes_elsewhere() {
     let (mut node, server) = trying(settings(), 2);
-    node.end(1, Outcome::Unsent);
+    node.end(1, Outcome::NotForwarded);
     assert!(node.where_is(1).is_some_and(|other| other != server));
     assert!(node.policy.unreached().is_empty());
     assert_eq!(node.policy.avoided(node.now), 0);
@@ -1447,14 +1472,14 @@
     for id in 2..40 {
         node.ask(request(id));
         let first = node.where_is(id).expect("an attempt");
-        node.end(id, Outcome::Unsent);
+        node.end(id, Outcome::NotForwarded);
         assert!(node.where_is(id).is_some_and(|other| other != first), "request {id}");
     }
     // And it ends: a host is tried no more often than the settings allow.
     let (mut node, _) = trying(settings(), 9);
     for _ in 0..3 {
         assert!(node.where_is(1).is_some());
-        node.end(1, Outcome::Unsent);
+        node.end(1, Outcome::NotForwarded);
     }
     assert_eq!(node.where_is(1), None);
 }
@@ -1462,11 +1487,15 @@
 #[test]
 fn other_settings_loosen_nothing_for_requests_that_came_before() {
     // The class has another effect while the request waits: what either word forbids is not done.
-    for (before, after) in
-        [(Semantics::Fragile, Semantics::Retryable), (Semantics::Retryable, Semantics::Fragile)]
-    {
-        let (mut node, _) = trying(Settings { classes: vec![class(before)], ..settings() }, 2);
-        node.event(Event::Settings(Box::new(Settings { classes: vec![class(after)], ..settings() })));
+    for (before, after) in [
+        (Idempotency::NotIdempotent, Idempotency::Idempotent),
+        (Idempotency::Idempotent, Idempotency::NotIdempotent),
+    ] {
+        let (mut node, _) = trying(BalancerSettings { classes: vec![class(before)], ..settings() }, 2);
+        node.event(Event::SettingsChanged(Box::new(BalancerSettings {
+            classes: vec![class(after)],
+            ..settings()
+        })));
         assert!(node.policy.may_go(node.now, RequestId(1)), "nothing has run yet");
         node.last.clear();
         node.end(1, Outcome::Reset);
@@ -1504,7 +1533,7 @@
     // Found on days on which servers take requests and answer none: each cost its client all of its time.
     let time_out = |node: &Node| {
         node.last.iter().find_map(|action| match action {
-            Action::Send(_, _, time_out) => Some(*time_out),
+            Action::Forward(_, _, time_out) => Some(*time_out),
             _ => None,
         })
     };
@@ -1536,7 +1565,7 @@
     let mut given_up = 0;
     for id in 100..140 {
         node.ask(request(id));
-        while let Some(Action::Send(_, _, Some(_))) = node.last.last() {
+        while let Some(Action::Forward(_, _, Some(_))) = node.last.last() {
             given_up += 1;
             node.pass(ms(300));
             node.end(id, Outcome::Timeout);
@@ -1556,8 +1585,7 @@
         node.establish_after(id, ms(200));
     }
     node.ask(Request { remaining: ms(6_000), ..request(40) });
-    let sent =
-        |action: &Action| matches!(action, Action::Send(_, _, Some(t)) if (700_000..900_000).contains(&t.0));
+    let sent = |action: &Action| matches!(action, Action::Forward(_, _, Some(t)) if (700_000..900_000).contains(&t.0));
     assert!(node.last.iter().any(sent), "four usual set-ups: {:?}", node.last);
 }
 
@@ -1566,7 +1594,7 @@
     let spread = |cross_zone: f64| {
         let prices = Prices { cross_zone, ..Prices::default() };
         // Servers 2 and 4 are in zone 0, as the node is.
-        let mut node = Node::new(Settings { prices, ..settings() }, 4);
+        let mut node = Node::new(BalancerSettings { prices, ..settings() }, 4);
         node.fill(1, 80);
         let counts = counts(&node, 1..81);
         assert_eq!(periods(&mut node, 6), Vec::<u64>::new(), "what landed so is no excess");
@@ -1605,13 +1633,13 @@
         let of = |ids: [u64; 2]| ids.iter().map(|id| counts.get(id).copied().unwrap_or(0)).sum::<usize>();
         (of([2, 4]), of([1, 3]))
     };
-    let mut node = Node::new(Settings { prices, ..settings() }, 4);
+    let mut node = Node::new(BalancerSettings { prices, ..settings() }, 4);
     let started = Some(node.now);
-    node.list(ListKind::Delta, vec![ServerEntry { started, ..entry(5) }]);
+    node.list(EndpointListKind::Delta, vec![Endpoint { started, ..entry(5) }]);
     node.fill(1, 80);
     let (near, far) = near_and_far(&node);
     assert!(near.abs_diff(far) <= 2, "{near} near, {far} far");
-    let mut node = Node::new(Settings { prices, groups: true, ..settings() }, 4);
+    let mut node = Node::new(BalancerSettings { prices, groups: true, ..settings() }, 4);
     node.fill(1, 80);
     assert_eq!(near_and_far(&node), (40, 40));
 }
--- a/tests/shadow.rs
+++ b/tests/shadow.rs
@@ -1,6 +1,6 @@
 //! The watching instance changes nothing, and counts what it would have done otherwise.
 
-use alderstile::facade::{Answer, Ask, Facade};
+use alderstile::facade::{Balancer, ConnectionRequest, Verdict};
 use alderstile::shadow::{Differences, Shadow};
 use alderstile::types::*;
 use proptest::prelude::*;
@@ -11,12 +11,12 @@
 /// Plays a script of small numbers: what the deciding instance answers and does, and what was counted.
 fn play(
     script: &[(u8, u8, u8)],
-    set: &Settings,
-    shadow: Option<Settings>,
+    set: &BalancerSettings,
+    shadow: Option<BalancerSettings>,
 ) -> (Vec<String>, Option<Differences>) {
     let mut now = ms(1_000_000);
-    let mut facade = Facade::watched(set.clone(), shadow, 7, now);
-    facade.report_list(now, ListKind::Full, (1..=9).map(entry).collect());
+    let mut facade = Balancer::watched(set.clone(), shadow, 7, now);
+    facade.report_list(now, EndpointListKind::Full, (1..=9).map(entry).collect());
     let (mut told, mut open) = (Vec::new(), Vec::<(RequestId, ServerId)>::new());
     for &(what, which, value) in script {
         now = now + ms(u64::from(value));
@@ -24,14 +24,20 @@
         match (what % 8, chosen) {
             (0..=2, _) => {
                 let group = Some(GroupId(1 + u64::from(which % 5)));
-                let ask = Ask { class: 0, group, key: None, hint: None, remaining: ms(1_200) };
+                let ask = ConnectionRequest {
+                    class: 0,
+                    group,
+                    key: None,
+                    expected_load: None,
+                    remaining: ms(1_200),
+                };
                 let (id, mut answer) = facade.pick(now, ask);
                 told.push(format!("{answer:?}"));
-                if let (Answer::Try(server, _), 0) = (answer, value % 4) {
+                if let (Verdict::Forward(server, _), 0) = (answer, value % 4) {
                     answer = facade.report_failed(now, id, server, Outcome::Error);
                     told.push(format!("{answer:?}"));
                 }
-                if let Answer::Try(server, _) = answer {
+                if let Verdict::Forward(server, _) = answer {
                     facade.report_up(now, id, ms(u64::from(value)));
                     open.push((id, server));
                 }
@@ -51,10 +57,10 @@
                 facade.report_load(now, id, server, f64::from(value) * 400.0);
             }
             (6, _) => {
-                let state =
-                    [ServerState::Ready, ServerState::Draining, ServerState::Gone][usize::from(value % 3)];
-                let entries = vec![ServerEntry { state, ..entry(1 + u64::from(which % 9)) }];
-                facade.report_list(now, ListKind::Delta, entries);
+                let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
+                    [usize::from(value % 3)];
+                let entries = vec![Endpoint { state, ..entry(1 + u64::from(which % 9)) }];
+                facade.report_list(now, EndpointListKind::Delta, entries);
             }
             _ => {
                 now = now + ms(1_000);
@@ -75,8 +81,8 @@
     (told, facade.differences())
 }
 
-fn new_shape() -> Settings {
-    Settings { balancers: 50, groups: true, ..settings() }
+fn new_shape() -> BalancerSettings {
+    BalancerSettings { node_count: 50, groups: true, ..settings() }
 }
 
 proptest! {
@@ -110,11 +116,13 @@
     assert_eq!(counted.total(), counted.elsewhere, "{counted}");
     // With no attempt allowed everything is turned away.
     let set = settings();
-    let mut facade = Facade::watched(set, Some(Settings { max_attempts: 0, ..settings() }), 7, ms(0));
-    facade.report_list(ms(0), ListKind::Full, (1..=9).map(entry).collect());
-    let ask = Ask { class: 0, group: None, key: None, hint: None, remaining: ms(1_200) };
+    let mut facade =
+        Balancer::watched(set, Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, ms(0));
+    facade.report_list(ms(0), EndpointListKind::Full, (1..=9).map(entry).collect());
+    let ask =
+        ConnectionRequest { class: 0, group: None, key: None, expected_load: None, remaining: ms(1_200) };
     for _ in 0..3 {
-        assert!(matches!(facade.pick(ms(1), ask).1, Answer::Try(..)));
+        assert!(matches!(facade.pick(ms(1), ask).1, Verdict::Forward(..)));
     }
     let counted = facade.differences().expect("watched");
     assert_eq!((counted.turned_away, counted.total()), (3, 3), "{counted}");
@@ -124,16 +132,18 @@
 fn the_second_instance_holds_clients_where_they_really_are() {
     // It turns all of them away, and still knows whom it would move from a server that drains.
     let mut now = ms(1_000);
-    let mut facade = Facade::watched(settings(), Some(Settings { max_attempts: 0, ..settings() }), 7, now);
-    facade.report_list(now, ListKind::Full, (1..=2).map(entry).collect());
-    let ask = Ask { class: 0, group: None, key: None, hint: None, remaining: ms(1_200) };
+    let mut facade =
+        Balancer::watched(settings(), Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, now);
+    facade.report_list(now, EndpointListKind::Full, (1..=2).map(entry).collect());
+    let ask =
+        ConnectionRequest { class: 0, group: None, key: None, expected_load: None, remaining: ms(1_200) };
     for _ in 0..4 {
         let (id, answer) = facade.pick(now, ask);
-        assert!(matches!(answer, Answer::Try(..)));
+        assert!(matches!(answer, Verdict::Forward(..)));
         facade.report_up(now, id, ms(5));
     }
-    let draining = ServerEntry { state: ServerState::Draining, ..entry(1) };
-    facade.report_list(now, ListKind::Delta, vec![draining]);
+    let draining = Endpoint { state: EndpointState::Draining, ..entry(1) };
+    facade.report_list(now, EndpointListKind::Delta, vec![draining]);
     now = now + ms(1_000);
     assert_eq!(facade.tick(now).moves.len(), 1, "half of two");
     let counted = facade.differences().expect("watched");
@@ -143,10 +153,10 @@
 #[test]
 fn a_client_that_only_the_second_instance_would_move_stays_and_counts_again() {
     let mut shadow = Shadow::new(settings(), 7, ms(0));
-    shadow.watch(ms(0), Event::List(ListKind::Full, (1..=2).map(entry).collect()), &[]);
-    (1..=4).for_each(|id| shadow.watch(ms(0), Event::Open(request(id), ServerId(1)), &[]));
+    shadow.watch(ms(0), Event::EndpointList(EndpointListKind::Full, (1..=2).map(entry).collect()), &[]);
+    (1..=4).for_each(|id| shadow.watch(ms(0), Event::ExistingConnection(request(id), ServerId(1)), &[]));
     for (second, moved) in [(1, 2), (2, 4)] {
-        shadow.watch(ms(second * 1_000), Event::DelayTold(ServerId(1), 900.0), &[]);
+        shadow.watch(ms(second * 1_000), Event::DelayReported(ServerId(1), 900.0), &[]);
         shadow.watch(ms(second * 1_000), Event::Timer(TimerToken(0)), &[]);
         assert_eq!(shadow.differences().moved, moved, "half of four, each time");
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -10,37 +10,43 @@
     Micros::from_millis(ms)
 }
 
-pub fn class(semantics: Semantics) -> ClassSettings {
-    ClassSettings { aim: ms(300), worth: 1.0, semantics, dedup_window: ms(1_000), message_aim: Some(ms(100)) }
+pub fn class(idempotency: Idempotency) -> ClassSettings {
+    ClassSettings {
+        latency_objective: ms(300),
+        priority_weight: 1.0,
+        idempotency,
+        dedup_window: ms(1_000),
+        message_latency_objective: Some(ms(100)),
+    }
 }
 
-pub fn settings() -> Settings {
-    Settings {
-        balancers: 2,
-        index: None,
+pub fn settings() -> BalancerSettings {
+    BalancerSettings {
+        node_count: 2,
+        node_index: None,
         zone: 0,
-        classes: vec![class(Semantics::Retryable)],
-        must_ask: false,
-        must_ask_in: ms(10_000),
+        classes: vec![class(Idempotency::Idempotent)],
+        must_subscribe: false,
+        max_poll_interval: ms(10_000),
         max_attempts: 3,
-        retry_after: true,
+        retry_after_allowed: true,
         max_retry_after: ms(1_000),
-        probes: false,
-        may_tell: false,
-        weights: Weights::None,
-        tells_delay: true,
-        empty_draining: false,
+        probes_allowed: false,
+        gossip_allowed: false,
+        weight_meaning: WeightMeaning::Ignored,
+        servers_report_delay: true,
+        migrate_from_draining: false,
         groups: false,
         group_load: 3.0,
         report_fields: Vec::new(),
-        cold: ms(10_000),
-        cold_from: 0.25,
-        fall_multiple: 3.0,
-        overload_for: ms(2_000),
-        resends: None,
-        deadline_drift: ms(0),
-        gone_is_advice: false,
-        stamp_doubt: ms(0),
+        warm_up: ms(10_000),
+        warm_up_initial_capacity: 0.25,
+        overload_multiple: 3.0,
+        overload_window: ms(2_000),
+        retry_budget: None,
+        deadline_tolerance: ms(0),
+        removal_is_advisory: false,
+        start_time_tolerance: ms(0),
         drain_grace: ms(0),
         prices: Prices::default(),
         tenants: Vec::new(),
@@ -48,12 +54,12 @@
     }
 }
 
-pub fn entry(id: u64) -> ServerEntry {
-    ServerEntry {
+pub fn entry(id: u64) -> Endpoint {
+    Endpoint {
         id: ServerId(id),
         zone: (id % 2) as u16,
         cell: (id % 3) as u16,
-        state: ServerState::Ready,
+        state: EndpointState::Ready,
         weight: 1.0,
         started: None,
         joined: None,
@@ -65,7 +71,7 @@
         id: RequestId(id),
         class: 0,
         group: None,
-        hint: None,
+        expected_load: None,
         remaining: ms(1_200),
         key: None,
         mid_flow: false,
@@ -87,10 +93,10 @@
 pub struct Node {
     pub policy: Policy,
     pub now: Micros,
-    pub settings: Settings,
+    pub settings: BalancerSettings,
     held: BTreeMap<RequestId, Held>,
     ended: BTreeSet<RequestId>,
-    listed: BTreeMap<ServerId, ServerEntry>,
+    listed: BTreeMap<ServerId, Endpoint>,
     cold_sends: BTreeMap<ServerId, Vec<Micros>>,
     pub timers: Vec<(Micros, TimerToken)>,
     pub last: Vec<Action>,
@@ -104,11 +110,11 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, servers: u64) -> Self {
+    pub fn new(settings: BalancerSettings, servers: u64) -> Self {
         Self::with_seed(settings, servers, 7)
     }
 
-    pub fn with_seed(settings: Settings, servers: u64, seed: u64) -> Self {
+    pub fn with_seed(settings: BalancerSettings, servers: u64, seed: u64) -> Self {
         let now = ms(1_000_000);
         let mut actions = Vec::new();
         let mut policy = Policy::new(settings.clone(), seed, now);
@@ -129,23 +135,23 @@
             drains: BTreeSet::new(),
         };
         node.check(actions);
-        node.list(ListKind::Full, (1..=servers).map(entry).collect());
+        node.list(EndpointListKind::Full, (1..=servers).map(entry).collect());
         node
     }
 
-    pub fn list(&mut self, kind: ListKind, entries: Vec<ServerEntry>) {
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
-            self.listed.values_mut().for_each(|e| e.state = ServerState::Gone);
+    pub fn list(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) {
+        if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
+            self.listed.values_mut().for_each(|e| e.state = EndpointState::Gone);
         }
         for entry in &entries {
             self.listed.insert(entry.id, *entry);
             match entry.state {
-                ServerState::Draining => self.drains.insert(entry.id),
-                ServerState::Ready => self.drains.remove(&entry.id),
-                ServerState::Gone | ServerState::Aside => false,
+                EndpointState::Draining => self.drains.insert(entry.id),
+                EndpointState::Ready => self.drains.remove(&entry.id),
+                EndpointState::Gone | EndpointState::Cordoned => false,
             };
         }
-        self.event(Event::List(kind, entries));
+        self.event(Event::EndpointList(kind, entries));
     }
 
     pub fn event(&mut self, event: Event) {
@@ -167,7 +173,7 @@
     pub fn open_as(&mut self, request: Request, server: u64) {
         let held = Held { out_at: Some(ServerId(server)), open: true, ..Held::default() };
         self.held.insert(request.id, held);
-        self.event(Event::Open(request, ServerId(server)));
+        self.event(Event::ExistingConnection(request, ServerId(server)));
     }
 
     pub fn establish(&mut self, id: u64) {
@@ -204,7 +210,7 @@
         if self.held.remove(&RequestId(id)).is_some() {
             self.ended.insert(RequestId(id));
         }
-        self.event(Event::ClientGone(RequestId(id)));
+        self.event(Event::ClientDisconnected(RequestId(id)));
     }
 
     /// Lets time pass and wakes each timer in its turn.
@@ -237,14 +243,14 @@
 
     pub fn refused(&self, id: u64) -> Option<Option<Micros>> {
         self.last.iter().find_map(|action| match action {
-            Action::Refuse(r, wait) if r.0 == id => Some(*wait),
+            Action::Reject(r, wait) if r.0 == id => Some(*wait),
             _ => None,
         })
     }
 
     pub fn moves(&self) -> Vec<u64> {
         let moved = |action: &Action| match action {
-            Action::Move(id) => Some(id.0),
+            Action::Migrate(id) => Some(id.0),
             _ => None,
         };
         self.last.iter().filter_map(moved).collect()
@@ -265,17 +271,17 @@
     fn check(&mut self, actions: Vec<Action>) {
         for action in &actions {
             match action {
-                Action::Send(id, server, time_out) => self.check_send(*id, *server, *time_out),
-                Action::Refuse(id, wait) => {
+                Action::Forward(id, server, time_out) => self.check_send(*id, *server, *time_out),
+                Action::Reject(id, wait) => {
                     assert!(
-                        self.settings.retry_after || wait.is_none(),
+                        self.settings.retry_after_allowed || wait.is_none(),
                         "a retry-after where none is allowed"
                     );
                     assert!(wait.is_none_or(|w| w <= self.settings.max_retry_after));
                     let held = self.answer(*id);
                     let class = &self.settings.classes[usize::from(held.class)];
-                    let harmless = match class.semantics {
-                        Semantics::Retryable | Semantics::Dedup(DedupGroup::All) => true,
+                    let harmless = match class.idempotency {
+                        Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All) => true,
                         _ => held.ran.is_none(),
                     };
                     assert!(harmless, "refused {id:?}, which may have run");
@@ -283,16 +289,16 @@
                 Action::Fail(id) => {
                     self.answer(*id);
                 }
-                Action::Move(id) => {
+                Action::Migrate(id) => {
                     let held = self.held.remove(id).expect("a connection that is held");
                     assert!(held.open, "moved {id:?}, which is not open");
                     self.leaving.extend(held.out_at.map(|server| (*id, server)));
                     self.ended.insert(*id);
                 }
                 Action::SetTimer(after, token) => self.timers.push((self.now + *after, *token)),
-                Action::Probe(_) => assert!(self.settings.probes),
-                Action::TellAll(data) => assert!(self.settings.may_tell && data.len() <= 256),
-                Action::Watch => assert!(self.settings.must_ask),
+                Action::Probe(_) => assert!(self.settings.probes_allowed),
+                Action::Broadcast(data) => assert!(self.settings.gossip_allowed && data.len() <= 256),
+                Action::WatchEndpoints => assert!(self.settings.must_subscribe),
                 Action::Log(_, line) => assert!(line.len() < 200),
             }
         }
@@ -322,18 +328,18 @@
         let held = self.held.get_mut(&id).unwrap_or_else(|| panic!("{id:?} sent though not held"));
         assert!(held.out_at.is_none(), "two attempts of {id:?} at once");
         held.attempts += 1;
-        if let Some(budget) = self.settings.resends.filter(|_| held.attempts > 1) {
+        if let Some(budget) = self.settings.retry_budget.filter(|_| held.attempts > 1) {
             // A plain recount: what lies exactly one span back is out for requests and in for attempts.
             self.further.push(self.now);
-            let further = self.further.iter().filter(|&&at| at + budget.over >= self.now).count() as f64;
-            let taken = self.taken.iter().filter(|&&at| at + budget.over > self.now).count() as f64;
-            let allowed = budget.free + budget.ratio * taken;
+            let further = self.further.iter().filter(|&&at| at + budget.window >= self.now).count() as f64;
+            let taken = self.taken.iter().filter(|&&at| at + budget.window > self.now).count() as f64;
+            let allowed = budget.min_retries + budget.retry_ratio * taken;
             assert!(further <= allowed, "{further} further attempts where {allowed} are allowed");
         }
         assert!(held.attempts <= self.settings.max_attempts);
         held.out_at = Some(server);
         held.sent = self.now;
-        if entry.started.is_some_and(|started| self.now < started + self.settings.cold) {
+        if entry.started.is_some_and(|started| self.now < started + self.settings.warm_up) {
             self.cold_sends.entry(server).or_default().push(self.now);
         }
     }
@@ -341,22 +347,22 @@
     /// Whether the list, and what an attempt may have done before, let a request go to a server now.
     fn check_lawful(&self, id: RequestId, server: ServerId) {
         let entry = *self.listed.get(&server).expect("a server of the list");
-        let advice = self.settings.gone_is_advice && entry.state == ServerState::Gone;
-        let free = entry.state == ServerState::Ready || (advice && !self.drains.contains(&server));
+        let advice = self.settings.removal_is_advisory && entry.state == EndpointState::Gone;
+        let free = entry.state == EndpointState::Ready || (advice && !self.drains.contains(&server));
         assert!(free, "sent to {server}, which is not ready");
         let held = self.held.get(&id).unwrap_or_else(|| panic!("{id:?} sent though not held"));
         let class = &self.settings.classes[usize::from(held.class)];
         if let Some((first, sent)) = held.ran {
             let first = self.listed[&first];
-            match class.semantics {
-                Semantics::Retryable => {}
-                Semantics::Fragile => panic!("{id:?} sent again though it may have run"),
-                Semantics::Dedup(group) => {
+            match class.idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NotIdempotent => panic!("{id:?} sent again though it may have run"),
+                Idempotency::Deduplicated(group) => {
                     assert!(self.now < sent + class.dedup_window, "{id:?} sent again after its window");
                     assert!(match group {
-                        DedupGroup::All => true,
-                        DedupGroup::Zone => first.zone == entry.zone,
-                        DedupGroup::Cell => first.cell == entry.cell,
+                        DedupScope::All => true,
+                        DedupScope::Zone => first.zone == entry.zone,
+                        DedupScope::Cell => first.cell == entry.cell,
                     });
                 }
             }
