--- a/crates/alderstile-cluster/tests/model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use alderstile::types::Micros;
-use alderstile_cluster::members::*;
+use alderstile_cluster::membership::*;
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
@@ -106,10 +106,10 @@
             digest: 1,
             facts: [].into(),
         };
-        let seal = Seal::new("model", &[b"a key that is long enough".to_vec()]).expect("a seal");
+        let codec = DatagramCodec::new("model", &[b"a key that is long enough".to_vec()]).expect("a codec");
         let settings = Settings::with_period(Micros::from_millis(1_000));
         let seeds = (0..NODES).map(address).collect();
-        self.members[node] = Some(Members::new(settings, seal, me, seeds, self.sessions, self.now));
+        self.members[node] = Some(Members::new(settings, codec, me, seeds, self.sessions, self.now));
     }
 
     /// Carries what is sent, to those that run and are on the same side.
@@ -310,7 +310,7 @@
     search(128, 48);
 }
 
-/// A longer search, by hand: `VIEWS_CASES=10000 VIEWS_SEED=1 cargo test --release -p alderstile-cluster --test model --
+/// A longer search, by hand: `VIEWS_CASES=10000 VIEWS_SEED=1 cargo test --release -p alderstile-cluster --test membership_model --
 /// --ignored --nocapture`; each of four threads plays a quarter of the cases with a seed of its own.
 #[test]
 #[ignore = "a search by chance, run by hand"]
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -10,16 +10,16 @@
 use alderstile::types::{
     BalancerSettings, Endpoint, EndpointListKind, EndpointState, Micros, RequestId, ServerId, WeightMeaning,
 };
-use alderstile_cluster::choices::Choices;
-use alderstile_cluster::subsets::Node as Peer;
+use alderstile_cluster::host_assignment::Choices;
+use alderstile_cluster::subsetting::Node as Peer;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use tracing::{info, warn};
 
 use crate::clock::Clock;
 use crate::config::{Config, Current};
-use crate::lease::Lease;
-use crate::list::{Health, Host, List, server_id};
+use crate::discovery::endpoint_list::{Health, Host, List, server_id};
+use crate::discovery::lease::Lease;
 
 /// How often it is told what the watching instance would have done otherwise.
 const SHADOW_EVERY: Micros = Micros::from_millis(10_000);
