--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -89,10 +89,10 @@
     assert_eq!(config.zones, ["a", "b"]);
     assert_eq!((config.connect_timeout.as_millis(), config.stop_within.as_millis()), (240, 1_900));
     assert_eq!(config.pushed.map(|grace| grace.0), Some(600_000));
-    assert_eq!((config.settings.must_ask, config.settings.must_ask_in.0), (true, 200_000));
-    assert_eq!((config.settings.balancers, config.settings.group_load), (2, 2.5));
+    assert_eq!((config.settings.must_subscribe, config.settings.max_poll_interval.0), (true, 200_000));
+    assert_eq!((config.settings.node_count, config.settings.group_load), (2, 2.5));
     let shadow = config.shadow.expect("on");
-    assert_eq!((shadow.balancers, shadow.group_load), (50, 3.5));
+    assert_eq!((shadow.node_count, shadow.group_load), (50, 3.5));
     let mut told = every_key();
     let known = told.as_object_mut().and_then(|fields| fields.remove("known"));
     assert_eq!(config.told, told);
