--- a/crates/alderstile-node/src/admin/maintenance_store.rs
+++ b/crates/alderstile-node/src/admin/maintenance_store.rs
@@ -1,4 +1,4 @@
-//! What operators said of hosts, kept on disk for the next process of this node.
+//! Hosts that operators took out of service or put back, kept on disk for the next process of this node.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -7,103 +7,132 @@
 use alderstile::facade::Balancer;
 use alderstile::types::{Micros, ServerId};
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 use tracing::{info, warn};
 
-/// The form of the file; another one is not read.
-const VERSION: u32 = 1;
-/// A host that came back longer ago than this is as any other: far above any warm-up.
-const FORGOTTEN: Micros = Micros::from_millis(3_600_000);
+use crate::state_file;
 
-/// Where a host stands by hand.
+/// The version of the file's format; a file of another one is not read.
+const FORMAT_VERSION: u32 = 1;
+/// A host that returned longer ago is an ordinary one again, and its entry goes: far above any warm-up.
+const RETURN_REMEMBERED: Micros = Micros::from_millis(3_600_000);
+
+/// What an operator decided about a host. The names in the file and between processes are the operators' words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "lowercase")]
-pub enum Stand {
-    /// Out.
-    Out,
-    /// Put back then, in microseconds of the node's clock.
-    Back(u64),
+pub enum MaintenanceState {
+    /// Nothing new goes to it.
+    #[serde(rename = "out")]
+    OutOfService,
+    /// It was put back at this time, in microseconds of the node's clock; it warms up from then on.
+    #[serde(rename = "back")]
+    ReturnedAt(u64),
 }
 
-impl Stand {
+impl MaintenanceState {
     /// Tells the decisions.
-    pub fn apply(self, facade: &mut Balancer, now: Micros, host: ServerId) {
+    pub fn apply(self, balancer: &mut Balancer, now: Micros, host: ServerId) {
         match self {
-            Stand::Out => facade.take_out(now, host),
-            Stand::Back(since) => {
-                facade.take_out(now, host);
-                facade.put_back(now, host, Micros(since));
+            MaintenanceState::OutOfService => balancer.take_out(now, host),
+            MaintenanceState::ReturnedAt(since) => {
+                balancer.take_out(now, host);
+                balancer.put_back(now, host, Micros(since));
             }
         }
     }
+
+    /// Whether a host returned so long ago that its entry is of no more use.
+    fn is_obsolete(self, now: Micros) -> bool {
+        matches!(self, MaintenanceState::ReturnedAt(since) if Micros(since) + RETURN_REMEMBERED < now)
+    }
+}
+
+/// Why a file of an earlier process is not used.
+#[derive(Debug, Error)]
+enum LoadError {
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    #[error("version {0}")]
+    FormatVersion(u32),
 }
 
-/// Where hosts stand that operators have named.
+/// The hosts that operators named, and what they decided about each.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
-    version: u32,
-    hosts: BTreeMap<String, Stand>,
+pub struct MaintenanceStore {
+    #[serde(rename = "version")]
+    format_version: u32,
+    hosts: BTreeMap<String, MaintenanceState>,
 }
 
-impl Kept {
-    /// The hosts, and where they stand.
-    pub fn hosts(&self) -> impl Iterator<Item = (&str, Stand)> {
-        self.hosts.iter().map(|(host, stand)| (host.as_str(), *stand))
+impl MaintenanceStore {
+    /// The hosts by name, and the state of each.
+    pub fn hosts(&self) -> impl Iterator<Item = (&str, MaintenanceState)> {
+        self.hosts.iter().map(|(host, state)| (host.as_str(), *state))
     }
 
-    /// A host stands elsewhere from now on.
-    pub fn set(&mut self, host: &str, stand: Stand, now: Micros) {
-        self.hosts.retain(|_, stand| !matches!(stand, Stand::Back(at) if Micros(*at) + FORGOTTEN < now));
-        self.hosts.insert(host.to_owned(), stand);
+    /// Sets a host's state, and forgets hosts that returned long ago.
+    pub fn set(&mut self, host: &str, state: MaintenanceState, now: Micros) {
+        self.hosts.retain(|_, state| !state.is_obsolete(now));
+        self.hosts.insert(host.to_owned(), state);
     }
 
-    /// What the process before this one left; nothing where there is none. What can't be read is set aside: a host that
-    /// stays out for a damaged file would be as wrong as one that is used for it, but the operators see the line.
-    pub fn load(dir: &Path, name: &str) -> Self {
-        let path = path(dir, name);
-        let text = match std::fs::read(&path) {
-            Ok(text) => text,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => return Kept::default(),
+    /// Reads what an earlier process of the node left; empty where there is nothing.
+    ///
+    /// A file that can't be read is set aside and logged: keeping a host out for a damaged file would be as wrong as
+    /// using it.
+    pub fn load(dir: &Path, node_name: &str) -> Self {
+        let path = file_path(dir, node_name);
+        let bytes = match std::fs::read(&path) {
+            Ok(bytes) => bytes,
+            Err(error) if error.kind() == io::ErrorKind::NotFound => return MaintenanceStore::default(),
             Err(error) => {
-                warn!("hosts out by hand: {}: {error}; none is taken to be out", path.display());
-                return Kept::default();
+                warn!(path = %path.display(), %error, "maintenance file not readable, all hosts in service");
+                return MaintenanceStore::default();
             }
         };
-        match serde_json::from_slice::<Kept>(&text) {
-            Ok(kept) if kept.version == VERSION => {
-                let out = kept.hosts.values().filter(|stand| **stand == Stand::Out).count();
-                info!("hosts out by hand: {out}, as left by the process before");
-                kept
+        match MaintenanceStore::decode(&bytes) {
+            Ok(store) => {
+                let out = store.hosts.values().filter(|state| **state == MaintenanceState::OutOfService);
+                info!(hosts_out = out.count(), "maintenance file loaded");
+                store
             }
-            read => {
-                let why =
-                    read.map_or_else(|error| error.to_string(), |kept| format!("version {}", kept.version));
-                let aside = path.with_extension("damaged");
-                let moved = std::fs::rename(&path, &aside);
-                warn!("hosts out by hand: {}: {why}; none is taken to be out", path.display());
-                if let Err(error) = moved {
-                    warn!("hosts out by hand: {}: {error}", aside.display());
-                }
-                Kept::default()
+            Err(error) => {
+                warn!(path = %path.display(), %error, "maintenance file damaged, all hosts in service");
+                set_aside(&path);
+                MaintenanceStore::default()
             }
         }
     }
 
-    /// Leaves it for the next process: written whole, then put in its place.
-    pub fn save(&self, dir: &Path, name: &str) -> io::Result<()> {
-        let (path, whole) = (path(dir, name), Kept { version: VERSION, ..self.clone() });
+    fn decode(bytes: &[u8]) -> Result<Self, LoadError> {
+        let store: MaintenanceStore = serde_json::from_slice(bytes)?;
+        match store.format_version {
+            FORMAT_VERSION => Ok(store),
+            other => Err(LoadError::FormatVersion(other)),
+        }
+    }
+
+    /// Writes the file for the next process: beside the old one, then in its place, so that no reader sees half of it.
+    ///
+    /// # Errors
+    ///
+    /// The file can't be written.
+    pub fn save(&self, dir: &Path, node_name: &str) -> io::Result<()> {
+        let path = file_path(dir, node_name);
+        let complete = MaintenanceStore { format_version: FORMAT_VERSION, ..self.clone() };
         // Two processes of one node may write at once.
-        let new = path.with_extension(format!("new-{}", std::process::id()));
-        std::fs::write(&new, serde_json::to_vec(&whole)?)?;
-        std::fs::rename(&new, &path)
+        let temporary = path.with_extension(format!("new-{}", std::process::id()));
+        std::fs::write(&temporary, serde_json::to_vec(&complete)?)?;
+        std::fs::rename(&temporary, &path)
     }
 }
 
-fn path(dir: &Path, name: &str) -> PathBuf {
-    file(dir, name, "hosts.json")
+fn set_aside(path: &Path) {
+    let aside = path.with_extension("damaged");
+    if let Err(error) = std::fs::rename(path, &aside) {
+        warn!(path = %aside.display(), %error, "damaged maintenance file not set aside");
+    }
 }
 
-/// A file of the node of that name; a name may hold what no file's may.
-pub fn file(dir: &Path, name: &str, kind: &str) -> PathBuf {
-    let name = percent_encoding::utf8_percent_encode(name, percent_encoding::NON_ALPHANUMERIC);
-    dir.join(format!("alderstile-{name}.{kind}"))
+fn file_path(dir: &Path, node_name: &str) -> PathBuf {
+    state_file::path(dir, node_name, "hosts.json")
 }
--- a/crates/alderstile-node/src/admin/metrics.rs
+++ b/crates/alderstile-node/src/admin/metrics.rs
@@ -1,6 +1,6 @@
-//! The figures that operators fetch: counts since this process's start, and their statsd text. Pure.
+//! The metrics of one process: counters since its start, gauges of the moment, and their statsd text.
 //!
-//! Each fact is counted where it happens, once.
+//! Each event is counted once, where it happens. No I/O.
 
 use std::fmt::Write;
 
@@ -8,34 +8,43 @@
 
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// Its connection came up.
     Success,
-    /// It was refused.
-    Busy,
+    /// It was rejected; the client may come again.
+    Rejected,
     /// It failed.
     Failure,
 }
 
-/// What is counted for one class of requests.
+/// The counters of one class of requests.
 #[derive(Clone, Debug, Default)]
-struct Class {
+struct ClassCounters {
     name: String,
-    success: u64,
-    busy: u64,
-    failure: u64,
+    succeeded: u64,
+    rejected: u64,
+    failed: u64,
 }
 
-/// What was counted so far.
+/// The counters of a process since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
-    classes: Vec<Class>,
-    /// Attempts whose line was written whole to a host.
-    pub backend_calls: u64,
-    /// Configurations taken at SIGHUP.
-    pub reconfig_ok: u64,
-    /// Configurations turned down at SIGHUP.
-    pub reconfig_failed: u64,
+    classes: Vec<ClassCounters>,
+    /// Attempts whose line was written completely to a host.
+    pub attempts_sent: u64,
+    /// Configurations applied while the process runs, from a file or replicated.
+    pub configs_applied: u64,
+    /// Configurations rejected while the process runs.
+    pub configs_rejected: u64,
+}
+
+/// Hosts of this node's subset.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct SubsetGauges {
+    /// Hosts in use.
+    pub used: usize,
+    /// Those of them that stand in for hosts which can't be reached.
+    pub added: usize,
 }
 
 /// What holds at the moment of asking.
@@ -45,77 +54,103 @@
     pub inflight: usize,
     /// Hosts in the list.
     pub hosts_listed: usize,
-    /// Listed hosts that the node avoids now, by hand or by choice.
+    /// Listed hosts that get nothing new now, out of service or by decision.
     pub hosts_down: usize,
-    /// Hosts in use and those added for others, where nodes share hosts out.
-    pub subset: Option<(usize, usize)>,
+    /// Where each node uses a subset of the hosts.
+    pub subset: Option<SubsetGauges>,
     /// The members of the cluster, where the node is one.
     pub members: Option<Counts>,
 }
 
 impl Counters {
-    /// The classes by their numbers: new ones stand at 0 from now on. A class keeps its number and its counts.
-    pub fn classes(&mut self, names: &[String]) {
+    /// Adds counters for classes that have none yet; a class keeps its number and its counts.
+    pub fn register_classes(&mut self, names: &[String]) {
         for name in names.iter().skip(self.classes.len()) {
-            self.classes.push(Class { name: statsd_name(name), ..Class::default() });
+            self.classes.push(ClassCounters { name: statsd_name(name), ..ClassCounters::default() });
         }
     }
 
-    /// A request of a class has its answer.
-    pub fn ended(&mut self, class: u16, how: Ended) {
+    /// Counts the end of a request of a class.
+    pub fn count_outcome(&mut self, class: u16, outcome: RequestOutcome) {
         let Some(class) = self.classes.get_mut(usize::from(class)) else { return };
-        match how {
-            Ended::Success => class.success += 1,
-            Ended::Busy => class.busy += 1,
-            Ended::Failure => class.failure += 1,
+        match outcome {
+            RequestOutcome::Success => class.succeeded += 1,
+            RequestOutcome::Rejected => class.rejected += 1,
+            RequestOutcome::Failure => class.failed += 1,
         }
     }
 
-    /// All figures, a line each.
+    /// All metrics as statsd text, a line each. The names are what operators' dashboards read.
     pub fn render(&self, gauges: Gauges) -> String {
-        let mut text = String::new();
-        let mut line = |name: &str, value: u64, kind: char| {
-            // Writing to a string cannot fail.
-            let _ = writeln!(text, "router.{name}:{value}|{kind}");
-        };
+        let mut text = StatsdText::default();
         for class in &self.classes {
-            line(&format!("success.{}", class.name), class.success, 'c');
-            line(&format!("busy.{}", class.name), class.busy, 'c');
-            line(&format!("failure.{}", class.name), class.failure, 'c');
+            text.counter(&format!("success.{}", class.name), class.succeeded);
+            text.counter(&format!("busy.{}", class.name), class.rejected);
+            text.counter(&format!("failure.{}", class.name), class.failed);
         }
-        line("backend_calls", self.backend_calls, 'c');
-        line("reconfig_ok", self.reconfig_ok, 'c');
-        line("reconfig_failed", self.reconfig_failed, 'c');
-        line("inflight", gauges.inflight as u64, 'g');
-        line("hosts_listed", gauges.hosts_listed as u64, 'g');
-        line("hosts_down", gauges.hosts_down as u64, 'g');
-        if let Some((used, added)) = gauges.subset {
-            line("subset_used", used as u64, 'g');
-            line("subset_added", added as u64, 'g');
+        text.counter("backend_calls", self.attempts_sent);
+        text.counter("reconfig_ok", self.configs_applied);
+        text.counter("reconfig_failed", self.configs_rejected);
+        text.gauge("inflight", gauges.inflight as u64);
+        text.gauge("hosts_listed", gauges.hosts_listed as u64);
+        text.gauge("hosts_down", gauges.hosts_down as u64);
+        if let Some(subset) = gauges.subset {
+            text.gauge("subset_used", subset.used as u64);
+            text.gauge("subset_added", subset.added as u64);
         }
         if let Some(members) = gauges.members {
-            line("members_alive", members.alive as u64, 'g');
-            line("members_suspect", members.suspect as u64, 'g');
-            line("members_dead", members.dead as u64, 'g');
-            line("members_claimed", members.claimed as u64, 'g');
-            line("members_health", u64::from(members.health), 'g');
-            let figures = members.figures;
-            line("members_sent", figures.sent, 'c');
-            line("members_sent_bytes", figures.sent_bytes, 'c');
-            line("members_taken", figures.taken, 'c');
-            line("members_foreign", figures.foreign, 'c');
-            line("members_damaged", figures.damaged, 'c');
-            line("members_newer", figures.newer, 'c');
-            line("members_stale", figures.stale, 'c');
-            line("members_replayed", figures.replayed, 'c');
-            line("members_held_back", figures.held_back, 'c');
-            line("members_refuted", figures.refuted, 'c');
+            render_members(&mut text, members);
         }
-        text
+        text.into_string()
+    }
+}
+
+fn render_members(text: &mut StatsdText, members: Counts) {
+    text.gauge("members_alive", members.alive as u64);
+    text.gauge("members_suspect", members.suspect as u64);
+    text.gauge("members_dead", members.dead as u64);
+    text.gauge("members_claimed", members.claimed as u64);
+    text.gauge("members_health", u64::from(members.health));
+    let figures = members.figures;
+    text.counter("members_sent", figures.sent);
+    text.counter("members_sent_bytes", figures.sent_bytes);
+    text.counter("members_taken", figures.taken);
+    text.counter("members_foreign", figures.foreign);
+    text.counter("members_damaged", figures.damaged);
+    text.counter("members_newer", figures.newer);
+    text.counter("members_stale", figures.stale);
+    text.counter("members_replayed", figures.replayed);
+    text.counter("members_held_back", figures.held_back);
+    text.counter("members_refuted", figures.refuted);
+}
+
+/// Metrics of the statsd format, gathered line by line.
+#[derive(Debug, Default)]
+pub struct StatsdText(String);
+
+impl StatsdText {
+    /// Adds a count that only grows.
+    pub fn counter(&mut self, name: &str, value: u64) {
+        self.line(name, value, 'c');
+    }
+
+    /// Adds a value of the moment.
+    pub fn gauge(&mut self, name: &str, value: u64) {
+        self.line(name, value, 'g');
+    }
+
+    fn line(&mut self, name: &str, value: u64, kind: char) {
+        // Writing to a string cannot fail.
+        let _ = writeln!(self.0, "router.{name}:{value}|{kind}");
+    }
+
+    /// The lines so far.
+    pub fn into_string(self) -> String {
+        self.0
     }
 }
 
-/// A class's name where `:` and `|` part a line: what would part it is shown as `_`.
+/// A class's name with `_` for each character that separates the fields of a statsd line.
 fn statsd_name(class: &str) -> String {
     class.replace(|c: char| matches!(c, ':' | '|' | '@' | '#') || c.is_whitespace() || c.is_control(), "_")
 }
--- a/crates/alderstile-node/src/admin/server.rs
+++ b/crates/alderstile-node/src/admin/server.rs
@@ -1,7 +1,7 @@
-//! The operators' address: HTTP/1.1, one call a connection.
+//! The admin HTTP server: HTTP/1.1, one call a connection.
 //!
-//! Callers have places of their own, so that neither a crowd of clients nor callers who finish no call keep the next
-//! one out.
+//! Callers have descriptors of their own, and the oldest open call makes way for a new one: neither a crowd of clients
+//! nor callers that never finish their call keep the next one out.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -14,6 +14,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
+use serde::Serialize;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::{JoinHandle, spawn_local};
 use tokio::time::timeout;
@@ -21,171 +22,222 @@
 
 use alderstile_cluster::replicated_config::MAX_DOCUMENT;
 
-use crate::admin::service::Operators;
+use crate::admin::service::AdminService;
 use crate::config::CALLERS;
 use crate::control::replicated_config::{Control, Proposed};
 
-/// Who has finished no call after this long goes: a caller waits no longer than 1 s.
-const CALL: Duration = Duration::from_secs(2);
-/// The longest head of a call; the least that hyper can be given.
+/// A call that is not finished by then is dropped: callers wait no longer than 1 s for their answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest head of a call, bytes; the least that hyper can be given.
 const MAX_HEAD: usize = 8 << 10;
-/// The longest body of a call: none is of any use.
+/// The longest body of a call that needs none, bytes.
 const MAX_BODY: usize = 4 << 10;
-/// What is read of a longer body, so that closing over unread bytes does not destroy the answer.
-const DRAIN: usize = 1 << 18;
-/// Accepting pauses this long after an error: it does not go away by asking at once.
-const PAUSE: Duration = Duration::from_millis(20);
-
-/// Takes callers in until it is dropped.
-pub async fn run(operators: Rc<Operators>, listener: TcpListener) {
-    let mut callers: VecDeque<JoinHandle<()>> = VecDeque::new();
+/// What is read of a longer body, bytes: closing over unread bytes would destroy the answer.
+const MAX_BODY_READ: usize = 1 << 18;
+/// Pause after a failed accept: out of descriptors, it would fail again at once.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Accepts calls until it is dropped.
+pub async fn run(admin: Rc<AdminService>, listener: TcpListener) {
+    let mut calls: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                callers.retain(|caller| !caller.is_finished());
-                if callers.len() >= CALLERS
-                    && let Some(oldest) = callers.pop_front()
-                {
-                    oldest.abort();
-                }
-                callers.push_back(spawn_local(call(operators.clone(), stream)));
-                // Callers that have said something are answered before the next is taken in.
+                make_room(&mut calls);
+                calls.push_back(spawn_local(serve_call(admin.clone(), stream)));
+                // Callers that have said something are answered before the next is accepted.
                 tokio::task::yield_now().await;
             }
             Err(error) => {
-                warn!("operators' address: {error}");
-                tokio::time::sleep(PAUSE).await;
+                warn!(%error, "admin call not accepted");
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// One call.
-async fn call(operators: Rc<Operators>, stream: TcpStream) {
+/// Drops the oldest call where the limit is reached.
+fn make_room(calls: &mut VecDeque<JoinHandle<()>>) {
+    calls.retain(|call| !call.is_finished());
+    if calls.len() >= CALLERS
+        && let Some(oldest) = calls.pop_front()
+    {
+        oldest.abort();
+    }
+}
+
+async fn serve_call(admin: Rc<AdminService>, stream: TcpStream) {
     // A connection that can't be set so is broken and will say so.
     stream.set_nodelay(true).unwrap_or_default();
     let service = service_fn(|request| {
-        let operators = operators.clone();
-        async move { Ok::<_, Infallible>(answer(&operators, request).await) }
+        let admin = admin.clone();
+        async move { Ok::<_, Infallible>(handle(&admin, request).await) }
     });
     let mut server = hyper::server::conn::http1::Builder::new();
     server.keep_alive(false).max_buf_size(MAX_HEAD).header_read_timeout(None);
-    match timeout(CALL, server.serve_connection(TokioIo::new(stream), service)).await {
+    match timeout(CALL_TIMEOUT, server.serve_connection(TokioIo::new(stream), service)).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => debug!("operators' call: {error}"),
-        Err(_) => debug!("operators' call: not finished in time"),
+        Ok(Err(error)) => debug!(%error, "admin call failed"),
+        Err(_) => debug!("admin call timed out"),
     }
 }
 
 /// What a path names.
-enum Place {
+enum Route {
     Ready,
-    Counters,
+    Metrics,
     Members,
-    /// Agreed settings, and the version that a proposal is to follow.
-    Settings(Option<u64>),
-    /// A host's id, and whether it is to be used.
-    Host(String, bool),
+    /// The replicated configuration in force.
+    ReplicatedConfig,
+    /// A proposal of a configuration that follows this version.
+    Proposal(u64),
+    /// Taking a host out of service, or putting it back.
+    HostMaintenance {
+        host: String,
+        online: bool,
+    },
 }
 
-fn place(path: &str) -> Option<Place> {
-    match path {
-        "/control/ready" => Some(Place::Ready),
-        "/control/counters" => Some(Place::Counters),
-        "/members" => Some(Place::Members),
-        "/settings" => Some(Place::Settings(None)),
-        _ => {
-            if let Some(version) = path.strip_prefix("/settings/after/") {
-                return version.parse().ok().map(|version| Place::Settings(Some(version)));
-            }
-            let (id, word) = path.strip_prefix("/control/hosts/")?.rsplit_once('/')?;
-            let online = match word {
-                "online" => true,
-                "offline" => false,
-                _ => return None,
-            };
-            // A slash is part of an id only where it is written as %2F.
-            let id =
-                percent_encoding::percent_decode_str(id).decode_utf8().ok().filter(|_| !id.contains('/'));
-            Some(Place::Host(id?.into_owned(), online))
+impl Route {
+    /// The paths are those of the operators' tools.
+    fn parse(path: &str) -> Option<Self> {
+        match path {
+            "/control/ready" => Some(Route::Ready),
+            "/control/counters" => Some(Route::Metrics),
+            "/members" => Some(Route::Members),
+            "/settings" => Some(Route::ReplicatedConfig),
+            _ => match path.strip_prefix("/settings/after/") {
+                Some(version) => version.parse().ok().map(Route::Proposal),
+                None => Route::parse_host(path.strip_prefix("/control/hosts/")?),
+            },
+        }
+    }
+
+    fn parse_host(path: &str) -> Option<Self> {
+        let (host, state) = path.rsplit_once('/')?;
+        let online = match state {
+            "online" => true,
+            "offline" => false,
+            _ => return None,
+        };
+        // A slash is part of a host's name only where it is written as %2F.
+        let host = percent_encoding::percent_decode_str(host).decode_utf8().ok()?;
+        (!host.contains('/')).then(|| Route::HostMaintenance { host: host.into_owned(), online })
+    }
+
+    fn method(&self) -> Method {
+        match self {
+            Route::HostMaintenance { .. } | Route::Proposal(_) => Method::POST,
+            Route::Ready | Route::Metrics | Route::Members | Route::ReplicatedConfig => Method::GET,
+        }
+    }
+
+    fn max_body(&self) -> usize {
+        match self {
+            Route::ReplicatedConfig | Route::Proposal(_) => MAX_DOCUMENT,
+            _ => MAX_BODY,
         }
     }
 }
 
-async fn answer(operators: &Operators, request: Request<Incoming>) -> Response<Full<Bytes>> {
+async fn handle(admin: &AdminService, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
-    let place = place(head.uri.path());
-    let most = if matches!(place, Some(Place::Settings(_))) { MAX_DOCUMENT } else { MAX_BODY };
-    let Some(body) = short(body, most).await else {
-        return say(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
+    let route = Route::parse(head.uri.path());
+    let max_body = route.as_ref().map_or(MAX_BODY, Route::max_body);
+    let Some(body) = read_body(body, max_body).await else {
+        return respond(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
     };
-    let Some(place) = place else { return say(StatusCode::NOT_FOUND, "no such path\n") };
-    let posts = matches!(place, Place::Host(..) | Place::Settings(Some(_)));
-    let wanted = if posts { Method::POST } else { Method::GET };
-    if head.method != wanted {
-        let mut answer = say(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted\n");
-        let allow = if wanted == Method::POST { "POST" } else { "GET" };
-        answer.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
-        return answer;
+    let Some(route) = route else { return not_found() };
+    if head.method != route.method() {
+        return method_not_allowed(&route.method());
     }
-    match place {
-        Place::Ready if operators.ready() => say(StatusCode::OK, "ready\n"),
-        Place::Ready => say(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-        Place::Counters => say(StatusCode::OK, operators.figures()),
-        // Without a cluster there is no such path.
-        Place::Members => match operators.cluster().map(|cluster| serde_json::to_string(&cluster.view())) {
-            Some(Ok(view)) => say(StatusCode::OK, view),
-            Some(Err(error)) => say(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
-            None => say(StatusCode::NOT_FOUND, "no such path\n"),
+    match route {
+        Route::Ready => ready(admin),
+        Route::Metrics => respond(StatusCode::OK, admin.metrics_text()),
+        Route::Members => members(admin),
+        Route::ReplicatedConfig => match admin.replicated_config() {
+            Some(control) => json(&control.show()),
+            None => not_found(),
         },
-        Place::Settings(expect) => match operators.control() {
-            None => say(StatusCode::NOT_FOUND, "no such path\n"),
-            Some(control) => settings(&control, expect, &body).await,
-        },
-        Place::Host(host, online) => match operators.maintain(&host, online).await {
-            Ok(true) => say(StatusCode::OK, if online { "online\n" } else { "offline\n" }),
-            Ok(false) => say(StatusCode::NOT_FOUND, "no such host\n"),
-            Err(error) => {
-                warn!("operators' call for {host}: {error}");
-                say(StatusCode::INTERNAL_SERVER_ERROR, "not done, see the log\n")
-            }
+        Route::Proposal(previous_version) => match admin.replicated_config() {
+            Some(control) => propose(&control, previous_version, &body).await,
+            None => not_found(),
         },
+        Route::HostMaintenance { host, online } => maintain(admin, &host, online).await,
     }
 }
 
-/// Agreed settings as they are, or a proposal.
-async fn settings(control: &Control, expect: Option<u64>, body: &[u8]) -> Response<Full<Bytes>> {
-    let Some(expect) = expect else {
-        return match serde_json::to_string(&control.show()) {
-            Ok(text) => say(StatusCode::OK, text),
-            Err(error) => say(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
-        };
-    };
-    match control.propose(expect, body).await {
-        Proposed::Agreed(version) => say(StatusCode::OK, format!("{version}\n")),
-        Proposed::Refused(why) => say(StatusCode::CONFLICT, format!("{why}\n")),
-        Proposed::Open => say(StatusCode::ACCEPTED, "no word so far\n"),
+fn ready(admin: &AdminService) -> Response<Full<Bytes>> {
+    if admin.is_ready() {
+        respond(StatusCode::OK, "ready\n")
+    } else {
+        respond(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+    }
+}
+
+/// Without a cluster there is no such path.
+fn members(admin: &AdminService) -> Response<Full<Bytes>> {
+    match admin.membership() {
+        Some(membership) => json(&membership.view()),
+        None => not_found(),
+    }
+}
+
+async fn propose(control: &Control, previous_version: u64, document: &[u8]) -> Response<Full<Bytes>> {
+    match control.propose(previous_version, document).await {
+        Proposed::Agreed(version) => respond(StatusCode::OK, format!("{version}\n")),
+        Proposed::Refused(reason) => respond(StatusCode::CONFLICT, format!("{reason}\n")),
+        Proposed::Open => respond(StatusCode::ACCEPTED, "no word so far\n"),
+    }
+}
+
+async fn maintain(admin: &AdminService, host: &str, online: bool) -> Response<Full<Bytes>> {
+    match admin.set_host_online(host, online).await {
+        Ok(true) => respond(StatusCode::OK, if online { "online\n" } else { "offline\n" }),
+        Ok(false) => respond(StatusCode::NOT_FOUND, "no such host\n"),
+        Err(error) => {
+            warn!(%host, %error, "maintenance file not written");
+            respond(StatusCode::INTERNAL_SERVER_ERROR, "not done, see the log\n")
+        }
     }
 }
 
-/// Reads a body that is no longer than this.
-async fn short(mut body: Incoming, most: usize) -> Option<Vec<u8>> {
+/// Reads a body; none where it is longer than this.
+async fn read_body(mut body: Incoming, max: usize) -> Option<Vec<u8>> {
     let (mut length, mut read) = (0, Vec::new());
-    while length < DRAIN
+    while length < MAX_BODY_READ
         && let Some(Ok(frame)) = body.frame().await
     {
         let data = frame.data_ref().map(Bytes::as_ref).unwrap_or_default();
         length += data.len();
-        if length <= most {
+        if length <= max {
             read.extend(data);
         }
     }
-    (length <= most).then_some(read)
+    (length <= max).then_some(read)
+}
+
+fn json(value: &impl Serialize) -> Response<Full<Bytes>> {
+    match serde_json::to_string(value) {
+        Ok(text) => respond(StatusCode::OK, text),
+        Err(error) => respond(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
+    }
+}
+
+fn not_found() -> Response<Full<Bytes>> {
+    respond(StatusCode::NOT_FOUND, "no such path\n")
+}
+
+fn method_not_allowed(allowed: &Method) -> Response<Full<Bytes>> {
+    let mut response = respond(StatusCode::METHOD_NOT_ALLOWED, "another method is wanted\n");
+    let allow = if *allowed == Method::POST { "POST" } else { "GET" };
+    response.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
+    response
 }
 
-fn say(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
-    let mut answer = Response::new(Full::new(text.into()));
-    *answer.status_mut() = status;
-    answer.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
-    answer
+fn respond(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+    let mut response = Response::new(Full::new(text.into()));
+    *response.status_mut() = status;
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("text/plain; charset=utf-8"));
+    response
 }
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -1,4 +1,4 @@
-//! What operators ask and say: figures, readiness, hosts out by hand and back.
+//! What the admin server answers from: readiness, metrics, and hosts taken out of service.
 
 use std::cell::RefCell;
 use std::io;
@@ -6,8 +6,8 @@
 
 use tracing::info;
 
-use crate::admin::maintenance_store::{Kept, Stand};
-use crate::admin::metrics::Gauges;
+use crate::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
+use crate::admin::metrics::{Gauges, SubsetGauges};
 use crate::config::Current;
 use crate::control::membership::Cluster;
 use crate::control::replicated_config::Control;
@@ -16,104 +16,131 @@
 use crate::lifecycle::process::Process;
 use crate::proxy::clients::Clients;
 
-/// What operators have said, and where what they ask for stands.
-pub struct Operators {
+/// The admin interface of one node, and the parts of the node that it asks.
+pub struct AdminService {
     config: Rc<Current>,
     decisions: Rc<Decisions>,
     clients: Rc<Clients>,
     process: Rc<Process>,
-    kept: RefCell<Kept>,
-    cluster: RefCell<Option<Rc<Cluster>>>,
-    control: RefCell<Option<Rc<Control>>>,
+    maintenance: RefCell<MaintenanceStore>,
+    membership: RefCell<Option<Rc<Cluster>>>,
+    replicated_config: RefCell<Option<Rc<Control>>>,
 }
 
-impl Operators {
-    /// As the process before this one left it.
+impl AdminService {
+    /// Loads the maintenance file that an earlier process left, and tells the decisions what it says.
     pub fn new(
         config: Rc<Current>,
         decisions: Rc<Decisions>,
         clients: Rc<Clients>,
         process: Rc<Process>,
     ) -> Self {
-        let told = config.get();
-        let kept = told.state_dir.as_deref().map(|dir| Kept::load(dir, &told.name)).unwrap_or_default();
-        for (host, stand) in kept.hosts() {
-            decisions.decide(|facade, now| stand.apply(facade, now, server_id(host)));
+        let in_force = config.get();
+        let state_dir = in_force.state_dir.as_deref();
+        let maintenance =
+            state_dir.map(|dir| MaintenanceStore::load(dir, &in_force.name)).unwrap_or_default();
+        for (host, state) in maintenance.hosts() {
+            decisions.decide(|facade, now| state.apply(facade, now, server_id(host)));
+        }
+        AdminService {
+            config,
+            decisions,
+            clients,
+            process,
+            maintenance: RefCell::new(maintenance),
+            membership: RefCell::default(),
+            replicated_config: RefCell::default(),
         }
-        let (kept, cluster, control) = (RefCell::new(kept), RefCell::default(), RefCell::default());
-        Operators { config, decisions, clients, process, kept, cluster, control }
     }
 
-    /// Whether clients may be sent here.
-    pub fn ready(&self) -> bool {
-        let heard = self.control().is_none_or(|control| control.ready());
-        heard && self.decisions.can_serve() && self.process.listens().is_some() && !self.process.is_leaving()
+    /// Whether new clients may be sent to this process.
+    pub fn is_ready(&self) -> bool {
+        let config_known = self.replicated_config().is_none_or(|control| control.ready());
+        config_known
+            && self.decisions.can_serve()
+            && self.process.listens().is_some()
+            && !self.process.is_leaving()
     }
 
-    /// This node is a member of a cluster from now on.
-    pub fn join(&self, cluster: Rc<Cluster>) {
-        self.cluster.replace(Some(cluster));
+    /// Makes this node a member of a cluster.
+    pub fn set_membership(&self, membership: Rc<Cluster>) {
+        self.membership.replace(Some(membership));
     }
 
-    /// This node as a member, where it is one.
-    pub fn cluster(&self) -> Option<Rc<Cluster>> {
-        self.cluster.borrow().clone()
+    /// This node's membership in its cluster, where it has one.
+    pub fn membership(&self) -> Option<Rc<Cluster>> {
+        self.membership.borrow().clone()
     }
 
-    /// This node goes by settings that are agreed from now on.
-    pub fn agree(&self, control: Rc<Control>) {
-        self.control.replace(Some(control));
+    /// Makes this node follow the cluster's replicated configuration.
+    pub fn set_replicated_config(&self, control: Rc<Control>) {
+        self.replicated_config.replace(Some(control));
     }
 
-    /// This node's part in agreed settings, where it has one.
-    pub fn control(&self) -> Option<Rc<Control>> {
-        self.control.borrow().clone()
+    /// The replicated configuration, where this node follows one.
+    pub fn replicated_config(&self) -> Option<Rc<Control>> {
+        self.replicated_config.borrow().clone()
     }
 
-    /// Where hosts stand that operators have named.
-    pub fn hosts(&self) -> Vec<(String, Stand)> {
-        self.kept.borrow().hosts().map(|(host, stand)| (host.to_owned(), stand)).collect()
+    /// The hosts that operators named at this node, and the state of each.
+    pub fn maintained_hosts(&self) -> Vec<(String, MaintenanceState)> {
+        self.maintenance.borrow().hosts().map(|(host, state)| (host.to_owned(), state)).collect()
     }
 
-    /// The figures for operators, as text.
-    pub fn figures(&self) -> String {
+    /// The metrics as statsd text.
+    pub fn metrics_text(&self) -> String {
         let gauges = self.decisions.decide(|facade, now| Gauges {
             inflight: self.clients.inflight(),
             hosts_listed: facade.maintenance().listed(),
             hosts_down: facade.avoided(now),
-            subset: self.decisions.share_counts(),
-            members: self.cluster().map(|cluster| cluster.counts()),
+            subset: self.decisions.share_counts().map(|(used, added)| SubsetGauges { used, added }),
+            members: self.membership().map(|membership| membership.counts()),
         });
-        let agreed = self.control().map(|control| control.figures()).unwrap_or_default();
-        self.clients.figures(gauges) + &agreed
+        let replicated_config = self.replicated_config().map(|control| control.figures()).unwrap_or_default();
+        self.clients.figures(gauges) + &replicated_config
     }
 
-    /// Takes a host out by hand or puts it back. It is so in the decisions and on disk before this returns; false where
-    /// nobody has that host.
-    pub async fn maintain(&self, host: &str, online: bool) -> io::Result<bool> {
+    /// Takes a host out of service, or puts it back. It holds in the decisions, on disk and at the other process of
+    /// this node once this returns; false where no such host is known.
+    ///
+    /// # Errors
+    ///
+    /// The maintenance file can't be written; the decisions go by the new state all the same.
+    pub async fn set_host_online(&self, host: &str, online: bool) -> io::Result<bool> {
         let id = server_id(host);
         let (known, out) = self.decisions.decide(|facade, _| {
             let hosts = facade.maintenance();
             (hosts.knows(id), hosts.is_out(id))
         });
         if known && online == out {
-            let stand = if online { Stand::Back(self.decisions.clock.now().0) } else { Stand::Out };
-            self.stand(host, stand);
-            let config = self.config.get();
-            if let Some(dir) = &config.state_dir {
-                self.kept.borrow().save(dir, &config.name)?;
-            }
+            let state = match online {
+                true => MaintenanceState::ReturnedAt(self.decisions.clock.now().0),
+                false => MaintenanceState::OutOfService,
+            };
+            self.apply_maintenance(host, state);
+            self.save_maintenance()?;
             if let Some(link) = self.process.linked() {
-                link.tell_host(host, stand).await;
+                link.tell_host(host, state).await;
             }
         }
         Ok(known)
     }
 
-    /// A host stands elsewhere by hand.
-    pub fn stand(&self, host: &str, stand: Stand) {
-        self.kept.borrow_mut().set(host, stand, self.decisions.clock.now());
-        self.decisions.decide(|facade, now| stand.apply(facade, now, server_id(host)));
-        info!("host {host}: {} by hand", if stand == Stand::Out { "out" } else { "back" });
+    /// Sets a host's maintenance state here and in the decisions, without writing the file.
+    pub fn apply_maintenance(&self, host: &str, state: MaintenanceState) {
+        self.maintenance.borrow_mut().set(host, state, self.decisions.clock.now());
+        self.decisions.decide(|facade, now| state.apply(facade, now, server_id(host)));
+        match state {
+            MaintenanceState::OutOfService => info!(%host, "host taken out of service"),
+            MaintenanceState::ReturnedAt(_) => info!(%host, "host returned to service"),
+        }
+    }
+
+    fn save_maintenance(&self) -> io::Result<()> {
+        let config = self.config.get();
+        match &config.state_dir {
+            Some(dir) => self.maintenance.borrow().save(dir, &config.name),
+            None => Ok(()),
+        }
     }
 }
--- a/crates/alderstile-node/src/control/replicated_config_store.rs
+++ b/crates/alderstile-node/src/control/replicated_config_store.rs
@@ -12,7 +12,7 @@
 use thiserror::Error;
 use tracing::warn;
 
-use crate::admin::maintenance_store;
+use crate::state_file;
 
 /// The form of the value; another one is not read.
 const FORMAT: u8 = 1;
@@ -47,7 +47,7 @@
 impl Store {
     /// Where the voter of that name keeps its memory.
     pub fn path(dir: &Path, name: &str) -> PathBuf {
-        maintenance_store::file(dir, name, "voter")
+        state_file::path(dir, name, "voter")
     }
 
     /// Opens a voter's store, and reads what it holds: nothing where it is new or was damaged. What is damaged is set aside, never
--- a/crates/alderstile-node/src/lib.rs
+++ b/crates/alderstile-node/src/lib.rs
@@ -12,3 +12,4 @@
 pub mod lifecycle;
 pub mod node;
 pub mod proxy;
+pub mod state_file;
--- a/crates/alderstile-node/src/lifecycle/reload.rs
+++ b/crates/alderstile-node/src/lifecycle/reload.rs
@@ -13,7 +13,7 @@
 /// Reads the file again. A faulty one changes nothing, and its fault is logged. What the environment says of
 /// discovery counted for the start: from here on the file's word stands, or a reload could never change it.
 pub fn reload(node: &Node, path: Option<&Path>, env: impl Fn(&str) -> Option<String>) {
-    let over = |file| match node.operators.control() {
+    let over = |file| match node.admin.replicated_config() {
         Some(control) => control.over(file),
         None => file,
     };
@@ -28,22 +28,22 @@
                 info!("reload: waits for the next start: shadow");
             }
             node.renew(config);
-            node.clients.count(|counters| counters.reconfig_ok += 1);
+            node.clients.count(|counters| counters.configs_applied += 1);
         }
         Err(error) => {
             error!("reload: turned down: {error}; the configuration held goes on");
-            node.clients.count(|counters| counters.reconfig_failed += 1);
+            node.clients.count(|counters| counters.configs_rejected += 1);
         }
     }
 }
 
 /// Reads the cluster's file again, of which only the keys can change while the node runs.
 pub fn reload_keys(node: &Node, path: Option<&Path>) {
-    let Some((path, cluster)) = path.zip(node.operators.cluster()) else { return };
+    let Some((path, cluster)) = path.zip(node.admin.membership()) else { return };
     match ClusterConfig::load(path) {
         Ok(config) => {
             cluster.renew_keys(&config);
-            if let (Some(control), Some(config)) = (node.operators.control(), &config.control) {
+            if let (Some(control), Some(config)) = (node.admin.replicated_config(), &config.control) {
                 control.renew_keys(config);
             }
             info!("reload: the cluster's keys are taken; all else of its file waits for the next start");
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -236,7 +236,7 @@
                     link.say(Word::Done { number });
                 }
                 Word::Host { number, host, stand } => {
-                    node.operators.stand(&host, stand);
+                    node.admin.apply_maintenance(&host, stand);
                     link.say(Word::Done { number });
                 }
                 Word::Id(id) => node.clients.know_id(id.as_bytes()),
--- a/crates/alderstile-node/src/lifecycle/upgrade_channel.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_channel.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 use tracing::warn;
 
-use crate::admin::maintenance_store::Stand;
+use crate::admin::maintenance_store::MaintenanceState;
 use crate::lifecycle::upgrade_state::Handshake;
 
 /// A process that says nothing for this long where a word is owed is taken to have none.
@@ -49,7 +49,7 @@
         /// Its name.
         host: String,
         /// Where.
-        stand: Stand,
+        stand: MaintenanceState,
     },
     /// What was asked is done.
     Done {
@@ -109,7 +109,7 @@
     }
 
     /// A host stands elsewhere, at the other process too once this returns.
-    pub async fn tell_host(&self, host: &str, stand: Stand) {
+    pub async fn tell_host(&self, host: &str, stand: MaintenanceState) {
         self.ask(|number| Word::Host { number, host: host.to_owned(), stand }).await;
     }
 
--- a/crates/alderstile-node/src/lifecycle/upgrade_state.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::admin::maintenance_store::Stand;
+use crate::admin::maintenance_store::MaintenanceState;
 use crate::discovery::endpoint_list::List;
 
 /// What the predecessor tells first.
@@ -23,7 +23,7 @@
     /// The server list, whole.
     pub list: List,
     /// Where hosts stand that operators have named.
-    pub hosts: BTreeMap<String, Stand>,
+    pub hosts: BTreeMap<String, MaintenanceState>,
     /// Ids of requests that are open, or have ended not long ago.
     pub ids: Vec<String>,
     /// Descriptors held.
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -309,10 +309,10 @@
             let member = Rc::new(
                 Cluster::new(&node.config(), cluster, before).map_err(|what| format!("cluster: {what}"))?,
             );
-            node.operators.join(member.clone());
+            node.admin.set_membership(member.clone());
             if let Some(control) = &cluster.control {
                 let control = Rc::new(Control::new(control, &node));
-                node.operators.agree(control.clone());
+                node.admin.set_replicated_config(control.clone());
                 let member = member.clone();
                 spawn_local(async move {
                     if let Err(error) = control.run(member).await {
@@ -342,7 +342,7 @@
         if let Some(address) = node.config().admin_addr {
             let listener =
                 listener::bind(address).map_err(|error| format!("admin_addr {address}: {error}"))?;
-            spawn_local(server::run(node.operators.clone(), listener));
+            spawn_local(server::run(node.admin.clone(), listener));
         }
         let path_to_peers = Rc::new(PeerPath::default());
         let accepting = match predecessor {
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -4,8 +4,8 @@
 
 use alderstile::types::{Micros, RetryBudgetBucket};
 
-use crate::admin::maintenance_store::Stand;
-use crate::admin::service::Operators;
+use crate::admin::maintenance_store::MaintenanceState;
+use crate::admin::service::AdminService;
 use crate::config::{Config, Current};
 use crate::control::configured_node::ConfiguredNode;
 use crate::decisions::Decisions;
@@ -24,8 +24,8 @@
     pub clients: Rc<Clients>,
     /// This process and the other one.
     pub process: Rc<Process>,
-    /// What operators ask and say.
-    pub operators: Rc<Operators>,
+    /// The admin interface.
+    pub admin: Rc<AdminService>,
 }
 
 impl Node {
@@ -35,9 +35,9 @@
         let config = Rc::new(Current::new(config));
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
-        let operators = Operators::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
+        let admin = AdminService::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
         decisions.begin(&known);
-        Node { config, decisions, clients, process, operators: Rc::new(operators) }
+        Node { config, decisions, clients, process, admin: Rc::new(admin) }
     }
 
     /// What the node was told last.
@@ -47,11 +47,11 @@
 
     /// Other settings from now on, all of them in this step.
     pub fn renew(&self, config: Config) {
-        self.clients.count(|counters| counters.classes(&config.classes));
+        self.clients.count(|counters| counters.register_classes(&config.classes));
         self.decisions.renew(&config);
         // Agreed settings have versions of their own: told by the members too, each change would be 510 rumors.
-        if self.operators.control().is_none() {
-            self.operators.cluster().iter().for_each(|cluster| cluster.renew(&config));
+        if self.admin.replicated_config().is_none() {
+            self.admin.membership().iter().for_each(|cluster| cluster.renew(&config));
         }
         let discovery = config.discovery;
         self.config.set(config);
@@ -62,7 +62,7 @@
 
     /// Whether the front is to send clients to the clients' address, where another process of this node may serve.
     pub fn wanted(&self) -> bool {
-        self.operators.ready() || self.process.shared()
+        self.admin.is_ready() || self.process.shared()
     }
 
     /// Does what is due, for as long as the node runs; `tell` is given what all other nodes are to hear.
@@ -82,10 +82,10 @@
             discovery: Some(self.decisions.discovery()),
             list: self.decisions.whole_list(),
             lease_left: Some(self.decisions.lease_left().0),
-            hosts: self.operators.hosts().into_iter().collect(),
+            hosts: self.admin.maintained_hosts().into_iter().collect(),
             ids: self.clients.known_ids(),
             held: self.clients.held(),
-            member: self.operators.cluster().map(|cluster| cluster.word()),
+            member: self.admin.membership().map(|cluster| cluster.word()),
             spent: spent.map(|parts| {
                 parts
                     .iter()
@@ -97,11 +97,11 @@
 
     /// Takes over what the process before has told. The list is asked for at once: that one's news end with it.
     pub fn take_over(&self, handshake: &Handshake) {
-        let known = self.operators.hosts();
+        let known = self.admin.maintained_hosts();
         for (host, stand) in &handshake.hosts {
             // What the file told already stands.
             if !known.iter().any(|known| (&known.0, &known.1) == (host, stand)) {
-                self.operators.stand(host, *stand);
+                self.admin.apply_maintenance(host, *stand);
             }
         }
         let part = |&(from, to, taken, further): &(u64, u64, u32, u32)| RetryBudgetBucket {
@@ -130,8 +130,8 @@
 
     fn count_reconfiguration(&self, applied: bool) {
         self.clients.count(|counters| match applied {
-            true => counters.reconfig_ok += 1,
-            false => counters.reconfig_failed += 1,
+            true => counters.configs_applied += 1,
+            false => counters.configs_rejected += 1,
         });
     }
 
@@ -140,8 +140,8 @@
     }
 
     fn put_host_back(&self, host: &str) {
-        let out_by_hand = (host.to_owned(), Stand::Out);
-        if !self.operators.hosts().contains(&out_by_hand) {
+        let out_by_hand = (host.to_owned(), MaintenanceState::OutOfService);
+        if !self.admin.maintained_hosts().contains(&out_by_hand) {
             self.decisions.decide(|facade, now| facade.put_back(now, server_id(host), now));
         }
     }
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -102,7 +102,7 @@
     pub fn new(config: Rc<Current>, process: Rc<Process>) -> Self {
         let told = config.get();
         let mut counters = Counters::default();
-        counters.classes(&told.classes);
+        counters.register_classes(&told.classes);
         Clients {
             backlog: Backlog::new(told.sockets.saturating_sub(told.own_descriptors())),
             config,
--- a/crates/alderstile-node/src/proxy/session.rs
+++ b/crates/alderstile-node/src/proxy/session.rs
@@ -11,7 +11,7 @@
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 use tracing::{debug, info, warn};
 
-use crate::admin::metrics::Ended;
+use crate::admin::metrics::RequestOutcome;
 use crate::decisions::HostAt;
 use crate::discovery::endpoint_list::server_id;
 use crate::lifecycle::connection_handover::{self, Handover};
@@ -105,7 +105,7 @@
     let Some(ClientLine::Open(open)) = client_line(line) else { return Err(Reason::ClientMalformed) };
     let class = node.clients.class(open.class).ok_or(Reason::ClientUnknownClass)?;
     let Some(id) = node.clients.open_id(open.id) else {
-        node.clients.count(|counters| counters.ended(class, Ended::Failure));
+        node.clients.count(|counters| counters.count_outcome(class, RequestOutcome::Failure));
         return Err(Reason::ClientDuplicateId);
     };
     Ok((open, class, id))
@@ -169,13 +169,13 @@
         };
         match placed {
             Placed::Up(up) => {
-                self.count(Ended::Success);
+                self.count(RequestOutcome::Success);
                 self.serve(client, up, taken, None).await;
             }
             Placed::Answered(reason, line) => {
                 self.log(reason, "-");
                 let failed = matches!(reason, Reason::Failed | Reason::ClientOverlong);
-                self.count(if failed { Ended::Failure } else { Ended::Busy });
+                self.count(if failed { RequestOutcome::Failure } else { RequestOutcome::Rejected });
                 drop(taken);
                 client.close_with(&line).await;
             }
@@ -183,8 +183,8 @@
         }
     }
 
-    fn count(&self, how: Ended) {
-        self.node.clients.count(|counters| counters.ended(self.class, how));
+    fn count(&self, how: RequestOutcome) {
+        self.node.clients.count(|counters| counters.count_outcome(self.class, how));
     }
 
     fn log(&self, reason: Reason, host: &str) {
@@ -375,7 +375,7 @@
             }
         }
         *sent = true;
-        self.node.clients.count(|counters| counters.backend_calls += 1);
+        self.node.clients.count(|counters| counters.attempts_sent += 1);
         let tried = match self.while_wanted(client, timeout_at(until, host.line())).await? {
             Err(_) => Tried::Failed(Outcome::Timeout),
             Ok(Err(Pulled::Overlong)) => Tried::Failed(Outcome::Error),
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_node::admin::maintenance_store::{Kept, Stand};
+use alderstile_node::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
 use alderstile_node::admin::server;
 use alderstile_node::config::CALLERS;
 use alderstile_node::discovery::endpoint_list::server_id;
@@ -33,7 +33,7 @@
     .await;
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let admin = listener.local_addr().expect("bound");
-    spawn_local(server::run(setup.node.operators.clone(), listener));
+    spawn_local(server::run(setup.node.admin.clone(), listener));
     Operated { setup, admin, _watch: watch }
 }
 
@@ -134,7 +134,7 @@
         let setup = start(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
         let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let admin = listener.local_addr().expect("bound");
-        spawn_local(server::run(setup.node.operators.clone(), listener));
+        spawn_local(server::run(setup.node.admin.clone(), listener));
         let mut caller = Peer::connect(admin).await;
         caller.send("GET /control/ready HTTP/1.1\r\n\r\n").await;
         assert_eq!(caller.line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
@@ -274,21 +274,27 @@
 #[test]
 fn the_next_process_finds_the_hosts_that_are_out_and_trusts_no_damaged_file() {
     let (dir, now) = (dir("kept"), alderstile::types::Micros(7_000_000_000));
-    let mut kept = Kept::default();
-    kept.set("s-1", Stand::Out, now);
-    kept.set("s-2", Stand::Back(now.0), now);
+    let mut kept = MaintenanceStore::default();
+    kept.set("s-1", MaintenanceState::OutOfService, now);
+    kept.set("s-2", MaintenanceState::ReturnedAt(now.0), now);
     kept.save(&dir, "n/1").expect("saved");
     let read: Vec<_> =
-        Kept::load(&dir, "n/1").hosts().map(|(host, stand)| (host.to_owned(), stand)).collect();
-    assert_eq!(read, [("s-1".to_owned(), Stand::Out), ("s-2".to_owned(), Stand::Back(now.0))]);
-    assert_eq!(Kept::load(&dir, "n1").hosts().count(), 0, "another node's");
+        MaintenanceStore::load(&dir, "n/1").hosts().map(|(host, stand)| (host.to_owned(), stand)).collect();
+    assert_eq!(
+        read,
+        [
+            ("s-1".to_owned(), MaintenanceState::OutOfService),
+            ("s-2".to_owned(), MaintenanceState::ReturnedAt(now.0))
+        ]
+    );
+    assert_eq!(MaintenanceStore::load(&dir, "n1").hosts().count(), 0, "another node's");
     let path = dir.join("alderstile-n%2F1.hosts.json");
     let text = std::fs::read(&path).expect("there");
     for damaged in
         [&text[..text.len() / 2], b"", b"[]", b"{\"version\":9,\"hosts\":{\"s-1\":\"out\"}}", b"\xff\x00"]
     {
         std::fs::write(&path, damaged).expect("written");
-        assert_eq!(Kept::load(&dir, "n/1").hosts().count(), 0);
+        assert_eq!(MaintenanceStore::load(&dir, "n/1").hosts().count(), 0);
         assert!(!path.exists(), "set aside");
         assert_eq!(std::fs::read(dir.join("alderstile-n%2F1.hosts.damaged")).expect("there"), damaged);
     }
@@ -302,8 +308,8 @@
         let mut config = alderstile_node::config::Config::parse(value).expect("fine");
         config.state_dir = Some(dir);
         let node = Rc::new(alderstile_node::node::Node::new(config));
-        assert!(node.operators.figures().contains("router.hosts_down:1|g"));
-        assert!(node.operators.maintain("s-1", true).await.expect("kept"));
-        assert!(node.operators.figures().contains("router.hosts_down:0|g"));
+        assert!(node.admin.metrics_text().contains("router.hosts_down:1|g"));
+        assert!(node.admin.set_host_online("s-1", true).await.expect("kept"));
+        assert!(node.admin.metrics_text().contains("router.hosts_down:0|g"));
     });
 }
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -392,7 +392,7 @@
         assert_eq!((control.show().in_force, most(), out("s-1")), (0, 2, true));
         in_force(&control, 1).await;
         assert_eq!((most(), out("s-1"), out("s-2")), (2, true, false));
-        assert!(setup.node.operators.figures().contains("router.hosts_down:1|g"));
+        assert!(setup.node.admin.metrics_text().contains("router.hosts_down:1|g"));
         let wider = document(|document| {
             document["settings"]["allowed"]["max_attempts"] = 5.into();
             document["settings"]["obligations"]["fall_multiple"] = 3.0.into();
@@ -411,9 +411,9 @@
         std::fs::write(&path, file.to_string()).expect("written");
         reload(&setup.node, Some(&path), |_| None);
         assert_eq!((most(), setup.node.config().discovery.port()), (5, 9));
-        let figures = setup.node.operators.figures();
+        let figures = setup.node.admin.metrics_text();
         assert!(figures.contains("router.agreed_version:2|g"), "{figures}");
-        assert!(setup.node.operators.ready());
+        assert!(setup.node.admin.is_ready());
         std::fs::remove_dir_all(&dir).expect("taken away");
     });
 }
@@ -426,7 +426,10 @@
         let out = || setup.node.decisions.decide(|facade, _| facade.maintenance().is_out(server_id("s-1")));
         agreed(&control, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
         in_force(&control, 1).await;
-        setup.node.operators.stand("s-1", alderstile_node::admin::maintenance_store::Stand::Out);
+        setup.node.admin.apply_maintenance(
+            "s-1",
+            alderstile_node::admin::maintenance_store::MaintenanceState::OutOfService,
+        );
         agreed(&control, &document(|_| {})).await;
         in_force(&control, 2).await;
         assert!(out(), "by hand");
@@ -438,8 +441,8 @@
 fn without_the_table_there_is_no_such_path_and_no_figure() {
     run(async {
         let setup = start(|_| {}).await;
-        assert!(setup.node.operators.control().is_none());
-        assert!(!setup.node.operators.figures().contains("agreed"));
+        assert!(setup.node.admin.replicated_config().is_none());
+        assert!(!setup.node.admin.metrics_text().contains("agreed"));
     });
 }
 
--- a/crates/alderstile-node/tests/cluster.rs
+++ b/crates/alderstile-node/tests/cluster.rs
@@ -55,8 +55,8 @@
 fn without_a_cluster_there_is_no_such_path_and_no_figure() {
     run(async {
         let setup = start(|_| {}).await;
-        assert!(setup.node.operators.cluster().is_none());
-        assert!(!setup.node.operators.figures().contains("members"));
+        assert!(setup.node.admin.membership().is_none());
+        assert!(!setup.node.admin.metrics_text().contains("members"));
     });
 }
 
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -6,7 +6,7 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use alderstile_node::admin::maintenance_store::{Kept, Stand};
+use alderstile_node::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
 use alderstile_node::config::{ClusterConfig, Config, CutOff};
 use serde_json::Value;
 use tokio::io::AsyncReadExt;
@@ -147,9 +147,12 @@
     let dir = folder("maintenance");
     let path = dir.join("alderstile-n%2F1.hosts.json");
     std::fs::copy(fixture("hosts.json"), &path).expect("copied");
-    let kept = Kept::load(&dir, "n/1");
-    let hosts: Vec<(&str, Stand)> = kept.hosts().collect();
-    let [("s-1", Stand::Out), ("s-2", Stand::Back(since))] = hosts[..] else { panic!("{hosts:?}") };
+    let kept = MaintenanceStore::load(&dir, "n/1");
+    let hosts: Vec<(&str, MaintenanceState)> = kept.hosts().collect();
+    let [("s-1", MaintenanceState::OutOfService), ("s-2", MaintenanceState::ReturnedAt(since))] = hosts[..]
+    else {
+        panic!("{hosts:?}")
+    };
     assert!(since > 1_700_000_000_000_000, "microseconds of Unix time");
     std::fs::remove_file(&path).expect("taken away");
     kept.save(&dir, "n/1").expect("saved");
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -94,7 +94,7 @@
             told(setup, watch, with(host.entry("up"), "dial", json!("127.0.0.1:1"))).await;
         })),
         Box::pin(overtaken("is out by hand", async |setup, _, host| {
-            assert!(setup.node.operators.maintain(&host.name, false).await.expect("done"));
+            assert!(setup.node.admin.set_host_online(&host.name, false).await.expect("done"));
         })),
     ]));
 }
@@ -706,7 +706,7 @@
         let mut client = setup.client().await;
         client.send("OPEN 0000000000000001 01 c=ch").await;
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
-        while setup.node.operators.ready() {
+        while setup.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
         client.send("at,d=300\r").await;
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -426,15 +426,15 @@
         let (_, mut call) = setup.discovery.call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
         refused(&setup, 1, &host).await;
-        let operators = &setup.node.operators;
-        assert!(operators.maintain("s-1", false).await.expect("done"), "the list names it");
+        let admin = &setup.node.admin;
+        assert!(admin.set_host_online("s-1", false).await.expect("done"), "the list names it");
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         chunk(&mut call, "\n").await;
         while setup.node.decisions.lease_left() == Micros(0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         refused(&setup, 2, &host).await;
-        assert!(operators.maintain("s-1", true).await.expect("done"));
+        assert!(admin.set_host_online("s-1", true).await.expect("done"));
     });
 }
 
--- a/crates/alderstile-node/tests/node.rs
+++ b/crates/alderstile-node/tests/node.rs
@@ -202,7 +202,7 @@
         let (setup, _watch) = serving(&[&host]).await;
         let (mut client, mut server) = setup.up(1, &host).await;
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
-        while setup.node.operators.ready() {
+        while setup.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
         // Only half a line has come: MOVE must not stand inside it.
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -193,7 +193,7 @@
 
 /// What the figures say.
 fn figure(setup: &Setup, name: &str) -> Option<String> {
-    let (text, start) = (setup.node.operators.figures(), format!("router.{name}:"));
+    let (text, start) = (setup.node.admin.metrics_text(), format!("router.{name}:"));
     text.lines().find_map(|line| line.strip_prefix(&start)).map(str::to_owned)
 }
 
--- a/crates/alderstile-node/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-node/tests/replicated_config_fixtures.rs
@@ -115,7 +115,7 @@
     let before = serde_json::to_string(&control.show()).expect("JSON");
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let to = listener.local_addr().expect("bound");
-    spawn_local(server::run(setup.node.operators.clone(), listener));
+    spawn_local(server::run(setup.node.admin.clone(), listener));
     let document = document(|_| {}).to_string();
     let proposed = loop {
         let (status, text) = call(to, "POST", "/settings/after/0", &document).await;
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -49,10 +49,10 @@
     begun.save(&HardState::genesis(), &[]).expect("saved");
     drop(begun);
     let member = Rc::new(Cluster::new(&setup.node.config(), &cluster, None).expect("a member"));
-    setup.node.operators.join(member.clone());
+    setup.node.admin.set_membership(member.clone());
     let control = Rc::new(Control::new(control, &setup.node));
-    setup.node.operators.agree(control.clone());
-    assert!(!setup.node.operators.ready(), "not before it knows which version counts");
+    setup.node.admin.set_replicated_config(control.clone());
+    assert!(!setup.node.admin.is_ready(), "not before it knows which version counts");
     spawn_local(control.clone().run(member));
     (setup, watch, control, dir)
 }
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_node::admin::maintenance_store::Stand;
+use alderstile_node::admin::maintenance_store::MaintenanceState;
 use alderstile_node::config::Config;
 use alderstile_node::discovery::endpoint_list::Health;
 use alderstile_node::lifecycle::connection_handover::{self as handover, Handover};
@@ -50,11 +50,11 @@
     assert!(matches!(message("ready"), Word::Ready { number: 3 }));
     assert!(matches!(message("door"), Word::Door { number: 4 }));
     assert!(
-        matches!(message("host_out"), Word::Host { number: 5, host, stand: Stand::Out } if host == "s-1")
+        matches!(message("host_out"), Word::Host { number: 5, host, stand: MaintenanceState::OutOfService } if host == "s-1")
     );
     assert!(matches!(
         message("host_back"),
-        Word::Host { number: 6, host, stand: Stand::Back(1_764_748_800_000_007) } if host == "s-2"
+        Word::Host { number: 6, host, stand: MaintenanceState::ReturnedAt(1_764_748_800_000_007) } if host == "s-2"
     ));
     assert!(matches!(message("done"), Word::Done { number: 7 }));
     assert!(matches!(message("id"), Word::Id(id) if id == "00000000000000a1"));
@@ -74,7 +74,10 @@
     assert_eq!((host.host.as_str(), host.dial), ("s-1", "127.0.0.1:7001".parse().ok()));
     assert_eq!((host.site.as_str(), host.block, host.share), ("a", 3, 1.5));
     assert_eq!(host.born_ms, 1_764_748_800_123);
-    let hosts = [("s-1".to_owned(), Stand::Out), ("s-2".to_owned(), Stand::Back(1_764_748_800_000_007))];
+    let hosts = [
+        ("s-1".to_owned(), MaintenanceState::OutOfService),
+        ("s-2".to_owned(), MaintenanceState::ReturnedAt(1_764_748_800_000_007)),
+    ];
     assert_eq!(hello.hosts, BTreeMap::from(hosts));
     assert_eq!(hello.ids, ["00000000000000a1", "a \u{e9}\u{fffd}"]);
     assert_eq!(hello.spent, Some(vec![(11, 22, 33, 4), (55, 66, 77, 8)]));
