--- a/crates/alderstile-cluster/tests/subsets.rs
+++ b/crates/alderstile-cluster/tests/subsetting.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use alderstile::interface::{Micros, ServerId};
-use alderstile_cluster::subsets::{Host, Node, Place, Rule, Shares, Subset, order, table};
+use alderstile::types::{Micros, ServerId};
+use alderstile_cluster::subsetting::{Host, Node, Place, Rule, Shares, Subset, order, table};
 use proptest::prelude::*;
 
 fn nodes(count: usize) -> Vec<Node> {
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -3,9 +3,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-use alderstile::interface::Micros;
-use alderstile_cluster::agreed;
-use alderstile_cluster::members::{self, MAX_CLUSTER, MIN_KEY, Seal};
+use alderstile::types::Micros;
+use alderstile_cluster::authentication::{MAX_CLUSTER_NAME_BYTES, MIN_KEY_BYTES};
+use alderstile_cluster::membership::{self, DatagramCodec};
+use alderstile_cluster::replicated_config;
 use serde::Deserialize;
 use thiserror::Error;
 
@@ -77,9 +78,9 @@
     /// Where this node hears of versions, UDP.
     pub listen: SocketAddr,
     /// The cluster's name and keys, on every datagram.
-    pub seal: agreed::Seal,
+    pub seal: replicated_config::Seal,
     /// What the core goes by.
-    pub settings: agreed::Settings,
+    pub settings: replicated_config::ReplicationSettings,
     /// Where a voter keeps its memory.
     pub state_dir: Option<PathBuf>,
     /// What a node does that is cut off.
@@ -127,9 +128,9 @@
     /// Whom a member asks that knows nobody.
     pub seeds: Vec<SocketAddr>,
     /// The cluster's name and keys, on every datagram.
-    pub seal: Seal,
+    pub codec: DatagramCodec,
     /// What the members go by.
-    pub settings: members::Settings,
+    pub settings: membership::Settings,
     /// Each node uses a part of the hosts; all of them where this is not set.
     pub subsets: Option<Subsets>,
     /// Settings are agreed among the members; each node goes by its own file where this is not set.
@@ -148,14 +149,17 @@
     pub fn parse(shown: &str, text: &str) -> Result<Self, ClusterError> {
         let file: File = toml::from_str(text).map_err(|error| ClusterError::Toml(shown.to_owned(), error))?;
         let bad = |key: &str, what: String| ClusterError::Key(shown.to_owned(), key.to_owned(), what);
-        if file.name.is_empty() || file.name.len() > MAX_CLUSTER {
-            return Err(bad("name", format!("1 to {MAX_CLUSTER} bytes are wanted")));
+        if file.name.is_empty() || file.name.len() > MAX_CLUSTER_NAME_BYTES {
+            return Err(bad("name", format!("1 to {MAX_CLUSTER_NAME_BYTES} bytes are wanted")));
         }
         let mut keys = Vec::new();
         for (i, key) in file.keys.iter().enumerate() {
-            let key = hex::decode(key).ok().filter(|key| key.len() >= MIN_KEY);
+            let key = hex::decode(key).ok().filter(|key| key.len() >= MIN_KEY_BYTES);
             let wanted = || {
-                bad(&format!("keys[{i}]"), format!("at least {} hexadecimal digits are wanted", 2 * MIN_KEY))
+                bad(
+                    &format!("keys[{i}]"),
+                    format!("at least {} hexadecimal digits are wanted", 2 * MIN_KEY_BYTES),
+                )
             };
             keys.push(key.ok_or_else(wanted)?);
         }
@@ -172,14 +176,15 @@
         if !(50..=60_000).contains(&period_ms) {
             return Err(bad("period_ms", format!("{period_ms}: 50 to 60000 is wanted")));
         }
-        let mut settings = members::Settings::with_period(Micros::from_millis(period_ms));
+        let mut settings = membership::Settings::with_period(Micros::from_millis(period_ms));
         if let Some(suspicion) = file.suspicion {
             if !(1.0..=100.0).contains(&suspicion) {
                 return Err(bad("suspicion", format!("{suspicion}: 1 to 100 is wanted")));
             }
             settings.suspicion = suspicion;
         }
-        let seal = Seal::new(&file.name, &keys).ok_or_else(|| bad("keys", "can't be used".to_owned()))?;
+        let codec =
+            DatagramCodec::new(&file.name, &keys).map_err(|_| bad("keys", "can't be used".to_owned()))?;
         let advertise = file.advertise.unwrap_or(file.listen);
         if advertise.ip().is_unspecified() || advertise.port() == 0 {
             return Err(bad("advertise", format!("{advertise}: an address is wanted that others can reach")));
@@ -200,8 +205,10 @@
                 Some(Subsets { size, users, zones_first, hold: Micros((hold_s * 1e6) as u64) })
             }
         };
-        let seal_of =
-            || agreed::Seal::new(&file.name, &keys).ok_or_else(|| bad("keys", "can't be used".to_owned()));
+        let seal_of = || {
+            replicated_config::Seal::new(&file.name, &keys)
+                .ok_or_else(|| bad("keys", "can't be used".to_owned()))
+        };
         let control = match file.control {
             None => None,
             Some(table) => Some(control(table, seal_of()?, bad)?),
@@ -213,7 +220,7 @@
             listen: file.listen,
             advertise,
             seeds: file.seeds,
-            seal,
+            codec,
             settings,
         })
     }
@@ -222,7 +229,7 @@
 /// Checks the table `[control]`.
 fn control(
     table: ControlTable,
-    seal: agreed::Seal,
+    seal: replicated_config::Seal,
     bad: impl Fn(&str, String) -> ClusterError,
 ) -> Result<ControlConfig, ClusterError> {
     let ControlTable { listen, voters, state_dir, .. } = table;
@@ -230,8 +237,8 @@
     if listen.port() == 0 {
         return Err(bad("control.listen", "a port is wanted that others can know".to_owned()));
     }
-    if voters.is_empty() || voters.len() > agreed::MAX_VOTERS {
-        let what = format!("{}: 1 to {} are wanted", voters.len(), agreed::MAX_VOTERS);
+    if voters.is_empty() || voters.len() > replicated_config::MAX_VOTERS {
+        let what = format!("{}: 1 to {} are wanted", voters.len(), replicated_config::MAX_VOTERS);
         return Err(bad("control.voters", what));
     }
     for (i, voter) in voters.iter().enumerate() {
@@ -247,7 +254,7 @@
     if me.is_some() && state_dir.is_none() {
         return Err(bad("control.state_dir", "a voter wants a lasting place for its memory".to_owned()));
     }
-    let mut settings = agreed::Settings::usual(voters, me);
+    let mut settings = replicated_config::ReplicationSettings::usual(voters, me);
     if let Some(heartbeat) = table.heartbeat_ms {
         if !(20..=10_000).contains(&heartbeat) {
             return Err(bad("control.heartbeat_ms", format!("{heartbeat}: 20 to 10000 is wanted")));
--- a/src/policy/record.rs
+++ b/src/policy/record.rs
@@ -1,6 +1,6 @@
 //! What is held of one request: data that decides nothing.
 
-use crate::interface::{ClassSettings, Micros, Request};
+use crate::types::{ClassSettings, Micros, Request};
 
 use super::sums::is_load;
 
@@ -64,7 +64,7 @@
             timed: false,
             started: None,
             class: None,
-            told: request.hint.filter(is_load),
+            told: request.expected_load.filter(is_load),
         }
     }
 }
