--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -9,7 +9,7 @@
 use super::rebalance::PERIOD;
 
 /// The share of a full server's room that is kept for the classes worth most for their load.
-const RESERVED: f64 = 0.5;
+const RESERVED_SHARE: f64 = 0.5;
 
 impl Policy {
     /// The final answer for a request that is given up: at once, so that the client can come again.
@@ -34,7 +34,7 @@
         let class = conn.request.class as usize;
         let best = (0..self.class_load.len()).map(|c| self.worth_of_load(c)).fold(0.0, f64::max);
         let claim = if best > 0.0 { self.worth_of_load(class) / best } else { 1.0 };
-        let room = 1.0 - RESERVED * (1.0 - claim);
+        let room = 1.0 - RESERVED_SHARE * (1.0 - claim);
         self.servers[s].limit.is_none_or(|limit| self.record(s) < limit * room)
     }
 
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -3,16 +3,16 @@
 use super::Policy;
 
 /// What counts of what a server was seen to manage: a late one is brought to that, a cold one is sent by it.
-pub(super) const MARGIN: f64 = 0.7;
+pub(super) const CAPACITY_MARGIN: f64 = 0.7;
 
 /// The lowest believed speed: a server is never written off for good.
-const SPEED_FLOOR: f64 = 0.1;
+const MIN_SPEED: f64 = 0.1;
 
 /// What a period without late messages gives back.
-pub(super) const SPEED_GAIN: f64 = 0.04;
+pub(super) const SLOWNESS_RECOVERY: f64 = 0.04;
 
 /// What a period gives back of the load at which a server was full.
-pub(super) const LIMIT_GAIN: f64 = 1.05;
+pub(super) const LOAD_LIMIT_GROWTH: f64 = 1.05;
 
 impl Policy {
     /// It manages that much of this node's load, and has to be believed so for a while.
@@ -22,7 +22,7 @@
         let server = &mut self.servers[s];
         server.limit = Some(server.limit.map_or(manages, |limit| limit.min(manages)).max(usual));
         if mean > 0.0 {
-            let slowness = (1.0 - manages / (mean * size)).min(1.0 - SPEED_FLOOR);
+            let slowness = (1.0 - manages / (mean * size)).min(1.0 - MIN_SPEED);
             server.slowness = server.slowness.max(slowness);
         }
     }
--- a/src/policy/effective_weight.rs
+++ b/src/policy/effective_weight.rs
@@ -6,7 +6,7 @@
 use super::load_estimate::is_load;
 
 /// Where crossing zones is charged for, a server in the own zone draws so much more than one in another.
-const NEAR: f64 = 3.0;
+const ZONE_AFFINITY: f64 = 3.0;
 
 impl Policy {
     /// The listed size of a server.
@@ -32,6 +32,7 @@
     /// their draw falls alike at all nodes, and a copy of a group for each zone costs more than crossings.
     pub(super) fn weigh_zones(&mut self, now: Micros) {
         let cold = (0..self.servers.len()).any(|s| self.up(now, s) && self.warmth(now, s) < 1.0);
-        self.near = if self.set.prices.cross_zone > 0.0 && !cold && !self.set.groups { NEAR } else { 1.0 };
+        self.near =
+            if self.set.prices.cross_zone > 0.0 && !cold && !self.set.groups { ZONE_AFFINITY } else { 1.0 };
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -10,16 +10,16 @@
 use super::server::Server;
 
 /// The first wait before the list is asked for again; doubled after each failure.
-pub(super) const ASK_AGAIN: Micros = Micros::from_millis(500);
+pub(super) const POLL_BACKOFF: Micros = Micros::from_millis(500);
 
 /// So many times at most.
-const ASK_DOUBLINGS: u32 = 2;
+const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 2;
 
 /// A probe that found a server running counts this long.
-const FOUND_FRESH: Micros = Micros::from_millis(8_000);
+const PROBE_ANSWER_VALID_FOR: Micros = Micros::from_millis(8_000);
 
 /// Wakes the asking for the list.
-pub(super) const TOKEN_ASK: TimerToken = TimerToken(1);
+pub(super) const POLL_TIMER: TimerToken = TimerToken(1);
 
 impl Policy {
     pub(super) fn list(
@@ -32,12 +32,12 @@
         if kind == EndpointListKind::Failed {
             // A subscription that broke is asked for again, later each time but within the list's own limit.
             // From the list's return until what it has counts as told: half for the wait, half for its queue.
-            let wait = ASK_AGAIN.scale(f64::from(1 << self.ask_failures.min(ASK_DOUBLINGS)));
+            let wait = POLL_BACKOFF.scale(f64::from(1 << self.ask_failures.min(MAX_POLL_BACKOFF_DOUBLINGS)));
             let wait = wait.scale(0.5 + self.rng.random::<f64>()).min(self.set.max_poll_interval.scale(0.5));
             if self.set.must_subscribe && !self.asking {
                 self.asking = true;
                 self.ask_failures += 1;
-                out.push(Action::SetTimer(wait, TOKEN_ASK));
+                out.push(Action::SetTimer(wait, POLL_TIMER));
                 self.log(None, format!("list: call failed, asking again in {} ms", wait.0 / 1_000), out);
             }
             return;
@@ -103,7 +103,7 @@
     /// Whether something of this node's stands there, or a probe has answered of late.
     fn runs(&self, now: Micros, s: usize) -> bool {
         let server = &self.servers[s];
-        !server.conns.is_empty() || server.found.is_some_and(|at| now < at + FOUND_FRESH)
+        !server.conns.is_empty() || server.found.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
     }
 
     /// Guards against a list that calls running servers gone: where one of those that it called gone together
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -8,11 +8,11 @@
 use super::connection::Conn;
 
 /// Loads above this are no loads: about a thousand cores' work.
-pub(super) const LOAD_LIMIT: f64 = 1e9;
+pub(super) const MAX_LOAD: f64 = 1e9;
 
 /// A load that is no number, negative or absurd would poison every sum that it enters.
 pub(super) fn is_load(load: &f64) -> bool {
-    (0.0..=LOAD_LIMIT).contains(load)
+    (0.0..=MAX_LOAD).contains(load)
 }
 
 /// Takes one off a count; what is counted down to nothing is no longer held.
--- a/src/policy/log_limit.rs
+++ b/src/policy/log_limit.rs
@@ -5,7 +5,7 @@
 use super::Policy;
 
 /// Log lines in a period, at most: a storm must not drown its own causes.
-pub(super) const LOG_LINES: u32 = 4;
+pub(super) const LINES_PER_PERIOD: u32 = 4;
 
 impl Policy {
     pub(super) fn log(&mut self, of: Option<ServerId>, line: String, out: &mut Vec<Action>) {
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -5,28 +5,28 @@
 use super::Policy;
 
 /// The reactive trigger: messages take this share of the shortest message aim, from which on they are told.
-pub(super) const LATE_SHARE: f64 = 1.0 / 3.0;
+pub(super) const LATE_SHARE_OF_OBJECTIVE: f64 = 1.0 / 3.0;
 
 /// A told delay counts this long; notes come once a second while messages are late.
-const DELAY_FRESH: Micros = Micros::from_millis(1_600);
+const DELAY_VALID_FOR: Micros = Micros::from_millis(1_600);
 
 /// The same for a server that holds none of this node's connections.
-const DELAY_UNSEEN: Micros = Micros::from_millis(30_000);
+const DELAY_VALID_UNOBSERVED_FOR: Micros = Micros::from_millis(30_000);
 
 /// Messages that take this long at once, and longer no faster than time passes, wait for a server that stands
 /// still: a queue that grows to that between two notes goes on growing so. The second in seconds a second.
-const STILL: Micros = Micros::from_millis(2_000);
+const STALL_DELAY: Micros = Micros::from_millis(2_000);
 
-const STILL_GROWTH: f64 = 1.5;
+const STALL_MAX_GROWTH: f64 = 1.5;
 
 /// Delays above this are no delays: a minute.
-const DELAY_LIMIT_MS: f64 = 60_000.0;
+const MAX_DELAY_MS: f64 = 60_000.0;
 
 /// From which delay on a server's messages are late.
 pub(super) fn late_at(settings: &BalancerSettings) -> Micros {
     let shortest =
         settings.classes.iter().map(|c| c.message_latency_objective.unwrap_or(c.latency_objective)).min();
-    shortest.unwrap_or(Micros(0)).scale(LATE_SHARE)
+    shortest.unwrap_or(Micros(0)).scale(LATE_SHARE_OF_OBJECTIVE)
 }
 
 /// What was told of the time that messages take at a server.
@@ -45,15 +45,15 @@
 
 impl Policy {
     pub(super) fn delay_told(&mut self, now: Micros, server: ServerId, ms: f64, doubt: bool) {
-        let known = self.by_id.get(&server).filter(|_| (0.0..=DELAY_LIMIT_MS).contains(&ms));
+        let known = self.by_id.get(&server).filter(|_| (0.0..=MAX_DELAY_MS).contains(&ms));
         let Some(&s) = known else { return };
         let span = Micros((ms * 1_000.0) as u64);
-        let last = self.servers[s].delay.filter(|last| now < last.at + DELAY_FRESH && now > last.at);
+        let last = self.servers[s].delay.filter(|last| now < last.at + DELAY_VALID_FOR && now > last.at);
         let grown = |d: Delay| (span.as_secs_f64() - d.span.as_secs_f64()) / (now - d.at).as_secs_f64();
         // Set-ups at odd moments tell nothing of a growth.
         let growth = last.filter(|_| self.set.servers_report_delay).map_or(0.0, grown);
         let before = last.filter(|d| d.span >= self.late_at);
-        let still = before.map_or(span >= STILL, |d| d.still && growth < STILL_GROWTH);
+        let still = before.map_or(span >= STALL_DELAY, |d| d.still && growth < STALL_MAX_GROWTH);
         self.servers[s].delay = Some(Delay { span, at: now, still, growth, doubt });
     }
 
@@ -65,7 +65,7 @@
         // Below a whole aim one may be long by its own work: the next there, due now, has to be long too.
         let bar = self.late_at.as_secs_f64() * 1e3;
         let before = self.servers[s].delay.is_some_and(|d| d.span >= self.late_at);
-        let doubt = !before && (bar..bar / LATE_SHARE).contains(&waits);
+        let doubt = !before && (bar..bar / LATE_SHARE_OF_OBJECTIVE).contains(&waits);
         self.delay_told(now, id, waits, doubt);
         if self.set.gossip_allowed && self.late(now, s) {
             out.push(Action::Broadcast([id.0.to_le_bytes(), waits.to_le_bytes()].concat()));
@@ -82,13 +82,13 @@
     pub(super) fn late(&self, now: Micros, s: usize) -> bool {
         // Where this node holds nothing no note can tell that it is over, and trying costs a client.
         let server = &self.servers[s];
-        let fresh = if server.conns.is_empty() { DELAY_UNSEEN } else { DELAY_FRESH };
+        let fresh = if server.conns.is_empty() { DELAY_VALID_UNOBSERVED_FOR } else { DELAY_VALID_FOR };
         server.delay.is_some_and(|d| !d.doubt && d.span >= self.late_at && now < d.at + fresh)
     }
 
     /// Whether it is only taken for late because nothing has told otherwise.
     pub(super) fn unseen(&self, now: Micros, s: usize) -> bool {
-        let old = |d: Delay| d.still && now >= d.at + DELAY_FRESH;
+        let old = |d: Delay| d.still && now >= d.at + DELAY_VALID_FOR;
         self.servers[s].conns.is_empty() && self.servers[s].delay.is_some_and(old) && self.late(now, s)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -34,12 +34,12 @@
 mod status;
 
 use connection::{Conn, Stage};
-use endpoints::{ASK_AGAIN, TOKEN_ASK};
-use log_limit::LOG_LINES;
+use endpoints::{POLL_BACKOFF, POLL_TIMER};
+use log_limit::LINES_PER_PERIOD;
 use message_delay::late_at;
-use probe::{LOOKS, PROBE_CAP, TOKEN_LOOK};
-use rebalance::{PERIOD, TOKEN_PERIOD};
-use retry_budget::{Ledger, RETRY_CAP, RETRY_EARN};
+use probe::{MAX_PROBE_ATTEMPTS, MAX_REMOVAL_PROBES, PROBE_TIMER_MARK};
+use rebalance::{PERIOD, PERIOD_TIMER};
+use retry_budget::{Ledger, MAX_TOKENS, TOKENS_PER_REQUEST};
 use running_mean::Mean;
 use server::Server;
 
@@ -107,26 +107,26 @@
             usual_taken: Mean::default(),
             taken: 0,
             trying: 0,
-            retry_tokens: RETRY_CAP,
+            retry_tokens: MAX_TOKENS,
             ledger: Ledger::default(),
             ask_failures: 0,
             asking: false,
             lists: 0,
             doubted: BTreeSet::new(),
-            probe_tokens: PROBE_CAP,
+            probe_tokens: MAX_REMOVAL_PROBES,
             near: 1.0,
-            log_left: LOG_LINES,
+            log_left: LINES_PER_PERIOD,
         }
     }
 
     /// Timers and questions with which a node begins.
     pub fn start(&mut self, actions: &mut Vec<Action>) {
-        actions.push(Action::SetTimer(PERIOD.scale(self.rng.random::<f64>()), TOKEN_PERIOD));
+        actions.push(Action::SetTimer(PERIOD.scale(self.rng.random::<f64>()), PERIOD_TIMER));
         if self.set.must_subscribe {
             // Nodes that start together must not ask together: the list is one service for all of them.
             let spread =
-                ASK_AGAIN.scale(f64::from(self.set.node_count)).min(self.set.max_poll_interval).scale(0.5);
-            actions.push(Action::SetTimer(spread.scale(self.rng.random::<f64>()), TOKEN_ASK));
+                POLL_BACKOFF.scale(f64::from(self.set.node_count)).min(self.set.max_poll_interval).scale(0.5);
+            actions.push(Action::SetTimer(spread.scale(self.rng.random::<f64>()), POLL_TIMER));
         }
     }
 
@@ -136,8 +136,8 @@
         match event {
             Event::EndpointList(kind, entries) => self.list(now, kind, entries, out),
             Event::Request(request) => {
-                self.retry_tokens = (self.retry_tokens + RETRY_EARN).min(RETRY_CAP);
-                self.probe_tokens = (self.probe_tokens + 1.0).min(PROBE_CAP);
+                self.retry_tokens = (self.retry_tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
+                self.probe_tokens = (self.probe_tokens + 1.0).min(MAX_REMOVAL_PROBES);
                 self.count(now, 1, 0);
                 self.taken += 1;
                 let conn = self.conn(now, request);
@@ -154,12 +154,14 @@
                     self.leave(&conn);
                 }
             }
-            Event::Timer(TOKEN_PERIOD) => self.period(now, out),
-            Event::Timer(TOKEN_ASK) => {
+            Event::Timer(PERIOD_TIMER) => self.period(now, out),
+            Event::Timer(POLL_TIMER) => {
                 self.asking = false;
                 out.push(Action::WatchEndpoints);
             }
-            Event::Timer(TimerToken(id)) => self.looked(now, RequestId(id & !TOKEN_LOOK), LOOKS, out),
+            Event::Timer(TimerToken(id)) => {
+                self.looked(now, RequestId(id & !PROBE_TIMER_MARK), MAX_PROBE_ATTEMPTS, out)
+            }
             Event::ProbeCompleted { server, outcome, report } => {
                 self.probed(now, server, outcome, &report, out)
             }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -8,19 +8,19 @@
 use super::connection::{Conn, Stage};
 
 /// The first pause in sending to a server after a failed set-up; it doubles with each further one.
-const PAUSE_FIRST: Micros = Micros::from_millis(1_000);
+const BASE_EJECTION: Micros = Micros::from_millis(1_000);
 
 /// The longest pause, as a number of doublings.
-const PAUSE_DOUBLINGS: u32 = 4;
+const MAX_EJECTION_DOUBLINGS: u32 = 4;
 
 /// Nodes that try a server that is down in turn, at most, or it would wait for long.
-const TURNS: f64 = 16.0;
+const MAX_RETURN_TURNS: f64 = 16.0;
 
 /// Failures without a clear while between them that are worth a line.
-const PAUSE_TOLD: u32 = 3;
+const LOGGED_FAILURES: u32 = 3;
 
 /// After this long without a failure the next pause is the first again.
-const PAUSE_FORGOTTEN: Micros = Micros::from_millis(8_000);
+const FAILURES_FORGOTTEN_AFTER: Micros = Micros::from_millis(8_000);
 
 impl Policy {
     /// Guards against the server that fails fast, or drops what it takes, keeps a low record and so draws all
@@ -45,21 +45,21 @@
         server.fell |= outcome == Outcome::ConnectFailed && !held;
         let paused = now < server.paused_until;
         if !paused {
-            if now > server.paused_until + PAUSE_FORGOTTEN {
+            if now > server.paused_until + FAILURES_FORGOTTEN_AFTER {
                 server.failures = 0;
             }
-            let pause = PAUSE_FIRST.scale(f64::from(1 << server.failures.min(PAUSE_DOUBLINGS)));
+            let pause = BASE_EJECTION.scale(f64::from(1 << server.failures.min(MAX_EJECTION_DOUBLINGS)));
             server.failures += 1;
             // Nodes that all wait for one that is down try it one after the other.
             let chance: f64 = self.rng.random();
-            let turns = if server.fell { nodes.min(TURNS) } else { 0.0 };
-            let pause = pause.scale(0.75 + 0.5 * chance).max(PAUSE_FIRST.scale(turns * chance));
+            let turns = if server.fell { nodes.min(MAX_RETURN_TURNS) } else { 0.0 };
+            let pause = pause.scale(0.75 + 0.5 * chance).max(BASE_EJECTION.scale(turns * chance));
             server.paused_until = now + pause;
         }
         // The list tells of lost servers seconds later, of a cut link never.
         server.shut |= dropped_all || matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
         let (id, failures) = (server.entry.id, server.failures);
-        if !paused && failures == PAUSE_TOLD {
+        if !paused && failures == LOGGED_FAILURES {
             self.log(Some(id), format!("paused again after {failures} failures, last {outcome:?}"), out);
         }
     }
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -7,22 +7,22 @@
 use super::load_estimate::is_load;
 
 /// A told load ratio counts this long.
-const SEEN_FRESH: Micros = Micros::from_millis(2_000);
+const LOAD_REPORT_VALID_FOR: Micros = Micros::from_millis(2_000);
 
 /// A server is passed over above this ratio of load to what it can do: a heavy connection still fits below.
-pub(super) const CROWDED: f64 = 0.7;
+pub(super) const CROWDED_LOAD_RATIO: f64 = 0.7;
 
 /// Servers that a request may look at by a probe before it lands.
-pub(super) const LOOKS: u32 = 3;
+pub(super) const MAX_PROBE_ATTEMPTS: u32 = 3;
 
 /// Probes of what is called gone that may be saved up; each request taken earns one.
-pub(super) const PROBE_CAP: f64 = 3.0;
+pub(super) const MAX_REMOVAL_PROBES: f64 = 3.0;
 
 /// The longest wait for a look: a small share of any set-up aim.
-const LOOK_WAIT: Micros = Micros::from_millis(50);
+const PROBE_WAIT: Micros = Micros::from_millis(50);
 
 /// Marks the tokens of looks; the rest is the request's number.
-pub(super) const TOKEN_LOOK: u64 = 1 << 63;
+pub(super) const PROBE_TIMER_MARK: u64 = 1 << 63;
 
 impl Policy {
     /// Probes of what is called gone where nothing tells whether it runs: one for each request taken and no
@@ -49,13 +49,17 @@
     /// next to nothing of what the others hold.
     pub(super) fn look(&mut self, now: Micros, s: usize, conn: &Conn, out: &mut Vec<Action>) -> bool {
         let known = self.seen(now, s).is_some();
-        if !self.reports() || known || conn.looks >= LOOKS || now + LOOK_WAIT.scale(2.0) > conn.deadline {
+        if !self.reports()
+            || known
+            || conn.looks >= MAX_PROBE_ATTEMPTS
+            || now + PROBE_WAIT.scale(2.0) > conn.deadline
+        {
             return false;
         }
         let server = &mut self.servers[s];
         out.push(Action::Probe(server.entry.id));
         server.lookers.push(conn.request.id);
-        out.push(Action::SetTimer(LOOK_WAIT, TimerToken(conn.request.id.0 | TOKEN_LOOK)));
+        out.push(Action::SetTimer(PROBE_WAIT, TimerToken(conn.request.id.0 | PROBE_TIMER_MARK)));
         true
     }
 
@@ -75,7 +79,7 @@
         let ratio = ratio.and_then(|i| report.get(i)).filter(|ratio| is_load(ratio));
         self.servers[s].seen = ratio.map(|ratio| (*ratio, now)).or(self.servers[s].seen);
         // Where nothing is held no note tells that it is over: a report does.
-        if self.unseen(now, s) && ratio.is_some_and(|ratio| *ratio <= CROWDED) {
+        if self.unseen(now, s) && ratio.is_some_and(|ratio| *ratio <= CROWDED_LOAD_RATIO) {
             self.servers[s].delay = None;
         }
         for id in std::mem::take(&mut self.servers[s].lookers) {
@@ -95,6 +99,6 @@
 
     /// The load ratio last told, while it counts.
     pub(super) fn seen(&self, now: Micros, s: usize) -> Option<f64> {
-        self.servers[s].seen.filter(|(_, at)| now < *at + SEEN_FRESH).map(|(ratio, _)| ratio)
+        self.servers[s].seen.filter(|(_, at)| now < *at + LOAD_REPORT_VALID_FOR).map(|(ratio, _)| ratio)
     }
 }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -5,43 +5,43 @@
 use crate::types::{Action, EndpointState, Micros, RequestId, TimerToken};
 
 use super::Policy;
-use super::capacity::{LIMIT_GAIN, MARGIN, SPEED_GAIN};
+use super::capacity::{CAPACITY_MARGIN, LOAD_LIMIT_GROWTH, SLOWNESS_RECOVERY};
 use super::connection::{Conn, Stage};
-use super::log_limit::LOG_LINES;
-use super::message_delay::LATE_SHARE;
+use super::log_limit::LINES_PER_PERIOD;
+use super::message_delay::LATE_SHARE_OF_OBJECTIVE;
 
 /// The design's period: loads are summed and compared this often.
 pub(super) const PERIOD: Micros = Micros::from_millis(1_000);
 
 /// The design's bar: a server this far above the mean sheds.
-pub(super) const BAR: f64 = 1.1;
+pub(super) const OVERLOAD_THRESHOLD: f64 = 1.1;
 
 /// Periods above the bar before a server sheds: a load that swings by itself is back under it by then.
-const PERIODS_ABOVE: u32 = 3;
+const OVERLOADED_PERIODS: u32 = 3;
 
 /// The share of a server's connections that one period may move, rounded down: few tell too little.
-const MOVE_SHARE: f64 = 0.1;
+const PROACTIVE_MOVE_SHARE: f64 = 0.1;
 
 /// The same where the server's messages are late: those connections lose more by staying.
-const REACTIVE_SHARE: f64 = 0.5;
+const REACTIVE_MOVE_SHARE: f64 = 0.5;
 
 /// From this share of the warm servers on the fleet as a whole is late: what moves finds no room, and late
 /// servers move no more than others, whole connections by chance.
-const ALL_LATE: f64 = 0.9;
+const FLEET_LATE_SHARE: f64 = 0.9;
 
 /// Below this many connections on a server, in the mean, the own record tells next to nothing of a server.
-const FEW: f64 = 1.0;
+const FEW_CONNECTIONS: f64 = 1.0;
 
 /// Piled work that was told is to be gone after this long.
-const DRAIN: Micros = Micros::from_millis(1_000);
+const BACKLOG_CLEAR_TIME: Micros = Micros::from_millis(1_000);
 
 /// Wakes the period.
-pub(super) const TOKEN_PERIOD: TimerToken = TimerToken(0);
+pub(super) const PERIOD_TIMER: TimerToken = TimerToken(0);
 
 impl Policy {
     pub(super) fn period(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer(PERIOD, TOKEN_PERIOD));
-        self.log_left = LOG_LINES;
+        out.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
+        self.log_left = LINES_PER_PERIOD;
         self.stood += self.conns.len() as f64 * PERIOD.as_secs_f64();
         self.usual_taken.add(f64::from(std::mem::take(&mut self.taken)) / PERIOD.as_secs_f64());
         let held = self.held(now);
@@ -52,8 +52,8 @@
         for s in 0..self.servers.len() {
             self.permit(now, s, shown);
             let server = &mut self.servers[s];
-            server.slowness = (server.slowness - SPEED_GAIN).max(0.0);
-            server.limit = server.limit.map(|limit| limit * LIMIT_GAIN);
+            server.slowness = (server.slowness - SLOWNESS_RECOVERY).max(0.0);
+            server.limit = server.limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
             if self.reports() && self.up(now, s) && self.unseen(now, s) {
                 out.push(Action::Probe(self.servers[s].entry.id));
             }
@@ -68,7 +68,7 @@
             let drains =
                 self.servers[s].entry.state == EndpointState::Draining && self.set.migrate_from_draining;
             if self.up(now, s) || drains {
-                self.shed(now, s, mean, held < FEW, out);
+                self.shed(now, s, mean, held < FEW_CONNECTIONS, out);
             }
         }
     }
@@ -81,12 +81,13 @@
         let record = self.record(s);
         let busy = (1.0 + delay.growth).clamp(0.5, 10.0);
         // A little late is a little over what it can do: only where an aim is missed is it the whole margin.
-        let urgency = (delay.span.as_secs_f64() * LATE_SHARE / self.late_at.as_secs_f64()).min(1.0);
-        let manages = (1.0 - (1.0 - MARGIN) * urgency) * record / busy;
+        let urgency =
+            (delay.span.as_secs_f64() * LATE_SHARE_OF_OBJECTIVE / self.late_at.as_secs_f64()).min(1.0);
+        let manages = (1.0 - (1.0 - CAPACITY_MARGIN) * urgency) * record / busy;
         if !delay.still {
             self.overloaded(s, manages, mean);
         }
-        let piled = delay.span.as_secs_f64() / DRAIN.as_secs_f64();
+        let piled = delay.span.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
         (record - manages * (1.0 - piled)).clamp(0.0, record)
     }
 
@@ -98,8 +99,8 @@
         let fair = mean * self.power(s);
         let record = self.record(s);
         let server = &mut self.servers[s];
-        server.above = if record > BAR * fair { server.above + 1 } else { 0 };
-        let ordinary = if server.above >= PERIODS_ABOVE { record - fair } else { 0.0 };
+        server.above = if record > OVERLOAD_THRESHOLD * fair { server.above + 1 } else { 0 };
+        let ordinary = if server.above >= OVERLOADED_PERIODS { record - fair } else { 0.0 };
         let mut excess = reactive.max(ordinary);
         if excess <= 0.0 {
             return;
@@ -108,8 +109,9 @@
             |of: Vec<usize>| of.iter().filter(|s| self.late(now, **s)).count() as f64 / of.len() as f64;
         let ready = late((0..self.servers.len()).filter(|&s| self.up(now, s)).collect());
         // Guards against a queue of set-ups that grows by what moves: most of that comes back as set-ups.
-        let all_late = !draining && late(self.warm(now)) >= ALL_LATE;
-        let (share, up) = if all_late { (MOVE_SHARE, self.rng.random()) } else { (REACTIVE_SHARE, 0.99) };
+        let all_late = !draining && late(self.warm(now)) >= FLEET_LATE_SHARE;
+        let (share, up) =
+            if all_late { (PROACTIVE_MOVE_SHARE, self.rng.random()) } else { (REACTIVE_MOVE_SHARE, 0.99) };
         // What moves begins its group anew elsewhere: the more servers are late, the less room there is.
         let crowding = if reactive > 0.0 { (2.0 * self.set.group_load * ready).min(1.0) } else { 1.0 };
         let mut open: Vec<(f64, RequestId)> = (self.servers[s].conns.iter())
@@ -121,8 +123,9 @@
         // A late server may lose its last connection too; and by chance for less than that where each of many
         // nodes holds one there, or none would begin, and where what stays earns nothing: a way that is slow
         // keeps a steady delay, and half of one connection would ask for no move for as long as that lasts.
-        let part = excess.min(REACTIVE_SHARE * lightest);
-        let lost = self.servers[s].delay.is_some_and(|d| d.span.scale(LATE_SHARE) >= self.late_at);
+        let part = excess.min(REACTIVE_MOVE_SHARE * lightest);
+        let lost =
+            self.servers[s].delay.is_some_and(|d| d.span.scale(LATE_SHARE_OF_OBJECTIVE) >= self.late_at);
         if (few || lost) && reactive > 0.0 && excess < lightest && part > lightest * self.rng.random::<f64>()
         {
             excess = lightest;
@@ -131,7 +134,8 @@
             return;
         }
         let n = open.len() as f64;
-        let limit = if reactive > 0.0 { (n * share + up).floor() } else { (n * MOVE_SHARE).floor() };
+        let limit =
+            if reactive > 0.0 { (n * share + up).floor() } else { (n * PROACTIVE_MOVE_SHARE).floor() };
         for _ in 0..limit as usize {
             // The connection that comes closest to what is still to go, while that brings it closer.
             let gaps: Vec<f64> = open.iter().map(|(load, _)| (load - excess).abs()).collect();
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -7,13 +7,13 @@
 use super::Policy;
 
 /// Further attempts that each first attempt earns: in a storm, retries add no more than this to the load.
-pub(super) const RETRY_EARN: f64 = 0.2;
+pub(super) const TOKENS_PER_REQUEST: f64 = 0.2;
 
 /// Further attempts that may be saved up.
-pub(super) const RETRY_CAP: f64 = 10.0;
+pub(super) const MAX_TOKENS: f64 = 10.0;
 
 /// Parts of the span over which further attempts are counted: no more than this is held of it.
-const PARTS: f64 = 50.0;
+const BUCKETS_PER_WINDOW: f64 = 50.0;
 
 /// Further attempts and requests of the stated span, in parts. What is partly out of the span counts as out
 /// for requests and as in for attempts, so the count is never laxer than the rule.
@@ -30,7 +30,11 @@
             self.since = self.since.max(part.last_event);
             self.parts.pop_front();
         }
-        match self.parts.back_mut().filter(|part| now < part.first_event + over.scale(1.0 / PARTS)) {
+        match self
+            .parts
+            .back_mut()
+            .filter(|part| now < part.first_event + over.scale(1.0 / BUCKETS_PER_WINDOW))
+        {
             Some(p) => (p.last_event, p.admitted, p.retries) = (now, p.admitted + taken, p.retries + further),
             None => self.parts.push_back(RetryBudgetBucket {
                 first_event: now,
--- a/src/policy/running_mean.rs
+++ b/src/policy/running_mean.rs
@@ -1,7 +1,7 @@
 //! Exponentially weighted mean.
 
 /// The weight of the newest value in running means.
-const NEWEST: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
 /// A running mean that starts at its first value.
 #[derive(Clone, Copy, Default)]
@@ -9,6 +9,6 @@
 
 impl Mean {
     pub(super) fn add(&mut self, value: f64) {
-        self.0 = Some(self.0.map_or(value, |mean| mean + NEWEST * (value - mean)));
+        self.0 = Some(self.0.map_or(value, |mean| mean + NEWEST_WEIGHT * (value - mean)));
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -6,12 +6,12 @@
 
 use super::Policy;
 use super::connection::Conn;
-use super::groups::{GROUP_BAR, reach};
-use super::probe::CROWDED;
-use super::rebalance::BAR;
+use super::groups::{GROUP_OVERLOAD_THRESHOLD, reach};
+use super::probe::CROWDED_LOAD_RATIO;
+use super::rebalance::OVERLOAD_THRESHOLD;
 
 /// Where only set-ups tell of delays, each server is to have one this often, by any node.
-const SETUP_EVERY: Micros = Micros::from_millis(2_000);
+const SETUP_INTERVAL: Micros = Micros::from_millis(2_000);
 
 /// Chance that falls alike at every node for a group: where many servers tie in the own record, nodes that
 /// know nothing of one another still begin it on the same server.
@@ -31,7 +31,7 @@
 impl Policy {
     /// A server is due for a set-up by this node this long after its last.
     pub(super) fn turn(&self) -> Micros {
-        SETUP_EVERY.scale(f64::from(self.set.node_count))
+        SETUP_INTERVAL.scale(f64::from(self.set.node_count))
     }
 
     /// Where a connection lands: lowest in the own record, chance among equals, with its group where that has
@@ -41,7 +41,7 @@
         let nodes = f64::from(self.set.node_count.max(1));
         let ticket = conn.request.group.unwrap_or(GroupId(self.rng.random()));
         // The other nodes are taken to hold their mean there.
-        let group_room = mean * (1.0 + (GROUP_BAR - 1.0) * nodes);
+        let group_room = mean * (1.0 + (GROUP_OVERLOAD_THRESHOLD - 1.0) * nodes);
         // Nothing lands where messages are late: it would earn nothing there and keep the others late. Where
         // all are late the fleet is full and the request is refused.
         let open = |&s: &usize| self.usable(now, s, conn) && !self.late(now, s) && self.has_room(s, conn);
@@ -66,7 +66,7 @@
             let paused = now < server.paused_until;
             // A group that it doesn't hold yet is work that it would take on.
             let group = if conn.request.group.is_some() && !holds { share } else { 0.0 };
-            let crowded = self.seen(now, s).is_some_and(|ratio| ratio > CROWDED);
+            let crowded = self.seen(now, s).is_some_and(|ratio| ratio > CROWDED_LOAD_RATIO);
             let unseen = conn.request.group.is_none() && self.seen(now, s).is_none();
             // A server that warms up counts at the others' mean at first and at its own load at last: in
             // whole connections, as records are, and by chance. A mean that is a part of one would put it
@@ -80,7 +80,7 @@
             let warm = self.warmth(now, s) >= 1.0;
             // Where records tie, a cold server with a permit goes first: it holds what permits let in, while
             // warm ones that are empty here are full of what other nodes moved.
-            let due = due && warm && self.record(s) <= BAR * mean * self.power(s);
+            let due = due && warm && self.record(s) <= OVERLOAD_THRESHOLD * mean * self.power(s);
             let (tried, lot) = (conn.tried.contains(&s), lot(draw(s), self.size(s)));
             ((tried, paused, crowded, !joins, !due, landing, warm, unseen, lot), s)
         };
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -4,11 +4,11 @@
 
 use super::Policy;
 use super::groups::reach;
-use super::load_estimate::LOAD_LIMIT;
+use super::load_estimate::MAX_LOAD;
 use super::rebalance::PERIOD;
 
 /// What a warm server can do beside what it holds: fleets are seldom more than half full.
-const SPARE: f64 = 2.0;
+const FLEET_HEADROOM: f64 = 2.0;
 
 /// How much of a span has passed since then, from nothing to one; all of it since long ago.
 pub(super) fn passed(since: Option<Micros>, now: Micros, span: Micros) -> f64 {
@@ -40,14 +40,14 @@
             // warming up, and each can do more than it holds, but a span touches one period more than it has.
             // Where groups are, nodes begin one on the same servers and meet on a cold one: neither counts.
             let (life, cold) = (self.stood / f64::from(self.ended.max(1)), self.set.warm_up.as_secs_f64());
-            let spare = SPARE * span / (span + period);
+            let spare = FLEET_HEADROOM * span / (span + period);
             let (life, spare) = if self.set.groups { (life, 1.0) } else { (life.min(cold), spare) };
             let rate = spare * held * self.size(s) * share * self.set.overload_multiple / life.max(period);
             let kept = self.kept(now);
             let server = &mut self.servers[s];
             // What would be kept by now is there at the first, when most clients of those before come again.
             let first = if server.kept_until == Micros(0) { kept.as_secs_f64() } else { 0.0 };
-            server.credit += (rate * (period + first)).min(LOAD_LIMIT);
+            server.credit += (rate * (period + first)).min(MAX_LOAD);
             if server.credit >= 1.0 || now >= server.kept_until {
                 (server.permits, server.kept_until) = (server.credit as u32, now + kept);
                 server.credit -= f64::from(server.permits);
