--- a/src/facade.rs
+++ b/src/facade.rs
@@ -120,7 +120,7 @@
     /// What was counted of further attempts, as ages, for the process that takes this one's place; nothing where that is
     /// not known. This one makes no further attempts from now on.
     pub fn hand_over(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
-        let told = self.policy.hand_over(now);
+        let told = self.policy.hand_over_retry_budget(now);
         let aged = |part: RetryBudgetBucket| RetryBudgetBucket {
             first_event: now - part.first_event,
             last_event: now - part.last_event,
@@ -138,7 +138,7 @@
             last_event: now - part.last_event,
             ..part
         };
-        self.policy.inherit(now, told.map(|parts| parts.into_iter().map(dated).collect()));
+        self.policy.take_over_retry_budget(now, told.map(|parts| parts.into_iter().map(dated).collect()));
     }
 
     /// What the watching instance would have done otherwise so far; none where there is no such instance.
@@ -163,7 +163,7 @@
 
     /// Whether the attempt that is out may still be sent, now that its connection is up.
     pub fn may_go(&self, now: Micros, id: RequestId) -> bool {
-        self.policy.may_go(now, id)
+        self.policy.may_still_send(now, id)
     }
 
     /// The attempt that was out has become a connection.
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -17,7 +17,8 @@
         use Idempotency::{Deduplicated, Idempotent};
         let anywhere =
             |c: &ClassSettings| matches!(c.idempotency, Idempotent | Deduplicated(DedupScope::All));
-        let anywhere = self.classes(conn).next().is_some() && self.classes(conn).all(anywhere);
+        let anywhere =
+            self.binding_classes(conn).next().is_some() && self.binding_classes(conn).all(anywhere);
         if !anywhere && conn.ran.is_some() {
             return out.push(Action::Fail(conn.request.id));
         }
@@ -30,16 +31,16 @@
 
     /// Whether a server is below the record at which it was full. Where servers fill up, the last of the room
     /// is kept for the classes that are worth most for their load; none is shut out.
-    pub(super) fn has_room(&self, s: usize, conn: &Conn) -> bool {
+    pub(super) fn has_capacity(&self, s: usize, conn: &Conn) -> bool {
         let class = conn.request.class as usize;
-        let best = (0..self.class_load.len()).map(|c| self.worth_of_load(c)).fold(0.0, f64::max);
-        let claim = if best > 0.0 { self.worth_of_load(class) / best } else { 1.0 };
+        let best = (0..self.class_load.len()).map(|c| self.priority_per_load(c)).fold(0.0, f64::max);
+        let claim = if best > 0.0 { self.priority_per_load(class) / best } else { 1.0 };
         let room = 1.0 - RESERVED_SHARE * (1.0 - claim);
-        self.servers[s].limit.is_none_or(|limit| self.record(s) < limit * room)
+        self.servers[s].limit.is_none_or(|limit| self.recorded_load(s) < limit * room)
     }
 
     /// What a class is worth for its usual load.
-    fn worth_of_load(&self, class: usize) -> f64 {
+    fn priority_per_load(&self, class: usize) -> f64 {
         let load = self.class_load.get(class).and_then(|mean| mean.0).filter(|load| *load > 0.0);
         let worth = self.set.classes.get(class).map_or(0.0, |c| c.priority_weight);
         load.map_or(0.0, |load| worth / load)
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -16,9 +16,9 @@
 
 impl Policy {
     /// It manages that much of this node's load, and has to be believed so for a while.
-    pub(super) fn overloaded(&mut self, s: usize, manages: f64, mean: f64) {
+    pub(super) fn bound_to_capacity(&mut self, s: usize, manages: f64, mean: f64) {
         // An empty one may take one connection, or it would never be let out again.
-        let (usual, size) = (self.usual(), self.draw(s));
+        let (usual, size) = (self.typical_load(), self.zone_weight(s));
         let server = &mut self.servers[s];
         server.limit = Some(server.limit.map_or(manages, |limit| limit.min(manages)).max(usual));
         if mean > 0.0 {
--- a/src/policy/connection.rs
+++ b/src/policy/connection.rs
@@ -71,16 +71,16 @@
 }
 
 impl Policy {
-    pub(super) fn open(&mut self, now: Micros, request: Request, server: ServerId) {
+    pub(super) fn on_existing_connection(&mut self, now: Micros, request: Request, server: ServerId) {
         let Some(&s) = self.by_id.get(&server) else { return };
-        let conn = Conn { stage: Stage::Open(s), ..self.conn(now, request) };
-        self.enter(&conn);
-        self.learn(&request, request.expected_load);
+        let conn = Conn { stage: Stage::Open(s), ..self.new_connection(now, request) };
+        self.add_to_load(&conn);
+        self.learn_typical_load(&request, request.expected_load);
         self.conns.insert(request.id, conn);
     }
 
     /// A request as this node takes it: in its group only where groups share work.
-    pub(super) fn conn(&self, now: Micros, request: Request) -> Conn {
+    pub(super) fn new_connection(&self, now: Micros, request: Request) -> Conn {
         let group = request.group.filter(|_| self.set.groups);
         let class = self.set.classes.get(usize::from(request.class)).cloned();
         Conn { class, ..Conn::new(now, Request { group, ..request }) }
@@ -88,7 +88,7 @@
 
     /// A request's class as it was when that came, and as it is: other settings may have come since, and what
     /// either forbids is not done.
-    pub(super) fn classes<'a>(&'a self, conn: &'a Conn) -> impl Iterator<Item = &'a ClassSettings> {
+    pub(super) fn binding_classes<'a>(&'a self, conn: &'a Conn) -> impl Iterator<Item = &'a ClassSettings> {
         conn.class.iter().chain(self.set.classes.get(usize::from(conn.request.class)))
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -22,7 +22,7 @@
 pub(super) const POLL_TIMER: TimerToken = TimerToken(1);
 
 impl Policy {
-    pub(super) fn list(
+    pub(super) fn on_endpoint_list(
         &mut self,
         now: Micros,
         kind: EndpointListKind,
@@ -53,17 +53,17 @@
             }
         }
         for entry in entries {
-            self.listed(now, entry);
+            self.apply_endpoint(now, entry);
         }
-        self.doubt(now);
-        self.weigh_zones(now);
+        self.find_disproved_lists(now);
+        self.update_zone_affinity(now);
     }
 
-    fn listed(&mut self, now: Micros, entry: Endpoint) {
+    fn apply_endpoint(&mut self, now: Micros, entry: Endpoint) {
         let s = *self.by_id.entry(entry.id).or_insert(self.servers.len());
         if s == self.servers.len() {
             // Somewhere within its turn: with many nodes what was never used would be due at nearly all.
-            let sent = now - self.turn().scale(self.rng.random::<f64>());
+            let sent = now - self.setup_interval().scale(self.rng.random::<f64>());
             let entry = Endpoint { started: None, ..entry };
             self.servers.push(Server { entry, sent, ..Server::default() });
         }
@@ -89,27 +89,27 @@
     }
 
     /// Whether this is called gone, or left out, where that is advice and no more, and did not drain before.
-    pub(super) fn called_gone(&self, s: usize) -> bool {
+    pub(super) fn removal_is_advice(&self, s: usize) -> bool {
         let server = &self.servers[s];
         self.set.removal_is_advisory && server.entry.state == EndpointState::Gone && !server.drains
     }
 
     /// Whether the list and what is known beside it let new work go there.
-    pub(super) fn up(&self, now: Micros, s: usize) -> bool {
-        let doubted = || self.doubted.contains(&self.servers[s].called) || self.runs(now, s);
-        self.servers[s].entry.ready() || (self.called_gone(s) && doubted())
+    pub(super) fn is_available(&self, now: Micros, s: usize) -> bool {
+        let doubted = || self.doubted.contains(&self.servers[s].called) || self.is_known_to_run(now, s);
+        self.servers[s].entry.ready() || (self.removal_is_advice(s) && doubted())
     }
 
     /// Whether something of this node's stands there, or a probe has answered of late.
-    fn runs(&self, now: Micros, s: usize) -> bool {
+    fn is_known_to_run(&self, now: Micros, s: usize) -> bool {
         let server = &self.servers[s];
         !server.conns.is_empty() || server.found.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
     }
 
     /// Guards against a list that calls running servers gone: where one of those that it called gone together
     /// runs, that list is wrong about all of them.
-    pub(super) fn doubt(&mut self, now: Micros) {
-        let runs = |&s: &usize| self.called_gone(s) && self.runs(now, s);
+    pub(super) fn find_disproved_lists(&mut self, now: Micros) {
+        let runs = |&s: &usize| self.removal_is_advice(s) && self.is_known_to_run(now, s);
         let wrong = (0..self.servers.len()).filter(runs).map(|s| self.servers[s].called);
         self.doubted = wrong.collect();
     }
--- a/src/policy/groups.rs
+++ b/src/policy/groups.rs
@@ -7,6 +7,6 @@
 const GROUP_EXTRA_SERVERS: f64 = 2.0;
 
 /// On how many of so many servers a group may begin, the same at all nodes.
-pub(super) fn reach(servers: usize) -> usize {
+pub(super) fn group_reach(servers: usize) -> usize {
     ((servers as f64).sqrt() + GROUP_EXTRA_SERVERS) as usize
 }
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -16,7 +16,7 @@
 }
 
 /// Takes one off a count; what is counted down to nothing is no longer held.
-pub(super) fn drop_one<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K) {
+pub(super) fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K) {
     let Some(count) = counts.get_mut(&key) else { return };
     *count -= 1;
     if *count == 0 {
@@ -27,59 +27,60 @@
 impl Policy {
     /// The load that this node has on a server: told loads, the usual load of its class where none was told,
     /// and the shared work of each group held, which is taken to be a usual connection's.
-    pub(super) fn record(&self, s: usize) -> f64 {
+    pub(super) fn recorded_load(&self, s: usize) -> f64 {
         let server = &self.servers[s];
-        let untold = |(&class, &n): (&u16, &u32)| f64::from(n) * self.class_usual(class);
+        let untold = |(&class, &n): (&u16, &u32)| f64::from(n) * self.typical_class_load(class);
         let untold: f64 = server.untold.iter().map(untold).sum();
-        server.told_sum + untold + self.group_share() * server.groups.len() as f64
+        server.told_sum + untold + self.group_load_share() * server.groups.len() as f64
     }
 
     /// What a group's shared work on a server is to one node: all of it to one alone, and less the more
     /// nodes hold the group there too.
-    pub(super) fn group_share(&self) -> f64 {
-        self.usual() * self.set.group_load * (2.0 / f64::from(self.set.node_count)).min(1.0)
+    pub(super) fn group_load_share(&self) -> f64 {
+        self.typical_load() * self.set.group_load * (2.0 / f64::from(self.set.node_count)).min(1.0)
     }
 
     /// The usual load of a connection; before any was told, each counts as one.
-    pub(super) fn usual(&self) -> f64 {
+    pub(super) fn typical_load(&self) -> f64 {
         let (sum, n) = self.held_load.iter().fold((0.0, 0), |(sum, n), held| (sum + held.0, n + held.1));
         if n > 0 { sum / f64::from(n) } else { self.usual_load.0.unwrap_or(1.0) }
     }
 
     /// The usual load of a class.
-    fn class_usual(&self, class: u16) -> f64 {
+    fn typical_class_load(&self, class: u16) -> f64 {
         let held = self.held_load.get(usize::from(class)).filter(|held| held.1 > 0);
         let usual = self.class_load.get(usize::from(class)).and_then(|mean| mean.0);
-        held.map_or_else(|| usual.unwrap_or(self.usual()), |held| held.0 / f64::from(held.1))
+        held.map_or_else(|| usual.unwrap_or(self.typical_load()), |held| held.0 / f64::from(held.1))
     }
 
-    pub(super) fn load_of(&self, conn: &Conn) -> f64 {
-        conn.told.unwrap_or_else(|| self.class_usual(conn.request.class))
+    pub(super) fn connection_load(&self, conn: &Conn) -> f64 {
+        conn.told.unwrap_or_else(|| self.typical_class_load(conn.request.class))
     }
 
     /// The ready servers that are warm.
-    pub(super) fn warm(&self, now: Micros) -> Vec<usize> {
-        let warm = |&s: &usize| self.up(now, s) && self.known(now, s) >= 1.0;
+    pub(super) fn warm_servers(&self, now: Micros) -> Vec<usize> {
+        let warm = |&s: &usize| self.is_available(now, s) && self.warm_up_fraction_here(now, s) >= 1.0;
         (0..self.servers.len()).filter(warm).collect()
     }
 
     /// The mean load for each unit of power over ready servers that are warm.
-    pub(super) fn mean(&self, now: Micros) -> f64 {
-        let (load, power) = (self.warm(now).into_iter())
-            .fold((0.0, 0.0), |(load, power), s| (load + self.record(s), power + self.power(s)));
+    pub(super) fn mean_load(&self, now: Micros) -> f64 {
+        let (load, power) = (self.warm_servers(now).into_iter()).fold((0.0, 0.0), |(load, power), s| {
+            (load + self.recorded_load(s), power + self.effective_weight(s))
+        });
         if power > 0.0 { load / power } else { 0.0 }
     }
 
     /// The connections, and groups, that this node holds on warm servers for each unit of size.
-    pub(super) fn held(&self, now: Micros) -> f64 {
+    pub(super) fn mean_connections(&self, now: Micros) -> f64 {
         let held = |s: usize| (self.servers[s].conns.len() + self.servers[s].groups.len()) as f64;
-        let (held, size) = (self.warm(now).into_iter())
-            .fold((0.0, 0.0), |(sum, size), s| (sum + held(s), size + self.size(s)));
+        let (held, size) = (self.warm_servers(now).into_iter())
+            .fold((0.0, 0.0), |(sum, size), s| (sum + held(s), size + self.weight(s)));
         if size > 0.0 { held / size } else { 0.0 }
     }
 
     /// Takes a connection, or one that is to become one, into the sums of its server.
-    pub(super) fn enter(&mut self, conn: &Conn) {
+    pub(super) fn add_to_load(&mut self, conn: &Conn) {
         let Some(s) = conn.stage.server() else { return };
         let server = &mut self.servers[s];
         server.conns.insert(conn.request.id);
@@ -99,7 +100,7 @@
     }
 
     /// Takes it out again. An empty server's sum is nothing, whatever rounding has left of it.
-    pub(super) fn leave(&mut self, conn: &Conn) {
+    pub(super) fn remove_from_load(&mut self, conn: &Conn) {
         let Some(s) = conn.stage.server() else { return };
         let server = &mut self.servers[s];
         server.conns.remove(&conn.request.id);
@@ -111,18 +112,18 @@
                     *held = ((held.0 - load).max(0.0), held.1 - 1);
                 }
             }
-            None => drop_one(&mut server.untold, conn.request.class),
+            None => decrement(&mut server.untold, conn.request.class),
         }
         if server.conns.is_empty() {
             server.told_sum = 0.0;
         }
         if let Some(group) = conn.request.group {
-            drop_one(&mut server.groups, group);
+            decrement(&mut server.groups, group);
         }
     }
 
     /// Takes a connection's first load, told or hinted, into the usual ones.
-    pub(super) fn learn(&mut self, request: &Request, load: Option<f64>) {
+    pub(super) fn learn_typical_load(&mut self, request: &Request, load: Option<f64>) {
         let Some(load) = load.filter(is_load) else { return };
         self.usual_load.add(load);
         if let Some(mean) = self.class_load.get_mut(request.class as usize) {
@@ -130,15 +131,15 @@
         }
     }
 
-    pub(super) fn load_told(&mut self, id: RequestId, load: f64) {
+    pub(super) fn on_load_report(&mut self, id: RequestId, load: f64) {
         let conn = is_load(&load).then(|| self.conns.remove(&id));
         let Some(mut conn) = conn.flatten() else { return };
         if conn.told.is_none() {
-            self.learn(&conn.request, Some(load));
+            self.learn_typical_load(&conn.request, Some(load));
         }
-        self.leave(&conn);
+        self.remove_from_load(&conn);
         conn.told = Some(load);
-        self.enter(&conn);
+        self.add_to_load(&conn);
         self.conns.insert(id, conn);
     }
 }
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -23,7 +23,7 @@
 const MAX_DELAY_MS: f64 = 60_000.0;
 
 /// From which delay on a server's messages are late.
-pub(super) fn late_at(settings: &BalancerSettings) -> Micros {
+pub(super) fn late_threshold(settings: &BalancerSettings) -> Micros {
     let shortest =
         settings.classes.iter().map(|c| c.message_latency_objective.unwrap_or(c.latency_objective)).min();
     shortest.unwrap_or(Micros(0)).scale(LATE_SHARE_OF_OBJECTIVE)
@@ -44,7 +44,7 @@
 }
 
 impl Policy {
-    pub(super) fn delay_told(&mut self, now: Micros, server: ServerId, ms: f64, doubt: bool) {
+    pub(super) fn on_message_delay(&mut self, now: Micros, server: ServerId, ms: f64, doubt: bool) {
         let known = self.by_id.get(&server).filter(|_| (0.0..=MAX_DELAY_MS).contains(&ms));
         let Some(&s) = known else { return };
         let span = Micros((ms * 1_000.0) as u64);
@@ -60,26 +60,26 @@
     /// Guards against a slow server that draws new work and keeps its clients because nothing tells that its
     /// messages are late: what a set-up takes above the usual is taken for what a message waits there. One
     /// node's set-ups are few, so the others hear of it.
-    pub(super) fn setup_took(&mut self, now: Micros, s: usize, above: f64, out: &mut Vec<Action>) {
+    pub(super) fn on_setup_excess(&mut self, now: Micros, s: usize, above: f64, out: &mut Vec<Action>) {
         let (id, waits) = (self.servers[s].entry.id, above.max(0.0));
         // Below a whole aim one may be long by its own work: the next there, due now, has to be long too.
         let bar = self.late_at.as_secs_f64() * 1e3;
         let before = self.servers[s].delay.is_some_and(|d| d.span >= self.late_at);
         let doubt = !before && (bar..bar / LATE_SHARE_OF_OBJECTIVE).contains(&waits);
-        self.delay_told(now, id, waits, doubt);
-        if self.set.gossip_allowed && self.late(now, s) {
+        self.on_message_delay(now, id, waits, doubt);
+        if self.set.gossip_allowed && self.is_late(now, s) {
             out.push(Action::Broadcast([id.0.to_le_bytes(), waits.to_le_bytes()].concat()));
         }
     }
 
     /// Another node saw messages wait long: the server's number and the milliseconds, in 16 bytes.
-    pub(super) fn heard(&mut self, now: Micros, data: &[u8]) {
+    pub(super) fn on_gossip(&mut self, now: Micros, data: &[u8]) {
         let ([id, span], []) = data.as_chunks() else { return };
-        self.delay_told(now, ServerId(u64::from_le_bytes(*id)), f64::from_le_bytes(*span), false);
+        self.on_message_delay(now, ServerId(u64::from_le_bytes(*id)), f64::from_le_bytes(*span), false);
     }
 
     /// Whether messages at this server are late now.
-    pub(super) fn late(&self, now: Micros, s: usize) -> bool {
+    pub(super) fn is_late(&self, now: Micros, s: usize) -> bool {
         // Where this node holds nothing no note can tell that it is over, and trying costs a client.
         let server = &self.servers[s];
         let fresh = if server.conns.is_empty() { DELAY_VALID_UNOBSERVED_FOR } else { DELAY_VALID_FOR };
@@ -87,8 +87,8 @@
     }
 
     /// Whether it is only taken for late because nothing has told otherwise.
-    pub(super) fn unseen(&self, now: Micros, s: usize) -> bool {
+    pub(super) fn is_late_unobserved(&self, now: Micros, s: usize) -> bool {
         let old = |d: Delay| d.still && now >= d.at + DELAY_VALID_FOR;
-        self.servers[s].conns.is_empty() && self.servers[s].delay.is_some_and(old) && self.late(now, s)
+        self.servers[s].conns.is_empty() && self.servers[s].delay.is_some_and(old) && self.is_late(now, s)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -36,7 +36,7 @@
 use connection::{Conn, Stage};
 use endpoints::{POLL_BACKOFF, POLL_TIMER};
 use log_limit::LINES_PER_PERIOD;
-use message_delay::late_at;
+use message_delay::late_threshold;
 use probe::{MAX_PROBE_ATTEMPTS, MAX_REMOVAL_PROBES, PROBE_TIMER_MARK};
 use rebalance::{PERIOD, PERIOD_TIMER};
 use retry_budget::{Ledger, MAX_TOKENS, TOKENS_PER_REQUEST};
@@ -56,7 +56,7 @@
     held_load: Vec<(f64, u32)>,
     /// What a set-up usually takes, at all servers.
     usual_setup_ms: Mean,
-    /// What warm servers usually held of late, as [`Policy::held`].
+    /// What warm servers usually held of late, as [`Policy::mean_connections`].
     usual_held: Mean,
     /// The share of set-ups that ran into their time-out.
     unanswered: Mean,
@@ -90,7 +90,7 @@
     pub fn new(settings: BalancerSettings, seed: u64, _now: Micros) -> Self {
         let classes = settings.classes.len();
         Policy {
-            late_at: late_at(&settings),
+            late_at: late_threshold(&settings),
             set: settings,
             stood: 0.0,
             ended: 0,
@@ -134,41 +134,41 @@
     /// ended are ignored.
     pub fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(kind, entries) => self.list(now, kind, entries, out),
+            Event::EndpointList(kind, entries) => self.on_endpoint_list(now, kind, entries, out),
             Event::Request(request) => {
                 self.retry_tokens = (self.retry_tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
                 self.probe_tokens = (self.probe_tokens + 1.0).min(MAX_REMOVAL_PROBES);
-                self.count(now, 1, 0);
+                self.count_in_window(now, 1, 0);
                 self.taken += 1;
-                let conn = self.conn(now, request);
+                let conn = self.new_connection(now, request);
                 self.attempt(now, conn, out);
             }
-            Event::ExistingConnection(request, server) => self.open(now, request, server),
-            Event::Established { id, latency } => self.established(now, id, latency, out),
-            Event::Ended { id, outcome, closed, .. } => self.ended(now, id, outcome, closed, out),
-            Event::LoadReported(id, load) => self.load_told(id, load),
-            Event::DelayReported(server, ms) => self.delay_told(now, server, ms, false),
+            Event::ExistingConnection(request, server) => self.on_existing_connection(now, request, server),
+            Event::Established { id, latency } => self.on_established(now, id, latency, out),
+            Event::Ended { id, outcome, closed, .. } => self.on_ended(now, id, outcome, closed, out),
+            Event::LoadReported(id, load) => self.on_load_report(id, load),
+            Event::DelayReported(server, ms) => self.on_message_delay(now, server, ms, false),
             Event::ClientDisconnected(id) => {
                 if let Some(conn) = self.conns.remove(&id) {
                     self.ended += u32::from(matches!(conn.stage, Stage::Open(_)));
-                    self.leave(&conn);
+                    self.remove_from_load(&conn);
                 }
             }
-            Event::Timer(PERIOD_TIMER) => self.period(now, out),
+            Event::Timer(PERIOD_TIMER) => self.on_period(now, out),
             Event::Timer(POLL_TIMER) => {
                 self.asking = false;
                 out.push(Action::WatchEndpoints);
             }
             Event::Timer(TimerToken(id)) => {
-                self.looked(now, RequestId(id & !PROBE_TIMER_MARK), MAX_PROBE_ATTEMPTS, out)
+                self.resume(now, RequestId(id & !PROBE_TIMER_MARK), MAX_PROBE_ATTEMPTS, out)
             }
             Event::ProbeCompleted { server, outcome, report } => {
-                self.probed(now, server, outcome, &report, out)
+                self.on_probe_completed(now, server, outcome, &report, out)
             }
-            Event::PeerMessage(_, data) => self.heard(now, &data),
+            Event::PeerMessage(_, data) => self.on_gossip(now, &data),
             Event::SettingsChanged(settings) => {
                 // The record stays, and so does what was decided; the next attempt goes by the new word.
-                self.late_at = late_at(&settings);
+                self.late_at = late_threshold(&settings);
                 self.class_load.resize(settings.classes.len(), Mean::default());
                 self.held_load.resize(settings.classes.len(), (0.0, 0));
                 if self.set.retry_budget.is_none() {
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -25,7 +25,7 @@
 impl Policy {
     /// Guards against the server that fails fast, or drops what it takes, keeps a low record and so draws all
     /// new work: each failure doubles a pause, until it has kept clear of them for a while.
-    pub(super) fn judge(
+    pub(super) fn record_failure(
         &mut self,
         now: Micros,
         s: usize,
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -27,8 +27,8 @@
 impl Policy {
     /// Probes of what is called gone where nothing tells whether it runs: one for each request taken and no
     /// more, those first that were not probed for longest.
-    pub(super) fn probe_gone(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let silent = |&s: &usize| self.called_gone(s) && !self.up(now, s);
+    pub(super) fn probe_removed_servers(&mut self, now: Micros, out: &mut Vec<Action>) {
+        let silent = |&s: &usize| self.removal_is_advice(s) && !self.is_available(now, s);
         let mut silent: Vec<usize> = (0..self.servers.len()).filter(silent).collect();
         silent.sort_by_key(|&s| self.servers[s].probed);
         for s in silent.into_iter().take(self.probe_tokens as usize) {
@@ -41,15 +41,21 @@
     }
 
     /// Whether probes tell the load ratio.
-    pub(super) fn reports(&self) -> bool {
+    pub(super) fn probes_report_load(&self) -> bool {
         self.set.probes_allowed && self.set.report_fields.contains(&ReportField::LoadRatio)
     }
 
     /// Whether a request waits for a probe's load ratio before it lands: the record of one node of many says
     /// next to nothing of what the others hold.
-    pub(super) fn look(&mut self, now: Micros, s: usize, conn: &Conn, out: &mut Vec<Action>) -> bool {
-        let known = self.seen(now, s).is_some();
-        if !self.reports()
+    pub(super) fn wait_for_probe(
+        &mut self,
+        now: Micros,
+        s: usize,
+        conn: &Conn,
+        out: &mut Vec<Action>,
+    ) -> bool {
+        let known = self.fresh_load_ratio(now, s).is_some();
+        if !self.probes_report_load()
             || known
             || conn.looks >= MAX_PROBE_ATTEMPTS
             || now + PROBE_WAIT.scale(2.0) > conn.deadline
@@ -64,7 +70,7 @@
     }
 
     /// Takes in a load report and lets those that waited for it choose again.
-    pub(super) fn probed(
+    pub(super) fn on_probe_completed(
         &mut self,
         now: Micros,
         id: ServerId,
@@ -74,21 +80,21 @@
     ) {
         let Some(&s) = self.by_id.get(&id) else { return };
         self.servers[s].found = (how == Outcome::Ok).then_some(now);
-        self.doubt(now);
+        self.find_disproved_lists(now);
         let ratio = self.set.report_fields.iter().position(|field| *field == ReportField::LoadRatio);
         let ratio = ratio.and_then(|i| report.get(i)).filter(|ratio| is_load(ratio));
         self.servers[s].seen = ratio.map(|ratio| (*ratio, now)).or(self.servers[s].seen);
         // Where nothing is held no note tells that it is over: a report does.
-        if self.unseen(now, s) && ratio.is_some_and(|ratio| *ratio <= CROWDED_LOAD_RATIO) {
+        if self.is_late_unobserved(now, s) && ratio.is_some_and(|ratio| *ratio <= CROWDED_LOAD_RATIO) {
             self.servers[s].delay = None;
         }
         for id in std::mem::take(&mut self.servers[s].lookers) {
-            self.looked(now, id, 1, out);
+            self.resume(now, id, 1, out);
         }
     }
 
     /// A request that waited goes on, after the looks it has spent; all of them where no answer came in time.
-    pub(super) fn looked(&mut self, now: Micros, id: RequestId, spent: u32, out: &mut Vec<Action>) {
+    pub(super) fn resume(&mut self, now: Micros, id: RequestId, spent: u32, out: &mut Vec<Action>) {
         if self.conns.get(&id).is_some_and(|conn| conn.stage == Stage::Held)
             && let Some(mut conn) = self.conns.remove(&id)
         {
@@ -98,7 +104,7 @@
     }
 
     /// The load ratio last told, while it counts.
-    pub(super) fn seen(&self, now: Micros, s: usize) -> Option<f64> {
+    pub(super) fn fresh_load_ratio(&self, now: Micros, s: usize) -> Option<f64> {
         self.servers[s].seen.filter(|(_, at)| now < *at + LOAD_REPORT_VALID_FOR).map(|(ratio, _)| ratio)
     }
 }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -39,35 +39,35 @@
 pub(super) const PERIOD_TIMER: TimerToken = TimerToken(0);
 
 impl Policy {
-    pub(super) fn period(&mut self, now: Micros, out: &mut Vec<Action>) {
+    pub(super) fn on_period(&mut self, now: Micros, out: &mut Vec<Action>) {
         out.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
         self.log_left = LINES_PER_PERIOD;
         self.stood += self.conns.len() as f64 * PERIOD.as_secs_f64();
         self.usual_taken.add(f64::from(std::mem::take(&mut self.taken)) / PERIOD.as_secs_f64());
-        let held = self.held(now);
+        let held = self.mean_connections(now);
         self.usual_held.add(held);
         // Guards against a release that leaves but a slow server warm, which holds next to nothing: what
         // warm ones held a moment ago is still known of them.
         let shown = self.usual_held.0.map_or(held, |usual| usual.max(held));
         for s in 0..self.servers.len() {
-            self.permit(now, s, shown);
+            self.refill_slow_start_tokens(now, s, shown);
             let server = &mut self.servers[s];
             server.slowness = (server.slowness - SLOWNESS_RECOVERY).max(0.0);
             server.limit = server.limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
-            if self.reports() && self.up(now, s) && self.unseen(now, s) {
+            if self.probes_report_load() && self.is_available(now, s) && self.is_late_unobserved(now, s) {
                 out.push(Action::Probe(self.servers[s].entry.id));
             }
         }
-        self.doubt(now);
-        self.weigh_zones(now);
+        self.find_disproved_lists(now);
+        self.update_zone_affinity(now);
         if self.set.probes_allowed {
-            self.probe_gone(now, out);
+            self.probe_removed_servers(now, out);
         }
-        let mean = self.mean(now);
+        let mean = self.mean_load(now);
         for s in 0..self.servers.len() {
             let drains =
                 self.servers[s].entry.state == EndpointState::Draining && self.set.migrate_from_draining;
-            if self.up(now, s) || drains {
+            if self.is_available(now, s) || drains {
                 self.shed(now, s, mean, held < FEW_CONNECTIONS, out);
             }
         }
@@ -76,16 +76,16 @@
     /// The reactive trigger. A queue that grows tells how far a server is over what it can do, and its length
     /// what is to be cleared: what is above both is its excess. The server is believed to be as much slower
     /// than the others as its load says, or it would be filled up again.
-    fn reactive_excess(&mut self, now: Micros, s: usize, mean: f64) -> f64 {
-        let Some(delay) = self.servers[s].delay.filter(|_| self.late(now, s)) else { return 0.0 };
-        let record = self.record(s);
+    fn measure_late_excess(&mut self, now: Micros, s: usize, mean: f64) -> f64 {
+        let Some(delay) = self.servers[s].delay.filter(|_| self.is_late(now, s)) else { return 0.0 };
+        let record = self.recorded_load(s);
         let busy = (1.0 + delay.growth).clamp(0.5, 10.0);
         // A little late is a little over what it can do: only where an aim is missed is it the whole margin.
         let urgency =
             (delay.span.as_secs_f64() * LATE_SHARE_OF_OBJECTIVE / self.late_at.as_secs_f64()).min(1.0);
         let manages = (1.0 - (1.0 - CAPACITY_MARGIN) * urgency) * record / busy;
         if !delay.still {
-            self.overloaded(s, manages, mean);
+            self.bound_to_capacity(s, manages, mean);
         }
         let piled = delay.span.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
         (record - manages * (1.0 - piled)).clamp(0.0, record)
@@ -95,9 +95,9 @@
     /// is to have no connections, whatever their load, when it stops, if the settings ask for that.
     fn shed(&mut self, now: Micros, s: usize, mean: f64, few: bool, out: &mut Vec<Action>) {
         let (draining, held) = (self.servers[s].drains, self.servers[s].conns.len() as f64);
-        let reactive = if draining { held } else { self.reactive_excess(now, s, mean) };
-        let fair = mean * self.power(s);
-        let record = self.record(s);
+        let reactive = if draining { held } else { self.measure_late_excess(now, s, mean) };
+        let fair = mean * self.effective_weight(s);
+        let record = self.recorded_load(s);
         let server = &mut self.servers[s];
         server.above = if record > OVERLOAD_THRESHOLD * fair { server.above + 1 } else { 0 };
         let ordinary = if server.above >= OVERLOADED_PERIODS { record - fair } else { 0.0 };
@@ -106,10 +106,10 @@
             return;
         }
         let late =
-            |of: Vec<usize>| of.iter().filter(|s| self.late(now, **s)).count() as f64 / of.len() as f64;
-        let ready = late((0..self.servers.len()).filter(|&s| self.up(now, s)).collect());
+            |of: Vec<usize>| of.iter().filter(|s| self.is_late(now, **s)).count() as f64 / of.len() as f64;
+        let ready = late((0..self.servers.len()).filter(|&s| self.is_available(now, s)).collect());
         // Guards against a queue of set-ups that grows by what moves: most of that comes back as set-ups.
-        let all_late = !draining && late(self.warm(now)) >= FLEET_LATE_SHARE;
+        let all_late = !draining && late(self.warm_servers(now)) >= FLEET_LATE_SHARE;
         let (share, up) =
             if all_late { (PROACTIVE_MOVE_SHARE, self.rng.random()) } else { (REACTIVE_MOVE_SHARE, 0.99) };
         // What moves begins its group anew elsewhere: the more servers are late, the less room there is.
@@ -117,7 +117,9 @@
         let mut open: Vec<(f64, RequestId)> = (self.servers[s].conns.iter())
             .filter_map(|id| self.conns.get(id).map(|conn| (id, conn)))
             .filter(|(_, conn)| matches!(conn.stage, Stage::Open(_)))
-            .filter_map(|(&id, conn)| Some((if draining { 1.0 } else { self.freed(s, conn, crowding)? }, id)))
+            .filter_map(|(&id, conn)| {
+                Some((if draining { 1.0 } else { self.freed_load(s, conn, crowding)? }, id))
+            })
             .collect();
         let lightest = open.iter().map(|(load, _)| *load).fold(f64::INFINITY, f64::min);
         // A late server may lose its last connection too; and by chance for less than that where each of many
@@ -157,12 +159,12 @@
     /// What moving a connection takes off a server; nothing where its group stays and that is less than
     /// beginning it anew elsewhere costs: a usual connection, or the stated part of that. The last own of a
     /// group takes this node's share of the group's work along.
-    fn freed(&self, s: usize, conn: &Conn, crowding: f64) -> Option<f64> {
-        let (load, usual) = (self.load_of(conn), self.usual());
+    fn freed_load(&self, s: usize, conn: &Conn, crowding: f64) -> Option<f64> {
+        let (load, usual) = (self.connection_load(conn), self.typical_load());
         let Some(held) = conn.request.group.and_then(|group| self.servers[s].groups.get(&group)) else {
             return Some(load);
         };
-        let freed = if *held == 1 { load + self.group_share() } else { load };
+        let freed = if *held == 1 { load + self.group_load_share() } else { load };
         (freed > usual * crowding).then_some(freed)
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -14,36 +14,36 @@
         // clock.
         let open = now < conn.deadline + self.set.deadline_tolerance;
         let more = open && (conn.tried.len() as u32) < self.set.max_attempts;
-        let allowed = !further || self.set.retry_budget.is_none_or(|budget| self.allows(now, budget));
+        let allowed = !further || self.set.retry_budget.is_none_or(|budget| self.budget_allows(now, budget));
         let Some(s) = (more && allowed).then(|| self.choose(now, &conn)).flatten() else {
             return self.give_up(&conn, out);
         };
-        if self.look(now, s, &conn, out) {
+        if self.wait_for_probe(now, s, &conn, out) {
             self.conns.insert(id, conn);
             return;
         }
-        self.count(now, 0, u32::from(further));
+        self.count_in_window(now, 0, u32::from(further));
         let timeout = self.attempt_timeout(now, &conn);
         out.push(Action::Forward(id, self.servers[s].entry.id, timeout));
-        self.send(now, s, Conn { timed: timeout.is_some(), ..conn });
+        self.start_attempt(now, s, Conn { timed: timeout.is_some(), ..conn });
     }
 
-    pub(super) fn send(&mut self, now: Micros, s: usize, mut conn: Conn) {
+    pub(super) fn start_attempt(&mut self, now: Micros, s: usize, mut conn: Conn) {
         conn.stage = Stage::Trying(s);
         conn.sent = now;
         conn.started = self.servers[s].started;
         conn.tried.push(s);
         self.servers[s].sent = now;
         self.servers[s].permits = self.servers[s].permits.saturating_sub(1);
-        self.enter(&conn);
+        self.add_to_load(&conn);
         self.conns.insert(conn.request.id, conn);
     }
 
     /// Whether what an attempt may have done before lets this request go to this server now.
-    pub(super) fn repeats(&self, now: Micros, s: usize, conn: &Conn) -> bool {
+    pub(super) fn may_repeat_at(&self, now: Micros, s: usize, conn: &Conn) -> bool {
         let Some((first, sent)) = conn.ran else { return true };
         let (first, entry) = (&self.servers[first].entry, &self.servers[s].entry);
-        self.classes(conn).all(|class| match class.idempotency {
+        self.binding_classes(conn).all(|class| match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
             Idempotency::Deduplicated(_) if now >= sent + class.dedup_window => false,
@@ -55,20 +55,28 @@
 
     /// Whether the attempt that is out may still be sent, now that its connection is up. Guards against what
     /// came since it was decided: its server drains, is gone, started anew or drops no repeats any more.
-    pub fn may_go(&self, now: Micros, id: RequestId) -> bool {
+    pub fn may_still_send(&self, now: Micros, id: RequestId) -> bool {
         let Some(conn) = self.conns.get(&id) else { return false };
         let Stage::Trying(s) = conn.stage else { return false };
-        self.up(now, s) && self.servers[s].started == conn.started && self.repeats(now, s, conn)
+        self.is_available(now, s)
+            && self.servers[s].started == conn.started
+            && self.may_repeat_at(now, s, conn)
     }
 
-    pub(super) fn established(&mut self, now: Micros, id: RequestId, latency: Micros, out: &mut Vec<Action>) {
+    pub(super) fn on_established(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        latency: Micros,
+        out: &mut Vec<Action>,
+    ) {
         let Some(conn) = self.conns.get_mut(&id) else { return };
         let Stage::Trying(s) = conn.stage else { return };
         conn.stage = Stage::Open(s);
         self.trying -= 1;
         conn.ran.get_or_insert((s, conn.sent));
         let request = conn.request;
-        self.learn(&request, request.expected_load);
+        self.learn_typical_load(&request, request.expected_load);
         let server = &mut self.servers[s];
         // Guards against a restart that the list tells of late or never: its record is the lowest.
         if std::mem::take(&mut server.fell) {
@@ -81,11 +89,11 @@
         self.usual_setup_ms.add(took.min(2.0 * usual));
         self.unanswered.add(0.0);
         if !self.set.servers_report_delay {
-            self.setup_took(now, s, took - usual, out);
+            self.on_setup_excess(now, s, took - usual, out);
         }
     }
 
-    pub(super) fn ended(
+    pub(super) fn on_ended(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -94,11 +102,11 @@
         out: &mut Vec<Action>,
     ) {
         let Some(mut conn) = self.conns.remove(&id) else { return };
-        self.leave(&conn);
+        self.remove_from_load(&conn);
         let itself = outcome == Outcome::Ok;
         self.ended += u32::from(itself && matches!(conn.stage, Stage::Open(_)));
         if let Some(s) = conn.stage.server() {
-            self.judge(now, s, &conn, outcome, out);
+            self.record_failure(now, s, &conn, outcome, out);
             if outcome == Outcome::Timeout && conn.timed {
                 self.unanswered.add(1.0);
                 // Guards against a fleet that is slow as a whole, where time-outs would add to its work.
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -59,14 +59,14 @@
 }
 
 impl Policy {
-    pub(super) fn count(&mut self, now: Micros, taken: u32, further: u32) {
+    pub(super) fn count_in_window(&mut self, now: Micros, taken: u32, further: u32) {
         if let Some(budget) = self.set.retry_budget {
             self.ledger.add(now, budget.window, taken, further);
         }
     }
 
     /// Whether the stated budget allows one more further attempt.
-    pub(super) fn allows(&self, now: Micros, budget: RetryBudget) -> bool {
+    pub(super) fn budget_allows(&self, now: Micros, budget: RetryBudget) -> bool {
         let (taken, further) = self.ledger.within(now, budget.window);
         // Settings that name a longer span than before wait until that much is known.
         self.ledger.known(now, budget.window)
@@ -76,7 +76,7 @@
     /// What was counted of further attempts, for the process that takes this one's place, or nothing where
     /// that is not
     /// known. This one makes none from now on.
-    pub fn hand_over(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
+    pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let over = self.set.retry_budget.map_or(Micros(0), |budget| budget.window);
         let known = self.ledger.known(now, over);
         self.ledger.since = Micros(u64::MAX);
@@ -86,7 +86,7 @@
     /// Takes over what the process before has counted. Where it told nothing, or this process serves on after
     /// one that
     /// was to take its place, no further attempts are made until the span has passed.
-    pub fn inherit(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>) {
+    pub fn take_over_retry_budget(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>) {
         self.ledger.since = if told.is_some() { Micros(0) } else { now };
         let own = std::mem::take(&mut self.ledger.parts);
         self.ledger.parts = told.into_iter().flatten().chain(own).collect();
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -6,7 +6,7 @@
 
 use super::Policy;
 use super::connection::Conn;
-use super::groups::{GROUP_OVERLOAD_THRESHOLD, reach};
+use super::groups::{GROUP_OVERLOAD_THRESHOLD, group_reach};
 use super::probe::CROWDED_LOAD_RATIO;
 use super::rebalance::OVERLOAD_THRESHOLD;
 
@@ -24,37 +24,40 @@
 /// A lot among servers of these sizes, from a draw that any of them may have: the lowest wins, as much more
 /// often as it is larger
 /// (exponential draws).
-pub(super) fn lot(draw: u64, size: f64) -> f64 {
+pub(super) fn weighted_pick(draw: u64, size: f64) -> f64 {
     -((draw as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / size
 }
 
 impl Policy {
     /// A server is due for a set-up by this node this long after its last.
-    pub(super) fn turn(&self) -> Micros {
+    pub(super) fn setup_interval(&self) -> Micros {
         SETUP_INTERVAL.scale(f64::from(self.set.node_count))
     }
 
     /// Where a connection lands: lowest in the own record, chance among equals, with its group where that has
     /// room. What was tried, is paused or is crowded comes after all others.
     pub(super) fn choose(&mut self, now: Micros, conn: &Conn) -> Option<usize> {
-        let (mean, held, usual, share) = (self.mean(now), self.held(now), self.usual(), self.group_share());
+        let (mean, held, usual, share) =
+            (self.mean_load(now), self.mean_connections(now), self.typical_load(), self.group_load_share());
         let nodes = f64::from(self.set.node_count.max(1));
         let ticket = conn.request.group.unwrap_or(GroupId(self.rng.random()));
         // The other nodes are taken to hold their mean there.
         let group_room = mean * (1.0 + (GROUP_OVERLOAD_THRESHOLD - 1.0) * nodes);
         // Nothing lands where messages are late: it would earn nothing there and keep the others late. Where
         // all are late the fleet is full and the request is refused.
-        let open = |&s: &usize| self.usable(now, s, conn) && !self.late(now, s) && self.has_room(s, conn);
+        let open = |&s: &usize| {
+            self.is_eligible(now, s, conn) && !self.is_late(now, s) && self.has_capacity(s, conn)
+        };
         let draw = |s: usize| shared_chance(ticket, self.servers[s].entry.id);
         // A copy of a group on one more server costs more than one connection is worth: where those on which
         // it begins are full or late, the request is refused.
         let reached = |&s: &usize| {
             let server = &self.servers[s];
-            self.up(now, s) && !(server.shut && now < server.paused_until)
+            self.is_available(now, s) && !(server.shut && now < server.paused_until)
         };
         let mut draws: Vec<u64> = (0..self.servers.len()).filter(reached).map(draw).collect();
         draws.sort_unstable_by(|a, b| b.cmp(a));
-        let last = draws.get(reach(draws.len()) - 1).copied().unwrap_or(0);
+        let last = draws.get(group_reach(draws.len()) - 1).copied().unwrap_or(0);
         let near = |&s: &usize| {
             let holds = |group: GroupId| self.servers[s].groups.contains_key(&group);
             conn.request.group.is_none_or(|group| draw(s) >= last || holds(group))
@@ -62,26 +65,29 @@
         let rank = |s: usize| {
             let server = &self.servers[s];
             let holds = conn.request.group.is_some_and(|group| server.groups.contains_key(&group));
-            let joins = holds && self.record(s) <= group_room * self.power(s);
+            let joins = holds && self.recorded_load(s) <= group_room * self.effective_weight(s);
             let paused = now < server.paused_until;
             // A group that it doesn't hold yet is work that it would take on.
             let group = if conn.request.group.is_some() && !holds { share } else { 0.0 };
-            let crowded = self.seen(now, s).is_some_and(|ratio| ratio > CROWDED_LOAD_RATIO);
-            let unseen = conn.request.group.is_none() && self.seen(now, s).is_none();
+            let crowded = self.fresh_load_ratio(now, s).is_some_and(|ratio| ratio > CROWDED_LOAD_RATIO);
+            let unseen = conn.request.group.is_none() && self.fresh_load_ratio(now, s).is_none();
             // A server that warms up counts at the others' mean at first and at its own load at last: in
             // whole connections, as records are, and by chance. A mean that is a part of one would put it
             // behind every server that is empty in this record, and at many nodes that is nearly all.
-            let adds = held * (1.0 - self.known(now, s));
+            let adds = held * (1.0 - self.warm_up_fraction_here(now, s));
             let chance = f64::from(draw(s) as u32) / f64::from(u32::MAX);
-            let landing = (self.record(s) + group) / self.power(s) + usual * (adds + chance).floor();
+            let landing =
+                (self.recorded_load(s) + group) / self.effective_weight(s) + usual * (adds + chance).floor();
             // Guards against a slow server that no set-up shows because nothing new lands there.
             let doubted = server.delay.is_some_and(|d| d.doubt);
-            let due = (doubted || now > server.sent + self.turn()) && !self.set.servers_report_delay;
-            let warm = self.warmth(now, s) >= 1.0;
+            let due =
+                (doubted || now > server.sent + self.setup_interval()) && !self.set.servers_report_delay;
+            let warm = self.warm_up_fraction(now, s) >= 1.0;
             // Where records tie, a cold server with a permit goes first: it holds what permits let in, while
             // warm ones that are empty here are full of what other nodes moved.
-            let due = due && warm && self.record(s) <= OVERLOAD_THRESHOLD * mean * self.power(s);
-            let (tried, lot) = (conn.tried.contains(&s), lot(draw(s), self.size(s)));
+            let due =
+                due && warm && self.recorded_load(s) <= OVERLOAD_THRESHOLD * mean * self.effective_weight(s);
+            let (tried, lot) = (conn.tried.contains(&s), weighted_pick(draw(s), self.weight(s)));
             ((tried, paused, crowded, !joins, !due, landing, warm, unseen, lot), s)
         };
         let open = (0..self.servers.len()).filter(open).filter(near);
@@ -89,15 +95,15 @@
     }
 
     /// Whether the rules let this request go to this server now.
-    fn usable(&self, now: Micros, s: usize, conn: &Conn) -> bool {
+    fn is_eligible(&self, now: Micros, s: usize, conn: &Conn) -> bool {
         let server = &self.servers[s];
-        if !self.up(now, s)
+        if !self.is_available(now, s)
             || (server.shut && now < server.paused_until)
             || (server.fell && !server.conns.is_empty())
-            || (self.warmth(now, s) < 1.0 && server.permits == 0)
+            || (self.warm_up_fraction(now, s) < 1.0 && server.permits == 0)
         {
             return false;
         }
-        self.repeats(now, s, conn)
+        self.may_repeat_at(now, s, conn)
     }
 }
--- a/src/policy/shadow.rs
+++ b/src/policy/shadow.rs
@@ -19,13 +19,13 @@
     /// Whatever this instance chose: the request was sent to that server, or to none and is over.
     pub fn follow(&mut self, now: Micros, request: Request, server: Option<ServerId>) {
         let known = self.conns.remove(&request.id);
-        known.iter().for_each(|conn| self.leave(conn));
+        known.iter().for_each(|conn| self.remove_from_load(conn));
         let Some(&s) = server.and_then(|server| self.by_id.get(&server)) else { return };
-        let mut conn = known.unwrap_or_else(|| self.conn(now, request));
+        let mut conn = known.unwrap_or_else(|| self.new_connection(now, request));
         if conn.stage.trying() {
             conn.tried.pop();
         }
-        self.send(now, s, conn);
+        self.start_attempt(now, s, conn);
     }
 
     /// Whatever this instance chose: the client was not told to move.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -3,7 +3,7 @@
 use crate::types::Micros;
 
 use super::Policy;
-use super::groups::reach;
+use super::groups::group_reach;
 use super::load_estimate::MAX_LOAD;
 use super::rebalance::PERIOD;
 
@@ -11,27 +11,31 @@
 const FLEET_HEADROOM: f64 = 2.0;
 
 /// How much of a span has passed since then, from nothing to one; all of it since long ago.
-pub(super) fn passed(since: Option<Micros>, now: Micros, span: Micros) -> f64 {
+pub(super) fn elapsed_fraction(since: Option<Micros>, now: Micros, span: Micros) -> f64 {
     // No number, where nothing is divided by nothing, loses against one.
     since.map_or(1.0, |since| ((now - since).as_secs_f64() / span.as_secs_f64()).min(1.0))
 }
 
 impl Policy {
     /// How far a server has warmed up, from nothing to one.
-    pub(super) fn warmth(&self, now: Micros, s: usize) -> f64 {
-        passed(self.servers[s].started, now, self.set.warm_up)
+    pub(super) fn warm_up_fraction(&self, now: Micros, s: usize) -> f64 {
+        elapsed_fraction(self.servers[s].started, now, self.set.warm_up)
     }
 
     /// The same for what this node's record tells of it: the cluster may have given it the server of late.
-    pub(super) fn known(&self, now: Micros, s: usize) -> f64 {
-        self.warmth(now, s).min(passed(self.servers[s].entry.joined, now, self.set.warm_up))
+    pub(super) fn warm_up_fraction_here(&self, now: Micros, s: usize) -> f64 {
+        self.warm_up_fraction(now, s).min(elapsed_fraction(
+            self.servers[s].entry.joined,
+            now,
+            self.set.warm_up,
+        ))
     }
 
     /// What this node may send a cold server in this period: what warm ones of its size take anew, for its
     /// share and the allowed multiple. Parts of a permit add up from a beginning that differs by node, so
     /// that turns are spread; what is not used in time is lost: nodes that saved it could send it at once.
-    pub(super) fn permit(&mut self, now: Micros, s: usize, held: f64) {
-        let warmth = self.warmth(now, s);
+    pub(super) fn refill_slow_start_tokens(&mut self, now: Micros, s: usize, held: f64) {
+        let warmth = self.warm_up_fraction(now, s);
         if warmth < 1.0 {
             let share =
                 self.set.warm_up_initial_capacity + (1.0 - self.set.warm_up_initial_capacity) * warmth;
@@ -42,8 +46,8 @@
             let (life, cold) = (self.stood / f64::from(self.ended.max(1)), self.set.warm_up.as_secs_f64());
             let spare = FLEET_HEADROOM * span / (span + period);
             let (life, spare) = if self.set.groups { (life, 1.0) } else { (life.min(cold), spare) };
-            let rate = spare * held * self.size(s) * share * self.set.overload_multiple / life.max(period);
-            let kept = self.kept(now);
+            let rate = spare * held * self.weight(s) * share * self.set.overload_multiple / life.max(period);
+            let kept = self.token_lifetime(now);
             let server = &mut self.servers[s];
             // What would be kept by now is there at the first, when most clients of those before come again.
             let first = if server.kept_until == Micros(0) { kept.as_secs_f64() } else { 0.0 };
@@ -58,9 +62,9 @@
     /// How long a permit is kept beyond its period. A group may begin on few servers: if all clients came
     /// again at once, no more than this part of the nodes would have one for any one server. What they have
     /// kept for it is then no more than a span earns, and twice a span's is what it can take (spare).
-    fn kept(&self, now: Micros) -> Micros {
-        let up = (0..self.servers.len()).filter(|&s| self.up(now, s)).count();
-        let elsewhere = 1.0 - (reach(up) as f64 / up.max(1) as f64).min(1.0);
+    fn token_lifetime(&self, now: Micros) -> Micros {
+        let up = (0..self.servers.len()).filter(|&s| self.is_available(now, s)).count();
+        let elsewhere = 1.0 - (group_reach(up) as f64 / up.max(1) as f64).min(1.0);
         let meet = 1.0 - elsewhere.powi(self.conns.len().max(1) as i32);
         let kept = self.set.overload_window.scale(1.0 / meet).max(PERIOD) - PERIOD;
         if self.set.groups { kept } else { Micros(0) }
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -13,7 +13,7 @@
         let away = |&s: &usize| {
             let server = &self.servers[s];
             let drains = server.entry.state == EndpointState::Draining;
-            drains || (server.entry.ready() && (now < server.paused_until || self.late(now, s)))
+            drains || (server.entry.ready() && (now < server.paused_until || self.is_late(now, s)))
         };
         (0..self.servers.len()).filter(listed).filter(away).count()
     }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1421,11 +1421,11 @@
     // What comes between the decision and the first byte: a connection may take long to come up.
     let news = |change: fn(&mut Endpoint)| {
         let (mut node, server) = trying(settings(), 2);
-        assert!(node.policy.may_go(node.now, RequestId(1)));
+        assert!(node.policy.may_still_send(node.now, RequestId(1)));
         let mut told = entry(server);
         change(&mut told);
         node.list(EndpointListKind::Delta, vec![told]);
-        node.policy.may_go(node.now, RequestId(1))
+        node.policy.may_still_send(node.now, RequestId(1))
     };
     assert!(news(|_| {}));
     assert!(!news(|entry| entry.state = EndpointState::Draining));
@@ -1435,13 +1435,13 @@
     let advice = BalancerSettings { removal_is_advisory: true, ..settings() };
     let (mut node, server) = trying(advice, 2);
     node.list(EndpointListKind::Delta, vec![Endpoint { state: EndpointState::Gone, ..entry(server) }]);
-    assert!(node.policy.may_go(node.now, RequestId(1)), "gone is advice there");
+    assert!(node.policy.may_still_send(node.now, RequestId(1)), "gone is advice there");
 }
 
 fn node_after_left() -> bool {
     let (mut node, _) = trying(settings(), 2);
     node.event(Event::ClientDisconnected(RequestId(1)));
-    node.policy.may_go(node.now, RequestId(1))
+    node.policy.may_still_send(node.now, RequestId(1))
 }
 
 #[test]
@@ -1453,12 +1453,12 @@
     node.end(1, Outcome::Reset);
     let other = node.where_is(1).expect("another attempt");
     assert_ne!(other, server);
-    assert!(node.policy.may_go(node.now, RequestId(1)));
+    assert!(node.policy.may_still_send(node.now, RequestId(1)));
     // The window is 1 s from the sending of the first.
     node.pass(ms(800));
-    assert!(node.policy.may_go(node.now, RequestId(1)));
+    assert!(node.policy.may_still_send(node.now, RequestId(1)));
     node.pass(ms(200));
-    assert!(!node.policy.may_go(node.now, RequestId(1)));
+    assert!(!node.policy.may_still_send(node.now, RequestId(1)));
 }
 
 #[test]
@@ -1496,7 +1496,7 @@
             classes: vec![class(after)],
             ..settings()
         })));
-        assert!(node.policy.may_go(node.now, RequestId(1)), "nothing has run yet");
+        assert!(node.policy.may_still_send(node.now, RequestId(1)), "nothing has run yet");
         node.last.clear();
         node.end(1, Outcome::Reset);
         assert!(
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -306,7 +306,9 @@
             let looks = || self.timers.iter().any(|(_, token)| token.0 == id.0 | 1 << 63);
             assert!(held.out_at.is_some() || looks(), "{id:?} is neither answered nor out");
             // What came since it was decided must not go out any more, once its connection is up.
-            if let Some(server) = held.out_at.filter(|_| !held.open && self.policy.may_go(self.now, *id)) {
+            if let Some(server) =
+                held.out_at.filter(|_| !held.open && self.policy.may_still_send(self.now, *id))
+            {
                 self.check_lawful(*id, server);
             }
         }
