--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -3,7 +3,7 @@
 use crate::types::Micros;
 
 use super::Policy;
-use super::connection::Conn;
+use super::connection::Connection;
 
 /// Above this running share of attempts that ran into their time-out, no further ones have one.
 const MAX_TIMED_OUT_SHARE: f64 = 0.15;
@@ -14,15 +14,16 @@
 impl Policy {
     /// How long an attempt may take: guards against the server that takes requests and answers none. Nothing
     /// where no time would be left for another, or where all take long: a repeat would wait anew.
-    pub(super) fn attempt_timeout(&self, now: Micros, conn: &Conn) -> Option<Micros> {
-        let usual = Micros((self.usual_setup_ms.0? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
-        let wait = conn.class.as_ref()?.latency_objective.max(usual);
+    pub(super) fn attempt_timeout(&self, now: Micros, connection: &Connection) -> Option<Micros> {
+        let usual = Micros((self.typical_setup_ms.0? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
+        let wait = connection.class_at_arrival.as_ref()?.latency_objective.max(usual);
         // Where more is out than the requests of such a wait (Little's law), or much goes unanswered, all
         // take long: clients that come back together, or wait for a slow store, would be sent over and over.
-        let much = f64::from(self.trying) > 2.0 + self.usual_taken.0.unwrap_or(0.0) * wait.as_secs_f64();
-        if much || self.unanswered.0.is_some_and(|share| share > MAX_TIMED_OUT_SHARE) {
+        let much = f64::from(self.attempts_in_flight)
+            > 2.0 + self.typical_request_rate.0.unwrap_or(0.0) * wait.as_secs_f64();
+        if much || self.timed_out_share.0.is_some_and(|share| share > MAX_TIMED_OUT_SHARE) {
             return None;
         }
-        (now + wait.scale(2.0) <= conn.deadline).then_some(wait)
+        (now + wait.scale(2.0) <= connection.deadline).then_some(wait)
     }
 }
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -16,11 +16,11 @@
 
 impl Policy {
     /// It manages that much of this node's load, and has to be believed so for a while.
-    pub(super) fn bound_to_capacity(&mut self, s: usize, manages: f64, mean: f64) {
+    pub(super) fn bound_to_capacity(&mut self, index: usize, manages: f64, mean: f64) {
         // An empty one may take one connection, or it would never be let out again.
-        let (usual, size) = (self.typical_load(), self.zone_weight(s));
-        let server = &mut self.servers[s];
-        server.limit = Some(server.limit.map_or(manages, |limit| limit.min(manages)).max(usual));
+        let (usual, size) = (self.typical_load(), self.zone_weight(index));
+        let server = &mut self.servers[index];
+        server.load_limit = Some(server.load_limit.map_or(manages, |limit| limit.min(manages)).max(usual));
         if mean > 0.0 {
             let slowness = (1.0 - manages / (mean * size)).min(1.0 - MIN_SPEED);
             server.slowness = server.slowness.max(slowness);
--- a/src/policy/connection.rs
+++ b/src/policy/connection.rs
@@ -7,88 +7,97 @@
 
 /// Where a request stands.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Stage {
+pub(super) enum ConnectionState {
     /// Accepted, no attempt out.
-    Held,
+    Waiting,
     /// An attempt is out at this server.
-    Trying(usize),
+    Attempting(usize),
     /// A connection at this server.
     Open(usize),
     /// A connection that was asked to move.
-    Leaving(usize),
+    Migrating(usize),
 }
 
-impl Stage {
+impl ConnectionState {
     pub(super) fn server(self) -> Option<usize> {
         match self {
-            Stage::Held => None,
-            Stage::Trying(s) | Stage::Open(s) | Stage::Leaving(s) => Some(s),
+            ConnectionState::Waiting => None,
+            ConnectionState::Attempting(index)
+            | ConnectionState::Open(index)
+            | ConnectionState::Migrating(index) => Some(index),
         }
     }
 
-    pub(super) fn trying(self) -> bool {
-        matches!(self, Stage::Trying(_))
+    pub(super) fn is_attempting(self) -> bool {
+        matches!(self, ConnectionState::Attempting(_))
     }
 }
 
 /// A request, and the connection that it becomes.
-pub(super) struct Conn {
+pub(super) struct Connection {
     pub(super) request: Request,
     pub(super) deadline: Micros,
-    pub(super) stage: Stage,
+    pub(super) state: ConnectionState,
     /// Probes it has waited for.
-    pub(super) looks: u32,
-    pub(super) tried: Vec<usize>,
+    pub(super) probe_attempts: u32,
+    pub(super) attempted_servers: Vec<usize>,
     /// The first attempt that may have run: its server and when it was sent.
-    pub(super) ran: Option<(usize, Micros)>,
+    pub(super) first_run: Option<(usize, Micros)>,
     pub(super) sent: Micros,
     /// The attempt that is out has a time-out of its own.
-    pub(super) timed: bool,
+    pub(super) has_attempt_timeout: bool,
     /// When that server had started, as far as was known then.
-    pub(super) started: Option<Micros>,
+    pub(super) server_started: Option<Micros>,
     /// Its class as it was when it came.
-    pub(super) class: Option<ClassSettings>,
+    pub(super) class_at_arrival: Option<ClassSettings>,
     /// The load last told.
-    pub(super) told: Option<f64>,
+    pub(super) reported_load: Option<f64>,
 }
 
-impl Conn {
+impl Connection {
     pub(super) fn new(now: Micros, request: Request) -> Self {
-        Conn {
+        Connection {
             request,
             deadline: now + request.remaining,
-            stage: Stage::Held,
-            looks: 0,
-            tried: Vec::new(),
-            ran: None,
+            state: ConnectionState::Waiting,
+            probe_attempts: 0,
+            attempted_servers: Vec::new(),
+            first_run: None,
             sent: now,
-            timed: false,
-            started: None,
-            class: None,
-            told: request.expected_load.filter(is_load),
+            has_attempt_timeout: false,
+            server_started: None,
+            class_at_arrival: None,
+            reported_load: request.expected_load.filter(is_load),
         }
     }
 }
 
 impl Policy {
     pub(super) fn on_existing_connection(&mut self, now: Micros, request: Request, server: ServerId) {
-        let Some(&s) = self.by_id.get(&server) else { return };
-        let conn = Conn { stage: Stage::Open(s), ..self.new_connection(now, request) };
-        self.add_to_load(&conn);
+        let Some(&index) = self.index_by_id.get(&server) else { return };
+        let connection =
+            Connection { state: ConnectionState::Open(index), ..self.new_connection(now, request) };
+        self.add_to_load(&connection);
         self.learn_typical_load(&request, request.expected_load);
-        self.conns.insert(request.id, conn);
+        self.connections.insert(request.id, connection);
     }
 
     /// A request as this node takes it: in its group only where groups share work.
-    pub(super) fn new_connection(&self, now: Micros, request: Request) -> Conn {
-        let group = request.group.filter(|_| self.set.groups);
-        let class = self.set.classes.get(usize::from(request.class)).cloned();
-        Conn { class, ..Conn::new(now, Request { group, ..request }) }
+    pub(super) fn new_connection(&self, now: Micros, request: Request) -> Connection {
+        let group = request.group.filter(|_| self.settings.groups);
+        let class = self.settings.classes.get(usize::from(request.class)).cloned();
+        Connection { class_at_arrival: class, ..Connection::new(now, Request { group, ..request }) }
     }
 
     /// A request's class as it was when that came, and as it is: other settings may have come since, and what
     /// either forbids is not done.
-    pub(super) fn binding_classes<'a>(&'a self, conn: &'a Conn) -> impl Iterator<Item = &'a ClassSettings> {
-        conn.class.iter().chain(self.set.classes.get(usize::from(conn.request.class)))
+    pub(super) fn binding_classes<'a>(
+        &'a self,
+        connection: &'a Connection,
+    ) -> impl Iterator<Item = &'a ClassSettings> {
+        connection
+            .class_at_arrival
+            .iter()
+            .chain(self.settings.classes.get(usize::from(connection.request.class)))
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -27,28 +27,30 @@
         now: Micros,
         kind: EndpointListKind,
         entries: Vec<Endpoint>,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         if kind == EndpointListKind::Failed {
             // A subscription that broke is asked for again, later each time but within the list's own limit.
             // From the list's return until what it has counts as told: half for the wait, half for its queue.
-            let wait = POLL_BACKOFF.scale(f64::from(1 << self.ask_failures.min(MAX_POLL_BACKOFF_DOUBLINGS)));
-            let wait = wait.scale(0.5 + self.rng.random::<f64>()).min(self.set.max_poll_interval.scale(0.5));
-            if self.set.must_subscribe && !self.asking {
-                self.asking = true;
-                self.ask_failures += 1;
-                out.push(Action::SetTimer(wait, POLL_TIMER));
-                self.log(None, format!("list: call failed, asking again in {} ms", wait.0 / 1_000), out);
+            let wait = POLL_BACKOFF.scale(f64::from(1 << self.poll_failures.min(MAX_POLL_BACKOFF_DOUBLINGS)));
+            let wait =
+                wait.scale(0.5 + self.rng.random::<f64>()).min(self.settings.max_poll_interval.scale(0.5));
+            if self.settings.must_subscribe && !self.poll_scheduled {
+                self.poll_scheduled = true;
+                self.poll_failures += 1;
+                actions.push(Action::SetTimer(wait, POLL_TIMER));
+                self.log(None, format!("list: call failed, asking again in {} ms", wait.0 / 1_000), actions);
             }
             return;
         }
-        self.ask_failures = 0;
-        self.lists += 1;
+        self.poll_failures = 0;
+        self.lists_received += 1;
         if kind != EndpointListKind::Delta {
             let named: BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
-            for server in self.servers.iter_mut().filter(|s| !named.contains(&s.entry.id)) {
-                if server.entry.state != EndpointState::Gone {
-                    (server.entry.state, server.called) = (EndpointState::Gone, self.lists);
+            for server in self.servers.iter_mut().filter(|server| !named.contains(&server.endpoint.id)) {
+                if server.endpoint.state != EndpointState::Gone {
+                    (server.endpoint.state, server.removed_by_list) =
+                        (EndpointState::Gone, self.lists_received);
                 }
             }
         }
@@ -60,57 +62,64 @@
     }
 
     fn apply_endpoint(&mut self, now: Micros, entry: Endpoint) {
-        let s = *self.by_id.entry(entry.id).or_insert(self.servers.len());
-        if s == self.servers.len() {
+        let index = *self.index_by_id.entry(entry.id).or_insert(self.servers.len());
+        if index == self.servers.len() {
             // Somewhere within its turn: with many nodes what was never used would be due at nearly all.
             let sent = now - self.setup_interval().scale(self.rng.random::<f64>());
             let entry = Endpoint { started: None, ..entry };
-            self.servers.push(Server { entry, sent, ..Server::default() });
+            self.servers.push(Server { endpoint: entry, last_attempt_at: sent, ..Server::default() });
         }
-        if self.servers[s].entry.started != entry.started {
+        if self.servers[index].endpoint.started != entry.started {
             // This node's place in the turns that the nodes take at a cold server.
-            let nodes = u64::from(self.set.node_count);
-            let place = self.set.node_index.map_or_else(|| self.rng.random(), u64::from);
-            let server = &mut self.servers[s];
-            server.credit = (place.wrapping_add(entry.id.0) % nodes) as f64 / nodes as f64;
+            let nodes = u64::from(self.settings.node_count);
+            let place = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
+            let server = &mut self.servers[index];
+            server.fraction = (place.wrapping_add(entry.id.0) % nodes) as f64 / nodes as f64;
             // Guards against stamps that are off: what is heard of has started by then.
-            server.started = entry.started.map(|started| (started + self.set.start_time_tolerance).min(now));
+            server.started =
+                entry.started.map(|started| (started + self.settings.start_time_tolerance).min(now));
             // A process that starts anew has no history.
-            (server.slowness, server.delay, server.limit, server.above) = (0.0, None, None, 0);
-            (server.failures, server.shut, server.permits, server.paused_until) = (0, false, 0, Micros(0));
-            server.kept_until = Micros(0);
+            (server.slowness, server.delay, server.load_limit, server.overloaded_periods) =
+                (0.0, None, None, 0);
+            (server.failures, server.unreachable, server.tokens, server.ejected_until) =
+                (0, false, 0, Micros(0));
+            server.expire_at = Micros(0);
         }
-        let server = &mut self.servers[s];
-        if entry.state == EndpointState::Gone && server.entry.state != EndpointState::Gone {
-            server.called = self.lists;
+        let server = &mut self.servers[index];
+        if entry.state == EndpointState::Gone && server.endpoint.state != EndpointState::Gone {
+            server.removed_by_list = self.lists_received;
         }
-        server.entry = entry;
-        server.drains = entry.state == EndpointState::Draining || (server.drains && !entry.ready());
+        server.endpoint = entry;
+        server.draining = entry.state == EndpointState::Draining || (server.draining && !entry.ready());
     }
 
     /// Whether this is called gone, or left out, where that is advice and no more, and did not drain before.
-    pub(super) fn removal_is_advice(&self, s: usize) -> bool {
-        let server = &self.servers[s];
-        self.set.removal_is_advisory && server.entry.state == EndpointState::Gone && !server.drains
+    pub(super) fn removal_is_advice(&self, index: usize) -> bool {
+        let server = &self.servers[index];
+        self.settings.removal_is_advisory && server.endpoint.state == EndpointState::Gone && !server.draining
     }
 
     /// Whether the list and what is known beside it let new work go there.
-    pub(super) fn is_available(&self, now: Micros, s: usize) -> bool {
-        let doubted = || self.doubted.contains(&self.servers[s].called) || self.is_known_to_run(now, s);
-        self.servers[s].entry.ready() || (self.removal_is_advice(s) && doubted())
+    pub(super) fn is_available(&self, now: Micros, index: usize) -> bool {
+        let doubted = || {
+            self.disproved_lists.contains(&self.servers[index].removed_by_list)
+                || self.is_known_to_run(now, index)
+        };
+        self.servers[index].endpoint.ready() || (self.removal_is_advice(index) && doubted())
     }
 
     /// Whether something of this node's stands there, or a probe has answered of late.
-    fn is_known_to_run(&self, now: Micros, s: usize) -> bool {
-        let server = &self.servers[s];
-        !server.conns.is_empty() || server.found.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
+    fn is_known_to_run(&self, now: Micros, index: usize) -> bool {
+        let server = &self.servers[index];
+        !server.connections.is_empty()
+            || server.answered_at.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
     }
 
     /// Guards against a list that calls running servers gone: where one of those that it called gone together
     /// runs, that list is wrong about all of them.
     pub(super) fn find_disproved_lists(&mut self, now: Micros) {
-        let runs = |&s: &usize| self.removal_is_advice(s) && self.is_known_to_run(now, s);
-        let wrong = (0..self.servers.len()).filter(runs).map(|s| self.servers[s].called);
-        self.doubted = wrong.collect();
+        let runs = |&index: &usize| self.removal_is_advice(index) && self.is_known_to_run(now, index);
+        let wrong = (0..self.servers.len()).filter(runs).map(|index| self.servers[index].removed_by_list);
+        self.disproved_lists = wrong.collect();
     }
 }
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -5,7 +5,7 @@
 use crate::types::{Micros, Request, RequestId};
 
 use super::Policy;
-use super::connection::Conn;
+use super::connection::Connection;
 
 /// Loads above this are no loads: about a thousand cores' work.
 pub(super) const MAX_LOAD: f64 = 1e9;
@@ -27,17 +27,17 @@
 impl Policy {
     /// The load that this node has on a server: told loads, the usual load of its class where none was told,
     /// and the shared work of each group held, which is taken to be a usual connection's.
-    pub(super) fn recorded_load(&self, s: usize) -> f64 {
-        let server = &self.servers[s];
+    pub(super) fn recorded_load(&self, index: usize) -> f64 {
+        let server = &self.servers[index];
         let untold = |(&class, &n): (&u16, &u32)| f64::from(n) * self.typical_class_load(class);
-        let untold: f64 = server.untold.iter().map(untold).sum();
-        server.told_sum + untold + self.group_load_share() * server.groups.len() as f64
+        let untold: f64 = server.unreported.iter().map(untold).sum();
+        server.reported + untold + self.group_load_share() * server.groups.len() as f64
     }
 
     /// What a group's shared work on a server is to one node: all of it to one alone, and less the more
     /// nodes hold the group there too.
     pub(super) fn group_load_share(&self) -> f64 {
-        self.typical_load() * self.set.group_load * (2.0 / f64::from(self.set.node_count)).min(1.0)
+        self.typical_load() * self.settings.group_load * (2.0 / f64::from(self.settings.node_count)).min(1.0)
     }
 
     /// The usual load of a connection; before any was told, each counts as one.
@@ -53,71 +53,73 @@
         held.map_or_else(|| usual.unwrap_or(self.typical_load()), |held| held.0 / f64::from(held.1))
     }
 
-    pub(super) fn connection_load(&self, conn: &Conn) -> f64 {
-        conn.told.unwrap_or_else(|| self.typical_class_load(conn.request.class))
+    pub(super) fn connection_load(&self, connection: &Connection) -> f64 {
+        connection.reported_load.unwrap_or_else(|| self.typical_class_load(connection.request.class))
     }
 
     /// The ready servers that are warm.
     pub(super) fn warm_servers(&self, now: Micros) -> Vec<usize> {
-        let warm = |&s: &usize| self.is_available(now, s) && self.warm_up_fraction_here(now, s) >= 1.0;
+        let warm =
+            |&index: &usize| self.is_available(now, index) && self.warm_up_fraction_here(now, index) >= 1.0;
         (0..self.servers.len()).filter(warm).collect()
     }
 
     /// The mean load for each unit of power over ready servers that are warm.
     pub(super) fn mean_load(&self, now: Micros) -> f64 {
-        let (load, power) = (self.warm_servers(now).into_iter()).fold((0.0, 0.0), |(load, power), s| {
-            (load + self.recorded_load(s), power + self.effective_weight(s))
+        let (load, power) = (self.warm_servers(now).into_iter()).fold((0.0, 0.0), |(load, power), index| {
+            (load + self.recorded_load(index), power + self.effective_weight(index))
         });
         if power > 0.0 { load / power } else { 0.0 }
     }
 
     /// The connections, and groups, that this node holds on warm servers for each unit of size.
     pub(super) fn mean_connections(&self, now: Micros) -> f64 {
-        let held = |s: usize| (self.servers[s].conns.len() + self.servers[s].groups.len()) as f64;
+        let held =
+            |index: usize| (self.servers[index].connections.len() + self.servers[index].groups.len()) as f64;
         let (held, size) = (self.warm_servers(now).into_iter())
-            .fold((0.0, 0.0), |(sum, size), s| (sum + held(s), size + self.weight(s)));
+            .fold((0.0, 0.0), |(sum, size), index| (sum + held(index), size + self.weight(index)));
         if size > 0.0 { held / size } else { 0.0 }
     }
 
     /// Takes a connection, or one that is to become one, into the sums of its server.
-    pub(super) fn add_to_load(&mut self, conn: &Conn) {
-        let Some(s) = conn.stage.server() else { return };
-        let server = &mut self.servers[s];
-        server.conns.insert(conn.request.id);
-        self.trying += u32::from(conn.stage.trying());
-        match conn.told {
+    pub(super) fn add_to_load(&mut self, connection: &Connection) {
+        let Some(index) = connection.state.server() else { return };
+        let server = &mut self.servers[index];
+        server.connections.insert(connection.request.id);
+        self.attempts_in_flight += u32::from(connection.state.is_attempting());
+        match connection.reported_load {
             Some(load) => {
-                server.told_sum += load;
-                if let Some(held) = self.held_load.get_mut(usize::from(conn.request.class)) {
+                server.reported += load;
+                if let Some(held) = self.held_load.get_mut(usize::from(connection.request.class)) {
                     *held = (held.0 + load, held.1 + 1);
                 }
             }
-            None => *server.untold.entry(conn.request.class).or_default() += 1,
+            None => *server.unreported.entry(connection.request.class).or_default() += 1,
         }
-        if let Some(group) = conn.request.group {
+        if let Some(group) = connection.request.group {
             *server.groups.entry(group).or_insert(0) += 1;
         }
     }
 
     /// Takes it out again. An empty server's sum is nothing, whatever rounding has left of it.
-    pub(super) fn remove_from_load(&mut self, conn: &Conn) {
-        let Some(s) = conn.stage.server() else { return };
-        let server = &mut self.servers[s];
-        server.conns.remove(&conn.request.id);
-        self.trying -= u32::from(conn.stage.trying());
-        match conn.told {
+    pub(super) fn remove_from_load(&mut self, connection: &Connection) {
+        let Some(index) = connection.state.server() else { return };
+        let server = &mut self.servers[index];
+        server.connections.remove(&connection.request.id);
+        self.attempts_in_flight -= u32::from(connection.state.is_attempting());
+        match connection.reported_load {
             Some(load) => {
-                server.told_sum = (server.told_sum - load).max(0.0);
-                if let Some(held) = self.held_load.get_mut(usize::from(conn.request.class)) {
+                server.reported = (server.reported - load).max(0.0);
+                if let Some(held) = self.held_load.get_mut(usize::from(connection.request.class)) {
                     *held = ((held.0 - load).max(0.0), held.1 - 1);
                 }
             }
-            None => decrement(&mut server.untold, conn.request.class),
+            None => decrement(&mut server.unreported, connection.request.class),
         }
-        if server.conns.is_empty() {
-            server.told_sum = 0.0;
+        if server.connections.is_empty() {
+            server.reported = 0.0;
         }
-        if let Some(group) = conn.request.group {
+        if let Some(group) = connection.request.group {
             decrement(&mut server.groups, group);
         }
     }
@@ -132,14 +134,14 @@
     }
 
     pub(super) fn on_load_report(&mut self, id: RequestId, load: f64) {
-        let conn = is_load(&load).then(|| self.conns.remove(&id));
-        let Some(mut conn) = conn.flatten() else { return };
-        if conn.told.is_none() {
-            self.learn_typical_load(&conn.request, Some(load));
+        let connection = is_load(&load).then(|| self.connections.remove(&id));
+        let Some(mut connection) = connection.flatten() else { return };
+        if connection.reported_load.is_none() {
+            self.learn_typical_load(&connection.request, Some(load));
         }
-        self.remove_from_load(&conn);
-        conn.told = Some(load);
-        self.add_to_load(&conn);
-        self.conns.insert(id, conn);
+        self.remove_from_load(&connection);
+        connection.reported_load = Some(load);
+        self.add_to_load(&connection);
+        self.connections.insert(id, connection);
     }
 }
--- a/src/policy/log_limit.rs
+++ b/src/policy/log_limit.rs
@@ -8,10 +8,10 @@
 pub(super) const LINES_PER_PERIOD: u32 = 4;
 
 impl Policy {
-    pub(super) fn log(&mut self, of: Option<ServerId>, line: String, out: &mut Vec<Action>) {
-        if self.log_left > 0 {
-            self.log_left -= 1;
-            out.push(Action::Log(of, line));
+    pub(super) fn log(&mut self, of: Option<ServerId>, line: String, actions: &mut Vec<Action>) {
+        if self.log_lines_left > 0 {
+            self.log_lines_left -= 1;
+            actions.push(Action::Log(of, line));
         }
     }
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -5,7 +5,7 @@
 use crate::types::{Action, Micros, Outcome, RequestId};
 
 use super::Policy;
-use super::connection::{Conn, Stage};
+use super::connection::{Connection, ConnectionState};
 
 /// The first pause in sending to a server after a failed set-up; it doubles with each further one.
 const BASE_EJECTION: Micros = Micros::from_millis(1_000);
@@ -28,39 +28,41 @@
     pub(super) fn record_failure(
         &mut self,
         now: Micros,
-        s: usize,
-        conn: &Conn,
+        index: usize,
+        connection: &Connection,
         outcome: Outcome,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
         use Outcome::*;
         let harmless = matches!(outcome, Ok | Cancelled | NeverSent | NotForwarded);
-        if harmless || matches!(conn.stage, Stage::Leaving(_)) {
+        if harmless || matches!(connection.state, ConnectionState::Migrating(_)) {
             return;
         }
-        let holds = |id: &RequestId| self.conns.get(id).is_some_and(|conn| !conn.stage.trying());
-        let held = self.servers[s].conns.iter().any(holds);
+        let holds = |id: &RequestId| {
+            self.connections.get(id).is_some_and(|connection| !connection.state.is_attempting())
+        };
+        let held = self.servers[index].connections.iter().any(holds);
         let dropped_all = outcome == Outcome::Reset && !held;
-        let (server, nodes) = (&mut self.servers[s], f64::from(self.set.node_count));
-        server.fell |= outcome == Outcome::ConnectFailed && !held;
-        let paused = now < server.paused_until;
+        let (server, nodes) = (&mut self.servers[index], f64::from(self.settings.node_count));
+        server.connect_failed |= outcome == Outcome::ConnectFailed && !held;
+        let paused = now < server.ejected_until;
         if !paused {
-            if now > server.paused_until + FAILURES_FORGOTTEN_AFTER {
+            if now > server.ejected_until + FAILURES_FORGOTTEN_AFTER {
                 server.failures = 0;
             }
             let pause = BASE_EJECTION.scale(f64::from(1 << server.failures.min(MAX_EJECTION_DOUBLINGS)));
             server.failures += 1;
             // Nodes that all wait for one that is down try it one after the other.
             let chance: f64 = self.rng.random();
-            let turns = if server.fell { nodes.min(MAX_RETURN_TURNS) } else { 0.0 };
+            let turns = if server.connect_failed { nodes.min(MAX_RETURN_TURNS) } else { 0.0 };
             let pause = pause.scale(0.75 + 0.5 * chance).max(BASE_EJECTION.scale(turns * chance));
-            server.paused_until = now + pause;
+            server.ejected_until = now + pause;
         }
         // The list tells of lost servers seconds later, of a cut link never.
-        server.shut |= dropped_all || matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
-        let (id, failures) = (server.entry.id, server.failures);
+        server.unreachable |= dropped_all || matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
+        let (id, failures) = (server.endpoint.id, server.failures);
         if !paused && failures == LOGGED_FAILURES {
-            self.log(Some(id), format!("paused again after {failures} failures, last {outcome:?}"), out);
+            self.log(Some(id), format!("paused again after {failures} failures, last {outcome:?}"), actions);
         }
     }
 }
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -3,7 +3,7 @@
 use crate::types::{Action, Micros, Outcome, ReportField, RequestId, ServerId, TimerToken};
 
 use super::Policy;
-use super::connection::{Conn, Stage};
+use super::connection::{Connection, ConnectionState};
 use super::load_estimate::is_load;
 
 /// A told load ratio counts this long.
@@ -27,22 +27,22 @@
 impl Policy {
     /// Probes of what is called gone where nothing tells whether it runs: one for each request taken and no
     /// more, those first that were not probed for longest.
-    pub(super) fn probe_removed_servers(&mut self, now: Micros, out: &mut Vec<Action>) {
-        let silent = |&s: &usize| self.removal_is_advice(s) && !self.is_available(now, s);
+    pub(super) fn probe_removed_servers(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let silent = |&index: &usize| self.removal_is_advice(index) && !self.is_available(now, index);
         let mut silent: Vec<usize> = (0..self.servers.len()).filter(silent).collect();
-        silent.sort_by_key(|&s| self.servers[s].probed);
-        for s in silent.into_iter().take(self.probe_tokens as usize) {
+        silent.sort_by_key(|&index| self.servers[index].sent_at);
+        for index in silent.into_iter().take(self.probe_tokens as usize) {
             self.probe_tokens -= 1.0;
             // It went down or came back in the meantime: its first set-up is tried alone.
-            let server = &mut self.servers[s];
-            (server.fell, server.probed) = (true, now);
-            out.push(Action::Probe(server.entry.id));
+            let server = &mut self.servers[index];
+            (server.connect_failed, server.sent_at) = (true, now);
+            actions.push(Action::Probe(server.endpoint.id));
         }
     }
 
     /// Whether probes tell the load ratio.
     pub(super) fn probes_report_load(&self) -> bool {
-        self.set.probes_allowed && self.set.report_fields.contains(&ReportField::LoadRatio)
+        self.settings.probes_allowed && self.settings.report_fields.contains(&ReportField::LoadRatio)
     }
 
     /// Whether a request waits for a probe's load ratio before it lands: the record of one node of many says
@@ -50,22 +50,22 @@
     pub(super) fn wait_for_probe(
         &mut self,
         now: Micros,
-        s: usize,
-        conn: &Conn,
-        out: &mut Vec<Action>,
+        index: usize,
+        connection: &Connection,
+        actions: &mut Vec<Action>,
     ) -> bool {
-        let known = self.fresh_load_ratio(now, s).is_some();
+        let known = self.fresh_load_ratio(now, index).is_some();
         if !self.probes_report_load()
             || known
-            || conn.looks >= MAX_PROBE_ATTEMPTS
-            || now + PROBE_WAIT.scale(2.0) > conn.deadline
+            || connection.probe_attempts >= MAX_PROBE_ATTEMPTS
+            || now + PROBE_WAIT.scale(2.0) > connection.deadline
         {
             return false;
         }
-        let server = &mut self.servers[s];
-        out.push(Action::Probe(server.entry.id));
-        server.lookers.push(conn.request.id);
-        out.push(Action::SetTimer(PROBE_WAIT, TimerToken(conn.request.id.0 | PROBE_TIMER_MARK)));
+        let server = &mut self.servers[index];
+        actions.push(Action::Probe(server.endpoint.id));
+        server.waiters.push(connection.request.id);
+        actions.push(Action::SetTimer(PROBE_WAIT, TimerToken(connection.request.id.0 | PROBE_TIMER_MARK)));
         true
     }
 
@@ -76,35 +76,39 @@
         id: ServerId,
         how: Outcome,
         report: &[f64],
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(&s) = self.by_id.get(&id) else { return };
-        self.servers[s].found = (how == Outcome::Ok).then_some(now);
+        let Some(&index) = self.index_by_id.get(&id) else { return };
+        self.servers[index].answered_at = (how == Outcome::Ok).then_some(now);
         self.find_disproved_lists(now);
-        let ratio = self.set.report_fields.iter().position(|field| *field == ReportField::LoadRatio);
+        let ratio = self.settings.report_fields.iter().position(|field| *field == ReportField::LoadRatio);
         let ratio = ratio.and_then(|i| report.get(i)).filter(|ratio| is_load(ratio));
-        self.servers[s].seen = ratio.map(|ratio| (*ratio, now)).or(self.servers[s].seen);
+        self.servers[index].load_report =
+            ratio.map(|ratio| (*ratio, now)).or(self.servers[index].load_report);
         // Where nothing is held no note tells that it is over: a report does.
-        if self.is_late_unobserved(now, s) && ratio.is_some_and(|ratio| *ratio <= CROWDED_LOAD_RATIO) {
-            self.servers[s].delay = None;
+        if self.is_late_unobserved(now, index) && ratio.is_some_and(|ratio| *ratio <= CROWDED_LOAD_RATIO) {
+            self.servers[index].delay = None;
         }
-        for id in std::mem::take(&mut self.servers[s].lookers) {
-            self.resume(now, id, 1, out);
+        for id in std::mem::take(&mut self.servers[index].waiters) {
+            self.resume(now, id, 1, actions);
         }
     }
 
     /// A request that waited goes on, after the looks it has spent; all of them where no answer came in time.
-    pub(super) fn resume(&mut self, now: Micros, id: RequestId, spent: u32, out: &mut Vec<Action>) {
-        if self.conns.get(&id).is_some_and(|conn| conn.stage == Stage::Held)
-            && let Some(mut conn) = self.conns.remove(&id)
+    pub(super) fn resume(&mut self, now: Micros, id: RequestId, spent: u32, actions: &mut Vec<Action>) {
+        if self.connections.get(&id).is_some_and(|connection| connection.state == ConnectionState::Waiting)
+            && let Some(mut connection) = self.connections.remove(&id)
         {
-            conn.looks += spent;
-            self.attempt(now, conn, out);
+            connection.probe_attempts += spent;
+            self.attempt(now, connection, actions);
         }
     }
 
     /// The load ratio last told, while it counts.
-    pub(super) fn fresh_load_ratio(&self, now: Micros, s: usize) -> Option<f64> {
-        self.servers[s].seen.filter(|(_, at)| now < *at + LOAD_REPORT_VALID_FOR).map(|(ratio, _)| ratio)
+    pub(super) fn fresh_load_ratio(&self, now: Micros, index: usize) -> Option<f64> {
+        self.servers[index]
+            .load_report
+            .filter(|(_, at)| now < *at + LOAD_REPORT_VALID_FOR)
+            .map(|(ratio, _)| ratio)
     }
 }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -6,7 +6,7 @@
 
 use super::Policy;
 use super::capacity::{CAPACITY_MARGIN, LOAD_LIMIT_GROWTH, SLOWNESS_RECOVERY};
-use super::connection::{Conn, Stage};
+use super::connection::{Connection, ConnectionState};
 use super::log_limit::LINES_PER_PERIOD;
 use super::message_delay::LATE_SHARE_OF_OBJECTIVE;
 
@@ -39,36 +39,40 @@
 pub(super) const PERIOD_TIMER: TimerToken = TimerToken(0);
 
 impl Policy {
-    pub(super) fn on_period(&mut self, now: Micros, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
-        self.log_left = LINES_PER_PERIOD;
-        self.stood += self.conns.len() as f64 * PERIOD.as_secs_f64();
-        self.usual_taken.add(f64::from(std::mem::take(&mut self.taken)) / PERIOD.as_secs_f64());
+    pub(super) fn on_period(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        actions.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
+        self.log_lines_left = LINES_PER_PERIOD;
+        self.connection_seconds += self.connections.len() as f64 * PERIOD.as_secs_f64();
+        self.typical_request_rate
+            .add(f64::from(std::mem::take(&mut self.requests_this_period)) / PERIOD.as_secs_f64());
         let held = self.mean_connections(now);
-        self.usual_held.add(held);
+        self.typical_connections.add(held);
         // Guards against a release that leaves but a slow server warm, which holds next to nothing: what
         // warm ones held a moment ago is still known of them.
-        let shown = self.usual_held.0.map_or(held, |usual| usual.max(held));
-        for s in 0..self.servers.len() {
-            self.refill_slow_start_tokens(now, s, shown);
-            let server = &mut self.servers[s];
+        let shown = self.typical_connections.0.map_or(held, |usual| usual.max(held));
+        for index in 0..self.servers.len() {
+            self.refill_slow_start_tokens(now, index, shown);
+            let server = &mut self.servers[index];
             server.slowness = (server.slowness - SLOWNESS_RECOVERY).max(0.0);
-            server.limit = server.limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
-            if self.probes_report_load() && self.is_available(now, s) && self.is_late_unobserved(now, s) {
-                out.push(Action::Probe(self.servers[s].entry.id));
+            server.load_limit = server.load_limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
+            if self.probes_report_load()
+                && self.is_available(now, index)
+                && self.is_late_unobserved(now, index)
+            {
+                actions.push(Action::Probe(self.servers[index].endpoint.id));
             }
         }
         self.find_disproved_lists(now);
         self.update_zone_affinity(now);
-        if self.set.probes_allowed {
-            self.probe_removed_servers(now, out);
+        if self.settings.probes_allowed {
+            self.probe_removed_servers(now, actions);
         }
         let mean = self.mean_load(now);
-        for s in 0..self.servers.len() {
-            let drains =
-                self.servers[s].entry.state == EndpointState::Draining && self.set.migrate_from_draining;
-            if self.is_available(now, s) || drains {
-                self.shed(now, s, mean, held < FEW_CONNECTIONS, out);
+        for index in 0..self.servers.len() {
+            let drains = self.servers[index].endpoint.state == EndpointState::Draining
+                && self.settings.migrate_from_draining;
+            if self.is_available(now, index) || drains {
+                self.shed(now, index, mean, held < FEW_CONNECTIONS, actions);
             }
         }
     }
@@ -76,49 +80,52 @@
     /// The reactive trigger. A queue that grows tells how far a server is over what it can do, and its length
     /// what is to be cleared: what is above both is its excess. The server is believed to be as much slower
     /// than the others as its load says, or it would be filled up again.
-    fn measure_late_excess(&mut self, now: Micros, s: usize, mean: f64) -> f64 {
-        let Some(delay) = self.servers[s].delay.filter(|_| self.is_late(now, s)) else { return 0.0 };
-        let record = self.recorded_load(s);
+    fn measure_late_excess(&mut self, now: Micros, index: usize, mean: f64) -> f64 {
+        let Some(delay) = self.servers[index].delay.filter(|_| self.is_late(now, index)) else { return 0.0 };
+        let record = self.recorded_load(index);
         let busy = (1.0 + delay.growth).clamp(0.5, 10.0);
         // A little late is a little over what it can do: only where an aim is missed is it the whole margin.
-        let urgency =
-            (delay.span.as_secs_f64() * LATE_SHARE_OF_OBJECTIVE / self.late_at.as_secs_f64()).min(1.0);
+        let urgency = (delay.delay.as_secs_f64() * LATE_SHARE_OF_OBJECTIVE
+            / self.late_threshold.as_secs_f64())
+        .min(1.0);
         let manages = (1.0 - (1.0 - CAPACITY_MARGIN) * urgency) * record / busy;
-        if !delay.still {
-            self.bound_to_capacity(s, manages, mean);
+        if !delay.stalled {
+            self.bound_to_capacity(index, manages, mean);
         }
-        let piled = delay.span.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
+        let piled = delay.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
         (record - manages * (1.0 - piled)).clamp(0.0, record)
     }
 
     /// Sheds the excess of a server that has been above the bar for long enough, or is late. One that drains
     /// is to have no connections, whatever their load, when it stops, if the settings ask for that.
-    fn shed(&mut self, now: Micros, s: usize, mean: f64, few: bool, out: &mut Vec<Action>) {
-        let (draining, held) = (self.servers[s].drains, self.servers[s].conns.len() as f64);
-        let reactive = if draining { held } else { self.measure_late_excess(now, s, mean) };
-        let fair = mean * self.effective_weight(s);
-        let record = self.recorded_load(s);
-        let server = &mut self.servers[s];
-        server.above = if record > OVERLOAD_THRESHOLD * fair { server.above + 1 } else { 0 };
-        let ordinary = if server.above >= OVERLOADED_PERIODS { record - fair } else { 0.0 };
+    fn shed(&mut self, now: Micros, index: usize, mean: f64, few: bool, actions: &mut Vec<Action>) {
+        let (draining, held) = (self.servers[index].draining, self.servers[index].connections.len() as f64);
+        let reactive = if draining { held } else { self.measure_late_excess(now, index, mean) };
+        let fair = mean * self.effective_weight(index);
+        let record = self.recorded_load(index);
+        let server = &mut self.servers[index];
+        server.overloaded_periods =
+            if record > OVERLOAD_THRESHOLD * fair { server.overloaded_periods + 1 } else { 0 };
+        let ordinary = if server.overloaded_periods >= OVERLOADED_PERIODS { record - fair } else { 0.0 };
         let mut excess = reactive.max(ordinary);
         if excess <= 0.0 {
             return;
         }
-        let late =
-            |of: Vec<usize>| of.iter().filter(|s| self.is_late(now, **s)).count() as f64 / of.len() as f64;
-        let ready = late((0..self.servers.len()).filter(|&s| self.is_available(now, s)).collect());
+        let late = |of: Vec<usize>| {
+            of.iter().filter(|index| self.is_late(now, **index)).count() as f64 / of.len() as f64
+        };
+        let ready = late((0..self.servers.len()).filter(|&index| self.is_available(now, index)).collect());
         // Guards against a queue of set-ups that grows by what moves: most of that comes back as set-ups.
         let all_late = !draining && late(self.warm_servers(now)) >= FLEET_LATE_SHARE;
         let (share, up) =
             if all_late { (PROACTIVE_MOVE_SHARE, self.rng.random()) } else { (REACTIVE_MOVE_SHARE, 0.99) };
         // What moves begins its group anew elsewhere: the more servers are late, the less room there is.
-        let crowding = if reactive > 0.0 { (2.0 * self.set.group_load * ready).min(1.0) } else { 1.0 };
-        let mut open: Vec<(f64, RequestId)> = (self.servers[s].conns.iter())
-            .filter_map(|id| self.conns.get(id).map(|conn| (id, conn)))
-            .filter(|(_, conn)| matches!(conn.stage, Stage::Open(_)))
-            .filter_map(|(&id, conn)| {
-                Some((if draining { 1.0 } else { self.freed_load(s, conn, crowding)? }, id))
+        let crowding = if reactive > 0.0 { (2.0 * self.settings.group_load * ready).min(1.0) } else { 1.0 };
+        let mut open: Vec<(f64, RequestId)> = (self.servers[index].connections.iter())
+            .filter_map(|id| self.connections.get(id).map(|connection| (id, connection)))
+            .filter(|(_, connection)| matches!(connection.state, ConnectionState::Open(_)))
+            .filter_map(|(&id, connection)| {
+                Some((if draining { 1.0 } else { self.freed_load(index, connection, crowding)? }, id))
             })
             .collect();
         let lightest = open.iter().map(|(load, _)| *load).fold(f64::INFINITY, f64::min);
@@ -126,8 +133,9 @@
         // nodes holds one there, or none would begin, and where what stays earns nothing: a way that is slow
         // keeps a steady delay, and half of one connection would ask for no move for as long as that lasts.
         let part = excess.min(REACTIVE_MOVE_SHARE * lightest);
-        let lost =
-            self.servers[s].delay.is_some_and(|d| d.span.scale(LATE_SHARE_OF_OBJECTIVE) >= self.late_at);
+        let lost = self.servers[index]
+            .delay
+            .is_some_and(|d| d.delay.scale(LATE_SHARE_OF_OBJECTIVE) >= self.late_threshold);
         if (few || lost) && reactive > 0.0 && excess < lightest && part > lightest * self.rng.random::<f64>()
         {
             excess = lightest;
@@ -149,9 +157,9 @@
             }
             let (load, id) = open.swap_remove(i);
             excess -= load;
-            if let Some(conn) = self.conns.get_mut(&id) {
-                conn.stage = Stage::Leaving(s);
-                out.push(Action::Migrate(id));
+            if let Some(connection) = self.connections.get_mut(&id) {
+                connection.state = ConnectionState::Migrating(index);
+                actions.push(Action::Migrate(id));
             }
         }
     }
@@ -159,9 +167,10 @@
     /// What moving a connection takes off a server; nothing where its group stays and that is less than
     /// beginning it anew elsewhere costs: a usual connection, or the stated part of that. The last own of a
     /// group takes this node's share of the group's work along.
-    fn freed_load(&self, s: usize, conn: &Conn, crowding: f64) -> Option<f64> {
-        let (load, usual) = (self.connection_load(conn), self.typical_load());
-        let Some(held) = conn.request.group.and_then(|group| self.servers[s].groups.get(&group)) else {
+    fn freed_load(&self, index: usize, connection: &Connection, crowding: f64) -> Option<f64> {
+        let (load, usual) = (self.connection_load(connection), self.typical_load());
+        let Some(held) = connection.request.group.and_then(|group| self.servers[index].groups.get(&group))
+        else {
             return Some(load);
         };
         let freed = if *held == 1 { load + self.group_load_share() } else { load };
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -3,47 +3,48 @@
 use crate::types::{Action, DedupScope, Idempotency, Micros, Outcome, RequestId};
 
 use super::Policy;
-use super::connection::{Conn, Stage};
+use super::connection::{Connection, ConnectionState};
 
 impl Policy {
     /// Sends a request to a server, or answers it at once where that cannot be.
-    pub(super) fn attempt(&mut self, now: Micros, conn: Conn, out: &mut Vec<Action>) {
-        let id = conn.request.id;
-        let further = !conn.tried.is_empty();
+    pub(super) fn attempt(&mut self, now: Micros, connection: Connection, actions: &mut Vec<Action>) {
+        let id = connection.request.id;
+        let further = !connection.attempted_servers.is_empty();
         // What looks expired may not be, where clocks differ; but nothing waits for a look by a doubtful
         // clock.
-        let open = now < conn.deadline + self.set.deadline_tolerance;
-        let more = open && (conn.tried.len() as u32) < self.set.max_attempts;
-        let allowed = !further || self.set.retry_budget.is_none_or(|budget| self.budget_allows(now, budget));
-        let Some(s) = (more && allowed).then(|| self.choose(now, &conn)).flatten() else {
-            return self.give_up(&conn, out);
+        let open = now < connection.deadline + self.settings.deadline_tolerance;
+        let more = open && (connection.attempted_servers.len() as u32) < self.settings.max_attempts;
+        let allowed =
+            !further || self.settings.retry_budget.is_none_or(|budget| self.budget_allows(now, budget));
+        let Some(index) = (more && allowed).then(|| self.choose(now, &connection)).flatten() else {
+            return self.give_up(&connection, actions);
         };
-        if self.wait_for_probe(now, s, &conn, out) {
-            self.conns.insert(id, conn);
+        if self.wait_for_probe(now, index, &connection, actions) {
+            self.connections.insert(id, connection);
             return;
         }
         self.count_in_window(now, 0, u32::from(further));
-        let timeout = self.attempt_timeout(now, &conn);
-        out.push(Action::Forward(id, self.servers[s].entry.id, timeout));
-        self.start_attempt(now, s, Conn { timed: timeout.is_some(), ..conn });
+        let timeout = self.attempt_timeout(now, &connection);
+        actions.push(Action::Forward(id, self.servers[index].endpoint.id, timeout));
+        self.start_attempt(now, index, Connection { has_attempt_timeout: timeout.is_some(), ..connection });
     }
 
-    pub(super) fn start_attempt(&mut self, now: Micros, s: usize, mut conn: Conn) {
-        conn.stage = Stage::Trying(s);
-        conn.sent = now;
-        conn.started = self.servers[s].started;
-        conn.tried.push(s);
-        self.servers[s].sent = now;
-        self.servers[s].permits = self.servers[s].permits.saturating_sub(1);
-        self.add_to_load(&conn);
-        self.conns.insert(conn.request.id, conn);
+    pub(super) fn start_attempt(&mut self, now: Micros, index: usize, mut connection: Connection) {
+        connection.state = ConnectionState::Attempting(index);
+        connection.sent = now;
+        connection.server_started = self.servers[index].started;
+        connection.attempted_servers.push(index);
+        self.servers[index].last_attempt_at = now;
+        self.servers[index].tokens = self.servers[index].tokens.saturating_sub(1);
+        self.add_to_load(&connection);
+        self.connections.insert(connection.request.id, connection);
     }
 
     /// Whether what an attempt may have done before lets this request go to this server now.
-    pub(super) fn may_repeat_at(&self, now: Micros, s: usize, conn: &Conn) -> bool {
-        let Some((first, sent)) = conn.ran else { return true };
-        let (first, entry) = (&self.servers[first].entry, &self.servers[s].entry);
-        self.binding_classes(conn).all(|class| match class.idempotency {
+    pub(super) fn may_repeat_at(&self, now: Micros, index: usize, connection: &Connection) -> bool {
+        let Some((first, sent)) = connection.first_run else { return true };
+        let (first, entry) = (&self.servers[first].endpoint, &self.servers[index].endpoint);
+        self.binding_classes(connection).all(|class| match class.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::NotIdempotent => false,
             Idempotency::Deduplicated(_) if now >= sent + class.dedup_window => false,
@@ -56,11 +57,11 @@
     /// Whether the attempt that is out may still be sent, now that its connection is up. Guards against what
     /// came since it was decided: its server drains, is gone, started anew or drops no repeats any more.
     pub fn may_still_send(&self, now: Micros, id: RequestId) -> bool {
-        let Some(conn) = self.conns.get(&id) else { return false };
-        let Stage::Trying(s) = conn.stage else { return false };
-        self.is_available(now, s)
-            && self.servers[s].started == conn.started
-            && self.may_repeat_at(now, s, conn)
+        let Some(connection) = self.connections.get(&id) else { return false };
+        let ConnectionState::Attempting(index) = connection.state else { return false };
+        self.is_available(now, index)
+            && self.servers[index].started == connection.server_started
+            && self.may_repeat_at(now, index, connection)
     }
 
     pub(super) fn on_established(
@@ -68,28 +69,28 @@
         now: Micros,
         id: RequestId,
         latency: Micros,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        let Stage::Trying(s) = conn.stage else { return };
-        conn.stage = Stage::Open(s);
-        self.trying -= 1;
-        conn.ran.get_or_insert((s, conn.sent));
-        let request = conn.request;
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let ConnectionState::Attempting(index) = connection.state else { return };
+        connection.state = ConnectionState::Open(index);
+        self.attempts_in_flight -= 1;
+        connection.first_run.get_or_insert((index, connection.sent));
+        let request = connection.request;
         self.learn_typical_load(&request, request.expected_load);
-        let server = &mut self.servers[s];
+        let server = &mut self.servers[index];
         // Guards against a restart that the list tells of late or never: its record is the lowest.
-        if std::mem::take(&mut server.fell) {
-            (server.started, server.permits) = (Some(now), 0);
+        if std::mem::take(&mut server.connect_failed) {
+            (server.started, server.tokens) = (Some(now), 0);
         }
-        server.shut = false;
+        server.unreachable = false;
         let took = latency.as_secs_f64() * 1e3;
-        let usual = self.usual_setup_ms.0.unwrap_or(took);
+        let usual = self.typical_setup_ms.0.unwrap_or(took);
         // A slow server must not pass for usual, but where all are slow that is the usual soon.
-        self.usual_setup_ms.add(took.min(2.0 * usual));
-        self.unanswered.add(0.0);
-        if !self.set.servers_report_delay {
-            self.on_setup_excess(now, s, took - usual, out);
+        self.typical_setup_ms.add(took.min(2.0 * usual));
+        self.timed_out_share.add(0.0);
+        if !self.settings.servers_report_delay {
+            self.on_setup_excess(now, index, took - usual, actions);
         }
     }
 
@@ -99,38 +100,40 @@
         id: RequestId,
         outcome: Outcome,
         closed: bool,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) {
-        let Some(mut conn) = self.conns.remove(&id) else { return };
-        self.remove_from_load(&conn);
+        let Some(mut connection) = self.connections.remove(&id) else { return };
+        self.remove_from_load(&connection);
         let itself = outcome == Outcome::Ok;
-        self.ended += u32::from(itself && matches!(conn.stage, Stage::Open(_)));
-        if let Some(s) = conn.stage.server() {
-            self.record_failure(now, s, &conn, outcome, out);
-            if outcome == Outcome::Timeout && conn.timed {
-                self.unanswered.add(1.0);
+        self.connections_ended += u32::from(itself && matches!(connection.state, ConnectionState::Open(_)));
+        if let Some(index) = connection.state.server() {
+            self.record_failure(now, index, &connection, outcome, actions);
+            if outcome == Outcome::Timeout && connection.has_attempt_timeout {
+                self.timed_out_share.add(1.0);
                 // Guards against a fleet that is slow as a whole, where time-outs would add to its work.
-                let took = (now - conn.sent).as_secs_f64() * 1e3;
-                self.usual_setup_ms.add(self.usual_setup_ms.0.map_or(took, |usual| took.min(2.0 * usual)));
+                let took = (now - connection.sent).as_secs_f64() * 1e3;
+                self.typical_setup_ms
+                    .add(self.typical_setup_ms.0.map_or(took, |usual| took.min(2.0 * usual)));
             }
             if outcome.may_have_run() {
-                conn.ran.get_or_insert((s, conn.sent));
+                connection.first_run.get_or_insert((index, connection.sent));
             }
         }
-        if closed || matches!(conn.stage, Stage::Leaving(_)) {
+        if closed || matches!(connection.state, ConnectionState::Migrating(_)) {
             return;
         }
-        conn.stage = Stage::Held;
+        connection.state = ConnectionState::Waiting;
         // The client's time is over, whatever was told of it, unless the attempt had a time-out of its own.
-        let late = matches!(outcome, Outcome::Timeout | Outcome::NeverSent) && !conn.timed;
-        let over = late && self.set.deadline_tolerance > Micros(0);
+        let late =
+            matches!(outcome, Outcome::Timeout | Outcome::NeverSent) && !connection.has_attempt_timeout;
+        let over = late && self.settings.deadline_tolerance > Micros(0);
         // What was not sent, or found no connection, is no load on anyone.
-        let saved = self.set.retry_budget.is_none()
+        let saved = self.settings.retry_budget.is_none()
             && !matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
         if over || (saved && self.retry_tokens < 1.0) {
-            return self.give_up(&conn, out);
+            return self.give_up(&connection, actions);
         }
         self.retry_tokens -= if saved { 1.0 } else { 0.0 };
-        self.attempt(now, conn, out);
+        self.attempt(now, connection, actions);
     }
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -18,13 +18,13 @@
 /// Further attempts and requests of the stated span, in parts. What is partly out of the span counts as out
 /// for requests and as in for attempts, so the count is never laxer than the rule.
 #[derive(Default)]
-pub(super) struct Ledger {
+pub(super) struct SlidingWindow {
     pub(super) parts: VecDeque<RetryBudgetBucket>,
     /// Nothing before is known: the start, or what was dropped.
     pub(super) since: Micros,
 }
 
-impl Ledger {
+impl SlidingWindow {
     pub(super) fn add(&mut self, now: Micros, over: Micros, taken: u32, further: u32) {
         while let Some(part) = self.parts.front().filter(|part| part.last_event + over < now) {
             self.since = self.since.max(part.last_event);
@@ -60,16 +60,16 @@
 
 impl Policy {
     pub(super) fn count_in_window(&mut self, now: Micros, taken: u32, further: u32) {
-        if let Some(budget) = self.set.retry_budget {
-            self.ledger.add(now, budget.window, taken, further);
+        if let Some(budget) = self.settings.retry_budget {
+            self.retry_window.add(now, budget.window, taken, further);
         }
     }
 
     /// Whether the stated budget allows one more further attempt.
     pub(super) fn budget_allows(&self, now: Micros, budget: RetryBudget) -> bool {
-        let (taken, further) = self.ledger.within(now, budget.window);
+        let (taken, further) = self.retry_window.within(now, budget.window);
         // Settings that name a longer span than before wait until that much is known.
-        self.ledger.known(now, budget.window)
+        self.retry_window.known(now, budget.window)
             && f64::from(further + 1) <= budget.min_retries + budget.retry_ratio * f64::from(taken)
     }
 
@@ -77,18 +77,18 @@
     /// that is not
     /// known. This one makes none from now on.
     pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
-        let over = self.set.retry_budget.map_or(Micros(0), |budget| budget.window);
-        let known = self.ledger.known(now, over);
-        self.ledger.since = Micros(u64::MAX);
-        known.then(|| self.ledger.parts.iter().copied().collect())
+        let over = self.settings.retry_budget.map_or(Micros(0), |budget| budget.window);
+        let known = self.retry_window.known(now, over);
+        self.retry_window.since = Micros(u64::MAX);
+        known.then(|| self.retry_window.parts.iter().copied().collect())
     }
 
     /// Takes over what the process before has counted. Where it told nothing, or this process serves on after
     /// one that
     /// was to take its place, no further attempts are made until the span has passed.
     pub fn take_over_retry_budget(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>) {
-        self.ledger.since = if told.is_some() { Micros(0) } else { now };
-        let own = std::mem::take(&mut self.ledger.parts);
-        self.ledger.parts = told.into_iter().flatten().chain(own).collect();
+        self.retry_window.since = if told.is_some() { Micros(0) } else { now };
+        let own = std::mem::take(&mut self.retry_window.parts);
+        self.retry_window.parts = told.into_iter().flatten().chain(own).collect();
     }
 }
--- a/src/policy/shadow.rs
+++ b/src/policy/shadow.rs
@@ -3,7 +3,7 @@
 use crate::types::{Micros, Request, RequestId, ServerId};
 
 use super::Policy;
-use super::connection::Stage;
+use super::connection::ConnectionState;
 
 impl Policy {
     /// Chance falls as for the other instance from now on.
@@ -13,24 +13,24 @@
 
     /// A request that is held.
     pub fn request(&self, id: RequestId) -> Option<Request> {
-        self.conns.get(&id).map(|conn| conn.request)
+        self.connections.get(&id).map(|connection| connection.request)
     }
 
     /// Whatever this instance chose: the request was sent to that server, or to none and is over.
     pub fn follow(&mut self, now: Micros, request: Request, server: Option<ServerId>) {
-        let known = self.conns.remove(&request.id);
-        known.iter().for_each(|conn| self.remove_from_load(conn));
-        let Some(&s) = server.and_then(|server| self.by_id.get(&server)) else { return };
-        let mut conn = known.unwrap_or_else(|| self.new_connection(now, request));
-        if conn.stage.trying() {
-            conn.tried.pop();
+        let known = self.connections.remove(&request.id);
+        known.iter().for_each(|connection| self.remove_from_load(connection));
+        let Some(&index) = server.and_then(|server| self.index_by_id.get(&server)) else { return };
+        let mut connection = known.unwrap_or_else(|| self.new_connection(now, request));
+        if connection.state.is_attempting() {
+            connection.attempted_servers.pop();
         }
-        self.start_attempt(now, s, conn);
+        self.start_attempt(now, index, connection);
     }
 
     /// Whatever this instance chose: the client was not told to move.
     pub fn stays(&mut self, id: RequestId) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
-        conn.stage = conn.stage.server().map_or(conn.stage, Stage::Open);
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.state = connection.state.server().map_or(connection.state, ConnectionState::Open);
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -18,43 +18,47 @@
 
 impl Policy {
     /// How far a server has warmed up, from nothing to one.
-    pub(super) fn warm_up_fraction(&self, now: Micros, s: usize) -> f64 {
-        elapsed_fraction(self.servers[s].started, now, self.set.warm_up)
+    pub(super) fn warm_up_fraction(&self, now: Micros, index: usize) -> f64 {
+        elapsed_fraction(self.servers[index].started, now, self.settings.warm_up)
     }
 
     /// The same for what this node's record tells of it: the cluster may have given it the server of late.
-    pub(super) fn warm_up_fraction_here(&self, now: Micros, s: usize) -> f64 {
-        self.warm_up_fraction(now, s).min(elapsed_fraction(
-            self.servers[s].entry.joined,
+    pub(super) fn warm_up_fraction_here(&self, now: Micros, index: usize) -> f64 {
+        self.warm_up_fraction(now, index).min(elapsed_fraction(
+            self.servers[index].endpoint.joined,
             now,
-            self.set.warm_up,
+            self.settings.warm_up,
         ))
     }
 
     /// What this node may send a cold server in this period: what warm ones of its size take anew, for its
     /// share and the allowed multiple. Parts of a permit add up from a beginning that differs by node, so
     /// that turns are spread; what is not used in time is lost: nodes that saved it could send it at once.
-    pub(super) fn refill_slow_start_tokens(&mut self, now: Micros, s: usize, held: f64) {
-        let warmth = self.warm_up_fraction(now, s);
+    pub(super) fn refill_slow_start_tokens(&mut self, now: Micros, index: usize, held: f64) {
+        let warmth = self.warm_up_fraction(now, index);
         if warmth < 1.0 {
-            let share =
-                self.set.warm_up_initial_capacity + (1.0 - self.set.warm_up_initial_capacity) * warmth;
-            let (span, period) = (self.set.overload_window.as_secs_f64(), PERIOD.as_secs_f64());
+            let share = self.settings.warm_up_initial_capacity
+                + (1.0 - self.settings.warm_up_initial_capacity) * warmth;
+            let (span, period) = (self.settings.overload_window.as_secs_f64(), PERIOD.as_secs_f64());
             // They take what they hold over a connection's life. No server is longer in filling than in
             // warming up, and each can do more than it holds, but a span touches one period more than it has.
             // Where groups are, nodes begin one on the same servers and meet on a cold one: neither counts.
-            let (life, cold) = (self.stood / f64::from(self.ended.max(1)), self.set.warm_up.as_secs_f64());
+            let (life, cold) = (
+                self.connection_seconds / f64::from(self.connections_ended.max(1)),
+                self.settings.warm_up.as_secs_f64(),
+            );
             let spare = FLEET_HEADROOM * span / (span + period);
-            let (life, spare) = if self.set.groups { (life, 1.0) } else { (life.min(cold), spare) };
-            let rate = spare * held * self.weight(s) * share * self.set.overload_multiple / life.max(period);
+            let (life, spare) = if self.settings.groups { (life, 1.0) } else { (life.min(cold), spare) };
+            let rate = spare * held * self.weight(index) * share * self.settings.overload_multiple
+                / life.max(period);
             let kept = self.token_lifetime(now);
-            let server = &mut self.servers[s];
+            let server = &mut self.servers[index];
             // What would be kept by now is there at the first, when most clients of those before come again.
-            let first = if server.kept_until == Micros(0) { kept.as_secs_f64() } else { 0.0 };
-            server.credit += (rate * (period + first)).min(MAX_LOAD);
-            if server.credit >= 1.0 || now >= server.kept_until {
-                (server.permits, server.kept_until) = (server.credit as u32, now + kept);
-                server.credit -= f64::from(server.permits);
+            let first = if server.expire_at == Micros(0) { kept.as_secs_f64() } else { 0.0 };
+            server.fraction += (rate * (period + first)).min(MAX_LOAD);
+            if server.fraction >= 1.0 || now >= server.expire_at {
+                (server.tokens, server.expire_at) = (server.fraction as u32, now + kept);
+                server.fraction -= f64::from(server.tokens);
             }
         }
     }
@@ -63,10 +67,10 @@
     /// again at once, no more than this part of the nodes would have one for any one server. What they have
     /// kept for it is then no more than a span earns, and twice a span's is what it can take (spare).
     fn token_lifetime(&self, now: Micros) -> Micros {
-        let up = (0..self.servers.len()).filter(|&s| self.is_available(now, s)).count();
+        let up = (0..self.servers.len()).filter(|&index| self.is_available(now, index)).count();
         let elsewhere = 1.0 - (group_reach(up) as f64 / up.max(1) as f64).min(1.0);
-        let meet = 1.0 - elsewhere.powi(self.conns.len().max(1) as i32);
-        let kept = self.set.overload_window.scale(1.0 / meet).max(PERIOD) - PERIOD;
-        if self.set.groups { kept } else { Micros(0) }
+        let meet = 1.0 - elsewhere.powi(self.connections.len().max(1) as i32);
+        let kept = self.settings.overload_window.scale(1.0 / meet).max(PERIOD) - PERIOD;
+        if self.settings.groups { kept } else { Micros(0) }
     }
 }
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -9,11 +9,11 @@
 impl Policy {
     /// Listed servers that draw nothing new now: for people, it decides nothing.
     pub fn avoided(&self, now: Micros) -> usize {
-        let listed = |&s: &usize| self.servers[s].entry.state != EndpointState::Gone;
-        let away = |&s: &usize| {
-            let server = &self.servers[s];
-            let drains = server.entry.state == EndpointState::Draining;
-            drains || (server.entry.ready() && (now < server.paused_until || self.is_late(now, s)))
+        let listed = |&index: &usize| self.servers[index].endpoint.state != EndpointState::Gone;
+        let away = |&index: &usize| {
+            let server = &self.servers[index];
+            let drains = server.endpoint.state == EndpointState::Draining;
+            drains || (server.endpoint.ready() && (now < server.ejected_until || self.is_late(now, index)))
         };
         (0..self.servers.len()).filter(listed).filter(away).count()
     }
@@ -21,7 +21,7 @@
     /// Servers that this node could not reach, or that dropped all it held there or turned work away, until a
     /// set-up succeeds.
     pub fn unreached(&self) -> BTreeSet<ServerId> {
-        let shut = self.servers.iter().filter(|server| server.shut || server.fell);
-        shut.map(|server| server.entry.id).collect()
+        let shut = self.servers.iter().filter(|server| server.unreachable || server.connect_failed);
+        shut.map(|server| server.endpoint.id).collect()
     }
 }
