--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -37,7 +37,7 @@
         let best = (0..self.class_load.len()).map(|c| self.priority_per_load(c)).fold(0.0, f64::max);
         let claim = if best > 0.0 { self.priority_per_load(class) / best } else { 1.0 };
         let room = 1.0 - RESERVED_SHARE * (1.0 - claim);
-        self.servers[index].load_limit.is_none_or(|limit| self.recorded_load(index) < limit * room)
+        self.servers[index].capacity.load_limit.is_none_or(|limit| self.recorded_load(index) < limit * room)
     }
 
     /// What a class is worth for its usual load.
--- a/src/policy/effective_weight.rs
+++ b/src/policy/effective_weight.rs
@@ -20,7 +20,7 @@
 
     /// What a server is believed to be able to do, beside others: its listed size and its believed speed.
     pub(super) fn effective_weight(&self, index: usize) -> f64 {
-        self.zone_weight(index) * (1.0 - self.servers[index].slowness)
+        self.zone_weight(index) * (1.0 - self.servers[index].capacity.slowness)
     }
 
     /// What a server draws beside others that are as fast: by its listed size, and more in the own zone.
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -30,8 +30,8 @@
     pub(super) fn recorded_load(&self, index: usize) -> f64 {
         let server = &self.servers[index];
         let untold = |(&class, &n): (&u16, &u32)| f64::from(n) * self.typical_class_load(class);
-        let untold: f64 = server.unreported.iter().map(untold).sum();
-        server.reported + untold + self.group_load_share() * server.groups.len() as f64
+        let untold: f64 = server.load.unreported.iter().map(untold).sum();
+        server.load.reported + untold + self.group_load_share() * server.load.groups.len() as f64
     }
 
     /// What a group's shared work on a server is to one node: all of it to one alone, and less the more
@@ -74,8 +74,9 @@
 
     /// The connections, and groups, that this node holds on warm servers for each unit of size.
     pub(super) fn mean_connections(&self, now: Micros) -> f64 {
-        let held =
-            |index: usize| (self.servers[index].connections.len() + self.servers[index].groups.len()) as f64;
+        let held = |index: usize| {
+            (self.servers[index].load.connections.len() + self.servers[index].load.groups.len()) as f64
+        };
         let (held, size) = (self.warm_servers(now).into_iter())
             .fold((0.0, 0.0), |(sum, size), index| (sum + held(index), size + self.weight(index)));
         if size > 0.0 { held / size } else { 0.0 }
@@ -85,19 +86,19 @@
     pub(super) fn add_to_load(&mut self, connection: &Connection) {
         let Some(index) = connection.state.server() else { return };
         let server = &mut self.servers[index];
-        server.connections.insert(connection.request.id);
-        self.attempts_in_flight += u32::from(connection.state.is_attempting());
+        server.load.connections.insert(connection.request.id);
+        self.setups.attempts_in_flight += u32::from(connection.state.is_attempting());
         match connection.reported_load {
             Some(load) => {
-                server.reported += load;
+                server.load.reported += load;
                 if let Some(held) = self.held_load.get_mut(usize::from(connection.request.class)) {
                     *held = (held.0 + load, held.1 + 1);
                 }
             }
-            None => *server.unreported.entry(connection.request.class).or_default() += 1,
+            None => *server.load.unreported.entry(connection.request.class).or_default() += 1,
         }
         if let Some(group) = connection.request.group {
-            *server.groups.entry(group).or_insert(0) += 1;
+            *server.load.groups.entry(group).or_insert(0) += 1;
         }
     }
 
@@ -105,22 +106,22 @@
     pub(super) fn remove_from_load(&mut self, connection: &Connection) {
         let Some(index) = connection.state.server() else { return };
         let server = &mut self.servers[index];
-        server.connections.remove(&connection.request.id);
-        self.attempts_in_flight -= u32::from(connection.state.is_attempting());
+        server.load.connections.remove(&connection.request.id);
+        self.setups.attempts_in_flight -= u32::from(connection.state.is_attempting());
         match connection.reported_load {
             Some(load) => {
-                server.reported = (server.reported - load).max(0.0);
+                server.load.reported = (server.load.reported - load).max(0.0);
                 if let Some(held) = self.held_load.get_mut(usize::from(connection.request.class)) {
                     *held = ((held.0 - load).max(0.0), held.1 - 1);
                 }
             }
-            None => decrement(&mut server.unreported, connection.request.class),
+            None => decrement(&mut server.load.unreported, connection.request.class),
         }
-        if server.connections.is_empty() {
-            server.reported = 0.0;
+        if server.load.connections.is_empty() {
+            server.load.reported = 0.0;
         }
         if let Some(group) = connection.request.group {
-            decrement(&mut server.groups, group);
+            decrement(&mut server.load.groups, group);
         }
     }
 
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -90,14 +90,15 @@
     pub(super) fn is_late(&self, now: Micros, index: usize) -> bool {
         // Where this node holds nothing no note can tell that it is over, and trying costs a client.
         let server = &self.servers[index];
-        let fresh = if server.connections.is_empty() { DELAY_VALID_UNOBSERVED_FOR } else { DELAY_VALID_FOR };
+        let fresh =
+            if server.load.connections.is_empty() { DELAY_VALID_UNOBSERVED_FOR } else { DELAY_VALID_FOR };
         server.delay.is_some_and(|d| !d.unconfirmed && d.delay >= self.late_threshold && now < d.at + fresh)
     }
 
     /// Whether it is only taken for late because nothing has told otherwise.
     pub(super) fn is_late_unobserved(&self, now: Micros, index: usize) -> bool {
         let old = |d: MessageDelay| d.stalled && now >= d.at + DELAY_VALID_FOR;
-        self.servers[index].connections.is_empty()
+        self.servers[index].load.connections.is_empty()
             && self.servers[index].delay.is_some_and(old)
             && self.is_late(now, index)
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,7 +4,7 @@
 //! a server that stands above this node's mean for several periods sheds its excess. `docs/design.md` says
 //! where that comes from and when each exception acts.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -33,56 +33,47 @@
 mod slow_start;
 mod status;
 
+use attempt_timeout::SetupStatistics;
 use connection::{Connection, ConnectionState};
-use endpoints::{POLL_BACKOFF, POLL_TIMER};
-use log_limit::LINES_PER_PERIOD;
+use endpoints::POLL_BACKOFF;
+use endpoints::{ListHistory, POLL_TIMER, Subscription};
+use log_limit::LogLimit;
 use message_delay::late_threshold;
+use probe::RemovalProbes;
 use probe::{MAX_PROBE_ATTEMPTS, MAX_REMOVAL_PROBES, PROBE_TIMER_MARK};
 use rebalance::{PERIOD, PERIOD_TIMER};
-use retry_budget::{MAX_TOKENS, SlidingWindow, TOKENS_PER_REQUEST};
+use retry_budget::MAX_TOKENS;
+use retry_budget::RetryUsage;
+use retry_budget::TOKENS_PER_REQUEST;
 use running_mean::Mean;
-use server::Server;
+use server::{Server, ServerIndex};
+use slow_start::ConnectionTurnover;
 
 /// The decisions of one node.
 pub struct Policy {
     settings: BalancerSettings,
+    /// The only source of chance.
     rng: Pcg64Mcg,
+    /// Every server that was ever listed.
     servers: Vec<Server>,
-    index_by_id: BTreeMap<ServerId, usize>,
+    index_by_id: BTreeMap<ServerId, ServerIndex>,
+    /// Requests that are owed an answer, and connections.
     connections: BTreeMap<RequestId, Connection>,
+    subscription: Subscription,
+    lists: ListHistory,
     /// The usual load of a connection, by class and over all, as first told; loads told of those held.
     class_load: Vec<Mean>,
     usual_load: Mean,
     held_load: Vec<(f64, u32)>,
-    /// What a set-up usually takes, at all servers.
-    typical_setup_ms: Mean,
-    /// What warm servers usually held of late, as [`Policy::mean_connections`].
-    typical_connections: Mean,
-    /// The share of set-ups that ran into their time-out.
-    timed_out_share: Mean,
-    /// Requests taken a second, usually, and in this period so far; attempts that are out.
-    typical_request_rate: Mean,
-    requests_this_period: u32,
-    attempts_in_flight: u32,
-    /// Saved further attempts, where no budget is stated, and their count where one is.
-    retry_tokens: f64,
-    retry_window: SlidingWindow,
-    poll_failures: u32,
-    /// A timer for asking again is set.
-    poll_scheduled: bool,
-    /// Lists that came, and those whose word on what is gone has been shown to be wrong.
-    lists_received: u32,
-    disproved_lists: BTreeSet<u32>,
-    /// Saved probes of what is called gone.
-    probe_tokens: f64,
-    /// How much more a server in the own zone draws.
+    turnover: ConnectionTurnover,
+    setups: SetupStatistics,
+    retry_usage: RetryUsage,
+    removal_probes: RemovalProbes,
+    /// Factor on the weight of servers in the own zone.
     zone_affinity: f64,
-    /// Log lines that this period may still write.
-    log_lines_left: u32,
+    /// The delay from which on messages are late.
     late_threshold: Micros,
-    /// Seconds that connections have stood in all, and how many of them ended by themselves.
-    connection_seconds: f64,
-    connections_ended: u32,
+    log_limit: LogLimit,
 }
 
 impl Policy {
@@ -90,32 +81,23 @@
     pub fn new(settings: BalancerSettings, seed: u64, _now: Micros) -> Self {
         let classes = settings.classes.len();
         Policy {
-            late_threshold: late_threshold(&settings),
-            settings: settings,
-            connection_seconds: 0.0,
-            connections_ended: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
             servers: Vec::new(),
             index_by_id: BTreeMap::new(),
             connections: BTreeMap::new(),
+            subscription: Subscription::default(),
+            lists: ListHistory::default(),
             class_load: vec![Mean::default(); classes],
             usual_load: Mean::default(),
             held_load: vec![(0.0, 0); classes],
-            typical_setup_ms: Mean::default(),
-            typical_connections: Mean::default(),
-            timed_out_share: Mean::default(),
-            typical_request_rate: Mean::default(),
-            requests_this_period: 0,
-            attempts_in_flight: 0,
-            retry_tokens: MAX_TOKENS,
-            retry_window: SlidingWindow::default(),
-            poll_failures: 0,
-            poll_scheduled: false,
-            lists_received: 0,
-            disproved_lists: BTreeSet::new(),
-            probe_tokens: MAX_REMOVAL_PROBES,
+            turnover: ConnectionTurnover::default(),
+            setups: SetupStatistics::default(),
+            retry_usage: RetryUsage::default(),
+            removal_probes: RemovalProbes::default(),
             zone_affinity: 1.0,
-            log_lines_left: LINES_PER_PERIOD,
+            late_threshold: late_threshold(&settings),
+            log_limit: LogLimit::default(),
+            settings,
         }
     }
 
@@ -138,10 +120,10 @@
         match event {
             Event::EndpointList(kind, entries) => self.on_endpoint_list(now, kind, entries, actions),
             Event::Request(request) => {
-                self.retry_tokens = (self.retry_tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
-                self.probe_tokens = (self.probe_tokens + 1.0).min(MAX_REMOVAL_PROBES);
+                self.retry_usage.tokens = (self.retry_usage.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
+                self.removal_probes.tokens = (self.removal_probes.tokens + 1.0).min(MAX_REMOVAL_PROBES);
                 self.count_in_window(now, 1, 0);
-                self.requests_this_period += 1;
+                self.setups.requests_this_period += 1;
                 let connection = self.new_connection(now, request);
                 self.attempt(now, connection, actions);
             }
@@ -152,13 +134,13 @@
             Event::DelayReported(server, ms) => self.on_message_delay(now, server, ms, false),
             Event::ClientDisconnected(id) => {
                 if let Some(connection) = self.connections.remove(&id) {
-                    self.connections_ended += u32::from(matches!(connection.state, ConnectionState::Open(_)));
+                    self.turnover.ended += u32::from(matches!(connection.state, ConnectionState::Open(_)));
                     self.remove_from_load(&connection);
                 }
             }
             Event::Timer(PERIOD_TIMER) => self.on_period(now, actions),
             Event::Timer(POLL_TIMER) => {
-                self.poll_scheduled = false;
+                self.subscription.poll_scheduled = false;
                 actions.push(Action::WatchEndpoints);
             }
             Event::Timer(TimerToken(id)) => {
@@ -174,7 +156,7 @@
                 self.class_load.resize(settings.classes.len(), Mean::default());
                 self.held_load.resize(settings.classes.len(), (0.0, 0));
                 if self.settings.retry_budget.is_none() {
-                    self.retry_window.since = self.retry_window.since.max(now);
+                    self.retry_usage.window.since = self.retry_usage.window.since.max(now);
                 }
                 self.settings = *settings;
             }
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -24,18 +24,41 @@
 /// Marks the tokens of looks; the rest is the request's number.
 pub(super) const PROBE_TIMER_MARK: u64 = 1 << 63;
 
+/// What probes have shown of one server.
+#[derive(Default)]
+pub(super) struct ProbeState {
+    /// When a probe was last answered, unless one has failed since.
+    pub(super) answered_at: Option<Micros>,
+    /// When a probe was last sent because a list removed it.
+    pub(super) sent_at: Micros,
+    pub(super) load_report: Option<(f64, Micros)>,
+    /// Requests that wait for its probe.
+    pub(super) waiters: Vec<RequestId>,
+}
+
+/// Probes of removed servers that may be sent: no more than requests come in.
+pub(super) struct RemovalProbes {
+    pub(super) tokens: f64,
+}
+
+impl Default for RemovalProbes {
+    fn default() -> Self {
+        RemovalProbes { tokens: MAX_REMOVAL_PROBES }
+    }
+}
+
 impl Policy {
     /// Probes of what is called gone where nothing tells whether it runs: one for each request taken and no
     /// more, those first that were not probed for longest.
     pub(super) fn probe_removed_servers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let silent = |&index: &usize| self.removal_is_advice(index) && !self.is_available(now, index);
         let mut silent: Vec<usize> = (0..self.servers.len()).filter(silent).collect();
-        silent.sort_by_key(|&index| self.servers[index].sent_at);
-        for index in silent.into_iter().take(self.probe_tokens as usize) {
-            self.probe_tokens -= 1.0;
+        silent.sort_by_key(|&index| self.servers[index].probes.sent_at);
+        for index in silent.into_iter().take(self.removal_probes.tokens as usize) {
+            self.removal_probes.tokens -= 1.0;
             // It went down or came back in the meantime: its first set-up is tried alone.
             let server = &mut self.servers[index];
-            (server.connect_failed, server.sent_at) = (true, now);
+            (server.outlier.connect_failed, server.probes.sent_at) = (true, now);
             actions.push(Action::Probe(server.endpoint.id));
         }
     }
@@ -64,7 +87,7 @@
         }
         let server = &mut self.servers[index];
         actions.push(Action::Probe(server.endpoint.id));
-        server.waiters.push(connection.request.id);
+        server.probes.waiters.push(connection.request.id);
         actions.push(Action::SetTimer(PROBE_WAIT, TimerToken(connection.request.id.0 | PROBE_TIMER_MARK)));
         true
     }
@@ -79,17 +102,17 @@
         actions: &mut Vec<Action>,
     ) {
         let Some(&index) = self.index_by_id.get(&id) else { return };
-        self.servers[index].answered_at = (how == Outcome::Ok).then_some(now);
+        self.servers[index].probes.answered_at = (how == Outcome::Ok).then_some(now);
         self.find_disproved_lists(now);
         let ratio = self.settings.report_fields.iter().position(|field| *field == ReportField::LoadRatio);
         let ratio = ratio.and_then(|i| report.get(i)).filter(|ratio| is_load(ratio));
-        self.servers[index].load_report =
-            ratio.map(|ratio| (*ratio, now)).or(self.servers[index].load_report);
+        self.servers[index].probes.load_report =
+            ratio.map(|ratio| (*ratio, now)).or(self.servers[index].probes.load_report);
         // Where nothing is held no note tells that it is over: a report does.
         if self.is_late_unobserved(now, index) && ratio.is_some_and(|ratio| *ratio <= CROWDED_LOAD_RATIO) {
             self.servers[index].delay = None;
         }
-        for id in std::mem::take(&mut self.servers[index].waiters) {
+        for id in std::mem::take(&mut self.servers[index].probes.waiters) {
             self.resume(now, id, 1, actions);
         }
     }
@@ -107,6 +130,7 @@
     /// The load ratio last told, while it counts.
     pub(super) fn fresh_load_ratio(&self, now: Micros, index: usize) -> Option<f64> {
         self.servers[index]
+            .probes
             .load_report
             .filter(|(_, at)| now < *at + LOAD_REPORT_VALID_FOR)
             .map(|(ratio, _)| ratio)
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -41,20 +41,21 @@
 impl Policy {
     pub(super) fn on_period(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
-        self.log_lines_left = LINES_PER_PERIOD;
-        self.connection_seconds += self.connections.len() as f64 * PERIOD.as_secs_f64();
-        self.typical_request_rate
-            .add(f64::from(std::mem::take(&mut self.requests_this_period)) / PERIOD.as_secs_f64());
+        self.log_limit.lines_left = LINES_PER_PERIOD;
+        self.turnover.connection_seconds += self.connections.len() as f64 * PERIOD.as_secs_f64();
+        self.setups
+            .typical_request_rate
+            .add(f64::from(std::mem::take(&mut self.setups.requests_this_period)) / PERIOD.as_secs_f64());
         let held = self.mean_connections(now);
-        self.typical_connections.add(held);
+        self.turnover.typical_connections.add(held);
         // Guards against a release that leaves but a slow server warm, which holds next to nothing: what
         // warm ones held a moment ago is still known of them.
-        let shown = self.typical_connections.0.map_or(held, |usual| usual.max(held));
+        let shown = self.turnover.typical_connections.0.map_or(held, |usual| usual.max(held));
         for index in 0..self.servers.len() {
             self.refill_slow_start_tokens(now, index, shown);
             let server = &mut self.servers[index];
-            server.slowness = (server.slowness - SLOWNESS_RECOVERY).max(0.0);
-            server.load_limit = server.load_limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
+            server.capacity.slowness = (server.capacity.slowness - SLOWNESS_RECOVERY).max(0.0);
+            server.capacity.load_limit = server.capacity.load_limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
             if self.probes_report_load()
                 && self.is_available(now, index)
                 && self.is_late_unobserved(now, index)
@@ -99,7 +100,8 @@
     /// Sheds the excess of a server that has been above the bar for long enough, or is late. One that drains
     /// is to have no connections, whatever their load, when it stops, if the settings ask for that.
     fn shed(&mut self, now: Micros, index: usize, mean: f64, few: bool, actions: &mut Vec<Action>) {
-        let (draining, held) = (self.servers[index].draining, self.servers[index].connections.len() as f64);
+        let (draining, held) =
+            (self.servers[index].draining, self.servers[index].load.connections.len() as f64);
         let reactive = if draining { held } else { self.measure_late_excess(now, index, mean) };
         let fair = mean * self.effective_weight(index);
         let record = self.recorded_load(index);
@@ -121,7 +123,7 @@
             if all_late { (PROACTIVE_MOVE_SHARE, self.rng.random()) } else { (REACTIVE_MOVE_SHARE, 0.99) };
         // What moves begins its group anew elsewhere: the more servers are late, the less room there is.
         let crowding = if reactive > 0.0 { (2.0 * self.settings.group_load * ready).min(1.0) } else { 1.0 };
-        let mut open: Vec<(f64, RequestId)> = (self.servers[index].connections.iter())
+        let mut open: Vec<(f64, RequestId)> = (self.servers[index].load.connections.iter())
             .filter_map(|id| self.connections.get(id).map(|connection| (id, connection)))
             .filter(|(_, connection)| matches!(connection.state, ConnectionState::Open(_)))
             .filter_map(|(&id, connection)| {
@@ -169,7 +171,8 @@
     /// group takes this node's share of the group's work along.
     fn freed_load(&self, index: usize, connection: &Connection, crowding: f64) -> Option<f64> {
         let (load, usual) = (self.connection_load(connection), self.typical_load());
-        let Some(held) = connection.request.group.and_then(|group| self.servers[index].groups.get(&group))
+        let Some(held) =
+            connection.request.group.and_then(|group| self.servers[index].load.groups.get(&group))
         else {
             return Some(load);
         };
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -35,7 +35,7 @@
         connection.server_started = self.servers[index].started;
         connection.attempted_servers.push(index);
         self.servers[index].last_attempt_at = now;
-        self.servers[index].tokens = self.servers[index].tokens.saturating_sub(1);
+        self.servers[index].slow_start.tokens = self.servers[index].slow_start.tokens.saturating_sub(1);
         self.add_to_load(&connection);
         self.connections.insert(connection.request.id, connection);
     }
@@ -74,21 +74,21 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let ConnectionState::Attempting(index) = connection.state else { return };
         connection.state = ConnectionState::Open(index);
-        self.attempts_in_flight -= 1;
+        self.setups.attempts_in_flight -= 1;
         connection.first_run.get_or_insert((index, connection.sent));
         let request = connection.request;
         self.learn_typical_load(&request, request.expected_load);
         let server = &mut self.servers[index];
         // Guards against a restart that the list tells of late or never: its record is the lowest.
-        if std::mem::take(&mut server.connect_failed) {
-            (server.started, server.tokens) = (Some(now), 0);
+        if std::mem::take(&mut server.outlier.connect_failed) {
+            (server.started, server.slow_start.tokens) = (Some(now), 0);
         }
-        server.unreachable = false;
+        server.outlier.unreachable = false;
         let took = latency.as_secs_f64() * 1e3;
-        let usual = self.typical_setup_ms.0.unwrap_or(took);
+        let usual = self.setups.typical_ms.0.unwrap_or(took);
         // A slow server must not pass for usual, but where all are slow that is the usual soon.
-        self.typical_setup_ms.add(took.min(2.0 * usual));
-        self.timed_out_share.add(0.0);
+        self.setups.typical_ms.add(took.min(2.0 * usual));
+        self.setups.timed_out_share.add(0.0);
         if !self.settings.servers_report_delay {
             self.on_setup_excess(now, index, took - usual, actions);
         }
@@ -105,15 +105,16 @@
         let Some(mut connection) = self.connections.remove(&id) else { return };
         self.remove_from_load(&connection);
         let itself = outcome == Outcome::Ok;
-        self.connections_ended += u32::from(itself && matches!(connection.state, ConnectionState::Open(_)));
+        self.turnover.ended += u32::from(itself && matches!(connection.state, ConnectionState::Open(_)));
         if let Some(index) = connection.state.server() {
             self.record_failure(now, index, &connection, outcome, actions);
             if outcome == Outcome::Timeout && connection.has_attempt_timeout {
-                self.timed_out_share.add(1.0);
+                self.setups.timed_out_share.add(1.0);
                 // Guards against a fleet that is slow as a whole, where time-outs would add to its work.
                 let took = (now - connection.sent).as_secs_f64() * 1e3;
-                self.typical_setup_ms
-                    .add(self.typical_setup_ms.0.map_or(took, |usual| took.min(2.0 * usual)));
+                self.setups
+                    .typical_ms
+                    .add(self.setups.typical_ms.0.map_or(took, |usual| took.min(2.0 * usual)));
             }
             if outcome.may_have_run() {
                 connection.first_run.get_or_insert((index, connection.sent));
@@ -130,10 +131,10 @@
         // What was not sent, or found no connection, is no load on anyone.
         let saved = self.settings.retry_budget.is_none()
             && !matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
-        if over || (saved && self.retry_tokens < 1.0) {
+        if over || (saved && self.retry_usage.tokens < 1.0) {
             return self.give_up(&connection, actions);
         }
-        self.retry_tokens -= if saved { 1.0 } else { 0.0 };
+        self.retry_usage.tokens -= if saved { 1.0 } else { 0.0 };
         self.attempt(now, connection, actions);
     }
 }
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -58,18 +58,30 @@
     }
 }
 
+/// Retries that this node may make, and those that it has made.
+pub(super) struct RetryUsage {
+    pub(super) tokens: f64,
+    pub(super) window: SlidingWindow,
+}
+
+impl Default for RetryUsage {
+    fn default() -> Self {
+        RetryUsage { tokens: MAX_TOKENS, window: SlidingWindow::default() }
+    }
+}
+
 impl Policy {
     pub(super) fn count_in_window(&mut self, now: Micros, taken: u32, further: u32) {
         if let Some(budget) = self.settings.retry_budget {
-            self.retry_window.add(now, budget.window, taken, further);
+            self.retry_usage.window.add(now, budget.window, taken, further);
         }
     }
 
     /// Whether the stated budget allows one more further attempt.
     pub(super) fn budget_allows(&self, now: Micros, budget: RetryBudget) -> bool {
-        let (taken, further) = self.retry_window.within(now, budget.window);
+        let (taken, further) = self.retry_usage.window.within(now, budget.window);
         // Settings that name a longer span than before wait until that much is known.
-        self.retry_window.known(now, budget.window)
+        self.retry_usage.window.known(now, budget.window)
             && f64::from(further + 1) <= budget.min_retries + budget.retry_ratio * f64::from(taken)
     }
 
@@ -78,17 +90,17 @@
     /// known. This one makes none from now on.
     pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let over = self.settings.retry_budget.map_or(Micros(0), |budget| budget.window);
-        let known = self.retry_window.known(now, over);
-        self.retry_window.since = Micros(u64::MAX);
-        known.then(|| self.retry_window.parts.iter().copied().collect())
+        let known = self.retry_usage.window.known(now, over);
+        self.retry_usage.window.since = Micros(u64::MAX);
+        known.then(|| self.retry_usage.window.parts.iter().copied().collect())
     }
 
     /// Takes over what the process before has counted. Where it told nothing, or this process serves on after
     /// one that
     /// was to take its place, no further attempts are made until the span has passed.
     pub fn take_over_retry_budget(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>) {
-        self.retry_window.since = if told.is_some() { Micros(0) } else { now };
-        let own = std::mem::take(&mut self.retry_window.parts);
-        self.retry_window.parts = told.into_iter().flatten().chain(own).collect();
+        self.retry_usage.window.since = if told.is_some() { Micros(0) } else { now };
+        let own = std::mem::take(&mut self.retry_usage.window.parts);
+        self.retry_usage.window.parts = told.into_iter().flatten().chain(own).collect();
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -55,20 +55,21 @@
         // it begins are full or late, the request is refused.
         let reached = |&index: &usize| {
             let server = &self.servers[index];
-            self.is_available(now, index) && !(server.unreachable && now < server.ejected_until)
+            self.is_available(now, index)
+                && !(server.outlier.unreachable && now < server.outlier.ejected_until)
         };
         let mut draws: Vec<u64> = (0..self.servers.len()).filter(reached).map(draw).collect();
         draws.sort_unstable_by(|a, b| b.cmp(a));
         let last = draws.get(group_reach(draws.len()) - 1).copied().unwrap_or(0);
         let near = |&index: &usize| {
-            let holds = |group: GroupId| self.servers[index].groups.contains_key(&group);
+            let holds = |group: GroupId| self.servers[index].load.groups.contains_key(&group);
             connection.request.group.is_none_or(|group| draw(index) >= last || holds(group))
         };
         let rank = |index: usize| {
             let server = &self.servers[index];
-            let holds = connection.request.group.is_some_and(|group| server.groups.contains_key(&group));
+            let holds = connection.request.group.is_some_and(|group| server.load.groups.contains_key(&group));
             let joins = holds && self.recorded_load(index) <= group_room * self.effective_weight(index);
-            let paused = now < server.ejected_until;
+            let paused = now < server.outlier.ejected_until;
             // A group that it doesn't hold yet is work that it would take on.
             let group = if connection.request.group.is_some() && !holds { share } else { 0.0 };
             let crowded = self.fresh_load_ratio(now, index).is_some_and(|ratio| ratio > CROWDED_LOAD_RATIO);
@@ -104,9 +105,9 @@
     fn is_eligible(&self, now: Micros, index: usize, connection: &Connection) -> bool {
         let server = &self.servers[index];
         if !self.is_available(now, index)
-            || (server.unreachable && now < server.ejected_until)
-            || (server.connect_failed && !server.connections.is_empty())
-            || (self.warm_up_fraction(now, index) < 1.0 && server.tokens == 0)
+            || (server.outlier.unreachable && now < server.outlier.ejected_until)
+            || (server.outlier.connect_failed && !server.load.connections.is_empty())
+            || (self.warm_up_fraction(now, index) < 1.0 && server.slow_start.tokens == 0)
         {
             return false;
         }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -6,6 +6,7 @@
 use super::groups::group_reach;
 use super::load_estimate::MAX_LOAD;
 use super::rebalance::PERIOD;
+use super::running_mean::Mean;
 
 /// What a warm server can do beside what it holds: fleets are seldom more than half full.
 const FLEET_HEADROOM: f64 = 2.0;
@@ -16,6 +17,28 @@
     since.map_or(1.0, |since| ((now - since).as_secs_f64() / span.as_secs_f64()).min(1.0))
 }
 
+/// Attempts that this node may send to a server that warms up.
+#[derive(Default)]
+pub(super) struct SlowStartTokens {
+    /// Attempts that may still be sent before the tokens expire.
+    pub(super) tokens: u32,
+    /// When unused tokens are lost; zero before the first ones.
+    pub(super) expire_at: Micros,
+    /// What was earned toward the next token.
+    pub(super) fraction: f64,
+}
+
+/// How many connections warm servers hold and for how long connections stand.
+#[derive(Default)]
+pub(super) struct ConnectionTurnover {
+    /// Sum of the seconds that connections have stood.
+    pub(super) connection_seconds: f64,
+    /// Connections that ended by themselves.
+    pub(super) ended: u32,
+    /// Running mean of [`Policy::mean_connections`].
+    pub(super) typical_connections: Mean,
+}
+
 impl Policy {
     /// How far a server has warmed up, from nothing to one.
     pub(super) fn warm_up_fraction(&self, now: Micros, index: usize) -> f64 {
@@ -44,7 +67,7 @@
             // warming up, and each can do more than it holds, but a span touches one period more than it has.
             // Where groups are, nodes begin one on the same servers and meet on a cold one: neither counts.
             let (life, cold) = (
-                self.connection_seconds / f64::from(self.connections_ended.max(1)),
+                self.turnover.connection_seconds / f64::from(self.turnover.ended.max(1)),
                 self.settings.warm_up.as_secs_f64(),
             );
             let spare = FLEET_HEADROOM * span / (span + period);
@@ -54,11 +77,12 @@
             let kept = self.token_lifetime(now);
             let server = &mut self.servers[index];
             // What would be kept by now is there at the first, when most clients of those before come again.
-            let first = if server.expire_at == Micros(0) { kept.as_secs_f64() } else { 0.0 };
-            server.fraction += (rate * (period + first)).min(MAX_LOAD);
-            if server.fraction >= 1.0 || now >= server.expire_at {
-                (server.tokens, server.expire_at) = (server.fraction as u32, now + kept);
-                server.fraction -= f64::from(server.tokens);
+            let first = if server.slow_start.expire_at == Micros(0) { kept.as_secs_f64() } else { 0.0 };
+            server.slow_start.fraction += (rate * (period + first)).min(MAX_LOAD);
+            if server.slow_start.fraction >= 1.0 || now >= server.slow_start.expire_at {
+                (server.slow_start.tokens, server.slow_start.expire_at) =
+                    (server.slow_start.fraction as u32, now + kept);
+                server.slow_start.fraction -= f64::from(server.slow_start.tokens);
             }
         }
     }
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -13,7 +13,9 @@
         let away = |&index: &usize| {
             let server = &self.servers[index];
             let drains = server.endpoint.state == EndpointState::Draining;
-            drains || (server.endpoint.ready() && (now < server.ejected_until || self.is_late(now, index)))
+            drains
+                || (server.endpoint.ready()
+                    && (now < server.outlier.ejected_until || self.is_late(now, index)))
         };
         (0..self.servers.len()).filter(listed).filter(away).count()
     }
@@ -21,7 +23,8 @@
     /// Servers that this node could not reach, or that dropped all it held there or turned work away, until a
     /// set-up succeeds.
     pub fn unreached(&self) -> BTreeSet<ServerId> {
-        let shut = self.servers.iter().filter(|server| server.unreachable || server.connect_failed);
+        let shut =
+            self.servers.iter().filter(|server| server.outlier.unreachable || server.outlier.connect_failed);
         shut.map(|server| server.endpoint.id).collect()
     }
 }
