--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,44 +1,93 @@
-//! Time-out of an attempt.
+//! Time-out of an attempt: how long a server may take to answer before another one is tried.
 
-use crate::types::Micros;
+use crate::types::{Micros, Outcome};
 
 use super::Policy;
 use super::connection::Connection;
+use super::rebalance::PERIOD;
 use super::running_mean::Mean;
 
-/// Above this running share of attempts that ran into their time-out, no further ones have one.
-const MAX_TIMED_OUT_SHARE: f64 = 0.15;
-
-/// An attempt may take this many usual set-ups, the set-up aim at least.
+/// An attempt may take this many typical set-ups, and the latency objective at least.
 const TYPICAL_SETUPS_PER_ATTEMPT: f64 = 4.0;
+/// Above this share of set-ups that timed out, attempts have no time-out: what is slow is the fleet.
+const MAX_TIMED_OUT_SHARE: f64 = 0.15;
+/// No set-up counts for more than this multiple of the typical one, so that a single slow one does not pass
+/// for typical.
+const MAX_SETUP_MULTIPLE: f64 = 2.0;
+/// Attempts that may be in flight whatever the request rate.
+const MIN_ATTEMPTS_IN_FLIGHT: f64 = 2.0;
 
 /// Set-ups at all servers.
 #[derive(Default)]
 pub(super) struct SetupStatistics {
     /// Running mean of what a set-up takes, in milliseconds.
-    pub(super) typical_ms: Mean,
+    typical_ms: Mean,
     /// Running mean share of set-ups that ran into their time-out.
-    pub(super) timed_out_share: Mean,
+    timed_out_share: Mean,
     /// Running mean of requests a second.
-    pub(super) typical_request_rate: Mean,
+    typical_request_rate: Mean,
     /// Requests of the current period so far.
-    pub(super) requests_this_period: u32,
+    requests_this_period: u32,
     pub(super) attempts_in_flight: u32,
 }
 
+impl SetupStatistics {
+    pub(super) fn on_request(&mut self) {
+        self.requests_this_period += 1;
+    }
+
+    pub(super) fn on_period(&mut self) {
+        let requests = std::mem::take(&mut self.requests_this_period);
+        self.typical_request_rate.add(f64::from(requests) / PERIOD.as_secs_f64());
+    }
+
+    /// Takes in an attempt that became a connection; returns what it took above the typical, in milliseconds.
+    pub(super) fn on_success(&mut self, latency: Micros) -> f64 {
+        self.attempts_in_flight -= 1;
+        let took_ms = latency.as_secs_f64() * 1e3;
+        let typical_ms = self.typical_ms.0.unwrap_or(took_ms);
+        self.typical_ms.add(took_ms.min(MAX_SETUP_MULTIPLE * typical_ms));
+        self.timed_out_share.add(0.0);
+        took_ms - typical_ms
+    }
+
+    /// Takes in an attempt that ran into its own time-out. It counts as a set-up of that length: in a fleet
+    /// that is slow as a whole, time-outs would add to its work.
+    fn on_timeout(&mut self, took: Micros) {
+        self.timed_out_share.add(1.0);
+        let took_ms = took.as_secs_f64() * 1e3;
+        let bounded = self.typical_ms.0.map_or(took_ms, |typical| took_ms.min(MAX_SETUP_MULTIPLE * typical));
+        self.typical_ms.add(bounded);
+    }
+
+    /// Whether set-ups take long everywhere: more attempts are in flight than requests come in `wait`
+    /// (Little's law), or many time out.
+    fn all_are_slow(&self, wait: Micros) -> bool {
+        let rate = self.typical_request_rate.0.unwrap_or(0.0);
+        let expected_in_flight = MIN_ATTEMPTS_IN_FLIGHT + rate * wait.as_secs_f64();
+        f64::from(self.attempts_in_flight) > expected_in_flight
+            || self.timed_out_share.0.is_some_and(|share| share > MAX_TIMED_OUT_SHARE)
+    }
+}
+
 impl Policy {
-    /// How long an attempt may take: guards against the server that takes requests and answers none. Nothing
-    /// where no time would be left for another, or where all take long: a repeat would wait anew.
+    /// How long an attempt may take; no bound but the client's deadline where none is returned.
+    ///
+    /// A server that takes requests and answers none would otherwise hold a request until its client gives
+    /// up. There is no time-out before a set-up has succeeded, where no time would be left for another
+    /// attempt, and where set-ups take long everywhere: a retry would wait anew.
     pub(super) fn attempt_timeout(&self, now: Micros, connection: &Connection) -> Option<Micros> {
-        let usual = Micros((self.setups.typical_ms.0? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
-        let wait = connection.class_at_arrival.as_ref()?.latency_objective.max(usual);
-        // Where more is out than the requests of such a wait (Little's law), or much goes unanswered, all
-        // take long: clients that come back together, or wait for a slow store, would be sent over and over.
-        let much = f64::from(self.setups.attempts_in_flight)
-            > 2.0 + self.setups.typical_request_rate.0.unwrap_or(0.0) * wait.as_secs_f64();
-        if much || self.setups.timed_out_share.0.is_some_and(|share| share > MAX_TIMED_OUT_SHARE) {
+        let typical = Micros((self.setups.typical_ms.0? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
+        let wait = connection.class_at_arrival.as_ref()?.latency_objective.max(typical);
+        if self.setups.all_are_slow(wait) {
             return None;
         }
         (now + wait.scale(2.0) <= connection.deadline).then_some(wait)
     }
+
+    pub(super) fn record_timeout(&mut self, now: Micros, connection: &Connection, outcome: Outcome) {
+        if outcome == Outcome::Timeout && connection.has_attempt_timeout {
+            self.setups.on_timeout(now - connection.sent);
+        }
+    }
 }
--- a/src/policy/connection.rs
+++ b/src/policy/connection.rs
@@ -1,25 +1,27 @@
 //! What is held of one request, and of the connection that it becomes.
 
-use crate::types::{ClassSettings, Micros, Request, ServerId};
+use crate::types::{ClassSettings, Micros, Request, RequestId, ServerId};
 
 use super::Policy;
 use super::load_estimate::is_load;
+use super::server::ServerIndex;
 
 /// Where a request stands.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionState {
-    /// Accepted, no attempt out.
+    /// Accepted, no attempt in flight: it waits for a probe.
     Waiting,
-    /// An attempt is out at this server.
-    Attempting(usize),
+    /// An attempt is in flight at this server.
+    Attempting(ServerIndex),
     /// A connection at this server.
-    Open(usize),
-    /// A connection that was asked to move.
-    Migrating(usize),
+    Open(ServerIndex),
+    /// A connection that was asked to migrate away from this server.
+    Migrating(ServerIndex),
 }
 
 impl ConnectionState {
-    pub(super) fn server(self) -> Option<usize> {
+    /// The server that holds the attempt or the connection.
+    pub(super) fn server(self) -> Option<ServerIndex> {
         match self {
             ConnectionState::Waiting => None,
             ConnectionState::Attempting(index)
@@ -31,31 +33,48 @@
     pub(super) fn is_attempting(self) -> bool {
         matches!(self, ConnectionState::Attempting(_))
     }
+
+    pub(super) fn is_open(self) -> bool {
+        matches!(self, ConnectionState::Open(_))
+    }
+
+    pub(super) fn is_migrating(self) -> bool {
+        matches!(self, ConnectionState::Migrating(_))
+    }
+}
+
+/// The first attempt of a request that may have had an effect.
+#[derive(Clone, Copy)]
+pub(super) struct FirstRun {
+    pub(super) server: ServerIndex,
+    pub(super) sent: Micros,
 }
 
 /// A request, and the connection that it becomes.
 pub(super) struct Connection {
     pub(super) request: Request,
+    /// When the client gives up.
     pub(super) deadline: Micros,
     pub(super) state: ConnectionState,
-    /// Probes it has waited for.
+    /// Probes that it has waited for.
     pub(super) probe_attempts: u32,
-    pub(super) attempted_servers: Vec<usize>,
-    /// The first attempt that may have run: its server and when it was sent.
-    pub(super) first_run: Option<(usize, Micros)>,
+    /// The servers of its attempts so far.
+    pub(super) attempted_servers: Vec<ServerIndex>,
+    pub(super) first_run: Option<FirstRun>,
+    /// When the last attempt was sent.
     pub(super) sent: Micros,
-    /// The attempt that is out has a time-out of its own.
+    /// The last attempt has a time-out shorter than the client's deadline.
     pub(super) has_attempt_timeout: bool,
-    /// When that server had started, as far as was known then.
+    /// When the server of the last attempt had started, as far as was known then.
     pub(super) server_started: Option<Micros>,
-    /// Its class as it was when it came.
+    /// Settings of its class at its arrival.
     pub(super) class_at_arrival: Option<ClassSettings>,
-    /// The load last told.
+    /// The load last reported, in microseconds of work a second.
     pub(super) reported_load: Option<f64>,
 }
 
 impl Connection {
-    pub(super) fn new(now: Micros, request: Request) -> Self {
+    fn new(now: Micros, request: Request, class: Option<ClassSettings>) -> Self {
         Connection {
             request,
             deadline: now + request.remaining,
@@ -66,38 +85,50 @@
             sent: now,
             has_attempt_timeout: false,
             server_started: None,
-            class_at_arrival: None,
+            class_at_arrival: class,
             reported_load: request.expected_load.filter(is_load),
         }
     }
+
+    /// Records that the last attempt may have had an effect at this server.
+    pub(super) fn mark_possible_run(&mut self, server: ServerIndex) {
+        self.first_run.get_or_insert(FirstRun { server, sent: self.sent });
+    }
 }
 
 impl Policy {
+    /// A request as this node takes it: its group counts only where groups share work.
+    pub(super) fn new_connection(&self, now: Micros, request: Request) -> Connection {
+        let group = request.group.filter(|_| self.settings.groups);
+        let class = self.settings.classes.get(usize::from(request.class)).cloned();
+        Connection::new(now, Request { group, ..request }, class)
+    }
+
+    /// A connection that was open before this node started, or that this node takes over.
     pub(super) fn on_existing_connection(&mut self, now: Micros, request: Request, server: ServerId) {
         let Some(&index) = self.index_by_id.get(&server) else { return };
-        let connection =
-            Connection { state: ConnectionState::Open(index), ..self.new_connection(now, request) };
+        let state = ConnectionState::Open(index);
+        let connection = Connection { state, ..self.new_connection(now, request) };
         self.add_to_load(&connection);
         self.learn_typical_load(&request, request.expected_load);
         self.connections.insert(request.id, connection);
     }
 
-    /// A request as this node takes it: in its group only where groups share work.
-    pub(super) fn new_connection(&self, now: Micros, request: Request) -> Connection {
-        let group = request.group.filter(|_| self.settings.groups);
-        let class = self.settings.classes.get(usize::from(request.class)).cloned();
-        Connection { class_at_arrival: class, ..Connection::new(now, Request { group, ..request }) }
+    /// Nothing is owed to this client any more.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+        if let Some(connection) = self.connections.remove(&id) {
+            self.turnover.ended += u32::from(connection.state.is_open());
+            self.remove_from_load(&connection);
+        }
     }
 
-    /// A request's class as it was when that came, and as it is: other settings may have come since, and what
+    /// A request's class as it was at its arrival, and as it is: other settings may have come since, and what
     /// either forbids is not done.
     pub(super) fn binding_classes<'a>(
         &'a self,
         connection: &'a Connection,
     ) -> impl Iterator<Item = &'a ClassSettings> {
-        connection
-            .class_at_arrival
-            .iter()
-            .chain(self.settings.classes.get(usize::from(connection.request.class)))
+        let current = self.settings.classes.get(usize::from(connection.request.class));
+        connection.class_at_arrival.iter().chain(current)
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,4 +1,6 @@
-//! Endpoint list: which servers may be sent new work.
+//! The endpoint list: which servers may be sent new work, and when the list is not believed.
+//!
+//! Acts on each list or change that discovery delivers, and on a subscription that failed.
 
 use std::collections::BTreeSet;
 
@@ -7,142 +9,176 @@
 use crate::types::{Action, Endpoint, EndpointListKind, EndpointState, Micros, ServerId, TimerToken};
 
 use super::Policy;
-use super::server::Server;
+use super::capacity::ObservedCapacity;
+use super::server::{Server, ServerIndex};
+use super::slow_start::SlowStartTokens;
 
-/// The first wait before the list is asked for again; doubled after each failure.
-pub(super) const POLL_BACKOFF: Micros = Micros::from_millis(500);
+/// Wakes the next poll of the endpoint list.
+pub(super) const POLL_TIMER: TimerToken = TimerToken(1);
 
-/// So many times at most.
+/// Backoff before the endpoint list is polled again after a first failure.
+const POLL_BACKOFF: Micros = Micros::from_millis(500);
+/// The backoff doubles with each further failure, so many times at most.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 2;
-
-/// A probe that found a server running counts this long.
+/// A probe that was answered shows for this long that a server runs.
 const PROBE_ANSWER_VALID_FOR: Micros = Micros::from_millis(8_000);
 
-/// Wakes the asking for the list.
-pub(super) const POLL_TIMER: TimerToken = TimerToken(1);
-
 /// The subscription to the endpoint list.
 #[derive(Default)]
 pub(super) struct Subscription {
     /// Failures since the last list.
-    pub(super) failures: u32,
+    failures: u32,
     /// A timer for the next poll is set.
-    pub(super) poll_scheduled: bool,
+    poll_scheduled: bool,
 }
 
 /// The endpoint lists that came, by their number.
 #[derive(Default)]
 pub(super) struct ListHistory {
     /// Lists received so far; the number of the last one.
-    pub(super) received: u32,
+    received: u32,
     /// Lists that removed a server which runs.
-    pub(super) disproved: BTreeSet<u32>,
+    disproved: BTreeSet<u32>,
 }
 
 impl Policy {
+    /// Schedules the first poll. Nodes that start together must not poll together: one discovery serves all.
+    pub(super) fn schedule_first_poll(&mut self, actions: &mut Vec<Action>) {
+        let all_nodes = POLL_BACKOFF.scale(f64::from(self.settings.node_count));
+        let spread = all_nodes.min(self.settings.max_poll_interval).scale(0.5);
+        actions.push(Action::SetTimer(spread.scale(self.rng.random::<f64>()), POLL_TIMER));
+    }
+
+    pub(super) fn on_poll_timer(&mut self, actions: &mut Vec<Action>) {
+        self.subscription.poll_scheduled = false;
+        actions.push(Action::WatchEndpoints);
+    }
+
     pub(super) fn on_endpoint_list(
         &mut self,
         now: Micros,
         kind: EndpointListKind,
-        entries: Vec<Endpoint>,
+        endpoints: Vec<Endpoint>,
         actions: &mut Vec<Action>,
     ) {
         if kind == EndpointListKind::Failed {
-            // A subscription that broke is asked for again, later each time but within the list's own limit.
-            // From the list's return until what it has counts as told: half for the wait, half for its queue.
-            let wait = POLL_BACKOFF
-                .scale(f64::from(1 << self.subscription.failures.min(MAX_POLL_BACKOFF_DOUBLINGS)));
-            let wait =
-                wait.scale(0.5 + self.rng.random::<f64>()).min(self.settings.max_poll_interval.scale(0.5));
-            if self.settings.must_subscribe && !self.subscription.poll_scheduled {
-                self.subscription.poll_scheduled = true;
-                self.subscription.failures += 1;
-                actions.push(Action::SetTimer(wait, POLL_TIMER));
-                self.log(None, format!("list: call failed, asking again in {} ms", wait.0 / 1_000), actions);
-            }
-            return;
+            return self.schedule_next_poll(actions);
         }
         self.subscription.failures = 0;
         self.lists.received += 1;
         if kind != EndpointListKind::Delta {
-            let named: BTreeSet<ServerId> = entries.iter().map(|e| e.id).collect();
-            for server in self.servers.iter_mut().filter(|server| !named.contains(&server.endpoint.id)) {
-                if server.endpoint.state != EndpointState::Gone {
-                    (server.endpoint.state, server.removed_by_list) =
-                        (EndpointState::Gone, self.lists.received);
-                }
-            }
+            self.remove_unlisted(&endpoints);
         }
-        for entry in entries {
-            self.apply_endpoint(now, entry);
+        for endpoint in endpoints {
+            self.apply_endpoint(now, endpoint);
         }
         self.find_disproved_lists(now);
         self.update_zone_affinity(now);
     }
 
-    fn apply_endpoint(&mut self, now: Micros, entry: Endpoint) {
-        let index = *self.index_by_id.entry(entry.id).or_insert(self.servers.len());
-        if index == self.servers.len() {
-            // Somewhere within its turn: with many nodes what was never used would be due at nearly all.
-            let sent = now - self.setup_interval().scale(self.rng.random::<f64>());
-            let entry = Endpoint { started: None, ..entry };
-            self.servers.push(Server { endpoint: entry, last_attempt_at: sent, ..Server::default() });
+    /// Polls again after a failure, with backoff and jitter. Half of the permitted interval is kept for the
+    /// time that the list takes to come.
+    fn schedule_next_poll(&mut self, actions: &mut Vec<Action>) {
+        let doublings = self.subscription.failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
+        let backoff = POLL_BACKOFF.scale(f64::from(1 << doublings));
+        let jitter = 0.5 + self.rng.random::<f64>();
+        let wait = backoff.scale(jitter).min(self.settings.max_poll_interval.scale(0.5));
+        if !self.settings.must_subscribe || self.subscription.poll_scheduled {
+            return;
         }
-        if self.servers[index].endpoint.started != entry.started {
-            // This node's place in the turns that the nodes take at a cold server.
-            let nodes = u64::from(self.settings.node_count);
-            let place = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
-            let server = &mut self.servers[index];
-            server.slow_start.fraction = (place.wrapping_add(entry.id.0) % nodes) as f64 / nodes as f64;
-            // Guards against stamps that are off: what is heard of has started by then.
-            server.started =
-                entry.started.map(|started| (started + self.settings.start_time_tolerance).min(now));
-            // A process that starts anew has no history.
-            (server.capacity.slowness, server.delay, server.capacity.load_limit, server.overloaded_periods) =
-                (0.0, None, None, 0);
-            (
-                server.outlier.failures,
-                server.outlier.unreachable,
-                server.slow_start.tokens,
-                server.outlier.ejected_until,
-            ) = (0, false, 0, Micros(0));
-            server.slow_start.expire_at = Micros(0);
+        self.subscription.poll_scheduled = true;
+        self.subscription.failures += 1;
+        actions.push(Action::SetTimer(wait, POLL_TIMER));
+        self.log(None, format!("endpoint list: poll failed, next poll in {} ms", wait.0 / 1_000), actions);
+    }
+
+    /// A full list removes every server that it does not name.
+    fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
+        let named: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
+        for server in self.servers.iter_mut().filter(|server| !named.contains(&server.endpoint.id)) {
+            if server.endpoint.state != EndpointState::Gone {
+                server.endpoint.state = EndpointState::Gone;
+                server.removed_by_list = self.lists.received;
+            }
+        }
+    }
+
+    fn apply_endpoint(&mut self, now: Micros, endpoint: Endpoint) {
+        let index = self.find_or_add_server(now, endpoint);
+        if self.servers[index].endpoint.started != endpoint.started {
+            self.forget_history(now, index, endpoint);
         }
         let server = &mut self.servers[index];
-        if entry.state == EndpointState::Gone && server.endpoint.state != EndpointState::Gone {
+        if endpoint.state == EndpointState::Gone && server.endpoint.state != EndpointState::Gone {
             server.removed_by_list = self.lists.received;
         }
-        server.endpoint = entry;
-        server.draining = entry.state == EndpointState::Draining || (server.draining && !entry.ready());
+        let still_draining = server.draining && !endpoint.ready();
+        server.draining = endpoint.state == EndpointState::Draining || still_draining;
+        server.endpoint = endpoint;
+    }
+
+    fn find_or_add_server(&mut self, now: Micros, endpoint: Endpoint) -> ServerIndex {
+        let next = self.servers.len();
+        let index = *self.index_by_id.entry(endpoint.id).or_insert(next);
+        if index == next {
+            // Somewhere within the interval: at many nodes nearly all servers would else be due for a set-up.
+            let last_attempt_at = now - self.setup_interval().scale(self.rng.random::<f64>());
+            let endpoint = Endpoint { started: None, ..endpoint };
+            self.servers.push(Server { endpoint, last_attempt_at, ..Server::default() });
+        }
+        index
     }
 
-    /// Whether this is called gone, or left out, where that is advice and no more, and did not drain before.
-    pub(super) fn removal_is_advice(&self, index: usize) -> bool {
+    /// A process that was started anew has no history.
+    fn forget_history(&mut self, now: Micros, index: ServerIndex, endpoint: Endpoint) {
+        let nodes = u64::from(self.settings.node_count);
+        let node = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
+        let turn = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
+        let server = &mut self.servers[index];
+        server.slow_start = SlowStartTokens::starting_at(turn);
+        // Clocks differ, but what is listed has started by now.
+        let latest_start = |started: Micros| (started + self.settings.start_time_tolerance).min(now);
+        server.started = endpoint.started.map(latest_start);
+        server.capacity = ObservedCapacity::default();
+        server.delay = None;
+        server.overloaded_periods = 0;
+        server.outlier.forget_failures();
+    }
+
+    /// Whether new work may go to a server by the endpoint list, and by what is known of servers that a list
+    /// removed.
+    pub(super) fn is_available(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
-        self.settings.removal_is_advisory && server.endpoint.state == EndpointState::Gone && !server.draining
+        let removal_is_wrong =
+            || self.lists.disproved.contains(&server.removed_by_list) || self.is_known_to_run(now, index);
+        server.endpoint.ready() || (self.removal_is_advice(index) && removal_is_wrong())
     }
 
-    /// Whether the list and what is known beside it let new work go there.
-    pub(super) fn is_available(&self, now: Micros, index: usize) -> bool {
-        let doubted = || {
-            self.lists.disproved.contains(&self.servers[index].removed_by_list)
-                || self.is_known_to_run(now, index)
-        };
-        self.servers[index].endpoint.ready() || (self.removal_is_advice(index) && doubted())
+    /// The available servers, in the order of their position.
+    pub(super) fn available_servers(&self, now: Micros) -> impl Iterator<Item = ServerIndex> {
+        (0..self.servers.len()).filter(move |&index| self.is_available(now, index))
+    }
+
+    /// Whether a server was removed without draining before, where the settings call a removal advice only.
+    pub(super) fn removal_is_advice(&self, index: ServerIndex) -> bool {
+        let server = &self.servers[index];
+        let removed = server.endpoint.state == EndpointState::Gone;
+        self.settings.removal_is_advisory && removed && !server.draining
     }
 
-    /// Whether something of this node's stands there, or a probe has answered of late.
-    fn is_known_to_run(&self, now: Micros, index: usize) -> bool {
+    /// Whether a server holds a connection of this node, or has answered a probe of late.
+    fn is_known_to_run(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
-        !server.load.connections.is_empty()
-            || server.probes.answered_at.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
+        let answered = server.probes.answered_at;
+        !server.load.connections.is_empty() || answered.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
     }
 
-    /// Guards against a list that calls running servers gone: where one of those that it called gone together
-    /// runs, that list is wrong about all of them.
+    /// Finds the lists that removed running servers: where one server that a list removed runs, that list is
+    /// wrong about all that it removed.
     pub(super) fn find_disproved_lists(&mut self, now: Micros) {
-        let runs = |&index: &usize| self.removal_is_advice(index) && self.is_known_to_run(now, index);
-        let wrong = (0..self.servers.len()).filter(runs).map(|index| self.servers[index].removed_by_list);
-        self.lists.disproved = wrong.collect();
+        let disproves =
+            |&index: &ServerIndex| self.removal_is_advice(index) && self.is_known_to_run(now, index);
+        let disproved = (0..self.servers.len()).filter(disproves);
+        self.lists.disproved = disproved.map(|index| self.servers[index].removed_by_list).collect();
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,15 +1,11 @@
-//! All decisions of a node; the words they use are in `src/types/`.
+//! All decisions of a node, one rule a file. Their types, events and actions are in `src/types/`.
 //!
-//! The ordinary path: a connection lands on the server lowest in this node's own record, and every second
-//! a server that stands above this node's mean for several periods sheds its excess. `docs/design.md` says
-//! where that comes from and when each exception acts.
-
-use std::collections::BTreeMap;
-
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-
-use crate::types::{Action, BalancerSettings, Event, Micros, RequestId, ServerId, TimerToken};
+//! [`Policy`] does no input or output and reads no clock: a host program hands it events with the time and
+//! performs the actions that it returns. The same seed and events give the same actions.
+//!
+//! The ordinary path: a request lands on the server with the lowest load in this node's own record
+//! ([`selection`]), and once a period each server that stands above this node's mean sheds its excess
+//! ([`rebalance`]). `docs/design.md` says where that comes from and when each exception acts.
 
 mod admission;
 mod attempt_timeout;
@@ -33,18 +29,21 @@
 mod slow_start;
 mod status;
 
+use std::collections::BTreeMap;
+
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+
+use crate::types::{Action, BalancerSettings, Event, Micros, RequestId, ServerId};
+
 use attempt_timeout::SetupStatistics;
-use connection::{Connection, ConnectionState};
-use endpoints::POLL_BACKOFF;
+use connection::Connection;
 use endpoints::{ListHistory, POLL_TIMER, Subscription};
 use log_limit::LogLimit;
 use message_delay::late_threshold;
 use probe::RemovalProbes;
-use probe::{MAX_PROBE_ATTEMPTS, MAX_REMOVAL_PROBES, PROBE_TIMER_MARK};
 use rebalance::{PERIOD, PERIOD_TIMER};
-use retry_budget::MAX_TOKENS;
 use retry_budget::RetryUsage;
-use retry_budget::TOKENS_PER_REQUEST;
 use running_mean::Mean;
 use server::{Server, ServerIndex};
 use slow_start::ConnectionTurnover;
@@ -101,65 +100,46 @@
         }
     }
 
-    /// Timers and questions with which a node begins.
+    /// The timers with which a node begins. Called once, before the first event.
     pub fn start(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(PERIOD.scale(self.rng.random::<f64>()), PERIOD_TIMER));
         if self.settings.must_subscribe {
-            // Nodes that start together must not ask together: the list is one service for all of them.
-            let spread = POLL_BACKOFF
-                .scale(f64::from(self.settings.node_count))
-                .min(self.settings.max_poll_interval)
-                .scale(0.5);
-            actions.push(Action::SetTimer(spread.scale(self.rng.random::<f64>()), POLL_TIMER));
+            self.schedule_first_poll(actions);
         }
     }
 
-    /// Takes in one event and adds what is to be done about it. Events that name what is unknown or has
-    /// ended are ignored.
+    /// Takes in one event and adds what is to be done about it. Events that name what is unknown or has ended
+    /// are ignored.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(kind, entries) => self.on_endpoint_list(now, kind, entries, actions),
-            Event::Request(request) => {
-                self.retry_usage.tokens = (self.retry_usage.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
-                self.removal_probes.tokens = (self.removal_probes.tokens + 1.0).min(MAX_REMOVAL_PROBES);
-                self.count_in_window(now, 1, 0);
-                self.setups.requests_this_period += 1;
-                let connection = self.new_connection(now, request);
-                self.attempt(now, connection, actions);
-            }
+            Event::EndpointList(kind, endpoints) => self.on_endpoint_list(now, kind, endpoints, actions),
+            Event::Request(request) => self.on_request(now, request, actions),
             Event::ExistingConnection(request, server) => self.on_existing_connection(now, request, server),
             Event::Established { id, latency } => self.on_established(now, id, latency, actions),
             Event::Ended { id, outcome, closed, .. } => self.on_ended(now, id, outcome, closed, actions),
             Event::LoadReported(id, load) => self.on_load_report(id, load),
             Event::DelayReported(server, ms) => self.on_message_delay(now, server, ms, false),
-            Event::ClientDisconnected(id) => {
-                if let Some(connection) = self.connections.remove(&id) {
-                    self.turnover.ended += u32::from(matches!(connection.state, ConnectionState::Open(_)));
-                    self.remove_from_load(&connection);
-                }
-            }
+            Event::ClientDisconnected(id) => self.on_client_disconnected(id),
             Event::Timer(PERIOD_TIMER) => self.on_period(now, actions),
-            Event::Timer(POLL_TIMER) => {
-                self.subscription.poll_scheduled = false;
-                actions.push(Action::WatchEndpoints);
-            }
-            Event::Timer(TimerToken(id)) => {
-                self.resume(now, RequestId(id & !PROBE_TIMER_MARK), MAX_PROBE_ATTEMPTS, actions)
-            }
+            Event::Timer(POLL_TIMER) => self.on_poll_timer(actions),
+            Event::Timer(token) => self.on_probe_timer(now, token, actions),
             Event::ProbeCompleted { server, outcome, report } => {
-                self.on_probe_completed(now, server, outcome, &report, actions)
+                self.on_probe_completed(now, server, outcome, &report, actions);
             }
             Event::PeerMessage(_, data) => self.on_gossip(now, &data),
-            Event::SettingsChanged(settings) => {
-                // The record stays, and so does what was decided; the next attempt goes by the new word.
-                self.late_threshold = late_threshold(&settings);
-                self.class_load.resize(settings.classes.len(), Mean::default());
-                self.held_load.resize(settings.classes.len(), (0.0, 0));
-                if self.settings.retry_budget.is_none() {
-                    self.retry_usage.window.since = self.retry_usage.window.since.max(now);
-                }
-                self.settings = *settings;
-            }
+            Event::SettingsChanged(settings) => self.on_settings(now, *settings),
+        }
+    }
+
+    /// Other settings from now on. The record stays, and so does what was decided; the next attempt goes by
+    /// the new settings.
+    fn on_settings(&mut self, now: Micros, settings: BalancerSettings) {
+        self.late_threshold = late_threshold(&settings);
+        self.class_load.resize(settings.classes.len(), Mean::default());
+        self.held_load.resize(settings.classes.len(), (0.0, 0));
+        if self.settings.retry_budget.is_none() {
+            self.retry_usage.forget_before(now);
         }
+        self.settings = settings;
     }
 }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -43,9 +43,7 @@
         actions.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
         self.log_limit.lines_left = LINES_PER_PERIOD;
         self.turnover.connection_seconds += self.connections.len() as f64 * PERIOD.as_secs_f64();
-        self.setups
-            .typical_request_rate
-            .add(f64::from(std::mem::take(&mut self.setups.requests_this_period)) / PERIOD.as_secs_f64());
+        self.setups.on_period();
         let held = self.mean_connections(now);
         self.turnover.typical_connections.add(held);
         // Guards against a release that leaves but a slow server warm, which holds next to nothing: what
@@ -56,18 +54,11 @@
             let server = &mut self.servers[index];
             server.capacity.slowness = (server.capacity.slowness - SLOWNESS_RECOVERY).max(0.0);
             server.capacity.load_limit = server.capacity.load_limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
-            if self.probes_report_load()
-                && self.is_available(now, index)
-                && self.is_late_unobserved(now, index)
-            {
-                actions.push(Action::Probe(self.servers[index].endpoint.id));
-            }
         }
+        self.probe_stalled_servers(now, actions);
         self.find_disproved_lists(now);
         self.update_zone_affinity(now);
-        if self.settings.probes_allowed {
-            self.probe_removed_servers(now, actions);
-        }
+        self.probe_removed_servers(now, actions);
         let mean = self.mean_load(now);
         for index in 0..self.servers.len() {
             let drains = self.servers[index].endpoint.state == EndpointState::Draining
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,106 +1,166 @@
-//! Retry budget: how many attempts beyond the first are allowed.
+//! Retry budget: how many attempts beyond requests' first ones are allowed, so that retries do not amplify a
+//! storm.
+//!
+//! Where the settings state a budget, retries and admitted requests are counted over a sliding window; else
+//! retries spend tokens that admitted requests earn.
 
 use std::collections::VecDeque;
 
-use crate::types::{Micros, RetryBudget, RetryBudgetBucket};
+use crate::types::{Micros, Outcome, RetryBudget, RetryBudgetBucket};
 
 use super::Policy;
+use super::connection::Connection;
+
+/// Retry tokens that each admitted request earns: in a storm, retries add no more than this share to the
+/// load.
+const TOKENS_PER_REQUEST: f64 = 0.2;
+/// Retry tokens that may be saved.
+const MAX_TOKENS: f64 = 10.0;
+/// Buckets of a window, which bound the memory that it takes.
+const BUCKETS_PER_WINDOW: f64 = 50.0;
 
-/// Further attempts that each first attempt earns: in a storm, retries add no more than this to the load.
-pub(super) const TOKENS_PER_REQUEST: f64 = 0.2;
-
-/// Further attempts that may be saved up.
-pub(super) const MAX_TOKENS: f64 = 10.0;
+/// Retries that this node may make, and those that it has made.
+pub(super) struct RetryUsage {
+    tokens: f64,
+    window: SlidingWindow,
+}
 
-/// Parts of the span over which further attempts are counted: no more than this is held of it.
-const BUCKETS_PER_WINDOW: f64 = 50.0;
+impl Default for RetryUsage {
+    fn default() -> Self {
+        RetryUsage { tokens: MAX_TOKENS, window: SlidingWindow::default() }
+    }
+}
 
-/// Further attempts and requests of the stated span, in parts. What is partly out of the span counts as out
-/// for requests and as in for attempts, so the count is never laxer than the rule.
+/// Retries and admitted requests of a sliding window, in buckets. A bucket that is partly outside the window
+/// counts as outside for requests and as inside for retries: the count is never laxer than the rule.
 #[derive(Default)]
-pub(super) struct SlidingWindow {
-    pub(super) parts: VecDeque<RetryBudgetBucket>,
-    /// Nothing before is known: the start, or what was dropped.
-    pub(super) since: Micros,
+struct SlidingWindow {
+    buckets: VecDeque<RetryBudgetBucket>,
+    /// Nothing is known of the time before; zero where all is known.
+    known_since: Micros,
+}
+
+/// Events within a window.
+#[derive(Clone, Copy, Default)]
+struct WindowCount {
+    admitted: u32,
+    retries: u32,
 }
 
 impl SlidingWindow {
-    pub(super) fn add(&mut self, now: Micros, over: Micros, taken: u32, further: u32) {
-        while let Some(part) = self.parts.front().filter(|part| part.last_event + over < now) {
-            self.since = self.since.max(part.last_event);
-            self.parts.pop_front();
-        }
-        match self
-            .parts
-            .back_mut()
-            .filter(|part| now < part.first_event + over.scale(1.0 / BUCKETS_PER_WINDOW))
-        {
-            Some(p) => (p.last_event, p.admitted, p.retries) = (now, p.admitted + taken, p.retries + further),
-            None => self.parts.push_back(RetryBudgetBucket {
+    fn add(&mut self, now: Micros, window: Micros, event: WindowCount) {
+        self.drop_outside(now, window);
+        let bucket_span = window.scale(1.0 / BUCKETS_PER_WINDOW);
+        match self.buckets.back_mut().filter(|bucket| now < bucket.first_event + bucket_span) {
+            Some(bucket) => {
+                bucket.last_event = now;
+                bucket.admitted += event.admitted;
+                bucket.retries += event.retries;
+            }
+            None => self.buckets.push_back(RetryBudgetBucket {
                 first_event: now,
                 last_event: now,
-                admitted: taken,
-                retries: further,
+                admitted: event.admitted,
+                retries: event.retries,
             }),
         }
     }
 
-    pub(super) fn known(&self, now: Micros, over: Micros) -> bool {
-        self.since == Micros(0) || self.since + over < now
+    fn drop_outside(&mut self, now: Micros, window: Micros) {
+        while let Some(bucket) = self.buckets.front().filter(|bucket| bucket.last_event + window < now) {
+            self.known_since = self.known_since.max(bucket.last_event);
+            self.buckets.pop_front();
+        }
+    }
+
+    /// Whether all of the window is known.
+    fn is_known(&self, now: Micros, window: Micros) -> bool {
+        self.known_since == Micros(0) || self.known_since + window < now
     }
 
-    /// Requests taken and further attempts within the span.
-    pub(super) fn within(&self, now: Micros, over: Micros) -> (u32, u32) {
-        let within = self.parts.iter().filter(|part| part.last_event + over >= now);
-        within.fold((0, 0), |(taken, further), part| {
-            (taken + part.admitted * u32::from(part.first_event + over > now), further + part.retries)
+    fn count(&self, now: Micros, window: Micros) -> WindowCount {
+        let inside = self.buckets.iter().filter(|bucket| bucket.last_event + window >= now);
+        inside.fold(WindowCount::default(), |count, bucket| WindowCount {
+            admitted: count.admitted + bucket.admitted * u32::from(bucket.first_event + window > now),
+            retries: count.retries + bucket.retries,
         })
     }
 }
 
-/// Retries that this node may make, and those that it has made.
-pub(super) struct RetryUsage {
-    pub(super) tokens: f64,
-    pub(super) window: SlidingWindow,
-}
+impl RetryUsage {
+    /// A budget that is stated from now on knows nothing of the time before.
+    pub(super) fn forget_before(&mut self, now: Micros) {
+        self.window.known_since = self.window.known_since.max(now);
+    }
 
-impl Default for RetryUsage {
-    fn default() -> Self {
-        RetryUsage { tokens: MAX_TOKENS, window: SlidingWindow::default() }
+    fn earn(&mut self) {
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 }
 
 impl Policy {
-    pub(super) fn count_in_window(&mut self, now: Micros, taken: u32, further: u32) {
+    /// Counts a request in all that is bounded by the number of requests.
+    pub(super) fn count_admitted_request(&mut self, now: Micros) {
+        self.retry_usage.earn();
+        self.removal_probes.earn();
+        self.count_in_window(now, WindowCount { admitted: 1, retries: 0 });
+        self.setups.on_request();
+    }
+
+    /// Counts an attempt that is about to be sent, if it is a retry.
+    pub(super) fn count_retry(&mut self, now: Micros, connection: &Connection) {
+        let retries = u32::from(!connection.attempted_servers.is_empty());
+        self.count_in_window(now, WindowCount { admitted: 0, retries });
+    }
+
+    fn count_in_window(&mut self, now: Micros, event: WindowCount) {
         if let Some(budget) = self.settings.retry_budget {
-            self.retry_usage.window.add(now, budget.window, taken, further);
+            self.retry_usage.window.add(now, budget.window, event);
         }
     }
 
-    /// Whether the stated budget allows one more further attempt.
-    pub(super) fn budget_allows(&self, now: Micros, budget: RetryBudget) -> bool {
-        let (taken, further) = self.retry_usage.window.within(now, budget.window);
-        // Settings that name a longer span than before wait until that much is known.
-        self.retry_usage.window.known(now, budget.window)
-            && f64::from(further + 1) <= budget.min_retries + budget.retry_ratio * f64::from(taken)
+    /// Whether the stated budget allows one more retry; true where none is stated. What is not known counts
+    /// as spent.
+    pub(super) fn budget_allows_retry(&self, now: Micros) -> bool {
+        let Some(RetryBudget { min_retries, retry_ratio, window }) = self.settings.retry_budget else {
+            return true;
+        };
+        let count = self.retry_usage.window.count(now, window);
+        let allowed = min_retries + retry_ratio * f64::from(count.admitted);
+        self.retry_usage.window.is_known(now, window) && f64::from(count.retries + 1) <= allowed
+    }
+
+    /// Spends a token for a retry after this outcome; false where one is needed and none is left. Where a
+    /// budget is stated that bounds retries instead, and what no server has seen is no load on any and costs
+    /// nothing.
+    pub(super) fn spend_retry_token(&mut self, outcome: Outcome) -> bool {
+        let unseen = matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
+        if self.settings.retry_budget.is_some() || unseen {
+            return true;
+        }
+        if self.retry_usage.tokens < 1.0 {
+            return false;
+        }
+        self.retry_usage.tokens -= 1.0;
+        true
     }
 
-    /// What was counted of further attempts, for the process that takes this one's place, or nothing where
-    /// that is not
-    /// known. This one makes none from now on.
+    /// What was counted, for the process that takes this one's place; none where it is not known. This
+    /// process makes no retries from now on.
     pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
-        let over = self.settings.retry_budget.map_or(Micros(0), |budget| budget.window);
-        let known = self.retry_usage.window.known(now, over);
-        self.retry_usage.window.since = Micros(u64::MAX);
-        known.then(|| self.retry_usage.window.parts.iter().copied().collect())
+        let window = self.settings.retry_budget.map_or(Micros(0), |budget| budget.window);
+        let usage = &mut self.retry_usage.window;
+        let known = usage.is_known(now, window);
+        usage.known_since = Micros(u64::MAX);
+        known.then(|| usage.buckets.iter().copied().collect())
     }
 
-    /// Takes over what the process before has counted. Where it told nothing, or this process serves on after
-    /// one that
-    /// was to take its place, no further attempts are made until the span has passed.
-    pub fn take_over_retry_budget(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>) {
-        self.retry_usage.window.since = if told.is_some() { Micros(0) } else { now };
-        let own = std::mem::take(&mut self.retry_usage.window.parts);
-        self.retry_usage.window.parts = told.into_iter().flatten().chain(own).collect();
+    /// Takes over what the process before has counted. Where it reported nothing, or where this process
+    /// serves on after one that was to take its place, no retries are made until the window has passed.
+    pub fn take_over_retry_budget(&mut self, now: Micros, reported: Option<Vec<RetryBudgetBucket>>) {
+        let usage = &mut self.retry_usage.window;
+        usage.known_since = if reported.is_some() { Micros(0) } else { now };
+        let own = std::mem::take(&mut usage.buckets);
+        usage.buckets = reported.into_iter().flatten().chain(own).collect();
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -55,8 +55,7 @@
         // it begins are full or late, the request is refused.
         let reached = |&index: &usize| {
             let server = &self.servers[index];
-            self.is_available(now, index)
-                && !(server.outlier.unreachable && now < server.outlier.ejected_until)
+            self.is_available(now, index) && !server.outlier.is_barred(now)
         };
         let mut draws: Vec<u64> = (0..self.servers.len()).filter(reached).map(draw).collect();
         draws.sort_unstable_by(|a, b| b.cmp(a));
@@ -105,7 +104,7 @@
     fn is_eligible(&self, now: Micros, index: usize, connection: &Connection) -> bool {
         let server = &self.servers[index];
         if !self.is_available(now, index)
-            || (server.outlier.unreachable && now < server.outlier.ejected_until)
+            || server.outlier.is_barred(now)
             || (server.outlier.connect_failed && !server.load.connections.is_empty())
             || (self.warm_up_fraction(now, index) < 1.0 && server.slow_start.tokens == 0)
         {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -39,6 +39,22 @@
     pub(super) typical_connections: Mean,
 }
 
+impl SlowStartTokens {
+    /// No tokens yet. `turn`, between 0 and 1, is this node's place among all: nodes that begin at different
+    /// fractions do not send their first attempts at one moment.
+    pub(super) fn starting_at(turn: f64) -> Self {
+        SlowStartTokens { fraction: turn, ..SlowStartTokens::default() }
+    }
+
+    pub(super) fn spend_one(&mut self) {
+        self.tokens = self.tokens.saturating_sub(1);
+    }
+
+    pub(super) fn clear(&mut self) {
+        self.tokens = 0;
+    }
+}
+
 impl Policy {
     /// How far a server has warmed up, from nothing to one.
     pub(super) fn warm_up_fraction(&self, now: Micros, index: usize) -> f64 {
