--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,49 +1,65 @@
-//! Admission: the room kept for classes, and the final answer to a request that is given up.
+//! Admission: whether a server has capacity for a class, and the answer to a request that is given up.
 
 use rand::RngExt;
 
-use crate::types::{Action, ClassSettings, DedupScope, Idempotency};
+use crate::types::{Action, ClassSettings, DedupScope, Idempotency, Micros};
 
 use super::Policy;
 use super::connection::Connection;
 use super::rebalance::PERIOD;
+use super::server::ServerIndex;
 
-/// The share of a full server's room that is kept for the classes worth most for their load.
+/// Share of a bounded server's capacity that is reserved for the classes with the highest priority for their
+/// load.
 const RESERVED_SHARE: f64 = 0.5;
 
 impl Policy {
-    /// The final answer for a request that is given up: at once, so that the client can come again.
+    /// Whether a server is below its load limit for this connection's class. Acts where a server is bounded
+    /// ([`ObservedCapacity`](super::capacity::ObservedCapacity)). The last of the capacity is left to the
+    /// classes with the highest priority for their load; each class may use a part of it.
+    pub(super) fn has_capacity(&self, index: ServerIndex, connection: &Connection) -> bool {
+        let Some(limit) = self.servers[index].capacity.load_limit else { return true };
+        let classes = 0..self.typical_loads.class_count();
+        let highest = classes.map(|class| self.priority_per_load(class)).fold(0.0, f64::max);
+        let own = self.priority_per_load(usize::from(connection.request.class));
+        let relative_priority = if highest > 0.0 { own / highest } else { 1.0 };
+        let usable_share = 1.0 - RESERVED_SHARE * (1.0 - relative_priority);
+        self.recorded_load(index) < limit * usable_share
+    }
+
+    /// The priority weight of a class for each unit of its typical load; 0 before that is known.
+    fn priority_per_load(&self, class: usize) -> f64 {
+        let load = self.typical_loads.first_report_of(class).filter(|load| *load > 0.0);
+        let priority = self.settings.classes.get(class).map_or(0.0, |class| class.priority_weight);
+        load.map_or(0.0, |load| priority / load)
+    }
+
+    /// Answers a request for which no attempt is made: at once, so that the client can come again. What may
+    /// have run and is not safe to repeat at any server fails; all else is rejected.
     pub(super) fn give_up(&mut self, connection: &Connection, actions: &mut Vec<Action>) {
-        use Idempotency::{Deduplicated, Idempotent};
-        let anywhere =
-            |c: &ClassSettings| matches!(c.idempotency, Idempotent | Deduplicated(DedupScope::All));
-        let anywhere = self.binding_classes(connection).next().is_some()
-            && self.binding_classes(connection).all(anywhere);
-        if !anywhere && connection.first_run.is_some() {
-            return actions.push(Action::Fail(connection.request.id));
+        let id = connection.request.id;
+        if connection.first_run.is_some() && !self.is_idempotent_anywhere(connection) {
+            actions.push(Action::Fail(id));
+            return;
         }
-        let class = self.settings.classes.get(connection.request.class as usize);
-        // Spread out, or those turned away together would come back together.
-        let aim = class.map_or(PERIOD, |class| class.latency_objective);
-        let wait = aim.min(self.settings.max_retry_after).scale(0.5 + 0.5 * self.rng.random::<f64>());
-        actions
-            .push(Action::Reject(connection.request.id, self.settings.retry_after_allowed.then_some(wait)));
+        let retry_after = self.draw_retry_after(connection);
+        actions.push(Action::Reject(id, self.settings.retry_after_allowed.then_some(retry_after)));
     }
 
-    /// Whether a server is below the record at which it was full. Where servers fill up, the last of the room
-    /// is kept for the classes that are worth most for their load; none is shut out.
-    pub(super) fn has_capacity(&self, index: usize, connection: &Connection) -> bool {
-        let class = connection.request.class as usize;
-        let best = (0..self.class_load.len()).map(|c| self.priority_per_load(c)).fold(0.0, f64::max);
-        let claim = if best > 0.0 { self.priority_per_load(class) / best } else { 1.0 };
-        let room = 1.0 - RESERVED_SHARE * (1.0 - claim);
-        self.servers[index].capacity.load_limit.is_none_or(|limit| self.recorded_load(index) < limit * room)
+    /// Whether the client may send the request again to any server.
+    fn is_idempotent_anywhere(&self, connection: &Connection) -> bool {
+        let anywhere = |class: &ClassSettings| {
+            matches!(class.idempotency, Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All))
+        };
+        let known = self.binding_classes(connection).next().is_some();
+        known && self.binding_classes(connection).all(anywhere)
     }
 
-    /// What a class is worth for its usual load.
-    fn priority_per_load(&self, class: usize) -> f64 {
-        let load = self.class_load.get(class).and_then(|mean| mean.0).filter(|load| *load > 0.0);
-        let worth = self.settings.classes.get(class).map_or(0.0, |c| c.priority_weight);
-        load.map_or(0.0, |load| worth / load)
+    /// Between a half and a whole latency objective: clients rejected together must not come back together.
+    fn draw_retry_after(&mut self, connection: &Connection) -> Micros {
+        let class = self.settings.classes.get(usize::from(connection.request.class));
+        let objective = class.map_or(PERIOD, |class| class.latency_objective);
+        let longest = objective.min(self.settings.max_retry_after);
+        longest.scale(0.5 + 0.5 * self.rng.random::<f64>())
     }
 }
--- a/src/policy/effective_weight.rs
+++ b/src/policy/effective_weight.rs
@@ -1,44 +1,42 @@
-//! Effective weight: what a server is taken to be able to do beside others.
+//! Effective weight: what a server is believed to be able to do beside others. Loads are compared for each
+//! unit of it.
 
 use crate::types::{Micros, WeightMeaning};
 
 use super::Policy;
 use super::load_estimate::is_load;
+use super::server::ServerIndex;
 
-/// Where crossing zones is charged for, a server in the own zone draws so much more than one in another.
+/// Factor on the weight of servers in this node's zone, where crossing zones is charged for.
 const ZONE_AFFINITY: f64 = 3.0;
 
 impl Policy {
-    /// The listed size of a server.
-    pub(super) fn weight(&self, index: usize) -> f64 {
+    /// The listed weight of a server where the settings say that weights are nominal capacities, else 1.
+    pub(super) fn weight(&self, index: ServerIndex) -> f64 {
         let weight = self.servers[index].endpoint.weight;
-        let told = self.settings.weight_meaning == WeightMeaning::NominalCapacity
-            && weight > 0.0
-            && is_load(&weight);
-        if told { weight } else { 1.0 }
+        let nominal = self.settings.weight_meaning == WeightMeaning::NominalCapacity;
+        if nominal && weight > 0.0 && is_load(&weight) { weight } else { 1.0 }
     }
 
-    /// What a server is believed to be able to do, beside others: its listed size and its believed speed.
-    pub(super) fn effective_weight(&self, index: usize) -> f64 {
-        self.zone_weight(index) * (1.0 - self.servers[index].capacity.slowness)
+    /// The weight of a server, raised by zone affinity.
+    pub(super) fn zone_weight(&self, index: ServerIndex) -> f64 {
+        let in_own_zone = self.servers[index].endpoint.zone == self.settings.zone;
+        self.weight(index) * if in_own_zone { self.zone_affinity } else { 1.0 }
     }
 
-    /// What a server draws beside others that are as fast: by its listed size, and more in the own zone.
-    /// Guards against a way between zones that is slow, cut or charged for.
-    pub(super) fn zone_weight(&self, index: usize) -> f64 {
-        self.weight(index)
-            * if self.servers[index].endpoint.zone == self.settings.zone { self.zone_affinity } else { 1.0 }
+    /// The zone weight of a server, lowered by the slowness seen there.
+    pub(super) fn effective_weight(&self, index: ServerIndex) -> f64 {
+        self.zone_weight(index) * (1.0 - self.servers[index].capacity.slowness)
     }
 
-    /// Only while nothing warms up: what moved is to reach all that can take it. Not where groups share work:
-    /// their draw falls alike at all nodes, and a copy of a group for each zone costs more than crossings.
+    /// Sets the zone affinity. Acts once a period and on each endpoint list.
+    ///
+    /// It is off while a server warms up, as what migrates must reach all that can take it; and where groups
+    /// share work, as a copy of a group in each zone costs more than crossing zones.
     pub(super) fn update_zone_affinity(&mut self, now: Micros) {
-        let cold = (0..self.servers.len())
-            .any(|index| self.is_available(now, index) && self.warm_up_fraction(now, index) < 1.0);
-        self.zone_affinity = if self.settings.prices.cross_zone > 0.0 && !cold && !self.settings.groups {
-            ZONE_AFFINITY
-        } else {
-            1.0
-        };
+        let warming_up = self.available_servers(now).any(|index| !self.is_warm(now, index));
+        let charged = self.settings.prices.cross_zone > 0.0;
+        let active = charged && !warming_up && !self.settings.groups;
+        self.zone_affinity = if active { ZONE_AFFINITY } else { 1.0 };
     }
 }
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -1,22 +1,71 @@
-//! Load estimate: the load on each server as this node knows it.
+//! Load estimate: the load of each server as this node's own connections tell it.
+//!
+//! Loads are in microseconds of work a second. A connection counts with the load last reported on it, or with
+//! the typical load of its class; before any load is known each connection counts as one.
 
 use std::collections::BTreeMap;
 
-use crate::types::{Micros, Request, RequestId};
+use crate::types::{BalancerSettings, Micros, Request, RequestId};
 
 use super::Policy;
 use super::connection::Connection;
+use super::running_mean::Mean;
+use super::server::ServerIndex;
 
-/// Loads above this are no loads: about a thousand cores' work.
+/// Loads above this are not believed: about a thousand cores' work.
 pub(super) const MAX_LOAD: f64 = 1e9;
 
-/// A load that is no number, negative or absurd would poison every sum that it enters.
+/// Whether a figure can be a load: what is no number, negative or absurd would spoil every sum that it
+/// enters.
 pub(super) fn is_load(load: &f64) -> bool {
     (0.0..=MAX_LOAD).contains(load)
 }
 
-/// Takes one off a count; what is counted down to nothing is no longer held.
-pub(super) fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K) {
+/// The typical load of a connection, by class and over all classes.
+pub(super) struct TypicalLoads {
+    by_class: Vec<ClassLoad>,
+    /// Running mean of the first loads of connections of any class.
+    first_report: Mean,
+}
+
+/// Loads of one class.
+#[derive(Clone, Copy, Default)]
+struct ClassLoad {
+    /// Running mean of the first loads of its connections.
+    first_report: Mean,
+    /// Sum of the loads of connections that have reported one and are still held.
+    reported_sum: f64,
+    /// Number of those connections.
+    reported_count: u32,
+}
+
+impl TypicalLoads {
+    pub(super) fn new(settings: &BalancerSettings) -> Self {
+        let by_class = vec![ClassLoad::default(); settings.classes.len()];
+        TypicalLoads { by_class, first_report: Mean::default() }
+    }
+
+    /// Other settings may have more classes.
+    pub(super) fn resize(&mut self, settings: &BalancerSettings) {
+        self.by_class.resize(settings.classes.len(), ClassLoad::default());
+    }
+
+    fn class_mut(&mut self, class: u16) -> Option<&mut ClassLoad> {
+        self.by_class.get_mut(usize::from(class))
+    }
+
+    /// The running mean of a class's first loads, none before one is known.
+    pub(super) fn first_report_of(&self, class: usize) -> Option<f64> {
+        self.by_class.get(class).and_then(|load| load.first_report.0)
+    }
+
+    pub(super) fn class_count(&self) -> usize {
+        self.by_class.len()
+    }
+}
+
+/// Takes one off a count and drops the count at zero.
+fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K) {
     let Some(count) = counts.get_mut(&key) else { return };
     *count -= 1;
     if *count == 0 {
@@ -25,118 +74,127 @@
 }
 
 impl Policy {
-    /// The load that this node has on a server: told loads, the usual load of its class where none was told,
-    /// and the shared work of each group held, which is taken to be a usual connection's.
-    pub(super) fn recorded_load(&self, index: usize) -> f64 {
-        let server = &self.servers[index];
-        let untold = |(&class, &n): (&u16, &u32)| f64::from(n) * self.typical_class_load(class);
-        let untold: f64 = server.load.unreported.iter().map(untold).sum();
-        server.load.reported + untold + self.group_load_share() * server.load.groups.len() as f64
+    /// The load that this node has on a server: its connections' loads, and this node's share of the work of
+    /// each group held there.
+    pub(super) fn recorded_load(&self, index: ServerIndex) -> f64 {
+        let load = &self.servers[index].load;
+        let of_class = |(&class, &count): (&u16, &u32)| f64::from(count) * self.typical_class_load(class);
+        let unreported: f64 = load.unreported.iter().map(of_class).sum();
+        load.reported + unreported + self.group_load_share() * load.groups.len() as f64
     }
 
-    /// What a group's shared work on a server is to one node: all of it to one alone, and less the more
-    /// nodes hold the group there too.
+    /// This node's share of the work that a group causes at a server: the more nodes there are, the more of
+    /// them hold the group there too.
     pub(super) fn group_load_share(&self) -> f64 {
-        self.typical_load() * self.settings.group_load * (2.0 / f64::from(self.settings.node_count)).min(1.0)
+        let share = (2.0 / f64::from(self.settings.node_count)).min(1.0);
+        self.typical_load() * self.settings.group_load * share
     }
 
-    /// The usual load of a connection; before any was told, each counts as one.
+    /// The typical load of a connection of any class.
     pub(super) fn typical_load(&self) -> f64 {
-        let (sum, n) = self.held_load.iter().fold((0.0, 0), |(sum, n), held| (sum + held.0, n + held.1));
-        if n > 0 { sum / f64::from(n) } else { self.usual_load.0.unwrap_or(1.0) }
+        let sum_and_count =
+            |(sum, count), class: &ClassLoad| (sum + class.reported_sum, count + class.reported_count);
+        let (sum, count) = self.typical_loads.by_class.iter().fold((0.0, 0), sum_and_count);
+        if count > 0 { sum / f64::from(count) } else { self.typical_loads.first_report.0.unwrap_or(1.0) }
     }
 
-    /// The usual load of a class.
+    /// The typical load of a connection of one class.
     fn typical_class_load(&self, class: u16) -> f64 {
-        let held = self.held_load.get(usize::from(class)).filter(|held| held.1 > 0);
-        let usual = self.class_load.get(usize::from(class)).and_then(|mean| mean.0);
-        held.map_or_else(|| usual.unwrap_or(self.typical_load()), |held| held.0 / f64::from(held.1))
+        match self.typical_loads.by_class.get(usize::from(class)) {
+            Some(load) if load.reported_count > 0 => load.reported_sum / f64::from(load.reported_count),
+            Some(ClassLoad { first_report: Mean(Some(load)), .. }) => *load,
+            _ => self.typical_load(),
+        }
     }
 
     pub(super) fn connection_load(&self, connection: &Connection) -> f64 {
         connection.reported_load.unwrap_or_else(|| self.typical_class_load(connection.request.class))
     }
 
-    /// The ready servers that are warm.
-    pub(super) fn warm_servers(&self, now: Micros) -> Vec<usize> {
-        let warm =
-            |&index: &usize| self.is_available(now, index) && self.warm_up_fraction_here(now, index) >= 1.0;
-        (0..self.servers.len()).filter(warm).collect()
+    /// The available servers that are warm, for the cluster and for this node.
+    pub(super) fn warm_servers(&self, now: Micros) -> impl Iterator<Item = ServerIndex> {
+        self.available_servers(now).filter(move |&index| self.warm_up_fraction_here(now, index) >= 1.0)
     }
 
-    /// The mean load for each unit of power over ready servers that are warm.
+    /// Mean load of warm servers, for each unit of effective weight.
     pub(super) fn mean_load(&self, now: Micros) -> f64 {
-        let (load, power) = (self.warm_servers(now).into_iter()).fold((0.0, 0.0), |(load, power), index| {
-            (load + self.recorded_load(index), power + self.effective_weight(index))
+        let (load, weight) = self.warm_servers(now).fold((0.0, 0.0), |(load, weight), index| {
+            (load + self.recorded_load(index), weight + self.effective_weight(index))
         });
-        if power > 0.0 { load / power } else { 0.0 }
+        if weight > 0.0 { load / weight } else { 0.0 }
     }
 
-    /// The connections, and groups, that this node holds on warm servers for each unit of size.
+    /// Mean number of this node's connections, and groups, on warm servers, for each unit of weight.
     pub(super) fn mean_connections(&self, now: Micros) -> f64 {
-        let held = |index: usize| {
-            (self.servers[index].load.connections.len() + self.servers[index].load.groups.len()) as f64
-        };
-        let (held, size) = (self.warm_servers(now).into_iter())
-            .fold((0.0, 0.0), |(sum, size), index| (sum + held(index), size + self.weight(index)));
-        if size > 0.0 { held / size } else { 0.0 }
+        let (held, weight) = self.warm_servers(now).fold((0.0, 0.0), |(held, weight), index| {
+            let load = &self.servers[index].load;
+            let here = (load.connections.len() + load.groups.len()) as f64;
+            (held + here, weight + self.weight(index))
+        });
+        if weight > 0.0 { held / weight } else { 0.0 }
     }
 
-    /// Takes a connection, or one that is to become one, into the sums of its server.
+    /// Adds an attempt or a connection to the load of its server.
     pub(super) fn add_to_load(&mut self, connection: &Connection) {
         let Some(index) = connection.state.server() else { return };
-        let server = &mut self.servers[index];
-        server.load.connections.insert(connection.request.id);
+        let load = &mut self.servers[index].load;
+        load.connections.insert(connection.request.id);
         self.setups.attempts_in_flight += u32::from(connection.state.is_attempting());
         match connection.reported_load {
-            Some(load) => {
-                server.load.reported += load;
-                if let Some(held) = self.held_load.get_mut(usize::from(connection.request.class)) {
-                    *held = (held.0 + load, held.1 + 1);
+            Some(reported) => {
+                load.reported += reported;
+                if let Some(class) = self.typical_loads.class_mut(connection.request.class) {
+                    class.reported_sum += reported;
+                    class.reported_count += 1;
                 }
             }
-            None => *server.load.unreported.entry(connection.request.class).or_default() += 1,
+            None => *load.unreported.entry(connection.request.class).or_default() += 1,
         }
         if let Some(group) = connection.request.group {
-            *server.load.groups.entry(group).or_insert(0) += 1;
+            *load.groups.entry(group).or_default() += 1;
         }
     }
 
-    /// Takes it out again. An empty server's sum is nothing, whatever rounding has left of it.
+    /// Takes it off again.
     pub(super) fn remove_from_load(&mut self, connection: &Connection) {
         let Some(index) = connection.state.server() else { return };
-        let server = &mut self.servers[index];
-        server.load.connections.remove(&connection.request.id);
+        let load = &mut self.servers[index].load;
+        load.connections.remove(&connection.request.id);
         self.setups.attempts_in_flight -= u32::from(connection.state.is_attempting());
         match connection.reported_load {
-            Some(load) => {
-                server.load.reported = (server.load.reported - load).max(0.0);
-                if let Some(held) = self.held_load.get_mut(usize::from(connection.request.class)) {
-                    *held = ((held.0 - load).max(0.0), held.1 - 1);
+            Some(reported) => {
+                load.reported = (load.reported - reported).max(0.0);
+                if let Some(class) = self.typical_loads.class_mut(connection.request.class) {
+                    class.reported_sum = (class.reported_sum - reported).max(0.0);
+                    class.reported_count -= 1;
                 }
             }
-            None => decrement(&mut server.load.unreported, connection.request.class),
+            None => decrement(&mut load.unreported, connection.request.class),
         }
-        if server.load.connections.is_empty() {
-            server.load.reported = 0.0;
+        if load.connections.is_empty() {
+            // Rounding may have left something of the sum.
+            load.reported = 0.0;
         }
         if let Some(group) = connection.request.group {
-            decrement(&mut server.load.groups, group);
+            decrement(&mut load.groups, group);
         }
     }
 
-    /// Takes a connection's first load, told or hinted, into the usual ones.
+    /// Takes a connection's first load, reported or expected, into the typical ones.
     pub(super) fn learn_typical_load(&mut self, request: &Request, load: Option<f64>) {
         let Some(load) = load.filter(is_load) else { return };
-        self.usual_load.add(load);
-        if let Some(mean) = self.class_load.get_mut(request.class as usize) {
-            mean.add(load);
+        self.typical_loads.first_report.add(load);
+        if let Some(class) = self.typical_loads.class_mut(request.class) {
+            class.first_report.add(load);
         }
     }
 
+    /// A connection's load was reported, in microseconds of work a second.
     pub(super) fn on_load_report(&mut self, id: RequestId, load: f64) {
-        let connection = is_load(&load).then(|| self.connections.remove(&id));
-        let Some(mut connection) = connection.flatten() else { return };
+        if !is_load(&load) {
+            return;
+        }
+        let Some(mut connection) = self.connections.remove(&id) else { return };
         if connection.reported_load.is_none() {
             self.learn_typical_load(&connection.request, Some(load));
         }
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -1,105 +1,127 @@
-//! Message delay: which servers answer late.
+//! Message delay: which servers answer messages late.
+//!
+//! Servers report delays about once a second while they are late. Where they do not, what a connection set-up
+//! takes above the usual is taken for the delay of a message, and nodes that may gossip tell each other.
 
 use crate::types::{Action, BalancerSettings, Micros, ServerId};
 
 use super::Policy;
+use super::server::ServerIndex;
 
-/// The reactive trigger: messages take this share of the shortest message aim, from which on they are told.
+/// Messages are late from this share of the shortest message latency objective on.
 pub(super) const LATE_SHARE_OF_OBJECTIVE: f64 = 1.0 / 3.0;
-
-/// A told delay counts this long; notes come once a second while messages are late.
+/// A delay counts this long; reports come once a second while messages are late.
 const DELAY_VALID_FOR: Micros = Micros::from_millis(1_600);
-
-/// The same for a server that holds none of this node's connections.
+/// The same for a server that holds none of this node's connections: no report can say that the delay is
+/// over.
 const DELAY_VALID_UNOBSERVED_FOR: Micros = Micros::from_millis(30_000);
-
-/// Messages that take this long at once, and longer no faster than time passes, wait for a server that stands
-/// still: a queue that grows to that between two notes goes on growing so. The second in seconds a second.
+/// A delay that is as long at once is that of a stalled server: a queue takes longer to grow to that.
 const STALL_DELAY: Micros = Micros::from_millis(2_000);
-
+/// It stays stalled while the delay grows by less, in seconds a second.
 const STALL_MAX_GROWTH: f64 = 1.5;
-
-/// Delays above this are no delays: a minute.
+/// Delays above this are not believed: a minute, in milliseconds.
 const MAX_DELAY_MS: f64 = 60_000.0;
 
-/// From which delay on a server's messages are late.
-pub(super) fn late_threshold(settings: &BalancerSettings) -> Micros {
-    let shortest =
-        settings.classes.iter().map(|c| c.message_latency_objective.unwrap_or(c.latency_objective)).min();
-    shortest.unwrap_or(Micros(0)).scale(LATE_SHARE_OF_OBJECTIVE)
-}
-
-/// What was told of the time that messages take at a server.
+/// The delay of messages at a server, as last heard.
 #[derive(Clone, Copy)]
 pub(super) struct MessageDelay {
-    /// That time.
     pub(super) delay: Micros,
+    /// When it was heard.
     pub(super) at: Micros,
-    /// It stands still, or did until it works off what has piled up.
+    /// The server stands still, or did and works off its backlog.
     pub(super) stalled: bool,
-    /// Seconds by which it grew each second, from the note before.
+    /// Growth since the delay before, in seconds a second.
     pub(super) growth: f64,
-    /// It does not count yet.
+    /// It does not count until a second set-up confirms it.
     pub(super) unconfirmed: bool,
 }
 
+impl MessageDelay {
+    fn is_fresh(&self, now: Micros) -> bool {
+        now < self.at + DELAY_VALID_FOR
+    }
+
+    /// The delay's growth up to a later one, in seconds a second.
+    fn growth_to(&self, delay: Micros, now: Micros) -> f64 {
+        (delay.as_secs_f64() - self.delay.as_secs_f64()) / (now - self.at).as_secs_f64()
+    }
+}
+
+/// The delay from which on messages are late.
+pub(super) fn late_threshold(settings: &BalancerSettings) -> Micros {
+    let objectives = settings
+        .classes
+        .iter()
+        .map(|class| class.message_latency_objective.unwrap_or(class.latency_objective));
+    objectives.min().unwrap_or(Micros(0)).scale(LATE_SHARE_OF_OBJECTIVE)
+}
+
 impl Policy {
-    pub(super) fn on_message_delay(&mut self, now: Micros, server: ServerId, ms: f64, doubt: bool) {
-        let known = self.index_by_id.get(&server).filter(|_| (0.0..=MAX_DELAY_MS).contains(&ms));
-        let Some(&index) = known else { return };
-        let span = Micros((ms * 1_000.0) as u64);
-        let last = self.servers[index].delay.filter(|last| now < last.at + DELAY_VALID_FOR && now > last.at);
-        let grown =
-            |d: MessageDelay| (span.as_secs_f64() - d.delay.as_secs_f64()) / (now - d.at).as_secs_f64();
-        // Set-ups at odd moments tell nothing of a growth.
-        let growth = last.filter(|_| self.settings.servers_report_delay).map_or(0.0, grown);
-        let before = last.filter(|d| d.delay >= self.late_threshold);
-        let still = before.map_or(span >= STALL_DELAY, |d| d.stalled && growth < STALL_MAX_GROWTH);
-        self.servers[index].delay =
-            Some(MessageDelay { delay: span, at: now, stalled: still, growth, unconfirmed: doubt });
+    /// A server, a node or a set-up told of the delay of messages at a server, in milliseconds.
+    pub(super) fn on_message_delay(&mut self, now: Micros, server: ServerId, ms: f64, unconfirmed: bool) {
+        if !(0.0..=MAX_DELAY_MS).contains(&ms) {
+            return;
+        }
+        let Some(&index) = self.index_by_id.get(&server) else { return };
+        let delay = Micros((ms * 1_000.0) as u64);
+        let last = self.servers[index].delay.filter(|last| last.is_fresh(now) && now > last.at);
+        // Set-ups come at odd moments and show no growth.
+        let growing = last.filter(|_| self.settings.servers_report_delay);
+        let growth = growing.map_or(0.0, |last| last.growth_to(delay, now));
+        let stalled = match last.filter(|last| last.delay >= self.late_threshold) {
+            Some(last) => last.stalled && growth < STALL_MAX_GROWTH,
+            None => delay >= STALL_DELAY,
+        };
+        self.servers[index].delay = Some(MessageDelay { delay, at: now, stalled, growth, unconfirmed });
     }
 
-    /// Guards against a slow server that draws new work and keeps its clients because nothing tells that its
-    /// messages are late: what a set-up takes above the usual is taken for what a message waits there. One
-    /// node's set-ups are few, so the others hear of it.
+    /// Takes what a set-up took above the usual, in milliseconds, for the delay of messages at its server.
+    /// Acts where servers report no delays: a slow server would draw new work and keep its clients.
     pub(super) fn on_setup_excess(
         &mut self,
         now: Micros,
-        index: usize,
-        above: f64,
+        index: ServerIndex,
+        excess_ms: f64,
         actions: &mut Vec<Action>,
     ) {
-        let (id, waits) = (self.servers[index].endpoint.id, above.max(0.0));
-        // Below a whole aim one may be long by its own work: the next there, due now, has to be long too.
-        let bar = self.late_threshold.as_secs_f64() * 1e3;
-        let before = self.servers[index].delay.is_some_and(|d| d.delay >= self.late_threshold);
-        let doubt = !before && (bar..bar / LATE_SHARE_OF_OBJECTIVE).contains(&waits);
-        self.on_message_delay(now, id, waits, doubt);
+        let (id, delay_ms) = (self.servers[index].endpoint.id, excess_ms.max(0.0));
+        let unconfirmed = self.needs_confirmation(index, delay_ms);
+        self.on_message_delay(now, id, delay_ms, unconfirmed);
         if self.settings.gossip_allowed && self.is_late(now, index) {
-            actions.push(Action::Broadcast([id.0.to_le_bytes(), waits.to_le_bytes()].concat()));
+            actions.push(Action::Broadcast([id.0.to_le_bytes(), delay_ms.to_le_bytes()].concat()));
         }
     }
 
-    /// Another node saw messages wait long: the server's number and the milliseconds, in 16 bytes.
+    /// Whether a first delay by a set-up is below a whole objective: one set-up may be long by its own work,
+    /// so the next one there has to be long too.
+    fn needs_confirmation(&self, index: ServerIndex, delay_ms: f64) -> bool {
+        let threshold_ms = self.late_threshold.as_secs_f64() * 1e3;
+        let was_late = self.servers[index].delay.is_some_and(|last| last.delay >= self.late_threshold);
+        !was_late && (threshold_ms..threshold_ms / LATE_SHARE_OF_OBJECTIVE).contains(&delay_ms)
+    }
+
+    /// Another node saw a server late: 16 bytes, the server's number and the delay in milliseconds.
     pub(super) fn on_gossip(&mut self, now: Micros, data: &[u8]) {
-        let ([id, span], []) = data.as_chunks() else { return };
-        self.on_message_delay(now, ServerId(u64::from_le_bytes(*id)), f64::from_le_bytes(*span), false);
+        let ([id, delay_ms], []) = data.as_chunks() else { return };
+        let server = ServerId(u64::from_le_bytes(*id));
+        self.on_message_delay(now, server, f64::from_le_bytes(*delay_ms), false);
     }
 
     /// Whether messages at this server are late now.
-    pub(super) fn is_late(&self, now: Micros, index: usize) -> bool {
-        // Where this node holds nothing no note can tell that it is over, and trying costs a client.
+    pub(super) fn is_late(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
-        let fresh =
-            if server.load.connections.is_empty() { DELAY_VALID_UNOBSERVED_FOR } else { DELAY_VALID_FOR };
-        server.delay.is_some_and(|d| !d.unconfirmed && d.delay >= self.late_threshold && now < d.at + fresh)
+        let unobserved = server.load.connections.is_empty();
+        let valid_for = if unobserved { DELAY_VALID_UNOBSERVED_FOR } else { DELAY_VALID_FOR };
+        server.delay.is_some_and(|last| {
+            !last.unconfirmed && last.delay >= self.late_threshold && now < last.at + valid_for
+        })
     }
 
-    /// Whether it is only taken for late because nothing has told otherwise.
-    pub(super) fn is_late_unobserved(&self, now: Micros, index: usize) -> bool {
-        let old = |d: MessageDelay| d.stalled && now >= d.at + DELAY_VALID_FOR;
-        self.servers[index].load.connections.is_empty()
-            && self.servers[index].delay.is_some_and(old)
-            && self.is_late(now, index)
+    /// Whether a stalled server counts as late only because this node has nothing there that could tell
+    /// otherwise.
+    pub(super) fn is_late_unobserved(&self, now: Micros, index: ServerIndex) -> bool {
+        let server = &self.servers[index];
+        let outdated = server.delay.is_some_and(|last| last.stalled && !last.is_fresh(now));
+        server.load.connections.is_empty() && outdated && self.is_late(now, index)
     }
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,7 +13,6 @@
 mod connection;
 mod effective_weight;
 mod endpoints;
-mod groups;
 mod load_estimate;
 mod log_limit;
 mod message_delay;
@@ -39,12 +38,12 @@
 use attempt_timeout::SetupStatistics;
 use connection::Connection;
 use endpoints::{ListHistory, POLL_TIMER, Subscription};
+use load_estimate::TypicalLoads;
 use log_limit::LogLimit;
 use message_delay::late_threshold;
 use probe::RemovalProbes;
 use rebalance::{PERIOD, PERIOD_TIMER};
 use retry_budget::RetryUsage;
-use running_mean::Mean;
 use server::{Server, ServerIndex};
 use slow_start::ConnectionTurnover;
 
@@ -60,10 +59,7 @@
     connections: BTreeMap<RequestId, Connection>,
     subscription: Subscription,
     lists: ListHistory,
-    /// The usual load of a connection, by class and over all, as first told; loads told of those held.
-    class_load: Vec<Mean>,
-    usual_load: Mean,
-    held_load: Vec<(f64, u32)>,
+    typical_loads: TypicalLoads,
     turnover: ConnectionTurnover,
     setups: SetupStatistics,
     retry_usage: RetryUsage,
@@ -78,7 +74,6 @@
 impl Policy {
     /// A node that has just started and holds nothing.
     pub fn new(settings: BalancerSettings, seed: u64, _now: Micros) -> Self {
-        let classes = settings.classes.len();
         Policy {
             rng: Pcg64Mcg::seed_from_u64(seed),
             servers: Vec::new(),
@@ -86,9 +81,7 @@
             connections: BTreeMap::new(),
             subscription: Subscription::default(),
             lists: ListHistory::default(),
-            class_load: vec![Mean::default(); classes],
-            usual_load: Mean::default(),
-            held_load: vec![(0.0, 0); classes],
+            typical_loads: TypicalLoads::new(&settings),
             turnover: ConnectionTurnover::default(),
             setups: SetupStatistics::default(),
             retry_usage: RetryUsage::default(),
@@ -135,8 +128,7 @@
     /// the new settings.
     fn on_settings(&mut self, now: Micros, settings: BalancerSettings) {
         self.late_threshold = late_threshold(&settings);
-        self.class_load.resize(settings.classes.len(), Mean::default());
-        self.held_load.resize(settings.classes.len(), (0.0, 0));
+        self.typical_loads.resize(&settings);
         if self.settings.retry_budget.is_none() {
             self.retry_usage.forget_before(now);
         }
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -42,15 +42,10 @@
     pub(super) fn on_period(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
         self.log_limit.lines_left = LINES_PER_PERIOD;
-        self.turnover.connection_seconds += self.connections.len() as f64 * PERIOD.as_secs_f64();
         self.setups.on_period();
         let held = self.mean_connections(now);
-        self.turnover.typical_connections.add(held);
-        // Guards against a release that leaves but a slow server warm, which holds next to nothing: what
-        // warm ones held a moment ago is still known of them.
-        let shown = self.turnover.typical_connections.0.map_or(held, |usual| usual.max(held));
+        self.refill_slow_start_tokens(now, held);
         for index in 0..self.servers.len() {
-            self.refill_slow_start_tokens(now, index, shown);
             let server = &mut self.servers[index];
             server.capacity.slowness = (server.capacity.slowness - SLOWNESS_RECOVERY).max(0.0);
             server.capacity.load_limit = server.capacity.load_limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
@@ -109,7 +104,7 @@
         };
         let ready = late((0..self.servers.len()).filter(|&index| self.is_available(now, index)).collect());
         // Guards against a queue of set-ups that grows by what moves: most of that comes back as set-ups.
-        let all_late = !draining && late(self.warm_servers(now)) >= FLEET_LATE_SHARE;
+        let all_late = !draining && late(self.warm_servers(now).collect()) >= FLEET_LATE_SHARE;
         let (share, up) =
             if all_late { (PROACTIVE_MOVE_SHARE, self.rng.random()) } else { (REACTIVE_MOVE_SHARE, 0.99) };
         // What moves begins its group anew elsewhere: the more servers are late, the less room there is.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,4 +1,8 @@
 //! Selection: the server on which a connection lands.
+//!
+//! Acts on each attempt. The candidates are the servers to which the connection may go now; the one with the
+//! lowest [`Rank`] is taken, which is in the ordinary case the one with the lowest load in this node's own
+//! record.
 
 use rand::RngExt;
 
@@ -6,110 +10,206 @@
 
 use super::Policy;
 use super::connection::Connection;
-use super::groups::{GROUP_OVERLOAD_THRESHOLD, group_reach};
 use super::probe::CROWDED_LOAD_RATIO;
 use super::rebalance::OVERLOAD_THRESHOLD;
+use super::server::ServerIndex;
 
+/// A connection joins its group at a server while all nodes together would hold no more than this multiple of
+/// the mean there.
+const GROUP_OVERLOAD_THRESHOLD: f64 = 1.25;
+/// A group begins on the square root of the number of servers and so many more.
+const GROUP_EXTRA_SERVERS: f64 = 2.0;
 /// Where only set-ups tell of delays, each server is to have one this often, by any node.
 const SETUP_INTERVAL: Micros = Micros::from_millis(2_000);
 
-/// Chance that falls alike at every node for a group: where many servers tie in the own record, nodes that
-/// know nothing of one another still begin it on the same server.
-pub(super) fn shared_chance(group: GroupId, server: ServerId) -> u64 {
+/// On how many of so many servers a group may begin; the same at all nodes.
+pub(super) fn group_reach(servers: usize) -> usize {
+    ((servers as f64).sqrt() + GROUP_EXTRA_SERVERS) as usize
+}
+
+/// A hash of a group and a server that is the same at all nodes: nodes that know nothing of one another begin
+/// a group on the same servers.
+fn shared_hash(group: GroupId, server: ServerId) -> u64 {
     let mixed = (group.0 ^ server.0.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed ^ mixed >> 32
 }
 
-/// A lot among servers of these sizes, from a draw that any of them may have: the lowest wins, as much more
-/// often as it is larger
-/// (exponential draws).
-pub(super) fn weighted_pick(draw: u64, size: f64) -> f64 {
-    -((draw as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / size
+/// A weighted random pick: of servers with independent uniform hashes the one with the lowest value wins in
+/// proportion to its weight (exponential variates).
+fn weighted_pick(hash: u64, weight: f64) -> f64 {
+    -((hash as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / weight
+}
+
+/// How well a server suits a connection, the lowest first. Fields decide in their order.
+#[derive(PartialEq, PartialOrd)]
+struct Rank {
+    /// An attempt of this request was sent there before.
+    already_attempted: bool,
+    ejected: bool,
+    /// It has reported that little of its capacity is free.
+    crowded: bool,
+    /// The connection's group is not there, or has no room to grow there.
+    outside_group: bool,
+    /// Its delay need not be seen by a set-up now.
+    setup_not_due: bool,
+    /// Load for each unit of effective weight, once the connection has landed.
+    landing_load: f64,
+    /// Among equals a server that warms up goes first: tokens bound what it holds, while a warm one that
+    /// holds nothing of this node's is full of what other nodes sent there.
+    warm: bool,
+    /// No load report of late.
+    unreported: bool,
+    weighted_pick: f64,
+}
+
+/// What the ranks of one selection share.
+struct Selection<'a> {
+    policy: &'a Policy,
+    now: Micros,
+    connection: &'a Connection,
+    /// The connection's group, or a random one in its place: hashes with it break ties.
+    hash_key: GroupId,
+    /// The lowest hash of a server on which the group may begin.
+    lowest_hash_in_reach: u64,
+    mean_load: f64,
+    mean_connections: f64,
+    typical_load: f64,
+    group_load_share: f64,
 }
 
 impl Policy {
-    /// A server is due for a set-up by this node this long after its last.
+    /// The server on which a connection lands; none where the request has to be given up.
+    pub(super) fn choose(&mut self, now: Micros, connection: &Connection) -> Option<ServerIndex> {
+        let random_key = GroupId(self.rng.random());
+        let selection = Selection::new(self, now, connection, random_key);
+        let candidates = (0..self.servers.len()).filter(|&index| selection.is_candidate(index));
+        let ranked = candidates.map(|index| (selection.rank(index), index));
+        let lowest = ranked.reduce(|best, next| if next.0 < best.0 { next } else { best });
+        lowest.map(|(_, index)| index)
+    }
+
+    /// Whether the rules, and what earlier attempts may have done, let a request go to a server now.
+    fn is_eligible(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
+        let server = &self.servers[index];
+        let awaits_first_setup = server.outlier.connect_failed && !server.load.connections.is_empty();
+        let awaits_token = !self.is_warm(now, index) && server.slow_start.is_empty();
+        self.is_available(now, index)
+            && !server.outlier.is_barred(now)
+            && !awaits_first_setup
+            && !awaits_token
+            && self.may_repeat_at(now, index, connection)
+    }
+
+    /// How long after its last attempt to a server this node is due for the next one.
     pub(super) fn setup_interval(&self) -> Micros {
         SETUP_INTERVAL.scale(f64::from(self.settings.node_count))
     }
 
-    /// Where a connection lands: lowest in the own record, chance among equals, with its group where that has
-    /// room. What was tried, is paused or is crowded comes after all others.
-    pub(super) fn choose(&mut self, now: Micros, connection: &Connection) -> Option<usize> {
-        let (mean, held, usual, share) =
-            (self.mean_load(now), self.mean_connections(now), self.typical_load(), self.group_load_share());
-        let nodes = f64::from(self.settings.node_count.max(1));
-        let ticket = connection.request.group.unwrap_or(GroupId(self.rng.random()));
-        // The other nodes are taken to hold their mean there.
-        let group_room = mean * (1.0 + (GROUP_OVERLOAD_THRESHOLD - 1.0) * nodes);
-        // Nothing lands where messages are late: it would earn nothing there and keep the others late. Where
-        // all are late the fleet is full and the request is refused.
-        let open = |&index: &usize| {
-            self.is_eligible(now, index, connection)
-                && !self.is_late(now, index)
-                && self.has_capacity(index, connection)
-        };
-        let draw = |index: usize| shared_chance(ticket, self.servers[index].endpoint.id);
-        // A copy of a group on one more server costs more than one connection is worth: where those on which
-        // it begins are full or late, the request is refused.
-        let reached = |&index: &usize| {
-            let server = &self.servers[index];
-            self.is_available(now, index) && !server.outlier.is_barred(now)
-        };
-        let mut draws: Vec<u64> = (0..self.servers.len()).filter(reached).map(draw).collect();
-        draws.sort_unstable_by(|a, b| b.cmp(a));
-        let last = draws.get(group_reach(draws.len()) - 1).copied().unwrap_or(0);
-        let near = |&index: &usize| {
-            let holds = |group: GroupId| self.servers[index].load.groups.contains_key(&group);
-            connection.request.group.is_none_or(|group| draw(index) >= last || holds(group))
-        };
-        let rank = |index: usize| {
-            let server = &self.servers[index];
-            let holds = connection.request.group.is_some_and(|group| server.load.groups.contains_key(&group));
-            let joins = holds && self.recorded_load(index) <= group_room * self.effective_weight(index);
-            let paused = now < server.outlier.ejected_until;
-            // A group that it doesn't hold yet is work that it would take on.
-            let group = if connection.request.group.is_some() && !holds { share } else { 0.0 };
-            let crowded = self.fresh_load_ratio(now, index).is_some_and(|ratio| ratio > CROWDED_LOAD_RATIO);
-            let unseen = connection.request.group.is_none() && self.fresh_load_ratio(now, index).is_none();
-            // A server that warms up counts at the others' mean at first and at its own load at last: in
-            // whole connections, as records are, and by chance. A mean that is a part of one would put it
-            // behind every server that is empty in this record, and at many nodes that is nearly all.
-            let adds = held * (1.0 - self.warm_up_fraction_here(now, index));
-            let chance = f64::from(draw(index) as u32) / f64::from(u32::MAX);
-            let landing = (self.recorded_load(index) + group) / self.effective_weight(index)
-                + usual * (adds + chance).floor();
-            // Guards against a slow server that no set-up shows because nothing new lands there.
-            let doubted = server.delay.is_some_and(|d| d.unconfirmed);
-            let due = (doubted || now > server.last_attempt_at + self.setup_interval())
-                && !self.settings.servers_report_delay;
-            let warm = self.warm_up_fraction(now, index) >= 1.0;
-            // Where records tie, a cold server with a permit goes first: it holds what permits let in, while
-            // warm ones that are empty here are full of what other nodes moved.
-            let due = due
-                && warm
-                && self.recorded_load(index) <= OVERLOAD_THRESHOLD * mean * self.effective_weight(index);
-            let (tried, lot) = (
-                connection.attempted_servers.contains(&index),
-                weighted_pick(draw(index), self.weight(index)),
-            );
-            ((tried, paused, crowded, !joins, !due, landing, warm, unseen, lot), index)
-        };
-        let open = (0..self.servers.len()).filter(open).filter(near);
-        open.map(rank).reduce(|a, b| if b < a { b } else { a }).map(|(_, index)| index)
+    /// Whether a warm server should be seen by a set-up now, so that a slow one is noticed. Acts where
+    /// servers report no delays, and only up to the overload threshold.
+    fn is_setup_due(&self, now: Micros, index: ServerIndex, mean_load: f64) -> bool {
+        let server = &self.servers[index];
+        let unconfirmed = server.delay.is_some_and(|delay| delay.unconfirmed);
+        let due = unconfirmed || now > server.last_attempt_at + self.setup_interval();
+        let fair_load = OVERLOAD_THRESHOLD * mean_load * self.effective_weight(index);
+        !self.settings.servers_report_delay
+            && due
+            && self.is_warm(now, index)
+            && self.recorded_load(index) <= fair_load
     }
+}
 
-    /// Whether the rules let this request go to this server now.
-    fn is_eligible(&self, now: Micros, index: usize, connection: &Connection) -> bool {
-        let server = &self.servers[index];
-        if !self.is_available(now, index)
-            || server.outlier.is_barred(now)
-            || (server.outlier.connect_failed && !server.load.connections.is_empty())
-            || (self.warm_up_fraction(now, index) < 1.0 && server.slow_start.tokens == 0)
-        {
-            return false;
+impl<'a> Selection<'a> {
+    fn new(policy: &'a Policy, now: Micros, connection: &'a Connection, random_key: GroupId) -> Self {
+        let hash_key = connection.request.group.unwrap_or(random_key);
+        Selection {
+            policy,
+            now,
+            connection,
+            hash_key,
+            lowest_hash_in_reach: lowest_hash_in_reach(policy, now, hash_key),
+            mean_load: policy.mean_load(now),
+            mean_connections: policy.mean_connections(now),
+            typical_load: policy.typical_load(),
+            group_load_share: policy.group_load_share(),
         }
-        self.may_repeat_at(now, index, connection)
     }
+
+    /// Nothing lands where messages are late: it would be late too, and keep the others late.
+    fn is_candidate(&self, index: ServerIndex) -> bool {
+        self.policy.is_eligible(self.now, index, self.connection)
+            && !self.policy.is_late(self.now, index)
+            && self.policy.has_capacity(index, self.connection)
+            && self.is_in_group_reach(index)
+    }
+
+    /// A group keeps to its reach and to where it is: a copy of it on one more server costs more than one
+    /// connection is worth.
+    fn is_in_group_reach(&self, index: ServerIndex) -> bool {
+        self.connection.request.group.is_none()
+            || self.hash(index) >= self.lowest_hash_in_reach
+            || self.holds_group(index)
+    }
+
+    fn rank(&self, index: ServerIndex) -> Rank {
+        let (policy, now) = (self.policy, self.now);
+        let load_ratio = policy.fresh_load_ratio(now, index);
+        Rank {
+            already_attempted: self.connection.attempted_servers.contains(&index),
+            ejected: policy.servers[index].outlier.is_ejected(now),
+            crowded: load_ratio.is_some_and(|ratio| ratio > CROWDED_LOAD_RATIO),
+            outside_group: !self.may_join_group(index),
+            setup_not_due: !policy.is_setup_due(now, index, self.mean_load),
+            landing_load: self.landing_load(index),
+            warm: policy.is_warm(now, index),
+            unreported: self.connection.request.group.is_none() && load_ratio.is_none(),
+            weighted_pick: weighted_pick(self.hash(index), policy.weight(index)),
+        }
+    }
+
+    fn hash(&self, index: ServerIndex) -> u64 {
+        shared_hash(self.hash_key, self.policy.servers[index].endpoint.id)
+    }
+
+    fn holds_group(&self, index: ServerIndex) -> bool {
+        self.policy.servers[index].load.holds_group(self.connection.request.group)
+    }
+
+    /// Whether the group is at a server and all nodes together, the others taken at their mean, would not
+    /// overload it.
+    fn may_join_group(&self, index: ServerIndex) -> bool {
+        let nodes = f64::from(self.policy.settings.node_count.max(1));
+        let group_limit = self.mean_load * (1.0 + (GROUP_OVERLOAD_THRESHOLD - 1.0) * nodes);
+        let limit = group_limit * self.policy.effective_weight(index);
+        self.holds_group(index) && self.policy.recorded_load(index) <= limit
+    }
+
+    /// The load of a server for each unit of effective weight, with the group's work if the group begins
+    /// there.
+    ///
+    /// A server that warms up counts at the others' mean at first and at its own load at last. What is added
+    /// is rounded to whole connections by chance, as records are whole connections: a part of one would put
+    /// the server behind each that holds nothing, and at many nodes nearly all hold nothing.
+    fn landing_load(&self, index: ServerIndex) -> f64 {
+        let begins_group = self.connection.request.group.is_some() && !self.holds_group(index);
+        let group_load = if begins_group { self.group_load_share } else { 0.0 };
+        let load = self.policy.recorded_load(index) + group_load;
+        let missing_warm_up = 1.0 - self.policy.warm_up_fraction_here(self.now, index);
+        let missing_connections = self.mean_connections * missing_warm_up;
+        let chance = f64::from(self.hash(index) as u32) / f64::from(u32::MAX);
+        load / self.policy.effective_weight(index)
+            + self.typical_load * (missing_connections + chance).floor()
+    }
+}
+
+/// The lowest hash among the servers on which a group may begin: the highest hashes of those that can be
+/// reached.
+fn lowest_hash_in_reach(policy: &Policy, now: Micros, group: GroupId) -> u64 {
+    let reachable =
+        policy.available_servers(now).filter(|&index| !policy.servers[index].outlier.is_barred(now));
+    let mut hashes: Vec<u64> =
+        reachable.map(|index| shared_hash(group, policy.servers[index].endpoint.id)).collect();
+    hashes.sort_unstable_by(|a, b| b.cmp(a));
+    hashes.get(group_reach(hashes.len()) - 1).copied().unwrap_or(0)
 }
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -47,3 +47,9 @@
     pub(super) groups: BTreeMap<GroupId, u32>,
     pub(super) connections: BTreeSet<RequestId>,
 }
+
+impl ServerLoad {
+    pub(super) fn holds_group(&self, group: Option<GroupId>) -> bool {
+        group.is_some_and(|group| self.groups.contains_key(&group))
+    }
+}
