--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,18 +1,14 @@
-//! Capacity: the load that a late server was seen to manage.
+//! Observed capacity: what a server that was late was seen to manage, let out again by and by.
 
 use super::Policy;
-
-/// What counts of what a server was seen to manage: a late one is brought to that, a cold one is sent by it.
-pub(super) const CAPACITY_MARGIN: f64 = 0.7;
+use super::server::ServerIndex;
 
 /// The lowest believed speed: a server is never written off for good.
 const MIN_SPEED: f64 = 0.1;
-
-/// What a period without late messages gives back.
-pub(super) const SLOWNESS_RECOVERY: f64 = 0.04;
-
-/// What a period gives back of the load at which a server was full.
-pub(super) const LOAD_LIMIT_GROWTH: f64 = 1.05;
+/// What slowness falls by in a period.
+const SLOWNESS_RECOVERY: f64 = 0.04;
+/// What a load limit grows by in a period.
+const LOAD_LIMIT_GROWTH: f64 = 1.05;
 
 /// What a server was seen to manage; it bounds nothing until the server was late.
 #[derive(Default)]
@@ -23,17 +19,27 @@
     pub(super) load_limit: Option<f64>,
 }
 
+impl ObservedCapacity {
+    /// Gives back what one period gives back.
+    pub(super) fn recover(&mut self) {
+        self.slowness = (self.slowness - SLOWNESS_RECOVERY).max(0.0);
+        self.load_limit = self.load_limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
+    }
+}
+
 impl Policy {
-    /// It manages that much of this node's load, and has to be believed so for a while.
-    pub(super) fn bound_to_capacity(&mut self, index: usize, manages: f64, mean: f64) {
-        // An empty one may take one connection, or it would never be let out again.
-        let (usual, size) = (self.typical_load(), self.zone_weight(index));
-        let server = &mut self.servers[index];
-        server.capacity.load_limit =
-            Some(server.capacity.load_limit.map_or(manages, |limit| limit.min(manages)).max(usual));
-        if mean > 0.0 {
-            let slowness = (1.0 - manages / (mean * size)).min(1.0 - MIN_SPEED);
-            server.capacity.slowness = server.capacity.slowness.max(slowness);
+    /// Bounds a server by the load of this node that it manages, and believes it to be as much slower than
+    /// the others as that is below the mean: it would else be filled again at once.
+    pub(super) fn bound_to_capacity(&mut self, index: ServerIndex, manageable_load: f64, mean_load: f64) {
+        // One connection fits always, or the server would never be seen to be fast again.
+        let lowest_limit = self.typical_load();
+        let fair_load = mean_load * self.zone_weight(index);
+        let capacity = &mut self.servers[index].capacity;
+        let limit = capacity.load_limit.map_or(manageable_load, |limit| limit.min(manageable_load));
+        capacity.load_limit = Some(limit.max(lowest_limit));
+        if mean_load > 0.0 {
+            let slowness = (1.0 - manageable_load / fair_load).min(1.0 - MIN_SPEED);
+            capacity.slowness = capacity.slowness.max(slowness);
         }
     }
 }
--- a/src/policy/log_limit.rs
+++ b/src/policy/log_limit.rs
@@ -1,15 +1,15 @@
-//! Bound on the log lines that decisions write.
+//! Bound on the log lines that the decisions write: a storm must not hide its own cause.
 
 use crate::types::{Action, ServerId};
 
 use super::Policy;
 
-/// Log lines in a period, at most: a storm must not drown its own causes.
-pub(super) const LINES_PER_PERIOD: u32 = 4;
+/// Log lines in a period, at most.
+const LINES_PER_PERIOD: u32 = 4;
 
 /// Log lines that the current period may still write.
 pub(super) struct LogLimit {
-    pub(super) lines_left: u32,
+    lines_left: u32,
 }
 
 impl Default for LogLimit {
@@ -19,10 +19,11 @@
 }
 
 impl Policy {
-    pub(super) fn log(&mut self, of: Option<ServerId>, line: String, actions: &mut Vec<Action>) {
+    /// Logs a line about a server, or about none, while the period's bound allows it.
+    pub(super) fn log(&mut self, server: Option<ServerId>, line: String, actions: &mut Vec<Action>) {
         if self.log_limit.lines_left > 0 {
             self.log_limit.lines_left -= 1;
-            actions.push(Action::Log(of, line));
+            actions.push(Action::Log(server, line));
         }
     }
 }
--- a/src/policy/running_mean.rs
+++ b/src/policy/running_mean.rs
@@ -1,9 +1,9 @@
 //! Exponentially weighted mean.
 
-/// The weight of the newest value in running means.
+/// Weight of the newest value.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// A running mean that starts at its first value.
+/// A running mean that starts at its first value; none before that.
 #[derive(Clone, Copy, Default)]
 pub(super) struct Mean(pub(super) Option<f64>);
 
--- a/src/policy/shadow.rs
+++ b/src/policy/shadow.rs
@@ -1,4 +1,4 @@
-//! What an instance that only watches needs to follow the one that decides.
+//! What a shadow instance needs to follow the one that decides. Nothing here decides anything.
 
 use crate::types::{Micros, Request, RequestId, ServerId};
 
@@ -6,7 +6,7 @@
 use super::connection::ConnectionState;
 
 impl Policy {
-    /// Chance falls as for the other instance from now on.
+    /// Draws the same random numbers as the other instance from now on.
     pub fn share_chance(&mut self, other: &Policy) {
         self.rng = other.rng.clone();
     }
@@ -16,7 +16,7 @@
         self.connections.get(&id).map(|connection| connection.request)
     }
 
-    /// Whatever this instance chose: the request was sent to that server, or to none and is over.
+    /// Whatever this instance chose: the request was forwarded to that server, or to none and is over.
     pub fn follow(&mut self, now: Micros, request: Request, server: Option<ServerId>) {
         let known = self.connections.remove(&request.id);
         known.iter().for_each(|connection| self.remove_from_load(connection));
@@ -28,7 +28,7 @@
         self.start_attempt(now, index, connection);
     }
 
-    /// Whatever this instance chose: the client was not told to move.
+    /// Whatever this instance chose: the client was not told to migrate.
     pub fn stays(&mut self, id: RequestId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.state = connection.state.server().map_or(connection.state, ConnectionState::Open);
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -1,30 +1,32 @@
-//! What people may look at; decides nothing.
+//! What the program round the decisions may show of the servers. Nothing here decides anything.
 
 use std::collections::BTreeSet;
 
 use crate::types::{EndpointState, Micros, ServerId};
 
 use super::Policy;
+use super::server::ServerIndex;
 
 impl Policy {
-    /// Listed servers that draw nothing new now: for people, it decides nothing.
+    /// How many listed servers draw nothing new now: they drain, are ejected or are late.
     pub fn avoided(&self, now: Micros) -> usize {
-        let listed = |&index: &usize| self.servers[index].endpoint.state != EndpointState::Gone;
-        let away = |&index: &usize| {
-            let server = &self.servers[index];
-            let drains = server.endpoint.state == EndpointState::Draining;
-            drains
-                || (server.endpoint.ready()
-                    && (now < server.outlier.ejected_until || self.is_late(now, index)))
-        };
-        (0..self.servers.len()).filter(listed).filter(away).count()
+        (0..self.servers.len()).filter(|&index| self.is_avoided(now, index)).count()
     }
 
-    /// Servers that this node could not reach, or that dropped all it held there or turned work away, until a
-    /// set-up succeeds.
+    fn is_avoided(&self, now: Micros, index: ServerIndex) -> bool {
+        let server = &self.servers[index];
+        match server.endpoint.state {
+            EndpointState::Draining => true,
+            EndpointState::Ready => server.outlier.is_ejected(now) || self.is_late(now, index),
+            EndpointState::Cordoned | EndpointState::Gone => false,
+        }
+    }
+
+    /// Servers that this node could not reach, or that dropped all that it held there or rejected work, until
+    /// a set-up succeeds.
     pub fn unreached(&self) -> BTreeSet<ServerId> {
-        let shut =
+        let outliers =
             self.servers.iter().filter(|server| server.outlier.unreachable || server.outlier.connect_failed);
-        shut.map(|server| server.endpoint.id).collect()
+        outliers.map(|server| server.endpoint.id).collect()
     }
 }
