--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -6,7 +6,7 @@
 
 use super::Policy;
 use super::connection::Connection;
-use super::rebalance::PERIOD;
+use super::period::PERIOD;
 use super::server::ServerIndex;
 
 /// Share of a bounded server's capacity that is reserved for the classes with the highest priority for their
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -4,7 +4,7 @@
 
 use super::Policy;
 use super::connection::Connection;
-use super::rebalance::PERIOD;
+use super::period::PERIOD;
 use super::running_mean::Mean;
 
 /// An attempt may take this many typical set-ups, and the latency objective at least.
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -5,11 +5,10 @@
 
 use std::collections::BTreeMap;
 
-use crate::types::{BalancerSettings, Micros, Request, RequestId};
+use crate::types::{Micros, RequestId};
 
 use super::Policy;
 use super::connection::Connection;
-use super::running_mean::Mean;
 use super::server::ServerIndex;
 
 /// Loads above this are not believed: about a thousand cores' work.
@@ -21,49 +20,6 @@
     (0.0..=MAX_LOAD).contains(load)
 }
 
-/// The typical load of a connection, by class and over all classes.
-pub(super) struct TypicalLoads {
-    by_class: Vec<ClassLoad>,
-    /// Running mean of the first loads of connections of any class.
-    first_report: Mean,
-}
-
-/// Loads of one class.
-#[derive(Clone, Copy, Default)]
-struct ClassLoad {
-    /// Running mean of the first loads of its connections.
-    first_report: Mean,
-    /// Sum of the loads of connections that have reported one and are still held.
-    reported_sum: f64,
-    /// Number of those connections.
-    reported_count: u32,
-}
-
-impl TypicalLoads {
-    pub(super) fn new(settings: &BalancerSettings) -> Self {
-        let by_class = vec![ClassLoad::default(); settings.classes.len()];
-        TypicalLoads { by_class, first_report: Mean::default() }
-    }
-
-    /// Other settings may have more classes.
-    pub(super) fn resize(&mut self, settings: &BalancerSettings) {
-        self.by_class.resize(settings.classes.len(), ClassLoad::default());
-    }
-
-    fn class_mut(&mut self, class: u16) -> Option<&mut ClassLoad> {
-        self.by_class.get_mut(usize::from(class))
-    }
-
-    /// The running mean of a class's first loads, none before one is known.
-    pub(super) fn first_report_of(&self, class: usize) -> Option<f64> {
-        self.by_class.get(class).and_then(|load| load.first_report.0)
-    }
-
-    pub(super) fn class_count(&self) -> usize {
-        self.by_class.len()
-    }
-}
-
 /// Takes one off a count and drops the count at zero.
 fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K) {
     let Some(count) = counts.get_mut(&key) else { return };
@@ -90,23 +46,6 @@
         self.typical_load() * self.settings.group_load * share
     }
 
-    /// The typical load of a connection of any class.
-    pub(super) fn typical_load(&self) -> f64 {
-        let sum_and_count =
-            |(sum, count), class: &ClassLoad| (sum + class.reported_sum, count + class.reported_count);
-        let (sum, count) = self.typical_loads.by_class.iter().fold((0.0, 0), sum_and_count);
-        if count > 0 { sum / f64::from(count) } else { self.typical_loads.first_report.0.unwrap_or(1.0) }
-    }
-
-    /// The typical load of a connection of one class.
-    fn typical_class_load(&self, class: u16) -> f64 {
-        match self.typical_loads.by_class.get(usize::from(class)) {
-            Some(load) if load.reported_count > 0 => load.reported_sum / f64::from(load.reported_count),
-            Some(ClassLoad { first_report: Mean(Some(load)), .. }) => *load,
-            _ => self.typical_load(),
-        }
-    }
-
     pub(super) fn connection_load(&self, connection: &Connection) -> f64 {
         connection.reported_load.unwrap_or_else(|| self.typical_class_load(connection.request.class))
     }
@@ -144,8 +83,7 @@
             Some(reported) => {
                 load.reported += reported;
                 if let Some(class) = self.typical_loads.class_mut(connection.request.class) {
-                    class.reported_sum += reported;
-                    class.reported_count += 1;
+                    class.add_reported(reported);
                 }
             }
             None => *load.unreported.entry(connection.request.class).or_default() += 1,
@@ -165,8 +103,7 @@
             Some(reported) => {
                 load.reported = (load.reported - reported).max(0.0);
                 if let Some(class) = self.typical_loads.class_mut(connection.request.class) {
-                    class.reported_sum = (class.reported_sum - reported).max(0.0);
-                    class.reported_count -= 1;
+                    class.remove_reported(reported);
                 }
             }
             None => decrement(&mut load.unreported, connection.request.class),
@@ -180,15 +117,6 @@
         }
     }
 
-    /// Takes a connection's first load, reported or expected, into the typical ones.
-    pub(super) fn learn_typical_load(&mut self, request: &Request, load: Option<f64>) {
-        let Some(load) = load.filter(is_load) else { return };
-        self.typical_loads.first_report.add(load);
-        if let Some(class) = self.typical_loads.class_mut(request.class) {
-            class.first_report.add(load);
-        }
-    }
-
     /// A connection's load was reported, in microseconds of work a second.
     pub(super) fn on_load_report(&mut self, id: RequestId, load: f64) {
         if !is_load(&load) {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -16,7 +16,9 @@
 mod load_estimate;
 mod log_limit;
 mod message_delay;
+mod migration;
 mod outlier;
+mod period;
 mod probe;
 mod rebalance;
 mod retry;
@@ -27,6 +29,7 @@
 mod shadow;
 mod slow_start;
 mod status;
+mod typical_load;
 
 use std::collections::BTreeMap;
 
@@ -38,14 +41,14 @@
 use attempt_timeout::SetupStatistics;
 use connection::Connection;
 use endpoints::{ListHistory, POLL_TIMER, Subscription};
-use load_estimate::TypicalLoads;
 use log_limit::LogLimit;
 use message_delay::late_threshold;
+use period::{PERIOD, PERIOD_TIMER};
 use probe::RemovalProbes;
-use rebalance::{PERIOD, PERIOD_TIMER};
 use retry_budget::RetryUsage;
 use server::{Server, ServerIndex};
 use slow_start::ConnectionTurnover;
+use typical_load::TypicalLoads;
 
 /// The decisions of one node.
 pub struct Policy {
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -8,7 +8,7 @@
 
 use super::Policy;
 use super::load_estimate::MAX_LOAD;
-use super::rebalance::PERIOD;
+use super::period::PERIOD;
 use super::running_mean::Mean;
 use super::selection::group_reach;
 use super::server::ServerIndex;
--- /dev/null
+++ b/src/policy/typical_load.rs
@@ -0,0 +1,92 @@
+//! Typical load: what a connection of a class asks for, in microseconds of work a second.
+
+use crate::types::{BalancerSettings, Request};
+
+use super::Policy;
+use super::load_estimate::is_load;
+use super::running_mean::Mean;
+
+/// The typical load of a connection, by class and over all classes.
+pub(super) struct TypicalLoads {
+    by_class: Vec<ClassLoad>,
+    /// Running mean of the first loads of connections of any class.
+    first_report: Mean,
+}
+
+/// Loads of one class.
+#[derive(Clone, Copy, Default)]
+pub(super) struct ClassLoad {
+    /// Running mean of the first loads of its connections.
+    first_report: Mean,
+    /// Sum of the loads of connections that have reported one and are still held.
+    reported_sum: f64,
+    /// Number of those connections.
+    reported_count: u32,
+}
+
+impl ClassLoad {
+    /// A connection with this reported load is held from now on.
+    pub(super) fn add_reported(&mut self, load: f64) {
+        self.reported_sum += load;
+        self.reported_count += 1;
+    }
+
+    /// It is held no longer.
+    pub(super) fn remove_reported(&mut self, load: f64) {
+        self.reported_sum = (self.reported_sum - load).max(0.0);
+        self.reported_count -= 1;
+    }
+}
+
+impl TypicalLoads {
+    pub(super) fn new(settings: &BalancerSettings) -> Self {
+        let by_class = vec![ClassLoad::default(); settings.classes.len()];
+        TypicalLoads { by_class, first_report: Mean::default() }
+    }
+
+    /// Other settings may have more classes.
+    pub(super) fn resize(&mut self, settings: &BalancerSettings) {
+        self.by_class.resize(settings.classes.len(), ClassLoad::default());
+    }
+
+    pub(super) fn class_mut(&mut self, class: u16) -> Option<&mut ClassLoad> {
+        self.by_class.get_mut(usize::from(class))
+    }
+
+    /// The running mean of a class's first loads, none before one is known.
+    pub(super) fn first_report_of(&self, class: usize) -> Option<f64> {
+        self.by_class.get(class).and_then(|load| load.first_report.0)
+    }
+
+    pub(super) fn class_count(&self) -> usize {
+        self.by_class.len()
+    }
+}
+
+impl Policy {
+    /// The typical load of a connection of any class.
+    pub(super) fn typical_load(&self) -> f64 {
+        let sum_and_count =
+            |(sum, count), class: &ClassLoad| (sum + class.reported_sum, count + class.reported_count);
+        let (sum, count) = self.typical_loads.by_class.iter().fold((0.0, 0), sum_and_count);
+        if count > 0 { sum / f64::from(count) } else { self.typical_loads.first_report.0.unwrap_or(1.0) }
+    }
+
+    /// The typical load of a connection of one class.
+    pub(super) fn typical_class_load(&self, class: u16) -> f64 {
+        match self.typical_loads.by_class.get(usize::from(class)) {
+            Some(load) if load.reported_count > 0 => load.reported_sum / f64::from(load.reported_count),
+            Some(ClassLoad { first_report: Mean(Some(load)), .. }) => *load,
+            _ => self.typical_load(),
+        }
+    }
+
+    /// Takes a connection's first load, reported or expected, into the typical ones.
+    pub(super) fn learn_typical_load(&mut self, request: &Request, load: Option<f64>) {
+        let Some(load) = load.filter(is_load) else { return };
+        self.typical_loads.first_report.add(load);
+        if let Some(class) = self.typical_loads.class_mut(request.class) {
+            class.first_report.add(load);
+        }
+    }
+}
