--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -1,8 +1,8 @@
 //! Rebalancing: once a period each server that holds too much sheds its excess.
 //!
-//! A server holds too much when it has been above the overload threshold for some periods, when its messages are
-//! late, or when it drains and the settings ask for its clients to be migrated. The connections that it sheds are
-//! chosen in [`migration`](super::migration).
+//! A server holds too much when it has been above the overload threshold for some periods, when its messages
+//! are late, or when it drains and the settings ask for its clients to be migrated. The connections that it
+//! sheds are chosen in [`migration`](super::migration).
 
 use crate::types::{Action, EndpointState, Micros};
 
