--- a/tests/cold.rs
+++ b/tests/slow_start_fleet.rs
@@ -210,7 +210,7 @@
 }
 
 #[test]
-#[ignore = "a longer search: COLD_SEEDS=100..140 cargo test --test cold -- --ignored --nocapture"]
+#[ignore = "a longer search: COLD_SEEDS=100..140 cargo test --test slow_start_fleet -- --ignored --nocapture"]
 fn the_budget_is_kept_on_more_seeds() {
     let seeds = std::env::var("COLD_SEEDS").unwrap_or("100..110".into());
     let (from, to) = seeds.split_once("..").expect("from..to");
