--- a/tests/policy/effective_weight.rs
+++ b/tests/policy/effective_weight.rs
@@ -1,17 +1,17 @@
 //! Effective weight: zone affinity.
 
-use crate::support::{Node, counts, entry, periods, settings};
+use crate::support::{Node, connections_by_server, entry, pass_periods, settings};
 use alderstile::types::{BalancerSettings, Endpoint, EndpointListKind, Prices};
 
 #[test]
-fn the_own_zone_draws_more_where_crossings_are_charged_for() {
+fn the_own_zone_has_affinity_where_crossings_are_charged_for() {
     let spread = |cross_zone: f64| {
         let prices = Prices { cross_zone, ..Prices::default() };
         // Servers 2 and 4 are in zone 0, as the node is.
         let mut node = Node::new(BalancerSettings { prices, ..settings() }, 4);
         node.fill(1, 80);
-        let counts = counts(&node, 1..81);
-        assert_eq!(periods(&mut node, 6), Vec::<u64>::new(), "what landed so is no excess");
+        let counts = connections_by_server(&node, 1..81);
+        assert_eq!(pass_periods(&mut node, 6), Vec::<u64>::new(), "what landed so is no excess");
         (counts[&2] + counts[&4], counts[&1] + counts[&3])
     };
     assert_eq!(spread(0.0), (40, 40));
@@ -19,11 +19,11 @@
 }
 
 #[test]
-fn the_own_zone_draws_no_more_while_a_server_warms_up_or_where_groups_share_work() {
+fn there_is_no_zone_affinity_while_a_server_warms_up_or_where_groups_share_work() {
     // Found on the day on which 54 of 90 hosts are replaced: what moved met on the few warm hosts of its node's zone.
     let prices = Prices { cross_zone: 0.03, ..Prices::default() };
     let near_and_far = |node: &Node| {
-        let counts = counts(node, 1..81);
+        let counts = connections_by_server(node, 1..81);
         let of = |ids: [u64; 2]| ids.iter().map(|id| counts.get(id).copied().unwrap_or(0)).sum::<usize>();
         (of([2, 4]), of([1, 3]))
     };
--- a/tests/policy/groups.rs
+++ b/tests/policy/groups.rs
@@ -1,6 +1,6 @@
 //! Groups: where a group begins, what joins it and what leaves it.
 
-use crate::support::{Node, entry, late, ms, periods, request, settings, told};
+use crate::support::{Node, entry, ms, pass_periods, report_delay, report_load, request, settings};
 use alderstile::types::{BalancerSettings, EndpointListKind, Event, GroupId, Request};
 
 #[test]
@@ -11,17 +11,17 @@
     let mut node = Node::new(with_groups, 4);
     for id in 1..=40 {
         node.open(id, 1 + id % 4);
-        told(&mut node, id, 100.0);
+        report_load(&mut node, id, 100.0);
     }
     let grouped = |id| Request { group: Some(GroupId(1)), ..request(id) };
-    node.ask(grouped(41));
-    let first = node.where_is(41);
-    told(&mut node, 41, 100.0);
-    node.ask(grouped(42));
-    assert_eq!(node.where_is(42), first, "though that server now holds more than the others");
-    told(&mut node, 42, 2_000.0);
-    node.ask(grouped(43));
-    assert_ne!(node.where_is(43), first, "but not where it would be far above the mean");
+    node.send_request(grouped(41));
+    let first = node.server_of(41);
+    report_load(&mut node, 41, 100.0);
+    node.send_request(grouped(42));
+    assert_eq!(node.server_of(42), first, "though that server now holds more than the others");
+    report_load(&mut node, 42, 2_000.0);
+    node.send_request(grouped(43));
+    assert_ne!(node.server_of(43), first, "but not where it would be far above the mean");
 }
 
 #[test]
@@ -31,11 +31,11 @@
     let mut node = Node::new(with_groups, 2);
     for id in 1..=40 {
         let group = Some(GroupId(if id <= 30 { 1 } else { 2 }));
-        node.ask(Request { group, ..request(id) });
+        node.send_request(Request { group, ..request(id) });
         node.establish(id);
-        told(&mut node, id, 100.0);
+        report_load(&mut node, id, 100.0);
     }
-    assert!(periods(&mut node, 6).is_empty(), "none weighs more than the group's work");
+    assert!(pass_periods(&mut node, 6).is_empty(), "none weighs more than the group's work");
 }
 
 #[test]
@@ -45,13 +45,13 @@
         let mut node = Node::new(BalancerSettings { node_count, groups: true, ..settings() }, 2);
         for id in 1..=8 {
             let request = Request { group: Some(GroupId(id)), ..request(id) };
-            node.ask(request);
+            node.send_request(request);
             node.establish(id);
-            told(&mut node, id, if id % 2 == 0 { 130.0 } else { 60.0 });
+            report_load(&mut node, id, if id % 2 == 0 { 130.0 } else { 60.0 });
         }
-        let at = node.where_is(1).expect("it landed");
-        late(&mut node, at, 900.0);
-        periods(&mut node, 1).into_iter().filter(|id| id % 2 == 1).count()
+        let at = node.server_of(1).expect("it landed");
+        report_delay(&mut node, at, 900.0);
+        pass_periods(&mut node, 1).into_iter().filter(|id| id % 2 == 1).count()
     };
     assert!(moved(1) > 0, "alone, a node frees the group's work with it");
     assert_eq!(moved(28), 0);
@@ -88,16 +88,16 @@
     for seed in 1..=5 {
         let mut node = Node::with_seed(many.clone(), 49, seed);
         for id in 1..=9 {
-            node.ask(grouped(id));
+            node.send_request(grouped(id));
             node.establish(id);
-            let server = node.where_is(id).expect("it lands while one of its servers is not late");
+            let server = node.server_of(id).expect("it lands while one of its servers is not late");
             used.insert(server);
-            late(&mut node, server, 90.0);
+            report_delay(&mut node, server, 90.0);
         }
-        node.ask(grouped(10));
-        assert!(node.refused(10).flatten().is_some(), "it is answered at once and told when to come back");
-        node.ask(Request { group: Some(GroupId(2)), ..request(11) });
-        assert!(node.where_is(11).is_some(), "another group has servers of its own");
+        node.send_request(grouped(10));
+        assert!(node.rejected(10).flatten().is_some(), "it is answered at once and told when to come back");
+        node.send_request(Request { group: Some(GroupId(2)), ..request(11) });
+        assert!(node.server_of(11).is_some(), "another group has servers of its own");
     }
     assert_eq!(used.len(), 9, "they are the same at every node");
 }
@@ -110,10 +110,10 @@
         for id in 1..=8 {
             let grouped = Request { group: Some(GroupId(1)), ..request(id) };
             node.open_as(grouped, 1);
-            told(&mut node, id, 100.0);
+            report_load(&mut node, id, 100.0);
         }
-        (1..=1 + others_late).for_each(|server| late(&mut node, server, 900.0));
-        periods(&mut node, 1).len()
+        (1..=1 + others_late).for_each(|server| report_delay(&mut node, server, 900.0));
+        pass_periods(&mut node, 1).len()
     };
     assert!(moved(0) > 0);
     assert_eq!(moved(9), 0, "none weighs more than the group's work where much is late");
--- a/tests/policy/probe.rs
+++ b/tests/policy/probe.rs
@@ -1,51 +1,51 @@
 //! Probes: requests that wait for a load report, and probes of stalled servers.
 
-use crate::support::{Node, late, ms, probes, request, settings};
+use crate::support::{Node, ms, probed_servers, report_delay, request, settings};
 use alderstile::types::{Action, BalancerSettings, Event, Outcome, ReportField, Request, ServerId};
 
-fn looking() -> BalancerSettings {
+fn with_probes() -> BalancerSettings {
     let report_fields = vec![ReportField::Other, ReportField::LoadRatio];
     BalancerSettings { node_count: 28, probes_allowed: true, report_fields, ..settings() }
 }
 
-fn told_ratio(node: &mut Node, server: u64, ratio: f64) {
+fn report_load_ratio(node: &mut Node, server: u64, ratio: f64) {
     let report = vec![f64::NAN, ratio];
     node.event(Event::ProbeCompleted { server: ServerId(server), outcome: Outcome::Ok, report });
 }
 
 #[test]
-fn a_request_looks_before_it_lands_and_passes_over_crowded_servers() {
+fn a_request_waits_for_a_probe_and_passes_over_crowded_servers() {
     // Found with 82 nodes: each held next to nothing on any server, and the crowded ones drew as much as others.
-    let mut node = Node::new(looking(), 20);
-    node.ask(request(1));
-    let [first] = probes(&node)[..] else { panic!("one look: {:?}", node.last) };
-    assert_eq!(node.where_is(1), None, "it waits for the answer");
-    told_ratio(&mut node, first, 0.95);
-    let [second] = probes(&node)[..] else { panic!("another look: {:?}", node.last) };
+    let mut node = Node::new(with_probes(), 20);
+    node.send_request(request(1));
+    let [first] = probed_servers(&node)[..] else { panic!("one look: {:?}", node.last) };
+    assert_eq!(node.server_of(1), None, "it waits for the answer");
+    report_load_ratio(&mut node, first, 0.95);
+    let [second] = probed_servers(&node)[..] else { panic!("another look: {:?}", node.last) };
     assert_ne!(first, second);
-    told_ratio(&mut node, second, 0.3);
-    assert_eq!(node.where_is(1), Some(second));
+    report_load_ratio(&mut node, second, 0.3);
+    assert_eq!(node.server_of(1), Some(second));
 }
 
 #[test]
-fn looks_are_few_short_and_never_poisoned() {
-    let mut node = Node::new(looking(), 20);
-    node.ask(request(1));
+fn probe_waits_are_few_short_and_never_poisoned() {
+    let mut node = Node::new(with_probes(), 20);
+    node.send_request(request(1));
     let mut looks = 0;
-    while let [server] = probes(&node)[..] {
+    while let [server] = probed_servers(&node)[..] {
         looks += 1;
-        told_ratio(&mut node, server, 2.0);
+        report_load_ratio(&mut node, server, 2.0);
     }
     assert_eq!(looks, 3);
-    assert!(node.where_is(1).is_some(), "after that it lands unseen");
+    assert!(node.server_of(1).is_some(), "after that it lands unseen");
     node.establish(1);
-    node.ask(request(2));
+    node.send_request(request(2));
     node.pass(ms(60));
-    assert!(node.where_is(2).is_some(), "without an answer it lands soon");
+    assert!(node.server_of(2).is_some(), "without an answer it lands soon");
     node.establish(2);
-    node.ask(request(3));
-    if let [server] = probes(&node)[..] {
-        told_ratio(&mut node, server, f64::NAN);
+    node.send_request(request(3));
+    if let [server] = probed_servers(&node)[..] {
+        report_load_ratio(&mut node, server, f64::NAN);
         node.event(Event::ProbeCompleted {
             server: ServerId(server),
             outcome: Outcome::Timeout,
@@ -53,31 +53,31 @@
         });
     }
     node.pass(ms(60));
-    assert!(node.where_is(3).is_some(), "a ratio that is none tells nothing");
+    assert!(node.server_of(3).is_some(), "a ratio that is none tells nothing");
     node.establish(3);
-    node.ask(Request { remaining: ms(60), ..request(4) });
-    assert!(node.where_is(4).is_some(), "no look where the time is short");
+    node.send_request(Request { remaining: ms(60), ..request(4) });
+    assert!(node.server_of(4).is_some(), "no look where the time is short");
 }
 
 #[test]
 fn a_probe_that_never_returns_does_not_blind_a_node_for_good() {
-    let mut node = Node::new(looking(), 1);
+    let mut node = Node::new(with_probes(), 1);
     for id in 1..=3 {
-        node.ask(request(id));
-        assert_eq!(probes(&node), [1], "each request looks again");
+        node.send_request(request(id));
+        assert_eq!(probed_servers(&node), [1], "each request looks again");
         node.pass(ms(60));
-        assert_eq!(node.where_is(id), Some(1));
+        assert_eq!(node.server_of(id), Some(1));
         node.establish(id);
     }
 }
 
 #[test]
-fn a_server_that_stood_still_and_holds_nothing_of_this_nodes_is_probed_for_its_return() {
+fn a_stalled_server_that_holds_nothing_of_this_node_is_probed_for_its_return() {
     let set =
         BalancerSettings { probes_allowed: true, report_fields: vec![ReportField::LoadRatio], ..settings() };
     let mut node = Node::new(set, 2);
     let mut probed = |peak: f64| {
-        late(&mut node, 1, peak);
+        report_delay(&mut node, 1, peak);
         node.pass(ms(1_700));
         let mut probes = 0;
         for _ in 0..20 {
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -7,43 +7,43 @@
 };
 
 #[test]
-fn set_ups_that_fail_everywhere_are_not_tried_over_and_over() {
+fn set_ups_that_fail_everywhere_are_not_retried_over_and_over() {
     // Found on days on which set-ups failed at all servers: every failed one came again at once.
     let mut node = Node::new(settings(), 6);
     let mut sends = 0;
     for id in 1..=60 {
-        node.ask(request(id));
-        while node.where_is(id).is_some() {
+        node.send_request(request(id));
+        while node.server_of(id).is_some() {
             sends += 1;
             node.end(id, Outcome::Error);
         }
-        assert!(node.refused(id).flatten().is_some(), "given up at once, with a time to come back");
+        assert!(node.rejected(id).flatten().is_some(), "given up at once, with a time to come back");
     }
     assert!(sends <= 60 + 10 + 12, "{sends} attempts: one each, ten saved up and a fifth more");
 }
 
 #[test]
-fn a_fragile_request_that_may_have_run_fails_and_is_not_sent_again() {
+fn a_request_that_is_not_idempotent_and_may_have_run_fails_and_is_not_retried() {
     let mut fragile = settings();
     fragile.classes = vec![class(Idempotency::NotIdempotent)];
     let mut node = Node::new(fragile, 3);
-    node.ask(request(1));
+    node.send_request(request(1));
     node.end(1, Outcome::Timeout);
     assert_eq!(node.last.last(), Some(&Action::Fail(RequestId(1))));
-    node.ask(request(2));
+    node.send_request(request(2));
     node.end(2, Outcome::ConnectFailed);
-    assert!(node.where_is(2).is_some(), "one that never ran is tried again");
+    assert!(node.server_of(2).is_some(), "one that never ran is tried again");
 }
 
 #[test]
-fn a_dedup_request_stays_in_its_cell_and_window() {
+fn a_deduplicated_request_stays_in_its_cell_and_window() {
     let mut dedup = settings();
     dedup.classes = vec![class(Idempotency::Deduplicated(DedupScope::Cell))];
     let mut node = Node::new(dedup, 6);
-    node.ask(request(1));
-    let first = node.where_is(1);
+    node.send_request(request(1));
+    let first = node.server_of(1);
     node.end(1, Outcome::Error);
-    let second = node.where_is(1);
+    let second = node.server_of(1);
     assert_eq!(first.map(|id| id % 3), second.map(|id| id % 3));
     node.pass(ms(1_100));
     node.end(1, Outcome::Error);
@@ -51,29 +51,29 @@
 }
 
 #[test]
-fn a_request_that_looks_expired_is_tried_where_clocks_differ() {
+fn a_request_that_looks_expired_is_attempted_where_clocks_differ() {
     let mut node = Node::new(BalancerSettings { deadline_tolerance: ms(3_200), ..settings() }, 2);
-    node.ask(Request { remaining: ms(0), ..request(1) });
-    assert!(node.where_is(1).is_some());
+    node.send_request(Request { remaining: ms(0), ..request(1) });
+    assert!(node.server_of(1).is_some());
     let mut node = Node::new(settings(), 2);
-    node.ask(Request { remaining: ms(0), ..request(1) });
-    assert!(node.refused(1).is_some(), "where they agree it is over");
+    node.send_request(Request { remaining: ms(0), ..request(1) });
+    assert!(node.rejected(1).is_some(), "where they agree it is over");
     // Found by the drill's check on berg-shared: with the drift in the deadline 12 of 998 requests waited for a look until
     // their time was over.
     let probes =
         BalancerSettings { probes_allowed: true, report_fields: vec![ReportField::LoadRatio], ..settings() };
     let mut node = Node::new(BalancerSettings { deadline_tolerance: ms(3_200), ..probes }, 2);
-    node.ask(Request { remaining: ms(60), ..request(1) });
-    assert!(node.where_is(1).is_some(), "no wait beyond what is told of its time");
+    node.send_request(Request { remaining: ms(60), ..request(1) });
+    assert!(node.server_of(1).is_some(), "no wait beyond what is told of its time");
     node.end(1, Outcome::Timeout);
-    assert!(node.refused(1).is_some(), "an attempt's time is out when the client's is");
+    assert!(node.rejected(1).is_some(), "an attempt's time is out when the client's is");
 }
 
 /// A node with an attempt out, and the server that it went to.
-fn trying(settings: BalancerSettings, servers: u64) -> (Node, u64) {
+fn with_attempt_in_flight(settings: BalancerSettings, servers: u64) -> (Node, u64) {
     let mut node = Node::new(settings, servers);
-    node.ask(request(1));
-    let server = node.where_is(1).expect("an attempt");
+    node.send_request(request(1));
+    let server = node.server_of(1).expect("an attempt");
     (node, server)
 }
 
@@ -81,7 +81,7 @@
 fn an_attempt_goes_out_only_where_what_it_was_decided_by_still_holds() {
     // What comes between the decision and the first byte: a connection may take long to come up.
     let news = |change: fn(&mut Endpoint)| {
-        let (mut node, server) = trying(settings(), 2);
+        let (mut node, server) = with_attempt_in_flight(settings(), 2);
         assert!(node.policy.may_still_send(node.now, RequestId(1)));
         let mut told = entry(server);
         change(&mut told);
@@ -92,15 +92,15 @@
     assert!(!news(|entry| entry.state = EndpointState::Draining));
     assert!(!news(|entry| entry.state = EndpointState::Gone));
     assert!(!news(|entry| entry.started = Some(ms(1))), "it has started anew and is cold");
-    assert!(!node_after_left(), "the client has left");
+    assert!(!may_still_send_after_removal(), "the client has left");
     let advice = BalancerSettings { removal_is_advisory: true, ..settings() };
-    let (mut node, server) = trying(advice, 2);
+    let (mut node, server) = with_attempt_in_flight(advice, 2);
     node.list(EndpointListKind::Delta, vec![Endpoint { state: EndpointState::Gone, ..entry(server) }]);
     assert!(node.policy.may_still_send(node.now, RequestId(1)), "gone is advice there");
 }
 
-fn node_after_left() -> bool {
-    let (mut node, _) = trying(settings(), 2);
+fn may_still_send_after_removal() -> bool {
+    let (mut node, _) = with_attempt_in_flight(settings(), 2);
     node.event(Event::ClientDisconnected(RequestId(1)));
     node.policy.may_still_send(node.now, RequestId(1))
 }
@@ -109,10 +109,10 @@
 fn a_repeat_goes_out_only_within_its_window() {
     let dedup =
         BalancerSettings { classes: vec![class(Idempotency::Deduplicated(DedupScope::All))], ..settings() };
-    let (mut node, server) = trying(dedup, 2);
+    let (mut node, server) = with_attempt_in_flight(dedup, 2);
     node.pass(ms(100));
     node.end(1, Outcome::Reset);
-    let other = node.where_is(1).expect("another attempt");
+    let other = node.server_of(1).expect("another attempt");
     assert_ne!(other, server);
     assert!(node.policy.may_still_send(node.now, RequestId(1)));
     // The window is 1 s from the sending of the first.
@@ -123,26 +123,26 @@
 }
 
 #[test]
-fn what_was_not_sent_blames_nobody_costs_no_saved_attempt_and_goes_elsewhere() {
-    let (mut node, server) = trying(settings(), 2);
+fn what_was_not_forwarded_ejects_nobody_costs_no_retry_token_and_goes_elsewhere() {
+    let (mut node, server) = with_attempt_in_flight(settings(), 2);
     node.end(1, Outcome::NotForwarded);
-    assert!(node.where_is(1).is_some_and(|other| other != server));
+    assert!(node.server_of(1).is_some_and(|other| other != server));
     assert!(node.policy.unreached().is_empty());
     assert_eq!(node.policy.avoided(node.now), 0);
     // Many in a row: each still finds the other server.
     for id in 2..40 {
-        node.ask(request(id));
-        let first = node.where_is(id).expect("an attempt");
+        node.send_request(request(id));
+        let first = node.server_of(id).expect("an attempt");
         node.end(id, Outcome::NotForwarded);
-        assert!(node.where_is(id).is_some_and(|other| other != first), "request {id}");
+        assert!(node.server_of(id).is_some_and(|other| other != first), "request {id}");
     }
     // And it ends: a host is tried no more often than the settings allow.
-    let (mut node, _) = trying(settings(), 9);
+    let (mut node, _) = with_attempt_in_flight(settings(), 9);
     for _ in 0..3 {
-        assert!(node.where_is(1).is_some());
+        assert!(node.server_of(1).is_some());
         node.end(1, Outcome::NotForwarded);
     }
-    assert_eq!(node.where_is(1), None);
+    assert_eq!(node.server_of(1), None);
 }
 
 #[test]
@@ -152,7 +152,8 @@
         (Idempotency::NotIdempotent, Idempotency::Idempotent),
         (Idempotency::Idempotent, Idempotency::NotIdempotent),
     ] {
-        let (mut node, _) = trying(BalancerSettings { classes: vec![class(before)], ..settings() }, 2);
+        let (mut node, _) =
+            with_attempt_in_flight(BalancerSettings { classes: vec![class(before)], ..settings() }, 2);
         node.event(Event::SettingsChanged(Box::new(BalancerSettings {
             classes: vec![class(after)],
             ..settings()
--- a/tests/policy/selection.rs
+++ b/tests/policy/selection.rs
@@ -1,19 +1,22 @@
 //! Selection: the server on which a connection lands, in the ordinary case and among ties.
 
-use crate::support::{Node, counts, entry, ms, request, settings, told};
+use crate::support::{Node, connections_by_server, entry, ms, report_load, request, settings};
 use alderstile::types::{BalancerSettings, Endpoint, EndpointListKind, Event, WeightMeaning};
 
 #[test]
 fn landing_takes_the_lowest_own_record() {
     let mut node = Node::new(settings(), 4);
     node.fill(1, 8);
-    assert!(counts(&node, 1..9).values().all(|&n| n == 2), "eight equal connections on four servers");
+    assert!(
+        connections_by_server(&node, 1..9).values().all(|&n| n == 2),
+        "eight equal connections on four servers"
+    );
     for id in 1..9 {
-        let load = if node.where_is(id) == Some(3) { 10.0 } else { 100.0 };
-        told(&mut node, id, load);
+        let load = if node.server_of(id) == Some(3) { 10.0 } else { 100.0 };
+        report_load(&mut node, id, load);
     }
-    node.ask(request(9));
-    assert_eq!(node.where_is(9), Some(3));
+    node.send_request(request(9));
+    assert_eq!(node.server_of(9), Some(3));
 }
 
 #[test]
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn ties_fall_by_size() {
+fn ties_fall_by_weight() {
     let mut first = [0; 2];
     for seed in 0..400 {
         let mut node = Node::with_seed(
@@ -44,8 +47,8 @@
         );
         let sizes = [(1, 3.0), (2, 1.0)].map(|(id, weight)| Endpoint { weight, ..entry(id) });
         node.list(EndpointListKind::Full, sizes.to_vec());
-        node.ask(request(1));
-        first[node.where_is(1).map_or(1, |server| server as usize - 1)] += 1;
+        node.send_request(request(1));
+        first[node.server_of(1).map_or(1, |server| server as usize - 1)] += 1;
     }
     assert!((270..330).contains(&first[0]), "three times as large, three of four times: {first:?}");
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -1,10 +1,10 @@
 //! Slow start: what a server that warms up is sent by one node; `slow_start_fleet.rs` adds up all nodes.
 
-use crate::support::{Node, counts, entry, ms, periods, request, settings};
+use crate::support::{Node, connections_by_server, entry, ms, pass_periods, request, settings};
 use alderstile::types::{BalancerSettings, Endpoint, EndpointListKind, GroupId, Micros, Outcome, Request};
 
 #[test]
-fn many_nodes_together_keep_the_budget_of_cold_servers() {
+fn many_nodes_together_keep_the_slow_start_budget() {
     // Found with 35 nodes: each sent every cold server something soon, and 56 servers fell over.
     let (nodes, warm, cold, held) = (28, 20, 2, 100);
     let set = BalancerSettings { node_count: nodes, ..settings() };
@@ -23,8 +23,8 @@
             // Thirty connections a second each, and nothing that is warm can be reached: cold servers draw all.
             node.pass(ms(3 * n as u64));
             for id in 3 * tick + 1..=3 * tick + 3 {
-                node.ask(request(id));
-                while node.where_is(id).is_some_and(|server| server <= warm) {
+                node.send_request(request(id));
+                while node.server_of(id).is_some_and(|server| server <= warm) {
                     node.end(id, Outcome::ConnectFailed);
                 }
                 if node.is_held(id) {
@@ -36,7 +36,8 @@
     }
     let warm_holds = (nodes.len() as u64 * held / warm) as f64;
     for server in warm + 1..=warm + cold {
-        let mut at: Vec<Micros> = nodes.iter().flat_map(|node| node.cold_sends(server).to_vec()).collect();
+        let mut at: Vec<Micros> =
+            nodes.iter().flat_map(|node| node.sends_while_warming_up(server).to_vec()).collect();
         at.sort();
         assert!(at.len() as f64 > warm_holds, "and it gets work before it is warm: {}", at.len());
         // Warm servers can do at least what they hold: what is sent in two seconds is to be within three times that.
@@ -74,8 +75,8 @@
             for i in 0..8 {
                 // Groups that no node holds yet, each on the same few servers at all nodes.
                 let id = 1_000 + second as u64 * 8 + i;
-                node.ask(Request { group: Some(GroupId(id)), ..request(id) });
-                *sent += u32::from(node.where_is(id) == Some(50));
+                node.send_request(Request { group: Some(GroupId(id)), ..request(id) });
+                *sent += u32::from(node.server_of(id) == Some(50));
                 node.establish(id);
             }
             node.pass(ms(1_000));
@@ -87,14 +88,14 @@
 }
 
 #[test]
-fn a_cold_server_gets_this_nodes_share_in_every_window() {
+fn a_server_that_warms_up_gets_this_nodes_share_in_every_window() {
     // Found on an incident: a storm of resets swelled what a cold server was sent.
     let mut node = Node::new(settings(), 4);
     node.fill(1, 40);
     let mut id = 100;
     let mut storm = |node: &mut Node| {
         for _ in 0..200 {
-            node.ask(request(id));
+            node.send_request(request(id));
             node.establish(id);
             node.end(id, Outcome::Reset);
             id += 1;
@@ -105,7 +106,7 @@
     let started = node.now;
     node.list(EndpointListKind::Delta, vec![Endpoint { started: Some(started), ..entry(5) }]);
     (0..10).for_each(|_| storm(&mut node));
-    let sends = node.cold_sends(5);
+    let sends = node.sends_while_warming_up(5);
     assert!(!sends.is_empty(), "it is warmed up");
     for (i, &first) in sends.iter().enumerate() {
         let within = sends[i..].iter().take_while(|&&at| at < first + ms(2_000)).count();
@@ -116,7 +117,7 @@
 }
 
 #[test]
-fn where_records_are_a_few_connections_a_cold_server_takes_its_part() {
+fn where_records_are_a_few_connections_a_server_that_warms_up_takes_its_part() {
     // Found with 100 nodes: the mean that a cold server counts at is a part of a connection, so every server that
     // is empty in the own record came before it until it was warm.
     let landed = |seed: u64| {
@@ -127,8 +128,8 @@
         let started = Some(node.now);
         node.list(EndpointListKind::Delta, vec![Endpoint { started, ..entry(7) }]);
         node.pass(ms(1_500));
-        node.ask(request(200));
-        node.where_is(200) == Some(7)
+        node.send_request(request(200));
+        node.server_of(200) == Some(7)
     };
     let count = (0..400).filter(|&seed| landed(seed)).count();
     // A permit is there for 0.18 of the nodes a period; counted at half a connection, it is first for half of those.
@@ -139,7 +140,7 @@
 }
 
 #[test]
-fn where_records_tie_what_moves_goes_to_the_cold_servers_that_may_take_it() {
+fn where_records_tie_what_migrates_goes_to_servers_with_slow_start_tokens() {
     // Found with 300 nodes (join+mass): each held nothing on 30 of 36 warm servers and had a permit for two of 27
     // new ones, so that of 1,166 connections that moved within two seconds 84 went to new servers.
     let landed = |seed: u64| {
@@ -150,15 +151,15 @@
         let new = (31..=50).map(|id| Endpoint { started, ..entry(id) });
         node.list(EndpointListKind::Delta, new.collect());
         node.pass(ms(1_000));
-        node.ask(request(200));
-        node.where_is(200).is_some_and(|server| server > 30)
+        node.send_request(request(200));
+        node.server_of(200).is_some_and(|server| server > 30)
     };
     let count = (0..60).filter(|&seed| landed(seed)).count();
     assert!(count >= 15, "{count} of 60 at 20 cold servers, beside 15 warm ones as empty in the own record");
 }
 
 #[test]
-fn a_start_stamped_too_early_is_cold_until_the_latest_start_possible_is_warm() {
+fn a_start_stamped_too_early_warms_up_from_the_latest_start_possible() {
     let sent_to_cold = |stamp_doubt, heard_late| {
         let mut node = Node::new(BalancerSettings { start_time_tolerance: stamp_doubt, ..settings() }, 3);
         node.fill(1, 30);
@@ -166,7 +167,7 @@
         node.pass(heard_late);
         node.list(EndpointListKind::Delta, vec![Endpoint { started, ..entry(4) }]);
         node.fill(100, 12);
-        counts(&node, 100..112).get(&4).copied().unwrap_or(0)
+        connections_by_server(&node, 100..112).get(&4).copied().unwrap_or(0)
     };
     assert!(sent_to_cold(ms(0), ms(0)) > 6, "believed, it is warm and the emptiest");
     assert!(sent_to_cold(ms(23_000), ms(0)) < 6, "it may have started just now");
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn nodes_whose_clients_all_come_back_at_one_moment_take_turns_at_a_cold_server() {
+fn nodes_whose_clients_all_come_back_at_one_moment_take_turns_at_a_server_that_warms_up() {
     // Found on nam-profiles (hunted deploy day h8132e3): a batch of hosts stopped, and 14 of 19 nodes sent a
     // connection each to the same cold one within 0.17 s, six times what it could do.
     let set = BalancerSettings {
@@ -194,15 +195,15 @@
         node.list(EndpointListKind::Delta, vec![Endpoint { started, ..entry(20) }]);
         for second in 0..19 {
             for id in second * 100 + 100..second * 100 + 130 {
-                node.ask(request(id));
-                while node.where_is(id).is_some_and(|server| server != 20) {
+                node.send_request(request(id));
+                while node.server_of(id).is_some_and(|server| server != 20) {
                     node.end(id, Outcome::ConnectFailed);
                 }
                 node.establish(id);
             }
             node.pass(ms(1_000));
         }
-        at.extend(node.cold_sends(20));
+        at.extend(node.sends_while_warming_up(20));
     }
     at.sort();
     let began = at[0];
@@ -217,7 +218,7 @@
 }
 
 #[test]
-fn a_server_that_the_cluster_gave_of_late_is_filled_by_and_by() {
+fn a_server_that_the_cluster_assigned_of_late_is_filled_by_and_by() {
     // Found in the lab: what 300 nodes' subsets took up anew was empty in each record, drew all new work and made the
     // mean so low that the others shed.
     let mut node = Node::new(settings(), 3);
@@ -228,15 +229,15 @@
     node.list(EndpointListKind::Delta, vec![Endpoint { joined, ..entry(3) }]);
     let landed = |node: &mut Node, ids: std::ops::Range<u64>| {
         ids.filter(|&id| {
-            node.ask(request(id));
+            node.send_request(request(id));
             node.establish(id);
-            node.where_is(id) == Some(3)
+            node.server_of(id) == Some(3)
         })
         .count()
     };
     let few = landed(&mut node, 41..51);
     assert!((1..=6).contains(&few), "its part, and not all at once: {few}");
-    assert_eq!(periods(&mut node, 5), [] as [u64; 0], "the others shed nothing for it");
+    assert_eq!(pass_periods(&mut node, 5), [] as [u64; 0], "the others shed nothing for it");
     node.pass(node.settings.warm_up);
     assert!(landed(&mut node, 51..61) >= 8, "the lowest record in the end");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -107,7 +107,7 @@
                 let class = class.min(4);
                 let group = (group > 0).then_some(GroupId(group));
                 let remaining = ms(remaining);
-                node.ask(Request { class, group, expected_load: hint, remaining, ..request(next) });
+                node.send_request(Request { class, group, expected_load: hint, remaining, ..request(next) });
                 live.push(next);
                 next += 1;
             }
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -78,7 +78,7 @@
             let n = ((elapsed - BEFORE).0 / 1_000_000 * 4) as usize % nodes.len();
             let now = nodes[n].now;
             let times: Vec<Vec<Micros>> =
-                (1..=COLD).map(|c| nodes[n].cold_sends(WARM + c).to_vec()).collect();
+                (1..=COLD).map(|c| nodes[n].sends_while_warming_up(WARM + c).to_vec()).collect();
             (0..COLD as usize).for_each(|c| sent[c].extend(&times[c]));
             nodes[n] = start(n, rng.random());
             let behind = now - nodes[n].now;
@@ -104,9 +104,9 @@
         for _ in 0..arrive {
             next += 1;
             let node = busy[rng.random_range(0..busy.len())];
-            nodes[node].ask(grouped(next, rng.random()));
+            nodes[node].send_request(grouped(next, rng.random()));
             nodes[node].establish(next);
-            match nodes[node].where_is(next) {
+            match nodes[node].server_of(next) {
                 Some(_) => clients.push(Client { node, id: next }),
                 None => lost += 1,
             }
@@ -119,7 +119,7 @@
         lost += before - clients.len();
     }
     for node in &nodes {
-        (0..COLD).for_each(|c| sent[c as usize].extend(node.cold_sends(WARM + 1 + c)));
+        (0..COLD).for_each(|c| sent[c as usize].extend(node.sends_while_warming_up(WARM + 1 + c)));
     }
     for times in &mut sent {
         times.iter_mut().for_each(|at| *at = *at - (began + BEFORE));
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -82,9 +82,9 @@
 struct Held {
     class: u16,
     attempts: u32,
-    out_at: Option<ServerId>,
+    attempt_at: Option<ServerId>,
     /// The first attempt that may have run.
-    ran: Option<(ServerId, Micros)>,
+    first_run: Option<(ServerId, Micros)>,
     sent: Micros,
     open: bool,
 }
@@ -97,16 +97,16 @@
     held: BTreeMap<RequestId, Held>,
     ended: BTreeSet<RequestId>,
     listed: BTreeMap<ServerId, Endpoint>,
-    cold_sends: BTreeMap<ServerId, Vec<Micros>>,
+    sends_while_warming_up: BTreeMap<ServerId, Vec<Micros>>,
     pub timers: Vec<(Micros, TimerToken)>,
     pub last: Vec<Action>,
     /// Connections that were moved and whose end is still to be told.
-    leaving: Vec<(RequestId, ServerId)>,
+    migrating: Vec<(RequestId, ServerId)>,
     /// When requests were taken, and when attempts beyond their first were sent.
-    taken: Vec<Micros>,
-    further: Vec<Micros>,
+    admitted_at: Vec<Micros>,
+    retries_at: Vec<Micros>,
     /// Servers that were told to drain and not to be ready since.
-    drains: BTreeSet<ServerId>,
+    draining: BTreeSet<ServerId>,
 }
 
 impl Node {
@@ -126,13 +126,13 @@
             held: BTreeMap::new(),
             ended: BTreeSet::new(),
             listed: BTreeMap::new(),
-            cold_sends: BTreeMap::new(),
+            sends_while_warming_up: BTreeMap::new(),
             timers: Vec::new(),
             last: Vec::new(),
-            leaving: Vec::new(),
-            taken: Vec::new(),
-            further: Vec::new(),
-            drains: BTreeSet::new(),
+            migrating: Vec::new(),
+            admitted_at: Vec::new(),
+            retries_at: Vec::new(),
+            draining: BTreeSet::new(),
         };
         node.check(actions);
         node.list(EndpointListKind::Full, (1..=servers).map(entry).collect());
@@ -146,8 +146,8 @@
         for entry in &entries {
             self.listed.insert(entry.id, *entry);
             match entry.state {
-                EndpointState::Draining => self.drains.insert(entry.id),
-                EndpointState::Ready => self.drains.remove(&entry.id),
+                EndpointState::Draining => self.draining.insert(entry.id),
+                EndpointState::Ready => self.draining.remove(&entry.id),
                 EndpointState::Gone | EndpointState::Cordoned => false,
             };
         }
@@ -160,9 +160,9 @@
         self.check(actions);
     }
 
-    pub fn ask(&mut self, request: Request) {
+    pub fn send_request(&mut self, request: Request) {
         self.held.insert(request.id, Held { class: request.class, ..Held::default() });
-        self.taken.push(self.now);
+        self.admitted_at.push(self.now);
         self.event(Event::Request(request));
     }
 
@@ -171,7 +171,7 @@
     }
 
     pub fn open_as(&mut self, request: Request, server: u64) {
-        let held = Held { out_at: Some(ServerId(server)), open: true, ..Held::default() };
+        let held = Held { attempt_at: Some(ServerId(server)), open: true, ..Held::default() };
         self.held.insert(request.id, held);
         self.event(Event::ExistingConnection(request, ServerId(server)));
     }
@@ -182,10 +182,10 @@
 
     pub fn establish_after(&mut self, id: u64, latency: Micros) {
         if let Some(held) = self.held.get_mut(&RequestId(id))
-            && let Some(server) = held.out_at
+            && let Some(server) = held.attempt_at
         {
             held.open = true;
-            held.ran.get_or_insert((server, held.sent));
+            held.first_run.get_or_insert((server, held.sent));
             self.event(Event::Established { id: RequestId(id), latency });
         }
     }
@@ -194,9 +194,9 @@
     pub fn end(&mut self, id: u64, outcome: Outcome) {
         let id = RequestId(id);
         let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(server) = held.out_at.take() else { return };
+        let Some(server) = held.attempt_at.take() else { return };
         if outcome.may_have_run() {
-            held.ran.get_or_insert((server, held.sent));
+            held.first_run.get_or_insert((server, held.sent));
         }
         let closed = held.open || outcome == Outcome::Ok;
         if closed {
@@ -224,7 +224,7 @@
             self.now = self.now.max(at);
             self.event(Event::Timer(token));
             let told = self.last.clone();
-            for (id, server) in std::mem::take(&mut self.leaving) {
+            for (id, server) in std::mem::take(&mut self.migrating) {
                 let (outcome, closed, report) = (Outcome::Cancelled, true, Vec::new());
                 self.event(Event::Ended { id, server, outcome, closed, report });
             }
@@ -233,22 +233,22 @@
         self.now = until;
     }
 
-    pub fn where_is(&self, id: u64) -> Option<u64> {
-        self.held.get(&RequestId(id)).and_then(|held| held.out_at).map(|server| server.0)
+    pub fn server_of(&self, id: u64) -> Option<u64> {
+        self.held.get(&RequestId(id)).and_then(|held| held.attempt_at).map(|server| server.0)
     }
 
     pub fn is_held(&self, id: u64) -> bool {
         self.held.contains_key(&RequestId(id))
     }
 
-    pub fn refused(&self, id: u64) -> Option<Option<Micros>> {
+    pub fn rejected(&self, id: u64) -> Option<Option<Micros>> {
         self.last.iter().find_map(|action| match action {
             Action::Reject(r, wait) if r.0 == id => Some(*wait),
             _ => None,
         })
     }
 
-    pub fn moves(&self) -> Vec<u64> {
+    pub fn migrations(&self) -> Vec<u64> {
         let moved = |action: &Action| match action {
             Action::Migrate(id) => Some(id.0),
             _ => None,
@@ -256,14 +256,14 @@
         self.last.iter().filter_map(moved).collect()
     }
 
-    pub fn cold_sends(&self, server: u64) -> &[Micros] {
-        self.cold_sends.get(&ServerId(server)).map_or(&[], Vec::as_slice)
+    pub fn sends_while_warming_up(&self, server: u64) -> &[Micros] {
+        self.sends_while_warming_up.get(&ServerId(server)).map_or(&[], Vec::as_slice)
     }
 
     /// Lands `n` connections from id `first` on and establishes them.
     pub fn fill(&mut self, first: u64, n: u64) {
         for id in first..first + n {
-            self.ask(request(id));
+            self.send_request(request(id));
             self.establish(id);
         }
     }
@@ -282,7 +282,7 @@
                     let class = &self.settings.classes[usize::from(held.class)];
                     let harmless = match class.idempotency {
                         Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All) => true,
-                        _ => held.ran.is_none(),
+                        _ => held.first_run.is_none(),
                     };
                     assert!(harmless, "refused {id:?}, which may have run");
                 }
@@ -292,7 +292,7 @@
                 Action::Migrate(id) => {
                     let held = self.held.remove(id).expect("a connection that is held");
                     assert!(held.open, "moved {id:?}, which is not open");
-                    self.leaving.extend(held.out_at.map(|server| (*id, server)));
+                    self.migrating.extend(held.attempt_at.map(|server| (*id, server)));
                     self.ended.insert(*id);
                 }
                 Action::SetTimer(after, token) => self.timers.push((self.now + *after, *token)),
@@ -304,12 +304,12 @@
         }
         for (id, held) in &self.held {
             let looks = || self.timers.iter().any(|(_, token)| token.0 == id.0 | 1 << 63);
-            assert!(held.out_at.is_some() || looks(), "{id:?} is neither answered nor out");
+            assert!(held.attempt_at.is_some() || looks(), "{id:?} is neither answered nor out");
             // What came since it was decided must not go out any more, once its connection is up.
             if let Some(server) =
-                held.out_at.filter(|_| !held.open && self.policy.may_still_send(self.now, *id))
+                held.attempt_at.filter(|_| !held.open && self.policy.may_still_send(self.now, *id))
             {
-                self.check_lawful(*id, server);
+                self.check_allowed(*id, server);
             }
         }
         self.last = actions;
@@ -317,7 +317,7 @@
 
     fn answer(&mut self, id: RequestId) -> Held {
         let held = self.held.remove(&id).unwrap_or_else(|| panic!("{id:?} answered though not held"));
-        assert!(held.out_at.is_none(), "{id:?} answered with an attempt out");
+        assert!(held.attempt_at.is_none(), "{id:?} answered with an attempt out");
         assert!(self.ended.insert(id), "{id:?} answered twice");
         held
     }
@@ -325,36 +325,36 @@
     fn check_send(&mut self, id: RequestId, server: ServerId, time_out: Option<Micros>) {
         assert!(!self.ended.contains(&id), "sent {id:?} after its end");
         assert!(time_out.is_none_or(|t| t > Micros(0)));
-        self.check_lawful(id, server);
+        self.check_allowed(id, server);
         let entry = self.listed[&server];
         let held = self.held.get_mut(&id).unwrap_or_else(|| panic!("{id:?} sent though not held"));
-        assert!(held.out_at.is_none(), "two attempts of {id:?} at once");
+        assert!(held.attempt_at.is_none(), "two attempts of {id:?} at once");
         held.attempts += 1;
         if let Some(budget) = self.settings.retry_budget.filter(|_| held.attempts > 1) {
             // A plain recount: what lies exactly one span back is out for requests and in for attempts.
-            self.further.push(self.now);
-            let further = self.further.iter().filter(|&&at| at + budget.window >= self.now).count() as f64;
-            let taken = self.taken.iter().filter(|&&at| at + budget.window > self.now).count() as f64;
+            self.retries_at.push(self.now);
+            let further = self.retries_at.iter().filter(|&&at| at + budget.window >= self.now).count() as f64;
+            let taken = self.admitted_at.iter().filter(|&&at| at + budget.window > self.now).count() as f64;
             let allowed = budget.min_retries + budget.retry_ratio * taken;
             assert!(further <= allowed, "{further} further attempts where {allowed} are allowed");
         }
         assert!(held.attempts <= self.settings.max_attempts);
-        held.out_at = Some(server);
+        held.attempt_at = Some(server);
         held.sent = self.now;
         if entry.started.is_some_and(|started| self.now < started + self.settings.warm_up) {
-            self.cold_sends.entry(server).or_default().push(self.now);
+            self.sends_while_warming_up.entry(server).or_default().push(self.now);
         }
     }
 
     /// Whether the list, and what an attempt may have done before, let a request go to a server now.
-    fn check_lawful(&self, id: RequestId, server: ServerId) {
+    fn check_allowed(&self, id: RequestId, server: ServerId) {
         let entry = *self.listed.get(&server).expect("a server of the list");
         let advice = self.settings.removal_is_advisory && entry.state == EndpointState::Gone;
-        let free = entry.state == EndpointState::Ready || (advice && !self.drains.contains(&server));
+        let free = entry.state == EndpointState::Ready || (advice && !self.draining.contains(&server));
         assert!(free, "sent to {server}, which is not ready");
         let held = self.held.get(&id).unwrap_or_else(|| panic!("{id:?} sent though not held"));
         let class = &self.settings.classes[usize::from(held.class)];
-        if let Some((first, sent)) = held.ran {
+        if let Some((first, sent)) = held.first_run {
             let first = self.listed[&first];
             match class.idempotency {
                 Idempotency::Idempotent => {}
@@ -372,34 +372,34 @@
     }
 }
 
-pub fn told(node: &mut Node, id: u64, load: f64) {
+pub fn report_load(node: &mut Node, id: u64, load: f64) {
     node.event(Event::LoadReported(RequestId(id), load));
 }
 
-pub fn late(node: &mut Node, server: u64, span_ms: f64) {
+pub fn report_delay(node: &mut Node, server: u64, span_ms: f64) {
     node.event(Event::DelayReported(ServerId(server), span_ms));
 }
 
 /// Passes `n` periods and returns all connections moved.
-pub fn periods(node: &mut Node, n: u64) -> Vec<u64> {
+pub fn pass_periods(node: &mut Node, n: u64) -> Vec<u64> {
     let mut moved = Vec::new();
     for _ in 0..n * 10 {
         node.last.clear();
         node.pass(ms(100));
-        moved.extend(node.moves());
+        moved.extend(node.migrations());
     }
     moved
 }
 
-pub fn counts(node: &Node, ids: std::ops::Range<u64>) -> BTreeMap<u64, usize> {
+pub fn connections_by_server(node: &Node, ids: std::ops::Range<u64>) -> BTreeMap<u64, usize> {
     let mut counts = BTreeMap::new();
-    for server in ids.filter_map(|id| node.where_is(id)) {
+    for server in ids.filter_map(|id| node.server_of(id)) {
         *counts.entry(server).or_insert(0) += 1;
     }
     counts
 }
 
-pub fn probes(node: &Node) -> Vec<u64> {
+pub fn probed_servers(node: &Node) -> Vec<u64> {
     let probed = |action: &Action| match action {
         Action::Probe(server) => Some(server.0),
         _ => None,
