--- a/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
+++ b/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
@@ -1,58 +1,101 @@
-//! Documents by their digests: those held, those on their way here, and differences between them.
+//! Transfer of documents in chunks: those held, by their digest, and those that are being fetched.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
 use alderstile::types::Micros;
 
-use super::wire::{MAX_CHUNK, MAX_DOCUMENT, Message};
-
-/// Documents held beside those in use: the last ones, as bases of differences.
-const KEPT: usize = 8;
-/// Documents on their way here at once.
-const FETCHES: usize = 4;
-/// Parts sent at one call, so that a document of some kilobytes needs no more calls than one.
-const PARTS: usize = 4;
-/// A call that was not answered is made again after this; a round trip between regions fits.
-const AGAIN: Micros = Micros::from_millis(300);
-/// It is given up after so many calls in a row that brought nothing.
-const TRIES: u32 = 6;
-
-/// The difference between two documents: bytes kept at the front and at the end, and what is between.
-pub fn difference(base: &[u8], new: &[u8]) -> Vec<u8> {
-    let most = base.len().min(new.len());
-    let front = base.iter().zip(new).take_while(|(a, b)| a == b).count();
-    let back = base.iter().rev().zip(new.iter().rev()).take(most - front).take_while(|(a, b)| a == b).count();
-    let mut bytes = [(front as u32).to_le_bytes(), (back as u32).to_le_bytes()].concat();
-    bytes.extend(&new[front..new.len() - back]);
-    bytes
-}
+use super::delta::{apply_delta, encode_delta};
+use super::message::{Chunk, ChunkRequest, MAX_CHUNK, MAX_DOCUMENT};
 
-/// The document that a difference makes of another one; none where it fits none.
-pub fn patched(base: &[u8], difference: &[u8]) -> Option<Vec<u8>> {
-    let (front, rest) = difference.split_first_chunk::<4>()?;
-    let (back, between) = rest.split_first_chunk::<4>()?;
-    let (front, back) = (u32::from_le_bytes(*front) as usize, u32::from_le_bytes(*back) as usize);
-    let back = base.len().checked_sub(back).filter(|back| *back >= front)?;
-    let new = [&base[..front], between, &base[back..]].concat();
-    (new.len() <= MAX_DOCUMENT).then_some(new)
-}
+/// Documents held, with those in use: the last ones serve as bases of deltas.
+const MAX_HELD_DOCUMENTS: usize = 8;
+/// Documents fetched at once: bounds the memory that announcements of many digests can take.
+const MAX_FETCHES: usize = 4;
+/// Chunks sent for one request, so that a document of some kilobytes needs one round trip.
+const CHUNKS_PER_REQUEST: usize = 4;
+/// An unanswered request is repeated after this; a round trip between regions fits.
+const REQUEST_TIMEOUT: Micros = Micros::from_millis(300);
+/// A fetch is given up after so many requests in a row without an answer: its sender may be gone.
+const MAX_UNANSWERED_REQUESTS: u32 = 6;
 
+/// A document on its way here.
 struct Fetch {
     from: SocketAddr,
     base: u64,
     total: Option<u32>,
+    /// What has arrived from the beginning on, without a gap.
     bytes: Vec<u8>,
-    /// Parts that came before those in front of them.
+    /// Chunks that arrived before those in front of them, by their offset.
     ahead: BTreeMap<u32, Vec<u8>>,
-    again: Micros,
-    tries: u32,
+    repeat_at: Micros,
+    unanswered: u32,
+}
+
+impl Fetch {
+    fn new(from: SocketAddr, base: u64, repeat_at: Micros) -> Self {
+        let (bytes, ahead) = (Vec::new(), BTreeMap::new());
+        Fetch { from, base, total: None, bytes, ahead, repeat_at, unanswered: 0 }
+    }
+
+    /// Whether a chunk is of what is fetched. The first one decides: its sender may hold no such base, or no longer.
+    fn accepts(&mut self, chunk: &Chunk) -> bool {
+        if (self.base, self.total) == (chunk.base, Some(chunk.total)) {
+            return true;
+        }
+        let begun = self.bytes.len() + self.ahead.len() > 0;
+        if begun || (chunk.base != 0 && chunk.base != self.base) {
+            return false;
+        }
+        (self.base, self.total) = (chunk.base, Some(chunk.total));
+        true
+    }
+
+    /// Adds a chunk; whether the part without a gap has grown.
+    fn add(&mut self, chunk: &Chunk) -> bool {
+        let (offset, here) = (chunk.offset as usize, self.bytes.len());
+        if offset > here {
+            if self.ahead.len() < CHUNKS_PER_REQUEST {
+                self.ahead.insert(chunk.offset, chunk.bytes.clone());
+            }
+            return false;
+        }
+        if offset < here || chunk.bytes.is_empty() {
+            return false;
+        }
+        self.bytes.extend(&chunk.bytes);
+        while let Some(next) = self.ahead.remove(&(self.bytes.len() as u32)) {
+            self.bytes.extend(next);
+        }
+        true
+    }
+
+    /// The request for what is missing.
+    fn request(&self, digest: u64) -> (SocketAddr, ChunkRequest) {
+        (self.from, ChunkRequest { digest, base: self.base, offset: self.bytes.len() as u32 })
+    }
+
+    /// Whether all chunks of the last request are here.
+    fn request_is_answered(&self) -> bool {
+        let chunks = (self.bytes.len() as u32).div_ceil(MAX_CHUNK as u32);
+        chunks.is_multiple_of(CHUNKS_PER_REQUEST as u32)
+    }
+}
+
+/// What a chunk led to.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub struct ChunkOutcome {
+    /// The document, where the chunk completed it.
+    pub document: Option<Vec<u8>>,
+    /// The request for what follows, and whom to send it to.
+    pub request: Option<(SocketAddr, ChunkRequest)>,
 }
 
 /// The documents that a node holds or fetches.
 #[derive(Default)]
 pub struct ChunkedTransfer {
     held: BTreeMap<u64, Vec<u8>>,
+    /// Digests of those held, the oldest first.
     order: VecDeque<u64>,
     fetches: BTreeMap<u64, Fetch>,
 }
@@ -63,121 +106,103 @@
         self.held.get(&digest).map(Vec::as_slice)
     }
 
-    /// Holds a document, and lets go of the oldest that are not among those in use.
-    pub fn hold(&mut self, bytes: Vec<u8>, used: &[u64]) -> u64 {
-        let digest = crate::digest(&bytes);
+    /// Whether a document is held.
+    pub fn holds(&self, digest: u64) -> bool {
+        self.held.contains_key(&digest)
+    }
+
+    /// Holds a document, and lets go of the oldest ones that are not in use; returns its digest.
+    pub fn hold(&mut self, document: Vec<u8>, in_use: &[u64]) -> u64 {
+        let digest = crate::digest(&document);
         self.order.retain(|other| *other != digest);
         self.order.push_back(digest);
-        self.held.insert(digest, bytes);
-        while self.order.len() > KEPT
-            && let Some(at) = self.order.iter().position(|other| !used.contains(other) && *other != digest)
+        self.held.insert(digest, document);
+        while self.order.len() > MAX_HELD_DOCUMENTS
+            && let Some(at) = self.order.iter().position(|other| !in_use.contains(other) && *other != digest)
         {
             self.order.remove(at).map(|old| self.held.remove(&old));
         }
         digest
     }
 
-    /// Asks for a document, unless it is held or on its way; as a difference to another one that is held.
-    pub fn want(
+    /// Begins to fetch a document, as a delta to `base` where that is held; none if it is held or being fetched.
+    pub fn fetch(
         &mut self,
         now: Micros,
         digest: u64,
         base: u64,
         from: SocketAddr,
-    ) -> Option<(SocketAddr, Message)> {
+    ) -> Option<(SocketAddr, ChunkRequest)> {
         if self.held.contains_key(&digest) || self.fetches.contains_key(&digest) {
             return None;
         }
-        if self.fetches.len() >= FETCHES {
+        if self.fetches.len() >= MAX_FETCHES {
             self.fetches.pop_first();
         }
         let base = if self.held.contains_key(&base) { base } else { 0 };
-        let again = now + AGAIN;
-        let (bytes, ahead) = (Vec::new(), BTreeMap::new());
-        self.fetches.insert(digest, Fetch { from, base, total: None, bytes, ahead, again, tries: 0 });
-        Some((from, Message::ChunkRequest { digest, base, offset: 0 }))
+        let fetch = Fetch::new(from, base, now + REQUEST_TIMEOUT);
+        let request = fetch.request(digest);
+        self.fetches.insert(digest, fetch);
+        Some(request)
     }
 
-    /// What is asked for a second time by now.
-    pub fn tick(&mut self, now: Micros) -> Vec<(SocketAddr, Message)> {
-        self.fetches.retain(|_, fetch| fetch.again > now || fetch.tries < TRIES);
-        let late = self.fetches.iter_mut().filter(|(_, fetch)| fetch.again <= now);
-        late.map(|(digest, fetch)| {
-            (fetch.tries, fetch.again) = (fetch.tries + 1, now + AGAIN);
-            let offset = fetch.bytes.len() as u32;
-            (fetch.from, Message::ChunkRequest { digest: *digest, base: fetch.base, offset })
+    /// The requests that are due to be repeated.
+    pub fn tick(&mut self, now: Micros) -> Vec<(SocketAddr, ChunkRequest)> {
+        self.fetches.retain(|_, fetch| fetch.repeat_at > now || fetch.unanswered < MAX_UNANSWERED_REQUESTS);
+        let due = self.fetches.iter_mut().filter(|(_, fetch)| fetch.repeat_at <= now);
+        due.map(|(digest, fetch)| {
+            (fetch.unanswered, fetch.repeat_at) = (fetch.unanswered + 1, now + REQUEST_TIMEOUT);
+            fetch.request(*digest)
         })
         .collect()
     }
 
     /// When [`ChunkedTransfer::tick`] has something to do next.
-    pub fn due(&self) -> Option<Micros> {
-        self.fetches.values().map(|fetch| fetch.again).min()
+    pub fn next_timeout(&self) -> Option<Micros> {
+        self.fetches.values().map(|fetch| fetch.repeat_at).min()
     }
 
-    /// What another node is sent that wants a document.
-    pub fn parts(&self, digest: u64, base: u64, offset: u32) -> Vec<Message> {
+    /// The chunks that answer a request: of a delta, where that is shorter than the document.
+    pub fn chunks(&self, request: ChunkRequest) -> Vec<Chunk> {
+        let ChunkRequest { digest, base, offset } = request;
         let Some(new) = self.get(digest) else { return Vec::new() };
-        let (base, bytes) = match self.get(base).map(|old| difference(old, new)) {
-            Some(bytes) if bytes.len() < new.len() => (base, bytes),
+        let (base, bytes) = match self.get(base).map(|old| encode_delta(old, new)) {
+            Some(delta) if delta.len() < new.len() => (base, delta),
             _ => (0, new.to_vec()),
         };
         let total = bytes.len() as u32;
         let rest = bytes.get(offset as usize..).unwrap_or_default();
-        let part = |(i, part): (usize, &[u8])| Message::Chunk {
+        let chunk = |(i, chunk): (usize, &[u8])| Chunk {
             digest,
             base,
             total,
             offset: offset + (i * MAX_CHUNK) as u32,
-            bytes: part.to_vec(),
+            bytes: chunk.to_vec(),
         };
-        rest.chunks(MAX_CHUNK).take(PARTS).enumerate().map(part).collect()
+        rest.chunks(MAX_CHUNK).take(CHUNKS_PER_REQUEST).enumerate().map(chunk).collect()
     }
 
-    /// Takes in a part; returns the document where it is whole now, and what to ask for next.
-    pub fn part(
-        &mut self,
-        now: Micros,
-        digest: u64,
-        base: u64,
-        total: u32,
-        offset: u32,
-        bytes: &[u8],
-    ) -> (Option<Vec<u8>>, Option<(SocketAddr, Message)>) {
-        let Some(fetch) = self.fetches.get_mut(&digest) else { return (None, None) };
-        if (fetch.base, fetch.total) != (base, Some(total)) {
-            // The other one may hold no such base, or another one by now.
-            if (base != 0 && base != fetch.base) || fetch.bytes.len() + fetch.ahead.len() > 0 {
-                return (None, None);
-            }
-            (fetch.base, fetch.total) = (base, Some(total));
-        }
-        let here = fetch.bytes.len();
-        if offset as usize > here {
-            if fetch.ahead.len() < PARTS {
-                fetch.ahead.insert(offset, bytes.to_vec());
-            }
-            return (None, None);
+    /// Takes in a chunk.
+    pub fn handle_chunk(&mut self, now: Micros, chunk: &Chunk) -> ChunkOutcome {
+        let Some(fetch) = self.fetches.get_mut(&chunk.digest) else { return ChunkOutcome::default() };
+        if !fetch.accepts(chunk) || !fetch.add(chunk) {
+            return ChunkOutcome::default();
         }
-        if (offset as usize) < here || bytes.is_empty() {
-            return (None, None);
+        (fetch.unanswered, fetch.repeat_at) = (0, now + REQUEST_TIMEOUT);
+        if fetch.bytes.len() < chunk.total as usize {
+            let request = fetch.request_is_answered().then(|| fetch.request(chunk.digest));
+            return ChunkOutcome { document: None, request };
         }
-        fetch.bytes.extend(bytes);
-        while let Some(part) = fetch.ahead.remove(&(fetch.bytes.len() as u32)) {
-            fetch.bytes.extend(part);
-        }
-        (fetch.tries, fetch.again) = (0, now + AGAIN);
-        if fetch.bytes.len() < total as usize {
-            let next = fetch.bytes.len() as u32;
-            let last_of_call = next.div_ceil(MAX_CHUNK as u32).is_multiple_of(PARTS as u32);
-            let want = Message::ChunkRequest { digest, base, offset: next };
-            return (None, last_of_call.then_some((fetch.from, want)));
-        }
-        let Some(fetch) = self.fetches.remove(&digest) else { return (None, None) };
-        let whole = match base {
+        ChunkOutcome { document: self.complete(chunk.digest), request: None }
+    }
+
+    /// Ends a fetch; its document, unless what arrived doesn't have the digest that was asked for.
+    fn complete(&mut self, digest: u64) -> Option<Vec<u8>> {
+        let fetch = self.fetches.remove(&digest)?;
+        let document = match fetch.base {
             0 => Some(fetch.bytes),
-            _ => self.get(base).and_then(|old| patched(old, &fetch.bytes)),
+            base => self.get(base).and_then(|old| apply_delta(old, &fetch.bytes)),
         };
-        (whole.filter(|whole| whole.len() <= MAX_DOCUMENT && crate::digest(whole) == digest), None)
+        document.filter(|document| document.len() <= MAX_DOCUMENT && crate::digest(document) == digest)
     }
 }
--- /dev/null
+++ b/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
@@ -0,0 +1,121 @@
+//! Calls of a voter's [`Raft`], and what follows from their effects.
+
+use super::ReplicatedConfig;
+use super::chunked_transfer::ChunkedTransfer;
+use super::effect::Effect;
+use super::message::{Announcement, Message, RaftMessage, VersionHeader};
+use super::raft::{HardState, Raft, RaftEffects, Role, StepTime};
+use alderstile::types::Micros;
+
+/// What a call may have changed.
+#[derive(Clone, Copy)]
+struct RaftState {
+    role: Role,
+    hard_state: Option<HardState>,
+    committed: Option<VersionHeader>,
+    confirmed_at: Option<Micros>,
+}
+
+impl RaftState {
+    fn of(raft: &Raft) -> Self {
+        RaftState {
+            role: raft.role(),
+            hard_state: raft.hard_state().copied(),
+            committed: raft.committed(),
+            confirmed_at: raft.confirmed_at(),
+        }
+    }
+}
+
+impl ReplicatedConfig {
+    /// Passes a message of another voter on.
+    pub(super) fn handle_raft_message(&mut self, message: RaftMessage, effects: &mut Vec<Effect>) {
+        self.drive_raft(effects, |raft, time, documents, raft_effects| {
+            raft.step(time, message, |digest| documents.holds(digest), raft_effects);
+        });
+        // A learner is told of versions whose documents it has yet to fetch.
+        if let Some(voter) = self.settings.voter(message.peer) {
+            self.fetch_committed(effects, voter);
+        }
+    }
+
+    /// Calls this voter's Raft, if it is one, and carries its effects out: the hard state before what rests on it.
+    pub(super) fn drive_raft(
+        &mut self,
+        effects: &mut Vec<Effect>,
+        call: impl FnOnce(&mut Raft, StepTime, &ChunkedTransfer, &mut RaftEffects),
+    ) {
+        let committed_for = self.committed_for().unwrap_or_default();
+        let time = StepTime { now: self.now, clock_us: self.clock_us(), committed_for };
+        let Some(raft) = &mut self.raft else { return };
+        let (before, mut raft_effects) = (RaftState::of(raft), RaftEffects::default());
+        call(raft, time, &self.documents, &mut raft_effects);
+        let after = RaftState::of(raft);
+        if let Some(hard_state) = after.hard_state.filter(|_| raft_effects.persist) {
+            let document = self.documents.get(hard_state.entry.digest).unwrap_or_default().to_vec();
+            effects.push(Effect::PersistHardState(hard_state, document));
+        }
+        self.send_raft_messages(raft_effects.messages, effects);
+        if let Some(wanted) = raft_effects.fetch
+            && let Some(from) = self.settings.voter(wanted.voter)
+        {
+            self.fetch(effects, wanted.digest, from);
+        }
+        self.report_role(before.role, after.role, effects);
+        self.learn_from_own_raft(before, after, raft_effects.committed, effects);
+        if let Some(announcement) = raft_effects.announced {
+            self.learn_announced(announcement, effects);
+        }
+    }
+
+    fn send_raft_messages(&mut self, messages: Vec<RaftMessage>, effects: &mut Vec<Effect>) {
+        let (voters_digest, from) = (self.voters_digest, self.settings.me.unwrap_or_default());
+        for RaftMessage { peer, term, payload } in messages {
+            if let Some(to) = self.settings.voter(peer) {
+                self.send(effects, to, &Message::Raft { voters_digest, from, term, payload });
+            }
+        }
+    }
+
+    fn report_role(&mut self, before: Role, after: Role, effects: &mut Vec<Effect>) {
+        if before == after {
+            return;
+        }
+        effects.push(Effect::RoleChanged(after));
+        if before == Role::Leader {
+            self.proposals.forget_pending();
+        }
+    }
+
+    /// What a leader's own rounds say: that an entry is committed, or that the latest one still is the latest.
+    fn learn_from_own_raft(
+        &mut self,
+        before: RaftState,
+        after: RaftState,
+        just_committed: bool,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(header) = after.committed else { return };
+        if just_committed {
+            self.learn_committed(effects, header, Micros(0), after.confirmed_at);
+            self.broadcast_commit(effects);
+            self.answer_committed(effects);
+        } else if after.confirmed_at > before.confirmed_at {
+            self.learn_committed(effects, header, Micros(0), after.confirmed_at);
+        }
+    }
+
+    /// The other voters hear of a commit at once, not at the next heartbeat.
+    fn broadcast_commit(&mut self, effects: &mut Vec<Effect>) {
+        // A function's pointer: a closure here would make the call's type endless.
+        let append: fn(&mut Raft, StepTime, &ChunkedTransfer, &mut RaftEffects) =
+            |raft, time, _, raft_effects| raft.broadcast_append(time, raft_effects);
+        self.drive_raft(effects, append);
+    }
+
+    pub(super) fn learn_announced(&mut self, announcement: Announcement, effects: &mut Vec<Effect>) {
+        let Announcement { header, committed_for_us, latest_at_us } = announcement;
+        let latest_at = self.echoed_time(latest_at_us);
+        self.learn_committed(effects, header, Micros(committed_for_us), latest_at);
+    }
+}
--- a/crates/alderstile-cluster/tests/replicated_config.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -5,7 +5,12 @@
 use std::net::SocketAddr;
 
 use alderstile::types::Micros;
-use alderstile_cluster::replicated_config::*;
+use alderstile_cluster::replicated_config::{
+    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, Effect, HardState, InvalidDocument,
+    LeaseState, LogPosition, MAX_CHUNK, MAX_DOCUMENT, Message, ProposalOutcome, ProposalRequest, Raft,
+    RaftEffects, RaftMessage, RaftPayload, ReplicatedConfig, ReplicationSettings, Role, Seal, StepTime,
+    VersionHeader, apply_delta, encode_delta,
+};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rand::{RngExt, SeedableRng};
@@ -22,8 +27,12 @@
 }
 
 /// Anything but what begins with a `!` is fine.
-fn check(document: &[u8]) -> Result<(), String> {
-    if document.first() == Some(&b'!') { Err("the key !: none of ours".to_owned()) } else { Ok(()) }
+fn check(document: &[u8]) -> Result<(), InvalidDocument> {
+    if document.first() == Some(&b'!') {
+        Err(InvalidDocument("the key !: none of ours".to_owned()))
+    } else {
+        Ok(())
+    }
 }
 
 /// One process: its core, its clock and what it did.
@@ -75,7 +84,7 @@
 
 impl Net {
     fn new(seed: u64, count: usize, voters: usize, rates: bool) -> Self {
-        Net::with(seed, count, rates, ReplicationSettings::usual((0..voters).map(address).collect(), None))
+        Net::with(seed, count, rates, ReplicationSettings::new((0..voters).map(address).collect(), None))
     }
 
     fn with(seed: u64, count: usize, rates: bool, set: ReplicationSettings) -> Self {
@@ -136,7 +145,7 @@
         let disk = self.processes[n].disk.clone();
         let mut core = ReplicatedConfig::new(set, seal(), disk, Box::new(check), seed, Micros(0));
         let others = (self.voters..self.processes.len()).map(address).collect();
-        core.members(others, n.checked_sub(self.voters));
+        core.set_members(others, n.checked_sub(self.voters));
         let process = &mut self.processes[n];
         (process.core, process.began, process.life) = (Some(core), self.now, process.life + 1);
         process.paused = false;
@@ -174,7 +183,7 @@
     fn wake(&mut self, n: usize) {
         let process = &self.processes[n];
         if let Some(core) = &process.core {
-            let at = self.truly(n, core.due()).ceil() as u64 + 1;
+            let at = self.truly(n, core.next_timeout()).ceil() as u64 + 1;
             let (at, life) = (at.max(self.now + 100), process.life);
             self.push(at, Event::Wake(n, life));
         }
@@ -191,9 +200,9 @@
     fn give(&mut self, n: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.local(n);
         if let Some(core) = &mut self.processes[n].core {
-            let before = core.due();
-            let out = core.received(now, from, bytes);
-            let sooner = core.due() < before;
+            let before = core.next_timeout();
+            let out = core.handle_datagram(now, from, bytes);
+            let sooner = core.next_timeout() < before;
             self.act(n, out);
             if sooner {
                 self.wake(n);
@@ -225,7 +234,7 @@
                     if self.processes[n].disk_fails {
                         let now = self.local(n);
                         if let Some(core) = &mut self.processes[n].core {
-                            core.forget(now);
+                            core.handle_persist_failure(now);
                         }
                         break;
                     }
@@ -255,8 +264,8 @@
     /// Notes what a process acts on, and until when it does if it hears nothing more.
     fn note(&mut self, n: usize) {
         let Some(core) = &self.processes[n].core else { return };
-        let (version, _) = core.in_force();
-        let Some(until) = core.acts_until().map(|until| self.truly(n, until)) else { return };
+        let (version, _) = core.active();
+        let Some(until) = core.lease_ends_at().map(|until| self.truly(n, until)) else { return };
         let now = self.now as f64;
         if until <= now {
             return;
@@ -312,7 +321,7 @@
                     let process = &self.processes[n];
                     if process.core.is_some() && process.life == life {
                         if !process.paused
-                            && process.core.as_ref().is_some_and(|core| core.due() <= self.local(n))
+                            && process.core.as_ref().is_some_and(|core| core.next_timeout() <= self.local(n))
                         {
                             self.tick(n);
                         }
@@ -376,7 +385,7 @@
     net.run(6.0);
     assert!(net.leader().is_some());
     assert!((0..12).all(|n| net.core(n).is_some_and(|core| {
-        core.standing(net.local(n)) == LeaseState::Valid && core.in_force() == (0, &[][..])
+        core.lease_state(net.local(n)) == LeaseState::Valid && core.active() == (0, &[][..])
     })));
     let began = net.now;
     net.propose(11, 5, 0, &text(1, 2_000));
@@ -387,7 +396,7 @@
     for n in 0..12 {
         let took = (net.in_force[n][&1] - began) as f64 / 1e6;
         assert!((2.5..4.0).contains(&took), "{n}: {took}");
-        assert_eq!(net.core(n).expect("up").in_force(), (1, &text(1, 2_000)[..]));
+        assert_eq!(net.core(n).expect("up").active(), (1, &text(1, 2_000)[..]));
     }
     assert_eq!(net.contradiction(), 0.0);
 }
@@ -449,14 +458,14 @@
     for n in 0..40 {
         let core = net.core(n).expect("up");
         let (version, standing) = if n % 2 == 0 { (2, LeaseState::Valid) } else { (1, LeaseState::Expired) };
-        assert_eq!((core.in_force().0, core.standing(net.local(n))), (version, standing), "{n}");
+        assert_eq!((core.active().0, core.lease_state(net.local(n))), (version, standing), "{n}");
     }
     net.parted = false;
     let healed = net.now;
     net.run(8.0);
     for n in 0..40 {
         let core = net.core(n).expect("up");
-        assert_eq!((core.in_force().0, core.standing(net.local(n))), (2, LeaseState::Valid), "{n}");
+        assert_eq!((core.active().0, core.lease_state(net.local(n))), (2, LeaseState::Valid), "{n}");
     }
     let last = (1..40).step_by(2).map(|n| net.in_force[n][&2]).max().expect("some");
     assert!(last - healed < 6_000_000, "{} us", last - healed);
@@ -475,7 +484,7 @@
     net.propose(5, 2, 1, b"two");
     net.run(20.0);
     assert_eq!(net.outcomes.get(&2), None);
-    assert!((2..12).all(|n| net.core(n).is_some_and(|core| core.in_force() == (1, b"one"))));
+    assert!((2..12).all(|n| net.core(n).is_some_and(|core| core.active() == (1, b"one"))));
     net.start(0);
     net.run(8.0);
     assert_eq!(net.outcomes.get(&2), Some(&ProposalOutcome::Committed(2)), "it was still put up");
@@ -507,72 +516,77 @@
     assert_eq!(net.outcomes.get(&1), Some(&ProposalOutcome::Committed(1)));
     net.go_on(leader);
     net.run(4.0);
-    assert!((0..12).all(|n| net.core(n).is_some_and(|core| core.in_force().0 == 1)));
+    assert!((0..12).all(|n| net.core(n).is_some_and(|core| core.active().0 == 1)));
     assert_eq!(net.contradiction(), 0.0);
 }
 
-fn voter(me: u8, memory: Option<HardState>) -> Raft {
+fn voter(me: u8, hard_state: Option<HardState>) -> Raft {
     let rng = Pcg64Mcg::seed_from_u64(u64::from(me));
-    Raft::new(me, 3, Micros::from_millis(500), memory, rng, Micros(0))
+    Raft::new(me, 3, Micros::from_millis(500), hard_state, rng, Micros(0))
 }
 
-fn moment(ms: u64) -> StepTime {
-    StepTime { now: Micros::from_millis(ms), clock: ms, since: Micros(0) }
+fn at_ms(ms: u64) -> StepTime {
+    StepTime { now: Micros::from_millis(ms), clock_us: ms, committed_for: Micros(0) }
 }
 
 #[test]
 fn a_voter_without_a_memory_neither_votes_nor_acknowledges_until_it_heard_from_all_others() {
     let mut blank = voter(0, None);
-    let say = |voter: &mut Raft, from: u8, term: u64, ballot: RaftPayload| {
-        let mut acts = RaftEffects::default();
-        voter.received(moment(10), (from, term, ballot), |_| true, &mut acts);
-        acts
+    let say = |voter: &mut Raft, peer: u8, term: u64, payload: RaftPayload| {
+        let mut effects = RaftEffects::default();
+        voter.step(at_ms(10), RaftMessage { peer, term, payload }, |_| true, &mut effects);
+        effects
     };
-    let stamp = LogPosition { term: 7, version: 9 };
-    let head = VersionHeader { stamp, digest: 1, length: 1 };
-    for ballot in [
-        RaftPayload::PreVote(stamp),
-        RaftPayload::RequestVote(stamp),
-        RaftPayload::AppendEntry { round: 1, head, agreed: None, since: 0, fresh: 0 },
+    let position = LogPosition { term: 7, version: 9 };
+    let entry = VersionHeader { position, digest: 1, length: 1 };
+    let append = AppendEntry { round: 1, entry, committed: None, committed_for_us: 0, latest_at_us: 0 };
+    for payload in [
+        RaftPayload::PreVote { last_entry: position },
+        RaftPayload::RequestVote { last_entry: position },
+        RaftPayload::AppendEntry(append),
         RaftPayload::HardStateRequest { nonce: 4 },
     ] {
-        let acts = say(&mut blank, 1, 8, ballot);
-        assert!(acts.send.is_empty() && !acts.save, "{ballot:?}: {acts:?}");
+        let effects = say(&mut blank, 1, 8, payload);
+        assert!(effects.messages.is_empty() && !effects.persist, "{payload:?}: {effects:?}");
     }
-    let mut acts = RaftEffects::default();
-    blank.tick(moment(1), &mut acts);
-    let nonce = match acts.send[0].2 {
+    let mut effects = RaftEffects::default();
+    blank.tick(at_ms(1), &mut effects);
+    let nonce = match effects.messages[0].payload {
         RaftPayload::HardStateRequest { nonce } => nonce,
         other => panic!("{other:?}"),
     };
-    assert_eq!(acts.send.len(), 2);
+    assert_eq!(effects.messages.len(), 2);
     // Of an earlier start.
-    say(&mut blank, 1, 8, RaftPayload::HardStateReply { nonce: nonce ^ 1, head });
-    say(&mut blank, 2, 8, RaftPayload::HardStateReply { nonce, head });
+    say(&mut blank, 1, 8, RaftPayload::HardStateReply { nonce: nonce ^ 1, entry });
+    say(&mut blank, 2, 8, RaftPayload::HardStateReply { nonce, entry });
     assert_eq!(blank.role(), Role::Learner, "one of two is not enough");
-    let higher = VersionHeader { stamp: LogPosition { term: 8, version: 9 }, ..head };
-    let acts = say(&mut blank, 1, 11, RaftPayload::HardStateReply { nonce, head: higher });
-    assert!(acts.save);
-    assert_eq!(blank.memory(), Some(&HardState { term: 12, vote: None, head: higher }));
+    let higher = VersionHeader { position: LogPosition { term: 8, version: 9 }, ..entry };
+    let effects = say(&mut blank, 1, 11, RaftPayload::HardStateReply { nonce, entry: higher });
+    assert!(effects.persist);
+    assert_eq!(blank.hard_state(), Some(&HardState { term: 12, vote: None, entry: higher }));
     // Whatever it may have promised before was for a term of 11 at most.
-    let acts = say(&mut blank, 2, 11, RaftPayload::RequestVote(stamp));
-    assert!(acts.send.iter().all(|(_, _, ballot)| *ballot == RaftPayload::VoteReply(false)), "{acts:?}");
+    let effects = say(&mut blank, 2, 11, RaftPayload::RequestVote { last_entry: position });
+    let refused = RaftPayload::VoteReply { granted: false };
+    assert!(effects.messages.iter().all(|message| message.payload == refused), "{effects:?}");
 }
 
 #[test]
 fn a_voter_votes_once_a_term_and_for_nobody_that_holds_less() {
-    let head = VersionHeader { stamp: LogPosition { term: 3, version: 5 }, digest: 1, length: 1 };
-    let mut one = voter(0, Some(HardState { term: 3, vote: None, head }));
-    let mut vote = |from: u8, term: u64, held: LogPosition| {
-        let mut acts = RaftEffects::default();
-        one.received(moment(9_000), (from, term, RaftPayload::RequestVote(held)), |_| true, &mut acts);
-        (acts.send[0].2 == RaftPayload::VoteReply(true), acts.save)
+    let position = LogPosition { term: 3, version: 5 };
+    let entry = VersionHeader { position, digest: 1, length: 1 };
+    let mut one = voter(0, Some(HardState { term: 3, vote: None, entry }));
+    let mut vote = |peer: u8, term: u64, last_entry: LogPosition| {
+        let mut effects = RaftEffects::default();
+        let payload = RaftPayload::RequestVote { last_entry };
+        one.step(at_ms(9_000), RaftMessage { peer, term, payload }, |_| true, &mut effects);
+        let granted = RaftPayload::VoteReply { granted: true };
+        (effects.messages[0].payload == granted, effects.persist)
     };
     assert_eq!(vote(1, 4, LogPosition { term: 2, version: 9 }), (false, true), "it holds less");
-    assert_eq!(vote(2, 4, head.stamp), (true, true));
-    assert_eq!(vote(1, 4, head.stamp), (false, false), "it has voted");
-    assert_eq!(vote(2, 4, head.stamp), (true, true), "the same again");
-    assert_eq!(vote(1, 3, head.stamp), (false, false), "an old term");
+    assert_eq!(vote(2, 4, position), (true, true));
+    assert_eq!(vote(1, 4, position), (false, false), "it has voted");
+    assert_eq!(vote(2, 4, position), (true, true), "the same again");
+    assert_eq!(vote(1, 3, position), (false, false), "an old term");
 }
 
 #[test]
@@ -585,8 +599,8 @@
     net.processes[0].disk = None;
     net.start(0);
     net.run(3.0);
-    let memory = net.core(0).and_then(|core| core.memory().copied()).expect("it remembers again");
-    assert_eq!(memory.head.stamp.version, 1);
+    let memory = net.core(0).and_then(|core| core.hard_state().copied()).expect("it remembers again");
+    assert_eq!(memory.entry.position.version, 1);
     net.processes[1].disk_fails = true;
     net.run(2.0);
     net.propose(5, 2, 1, b"two");
@@ -610,7 +624,7 @@
     let voters = [3, 5][chance.random_range(0..2)];
     let count = voters + chance.random_range(3..10);
     let set =
-        ReplicationSettings { drift, ..ReplicationSettings::usual((0..voters).map(address).collect(), None) };
+        ReplicationSettings { drift, ..ReplicationSettings::new((0..voters).map(address).collect(), None) };
     let mut net = Net::with(seed, count, true, set);
     (net.loss, net.twice) = (chance.random_range(0.0..0.25), chance.random_range(0.0..0.2));
     net.crash_in_batch = chance.random_range(0..2) == 0;
@@ -641,7 +655,7 @@
                 down.into_iter().for_each(|n| net.start(n));
             }
             _ => {
-                let expect = net.core(n).map_or(0, |core| core.known().0);
+                let expect = net.core(n).map_or(0, |core| core.committed().0);
                 net.propose(n, step, expect, format!("{step} by {n}").as_bytes());
             }
         }
@@ -657,12 +671,12 @@
         }
     }
     net.run(25.0);
-    let latest = (0..count).filter_map(|n| net.core(n)).map(|core| core.in_force().0).max().expect("some");
+    let latest = (0..count).filter_map(|n| net.core(n)).map(|core| core.active().0).max().expect("some");
     for n in 0..count {
         let core = net.core(n).expect("up");
-        assert_eq!(core.figures().contrary, 0, "seed {seed}");
+        assert_eq!(core.traffic().conflicting, 0, "seed {seed}");
         assert_eq!(
-            (core.in_force().0, core.standing(net.local(n))),
+            (core.active().0, core.lease_state(net.local(n))),
             (latest, LeaseState::Valid),
             "seed {seed}: {n}"
         );
@@ -786,65 +800,69 @@
 /// Any message.
 fn message() -> impl Strategy<Value = Message> {
     let number = any::<u64>;
-    let stamp = || (number(), number()).prop_map(|(term, version)| LogPosition { term, version });
-    let head = move || {
-        (stamp(), number(), 0..=MAX_DOCUMENT as u32).prop_map(|(stamp, digest, length)| VersionHeader {
-            stamp,
+    let length = || 0..=MAX_DOCUMENT as u32;
+    let position = || (number(), number()).prop_map(|(term, version)| LogPosition { term, version });
+    let header = move || {
+        (position(), number(), length()).prop_map(|(position, digest, length)| VersionHeader {
+            position,
             digest,
             length,
         })
     };
-    let ballot = prop_oneof![
-        stamp().prop_map(RaftPayload::PreVote),
-        any::<bool>().prop_map(RaftPayload::PreVoteReply),
-        stamp().prop_map(RaftPayload::RequestVote),
-        any::<bool>().prop_map(RaftPayload::VoteReply),
-        (number(), head(), proptest::option::of(head()), number(), number()).prop_map(
-            |(round, head, agreed, since, fresh)| RaftPayload::AppendEntry {
-                round,
-                head,
-                agreed,
-                since,
-                fresh
-            }
-        ),
-        (number(), stamp(), number()).prop_map(|(round, stored, clock)| RaftPayload::AppendReply {
+    let append = (number(), header(), proptest::option::of(header()), number(), number()).prop_map(
+        |(round, entry, committed, committed_for_us, latest_at_us)| AppendEntry {
             round,
-            stored,
-            clock
-        }),
+            entry,
+            committed,
+            committed_for_us,
+            latest_at_us,
+        },
+    );
+    let append_reply = (number(), position(), number()).prop_map(|(round, stored, clock_us)| AppendReply {
+        round,
+        stored,
+        clock_us,
+    });
+    let payload = prop_oneof![
+        position().prop_map(|last_entry| RaftPayload::PreVote { last_entry }),
+        any::<bool>().prop_map(|granted| RaftPayload::PreVoteReply { granted }),
+        position().prop_map(|last_entry| RaftPayload::RequestVote { last_entry }),
+        any::<bool>().prop_map(|granted| RaftPayload::VoteReply { granted }),
+        append.prop_map(RaftPayload::AppendEntry),
+        append_reply.prop_map(RaftPayload::AppendReply),
         number().prop_map(|nonce| RaftPayload::HardStateRequest { nonce }),
-        (number(), head()).prop_map(|(nonce, head)| RaftPayload::HardStateReply { nonce, head }),
+        (number(), header()).prop_map(|(nonce, entry)| RaftPayload::HardStateReply { nonce, entry }),
     ];
     let outcome = prop_oneof![
         number().prop_map(ProposalOutcome::Committed),
         "[a-zé]{0,100}".prop_map(ProposalOutcome::Rejected),
         any::<u8>().prop_map(ProposalOutcome::NotLeader),
     ];
-    let part = proptest::collection::vec(any::<u8>(), 0..=MAX_CHUNK);
+    let announcement = (header(), number(), number()).prop_map(|(header, committed_for_us, latest_at_us)| {
+        Announcement { header, committed_for_us, latest_at_us }
+    });
+    let chunk_request = (number(), number(), any::<u32>()).prop_map(|(digest, base, offset)| ChunkRequest {
+        digest,
+        base,
+        offset,
+    });
+    let bytes = proptest::collection::vec(any::<u8>(), 0..=MAX_CHUNK);
+    let chunk = (number(), number(), length(), any::<u32>(), bytes)
+        .prop_map(|(digest, base, total, offset, bytes)| Chunk { digest, base, total, offset, bytes });
+    let proposal =
+        (number(), number(), number(), length()).prop_map(|(nonce, expected_version, digest, length)| {
+            ProposalRequest { nonce, expected_version, digest, length }
+        });
     prop_oneof![
-        (number(), any::<u8>(), number(), ballot).prop_map(|(voters, from, term, ballot)| Message::Raft {
-            voters,
-            from,
-            term,
-            ballot
-        }),
-        (number(), number()).prop_map(|(clock, in_force)| Message::Subscribe { clock, in_force }),
-        (head(), number(), number()).prop_map(|(head, since, fresh)| Message::Announce {
-            head,
-            since,
-            fresh
-        }),
-        (number(), number(), any::<u32>()).prop_map(|(digest, base, offset)| Message::ChunkRequest {
-            digest,
-            base,
-            offset
+        (number(), any::<u8>(), number(), payload).prop_map(|(voters_digest, from, term, payload)| {
+            Message::Raft { voters_digest, from, term, payload }
         }),
-        (number(), number(), 0..=MAX_DOCUMENT as u32, any::<u32>(), part).prop_map(
-            |(digest, base, total, offset, bytes)| Message::Chunk { digest, base, total, offset, bytes }
-        ),
-        (number(), number(), number(), 0..=MAX_DOCUMENT as u32)
-            .prop_map(|(nonce, expect, digest, length)| Message::Propose { nonce, expect, digest, length }),
+        (number(), number())
+            .prop_map(|(clock_us, active_version)| Message::Subscribe { clock_us, active_version }),
+        announcement.prop_map(Message::Announce),
+        chunk_request.prop_map(Message::ChunkRequest),
+        chunk.prop_map(Message::Chunk),
+        proposal.prop_map(Message::Propose),
         (number(), outcome).prop_map(|(nonce, outcome)| Message::ProposeReply { nonce, outcome }),
     ]
 }
@@ -867,14 +885,14 @@
         cut in any::<u8>(),
     ) {
         for me in [None, Some(1)] {
-            let set = ReplicationSettings::usual((0..3).map(address).collect(), me);
+            let set = ReplicationSettings::new((0..3).map(address).collect(), me);
             let memory = me.map(|_| (HardState::genesis(), Vec::new()));
             let mut core = ReplicatedConfig::new(set.clone(), seal(), memory, Box::new(check), 5, Micros(0));
             let mut now = Micros(0);
             let mut give = |bytes: &[u8]| {
                 now = now + Micros(40_000);
                 let mut out = core.tick(now);
-                out.extend(core.received(now, address(2), bytes));
+                out.extend(core.handle_datagram(now, address(2), bytes));
                 out
             };
             for inside in &inside {
@@ -888,7 +906,7 @@
                 let foreign = Seal::new("other", &[KEY.to_vec()]).expect("a seal").write(message);
                 give(&foreign);
             }
-            prop_assert!(core.figures().foreign > 0);
+            prop_assert!(core.traffic().foreign > 0);
         }
     }
 
@@ -898,8 +916,8 @@
         new in proptest::collection::vec(0_u8..3, 0..60),
         other in proptest::collection::vec(any::<u8>(), 0..60),
     ) {
-        prop_assert_eq!(patched(&old, &difference(&old, &new)), Some(new));
+        prop_assert_eq!(apply_delta(&old, &encode_delta(&old, &new)), Some(new));
         // Any bytes as a difference make something or nothing.
-        let _ = patched(&old, &other);
+        let _ = apply_delta(&old, &other);
     }
 }
--- a/crates/alderstile-cluster/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_fixtures.rs
@@ -3,51 +3,79 @@
 use std::path::PathBuf;
 
 use alderstile_cluster::replicated_config::{
-    LogPosition, Message, ProposalOutcome, RaftPayload, Seal, VersionHeader,
+    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, LogPosition, Message, ProposalOutcome,
+    ProposalRequest, RaftPayload, Seal, VersionHeader,
 };
 
 /// One message of each kind, under the name of its fixture.
 fn messages() -> Vec<(&'static str, Message)> {
-    let stamp = LogPosition { term: 7, version: 41 };
-    let head = VersionHeader { stamp, digest: 0x1122_3344_5566_7788, length: 3_000 };
+    let position = LogPosition { term: 7, version: 41 };
+    let header = VersionHeader { position, digest: 0x1122_3344_5566_7788, length: 3_000 };
     let earlier = VersionHeader {
-        stamp: LogPosition { term: 6, version: 40 },
+        position: LogPosition { term: 6, version: 40 },
         digest: 0x8877_6655_4433_2211,
         length: 2_999,
     };
-    let voter = |ballot| Message::Raft { voters: 0x0102_0304_0506_0708, from: 2, term: 8, ballot };
-    let append = |agreed| {
-        let (since, fresh) = (1_234_567, 0x2000_0000_0000_0001);
-        voter(RaftPayload::AppendEntry { round: 99, head, agreed, since, fresh })
+    let voter = |payload| Message::Raft { voters_digest: 0x0102_0304_0506_0708, from: 2, term: 8, payload };
+    let append = |committed| {
+        let (committed_for_us, latest_at_us) = (1_234_567, 0x2000_0000_0000_0001);
+        let append = AppendEntry { round: 99, entry: header, committed, committed_for_us, latest_at_us };
+        voter(RaftPayload::AppendEntry(append))
     };
     let answer = |outcome| Message::ProposeReply { nonce: 0xfeed, outcome };
     vec![
-        ("pre_vote", voter(RaftPayload::PreVote(stamp))),
-        ("pre_vote_reply", voter(RaftPayload::PreVoteReply(true))),
-        ("vote", voter(RaftPayload::RequestVote(stamp))),
-        ("vote_reply", voter(RaftPayload::VoteReply(false))),
+        ("pre_vote", voter(RaftPayload::PreVote { last_entry: position })),
+        ("pre_vote_reply", voter(RaftPayload::PreVoteReply { granted: true })),
+        ("vote", voter(RaftPayload::RequestVote { last_entry: position })),
+        ("vote_reply", voter(RaftPayload::VoteReply { granted: false })),
         ("append", append(None)),
         ("append_with_committed", append(Some(earlier))),
         (
             "append_reply",
-            voter(RaftPayload::AppendReply { round: 99, stored: stamp, clock: 0x2000_0000_0000_0002 }),
+            voter(RaftPayload::AppendReply(AppendReply {
+                round: 99,
+                stored: position,
+                clock_us: 0x2000_0000_0000_0002,
+            })),
         ),
         ("hard_state_request", voter(RaftPayload::HardStateRequest { nonce: 0xabcd })),
-        ("hard_state_reply", voter(RaftPayload::HardStateReply { nonce: 0xabcd, head })),
-        ("subscribe", Message::Subscribe { clock: 0x2000_0000_0000_0003, in_force: 40 }),
-        ("notify", Message::Announce { head, since: 2_345_678, fresh: 0x2000_0000_0000_0004 }),
-        ("chunk_request", Message::ChunkRequest { digest: head.digest, base: earlier.digest, offset: 2_000 }),
+        ("hard_state_reply", voter(RaftPayload::HardStateReply { nonce: 0xabcd, entry: header })),
+        ("subscribe", Message::Subscribe { clock_us: 0x2000_0000_0000_0003, active_version: 40 }),
+        (
+            "announce",
+            Message::Announce(Announcement {
+                header,
+                committed_for_us: 2_345_678,
+                latest_at_us: 0x2000_0000_0000_0004,
+            }),
+        ),
+        (
+            "chunk_request",
+            Message::ChunkRequest(ChunkRequest {
+                digest: header.digest,
+                base: earlier.digest,
+                offset: 2_000,
+            }),
+        ),
         (
             "chunk",
-            Message::Chunk {
-                digest: head.digest,
+            Message::Chunk(Chunk {
+                digest: header.digest,
                 base: earlier.digest,
                 total: 2_011,
                 offset: 2_000,
                 bytes: b"hello there".to_vec(),
-            },
+            }),
+        ),
+        (
+            "propose",
+            Message::Propose(ProposalRequest {
+                nonce: 0xfeed,
+                expected_version: 41,
+                digest: 0x99,
+                length: 17,
+            }),
         ),
-        ("propose", Message::Propose { nonce: 0xfeed, expect: 41, digest: 0x99, length: 17 }),
         ("propose_reply_committed", answer(ProposalOutcome::Committed(42))),
         ("propose_reply_rejected", answer(ProposalOutcome::Rejected("the key läuft".to_owned()))),
         ("propose_reply_not_leader", answer(ProposalOutcome::NotLeader(3))),
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -249,7 +249,7 @@
     if me.is_some() && state_dir.is_none() {
         return Err(bad("control.state_dir", "a voter wants a lasting place for its memory".to_owned()));
     }
-    let mut settings = replicated_config::ReplicationSettings::usual(voters, me);
+    let mut settings = replicated_config::ReplicationSettings::new(voters, me);
     if let Some(heartbeat) = table.heartbeat_ms {
         if !(20..=10_000).contains(&heartbeat) {
             return Err(bad("control.heartbeat_ms", format!("{heartbeat}: 20 to 10000 is wanted")));
--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config.rs
@@ -11,7 +11,7 @@
 use alderstile::types::Micros;
 use alderstile_cluster::members::MAX_DATAGRAM;
 use alderstile_cluster::replicated_config::{
-    Effect, LeaseState, ProposalOutcome, ReplicatedConfig, ReplicationSettings, Role,
+    Effect, InvalidDocument, LeaseState, ProposalOutcome, ReplicatedConfig, ReplicationSettings, Role,
 };
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -177,7 +177,7 @@
             Some((memory, _)) => {
                 info!(
                     "agreed: voter {me} remembers term {}, version {}",
-                    memory.term, memory.head.stamp.version
+                    memory.term, memory.entry.position.version
                 );
             }
             None => {
@@ -201,12 +201,12 @@
                 look = now + LOOK;
                 self.look(cluster, port);
             }
-            let due = self.began + Duration::from_micros(self.core.borrow().due().0);
+            let due = self.began + Duration::from_micros(self.core.borrow().next_timeout().0);
             let due = until.map_or(due.min(look), |until| due.min(look).min(until));
             tokio::select! {
                 received = socket.recv_from(&mut data) => match received {
                     Ok((length, from)) => {
-                        let out = self.core.borrow_mut().received(self.now(), from, &data[..length]);
+                        let out = self.core.borrow_mut().handle_datagram(self.now(), from, &data[..length]);
                         self.act(out);
                     }
                     // One that is down refused what was sent to it; should errors go on, they must not take the core.
@@ -242,7 +242,7 @@
         }
         others.sort_unstable();
         let place = others.iter().position(|(_, address)| !votes && *address == me);
-        self.core.borrow_mut().members(others.into_iter().map(|(_, address)| address).collect(), place);
+        self.core.borrow_mut().set_members(others.into_iter().map(|(_, address)| address).collect(), place);
     }
 
     fn act(&self, out: Vec<Effect>) {
@@ -255,7 +255,7 @@
                         error!(
                             "agreed: {error}; this voter votes no more until it can, and each of the others has told"
                         );
-                        self.core.borrow_mut().forget(self.now());
+                        self.core.borrow_mut().handle_persist_failure(self.now());
                         return;
                     }
                 }
@@ -296,7 +296,7 @@
         let Ok(document) = Document::parse(document) else { return };
         info!(
             "agreed: version {version} is agreed and counts in {:.1} s",
-            self.core.borrow().known().1.as_secs_f64()
+            self.core.borrow().committed().1.as_secs_f64()
         );
         self.take_out(&node, &document.hosts_out);
         if let Ok(Some(config)) = document.waiting(&node.config()) {
@@ -375,7 +375,7 @@
 
     /// Tells when this node is cut off, and when it is not any more.
     fn tell_standing(&self) {
-        let cut_off = self.core.borrow().standing(self.now()) == LeaseState::Expired;
+        let cut_off = self.core.borrow().lease_state(self.now()) == LeaseState::Expired;
         if self.cut_off.replace(cut_off) != cut_off {
             let version = self.applied.borrow().0;
             if cut_off {
@@ -393,12 +393,12 @@
     pub fn ready(&self) -> bool {
         let (core, now) = (self.core.borrow(), self.now());
         let refuses = self.config.cut_off == CutOff::Refuse;
-        match core.standing(now) {
+        match core.lease_state(now) {
             LeaseState::Valid => true,
             LeaseState::NeverHeard => now >= self.config.settings.lease && !refuses,
             LeaseState::Superseded => {
                 self.applied.borrow().0 > 0
-                    || core.known().0 == 0
+                    || core.committed().0 == 0
                     || now >= self.config.settings.lease.scale(3.0)
             }
             LeaseState::Expired => !refuses,
@@ -410,9 +410,9 @@
     /// What this node says.
     pub fn show(&self) -> Shown {
         let (core, now) = (self.core.borrow(), self.now());
-        let (in_force, document) = core.in_force();
-        let (known, waits) = core.known();
-        let standing = match core.standing(now) {
+        let (in_force, document) = core.active();
+        let (known, waits) = core.committed();
+        let standing = match core.lease_state(now) {
             LeaseState::NeverHeard => "unheard",
             LeaseState::Valid => "counts",
             LeaseState::Superseded => "between",
@@ -423,7 +423,7 @@
             standing: standing.to_owned(),
             known,
             waits_ms: waits.0 / 1_000,
-            age_ms: core.age(now).map(|age| age.0 / 1_000),
+            age_ms: core.news_age(now).map(|age| age.0 / 1_000),
             voter: core.role().map(|role| shown(role).to_owned()),
             leader: core
                 .leader()
@@ -442,21 +442,21 @@
             // Writing to a string cannot fail.
             let _ = writeln!(text, "router.agreed_{name}:{value}|{kind}");
         };
-        line("version", core.in_force().0, 'g');
-        line("known", core.known().0, 'g');
-        line("cut_off", u64::from(core.standing(now) == LeaseState::Expired), 'g');
+        line("version", core.active().0, 'g');
+        line("known", core.committed().0, 'g');
+        line("cut_off", u64::from(core.lease_state(now) == LeaseState::Expired), 'g');
         line("refused", u64::from(self.refused.borrow().is_some()), 'g');
-        line("age_ms", core.age(now).map_or(0, |age| age.0 / 1_000), 'g');
-        line("told", core.children() as u64, 'g');
-        let figures = core.figures();
+        line("age_ms", core.news_age(now).map_or(0, |age| age.0 / 1_000), 'g');
+        line("told", core.subscriber_count() as u64, 'g');
+        let figures = core.traffic();
         line("sent", figures.sent, 'c');
         line("sent_bytes", figures.sent_bytes, 'c');
-        line("taken", figures.taken, 'c');
-        line("taken_bytes", figures.taken_bytes, 'c');
+        line("taken", figures.received, 'c');
+        line("taken_bytes", figures.received_bytes, 'c');
         line("foreign", figures.foreign, 'c');
-        line("damaged", figures.damaged, 'c');
-        line("newer", figures.newer, 'c');
-        line("contrary", figures.contrary, 'c');
+        line("damaged", figures.malformed, 'c');
+        line("newer", figures.newer_format, 'c');
+        line("contrary", figures.conflicting, 'c');
         text
     }
 
@@ -481,7 +481,7 @@
             Ok(Ok(ProposalOutcome::Committed(version))) => Proposed::Agreed(version),
             Ok(Ok(ProposalOutcome::Rejected(why))) => Proposed::Refused(why),
             _ => {
-                self.core.borrow_mut().give_up(nonce);
+                self.core.borrow_mut().abandon_proposal(nonce);
                 Proposed::Open
             }
         }
@@ -501,9 +501,9 @@
 ) -> ReplicatedConfig {
     let node = node.clone();
     let check = move |document: &[u8]| {
-        let node = node.upgrade().ok_or("the node ends")?;
-        let document = Document::parse(document).map_err(|error| error.to_string())?;
-        document.check(&node.config()).map_err(|error| error.to_string())
+        let node = node.upgrade().ok_or_else(|| InvalidDocument("the node ends".to_owned()))?;
+        let document = Document::parse(document).map_err(|error| InvalidDocument(error.to_string()))?;
+        document.check(&node.config()).map_err(|error| InvalidDocument(error.to_string()))
     };
     let set = ReplicationSettings { me, ..config.settings.clone() };
     // Never the same at two starts: what an earlier process was told must not count for this one.
--- a/crates/alderstile-node/src/control/replicated_config_store.rs
+++ b/crates/alderstile-node/src/control/replicated_config_store.rs
@@ -100,14 +100,14 @@
 
 fn text(voters: u64, memory: &HardState, document: &[u8]) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
-    let HardState { term, vote, head } = memory;
+    let HardState { term, vote, entry } = memory;
     bytes.extend(voters.to_le_bytes());
     bytes.extend(term.to_le_bytes());
     bytes.push(vote.unwrap_or(u8::MAX));
-    for number in [head.stamp.term, head.stamp.version, head.digest] {
+    for number in [entry.position.term, entry.position.version, entry.digest] {
         bytes.extend(number.to_le_bytes());
     }
-    bytes.extend(head.length.to_le_bytes());
+    bytes.extend(entry.length.to_le_bytes());
     bytes.extend(document);
     let digest = alderstile_cluster::digest(&bytes);
     bytes.extend(digest.to_le_bytes());
@@ -127,11 +127,11 @@
         said.get(at..at + 8).and_then(|bytes| bytes.try_into().ok()).map(u64::from_le_bytes).unwrap_or(0)
     };
     let (voters, term, vote) = (number(1), number(9), said[17]);
-    let stamp = LogPosition { term: number(18), version: number(26) };
+    let position = LogPosition { term: number(18), version: number(26) };
     let length = u32::from_le_bytes(said.get(42..46)?.try_into().ok()?);
     let document = said.get(46..)?.to_vec();
-    let head = VersionHeader { stamp, digest: number(34), length };
-    let whole = document.len() == length as usize && alderstile_cluster::digest(&document) == head.digest;
+    let entry = VersionHeader { position, digest: number(34), length };
+    let whole = document.len() == length as usize && alderstile_cluster::digest(&document) == entry.digest;
     let vote = (vote != u8::MAX).then_some(vote);
-    whole.then_some((voters, HardState { term, vote, head }, document))
+    whole.then_some((voters, HardState { term, vote, entry }, document))
 }
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -471,10 +471,13 @@
 }
 
 fn memory(version: u64, document: &[u8]) -> HardState {
-    let stamp = LogPosition { term: 4, version };
-    let head =
-        VersionHeader { stamp, digest: alderstile_cluster::digest(document), length: document.len() as u32 };
-    HardState { term: 5, vote: Some(2), head }
+    let position = LogPosition { term: 4, version };
+    let entry = VersionHeader {
+        position,
+        digest: alderstile_cluster::digest(document),
+        length: document.len() as u32,
+    };
+    HardState { term: 5, vote: Some(2), entry }
 }
 
 /// What a store holds. Processes that other tests start at this moment hold its lock until they have become themselves.
--- a/crates/alderstile-node/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-node/tests/replicated_config_fixtures.rs
@@ -28,10 +28,13 @@
 }
 
 fn stored_state(document: &[u8]) -> HardState {
-    let stamp = LogPosition { term: 4, version: 9 };
-    let head =
-        VersionHeader { stamp, digest: alderstile_cluster::digest(document), length: document.len() as u32 };
-    HardState { term: 5, vote: Some(2), head }
+    let position = LogPosition { term: 4, version: 9 };
+    let entry = VersionHeader {
+        position,
+        digest: alderstile_cluster::digest(document),
+        length: document.len() as u32,
+    };
+    HardState { term: 5, vote: Some(2), entry }
 }
 
 const VOTERS: u64 = 0x0102_0304_0506_0708;
