--- a/crates/alderstile-cluster/src/replicated_config/message.rs
+++ b/crates/alderstile-cluster/src/replicated_config/message.rs
@@ -6,7 +6,7 @@
 pub const MAX_DOCUMENT: usize = 32 << 10;
 /// The longest reason that the answer to a proposal carries, bytes.
 pub const MAX_REASON: usize = 400;
-/// Bytes of a document or delta in one datagram: with everything else below [`crate::members::MAX_DATAGRAM`].
+/// Bytes of a document or delta in one datagram: with everything else below [`crate::authentication::MAX_DATAGRAM_BYTES`].
 pub const MAX_CHUNK: usize = 1_000;
 
 /// The position of a log entry: ordered by term, then by version (Raft, section 5.4.1, with the version for the index).
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -17,7 +17,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-use crate::members::Unread;
+use crate::authentication::DecodeError;
 
 mod activation;
 mod chunked_transfer;
@@ -198,9 +198,9 @@
                 self.traffic.received_bytes += bytes.len() as u64;
                 self.handle_message(from, message, &mut effects);
             }
-            Err(Unread::Foreign) => self.traffic.foreign += 1,
-            Err(Unread::Damaged) => self.traffic.malformed += 1,
-            Err(Unread::Newer) => self.traffic.newer_format += 1,
+            Err(DecodeError::Unauthenticated) => self.traffic.foreign += 1,
+            Err(DecodeError::Malformed) => self.traffic.malformed += 1,
+            Err(DecodeError::UnsupportedFormat) => self.traffic.newer_format += 1,
         }
         effects
     }
--- a/crates/alderstile-cluster/src/replicated_config/wire.rs
+++ b/crates/alderstile-cluster/src/replicated_config/wire.rs
@@ -17,7 +17,7 @@
 
 use super::codec::{decode_message, encode_message};
 use super::message::Message;
-use crate::members::{MAX_CLUSTER, MAX_DATAGRAM, MIN_KEY, Unread};
+use crate::authentication::{DecodeError, MAX_CLUSTER_NAME_BYTES, MAX_DATAGRAM_BYTES, MIN_KEY_BYTES};
 
 const MAGIC: &[u8] = b"AC";
 /// What this program writes.
@@ -34,8 +34,10 @@
 impl Seal {
     /// None where the name or a key is too short or too long, or there is no key.
     pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Option<Self> {
-        let length = u8::try_from(cluster.len()).ok().filter(|n| *n > 0 && usize::from(*n) <= MAX_CLUSTER)?;
-        if keys.is_empty() || keys.iter().any(|key| key.len() < MIN_KEY) {
+        let length = u8::try_from(cluster.len())
+            .ok()
+            .filter(|n| *n > 0 && usize::from(*n) <= MAX_CLUSTER_NAME_BYTES)?;
+        if keys.is_empty() || keys.iter().any(|key| key.len() < MIN_KEY_BYTES) {
             return None;
         }
         let head = [MAGIC, &[FORMAT, length], cluster.as_bytes()].concat();
@@ -65,14 +67,14 @@
     }
 
     /// Reads a datagram; what is wrong with it otherwise.
-    pub fn read(&self, bytes: &[u8]) -> Result<Message, Unread> {
+    pub fn read(&self, bytes: &[u8]) -> Result<Message, DecodeError> {
         match bytes {
-            [b'A', b'C', format, ..] if *format > FORMAT => return Err(Unread::Newer),
-            [b'A', b'C', FORMAT, ..] if bytes.len() <= MAX_DATAGRAM => {}
-            _ => return Err(Unread::Damaged),
+            [b'A', b'C', format, ..] if *format > FORMAT => return Err(DecodeError::UnsupportedFormat),
+            [b'A', b'C', FORMAT, ..] if bytes.len() <= MAX_DATAGRAM_BYTES => {}
+            _ => return Err(DecodeError::Malformed),
         }
-        let inside = bytes.strip_prefix(&*self.head).ok_or(Unread::Foreign)?;
-        let Some(length) = inside.len().checked_sub(MAC) else { return Err(Unread::Damaged) };
+        let inside = bytes.strip_prefix(&*self.head).ok_or(DecodeError::Unauthenticated)?;
+        let Some(length) = inside.len().checked_sub(MAC) else { return Err(DecodeError::Malformed) };
         let (signed, mac) = bytes.split_at(self.head.len() + length);
         let known = |key: &Hmac<Sha256>| {
             let mut check = key.clone();
@@ -80,8 +82,8 @@
             check.verify_truncated_left(mac).is_ok()
         };
         if !self.keys.iter().any(known) {
-            return Err(Unread::Foreign);
+            return Err(DecodeError::Unauthenticated);
         }
-        decode_message.parse(&inside[..length]).map_err(|_| Unread::Damaged)
+        decode_message.parse(&inside[..length]).map_err(|_| DecodeError::Malformed)
     }
 }
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -2,11 +2,14 @@
 
 use std::rc::Rc;
 
-use alderstile::types::{Micros, Part};
+use alderstile::types::{Micros, RetryBudgetBucket};
 
+use crate::admin::maintenance_store::Stand;
 use crate::admin::service::Operators;
 use crate::config::{Config, Current};
+use crate::control::configured_node::ConfiguredNode;
 use crate::decisions::Decisions;
+use crate::discovery::endpoint_list::server_id;
 use crate::lifecycle::process::Process;
 use crate::lifecycle::upgrade_channel::WORD;
 use crate::lifecycle::upgrade_state::Handshake;
@@ -84,7 +87,10 @@
             held: self.clients.held(),
             member: self.operators.cluster().map(|cluster| cluster.word()),
             spent: spent.map(|parts| {
-                parts.iter().map(|part| (part.from.0, part.to.0, part.taken, part.further)).collect()
+                parts
+                    .iter()
+                    .map(|part| (part.first_event.0, part.last_event.0, part.admitted, part.retries))
+                    .collect()
             }),
         }
     }
@@ -98,11 +104,11 @@
                 self.operators.stand(host, *stand);
             }
         }
-        let part = |&(from, to, taken, further): &(u64, u64, u32, u32)| Part {
-            from: Micros(from),
-            to: Micros(to),
-            taken,
-            further,
+        let part = |&(from, to, taken, further): &(u64, u64, u32, u32)| RetryBudgetBucket {
+            first_event: Micros(from),
+            last_event: Micros(to),
+            admitted: taken,
+            retries: further,
         };
         let spent = handshake.spent.as_ref().map(|parts| parts.iter().map(part).collect());
         let late = Micros(WORD.as_micros() as u64);
@@ -112,3 +118,31 @@
         self.decisions.ask_list.notify_one();
     }
 }
+
+impl ConfiguredNode for Node {
+    fn config(&self) -> Rc<Config> {
+        self.config.get()
+    }
+
+    fn apply_config(&self, config: Config) {
+        self.renew(config);
+    }
+
+    fn count_reconfiguration(&self, applied: bool) {
+        self.clients.count(|counters| match applied {
+            true => counters.reconfig_ok += 1,
+            false => counters.reconfig_failed += 1,
+        });
+    }
+
+    fn take_host_out(&self, host: &str) {
+        self.decisions.decide(|facade, now| facade.take_out(now, server_id(host)));
+    }
+
+    fn put_host_back(&self, host: &str) {
+        let out_by_hand = (host.to_owned(), Stand::Out);
+        if !self.operators.hosts().contains(&out_by_hand) {
+            self.decisions.decide(|facade, now| facade.put_back(now, server_id(host), now));
+        }
+    }
+}
