--- a/crates/alderstile-cluster/src/membership/replay.rs
+++ b/crates/alderstile-cluster/src/membership/replay.rs
@@ -5,12 +5,12 @@
 
 /// The highest number taken in, and which of the 63 below it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Window {
+pub struct ReplayWindow {
     highest: u64,
     seen: u64,
 }
 
-impl Window {
+impl ReplayWindow {
     /// Takes a number in; false if it was taken in before, or is too old to tell.
     pub fn take(&mut self, number: u64) -> bool {
         if number > self.highest {
--- a/crates/alderstile-cluster/src/membership/rumors.rs
+++ b/crates/alderstile-cluster/src/membership/rumors.rs
@@ -1,25 +1,25 @@
 //! What is still to be told, and how often it was.
 
-use super::view::Session;
-use super::wire::Rumor;
+use super::view::InstanceId;
+use super::wire::MemberUpdate;
 
-/// Rumors, one about each member at most, the least told first.
+/// GossipQueue, one about each member at most, the least told first.
 #[derive(Debug, Default)]
-pub struct Rumors(Vec<(u32, Rumor)>);
+pub struct GossipQueue(Vec<(u32, MemberUpdate)>);
 
-impl Rumors {
+impl GossipQueue {
     /// Tells this from now on, in place of what was told of that member before. Two suspicions of one member by
     /// different members are told side by side: they confirm each other.
-    pub fn add(&mut self, rumor: Rumor) {
-        let session = rumor.session();
+    pub fn add(&mut self, rumor: MemberUpdate) {
+        let instance = rumor.instance();
         match &rumor {
-            Rumor::Suspect { by, incarnation, .. } => self.0.retain(|(_, old)| match old {
-                Rumor::Suspect { session: of, by: other, incarnation: word } => {
-                    *of != session || (other != by && word == incarnation)
+            MemberUpdate::Suspect { reporter: by, incarnation, .. } => self.0.retain(|(_, old)| match old {
+                MemberUpdate::Suspect { instance: of, reporter: other, incarnation: word } => {
+                    *of != instance || (other != by && word == incarnation)
                 }
-                old => old.session() != session,
+                old => old.instance() != instance,
             }),
-            _ => self.0.retain(|(_, old)| old.session() != session),
+            _ => self.0.retain(|(_, old)| old.instance() != instance),
         }
         self.0.push((0, rumor));
     }
@@ -32,8 +32,8 @@
         order
     }
 
-    /// The rumors at these places of [`Rumors::order`].
-    pub fn at<'a>(&'a self, order: &'a [usize]) -> impl Iterator<Item = &'a Rumor> {
+    /// The rumors at these places of [`GossipQueue::order`].
+    pub fn at<'a>(&'a self, order: &'a [usize]) -> impl Iterator<Item = &'a MemberUpdate> {
         order.iter().filter_map(|&i| self.0.get(i)).map(|(_, rumor)| rumor)
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Nothing more of this member is told.
-    pub fn forget(&mut self, session: Session) {
-        self.0.retain(|(_, rumor)| rumor.session() != session);
+    pub fn forget(&mut self, instance: InstanceId) {
+        self.0.retain(|(_, rumor)| rumor.instance() != instance);
     }
 }
--- a/crates/alderstile-cluster/src/membership/view.rs
+++ b/crates/alderstile-cluster/src/membership/view.rs
@@ -7,17 +7,17 @@
 use thiserror::Error;
 
 /// The longest name of a member, bytes.
-pub const MAX_NAME: usize = 40;
+pub const MAX_NAME_BYTES: usize = 40;
 /// The longest name of a zone, bytes.
-pub const MAX_ZONE: usize = 24;
-/// All facts of a member together, bytes: each with two bytes more for its tag and its length.
-pub const MAX_FACTS: usize = 64;
+pub const MAX_ZONE_BYTES: usize = 24;
+/// All metadata of a member together, bytes: each with two bytes more for its tag and its length.
+pub const MAX_METADATA_BYTES: usize = 64;
 
 /// One process of a member, from its start to its end: drawn at random, so that no two are alike.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Session(pub u64);
+pub struct InstanceId(pub u64);
 
-impl fmt::Display for Session {
+impl fmt::Display for InstanceId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
@@ -25,23 +25,23 @@
 
 /// What does not fit a member's record.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum Unfit {
+pub enum RecordError {
     /// The name.
-    #[error("a name of 1 to {MAX_NAME} bytes is wanted")]
-    Name,
+    #[error("a name of 1 to {MAX_NAME_BYTES} bytes is wanted")]
+    NameLength,
     /// The zone.
-    #[error("a zone of at most {MAX_ZONE} bytes is wanted")]
-    Zone,
+    #[error("a zone of at most {MAX_ZONE_BYTES} bytes is wanted")]
+    ZoneLength,
     /// A fact.
-    #[error("facts of at most {MAX_FACTS} bytes in all are wanted")]
-    Facts,
+    #[error("metadata of at most {MAX_METADATA_BYTES} bytes in all are wanted")]
+    MetadataLength,
 }
 
 /// What a member tells of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Record {
+pub struct MemberRecord {
     /// Its process.
-    pub session: Session,
+    pub instance: InstanceId,
     /// Grows with each word of the member about itself: the higher one counts.
     pub incarnation: u64,
     /// Its name, the same after a restart.
@@ -51,30 +51,30 @@
     /// Where others reach it.
     pub address: SocketAddr,
     /// Of the settings that it goes by.
-    pub digest: u64,
-    /// Small facts of other parts, each under a tag: tag, length, bytes, by rising tags.
-    pub facts: Box<[u8]>,
+    pub config_digest: u64,
+    /// Small metadata of other parts, each under a tag: tag, length, bytes, by rising tags.
+    pub metadata: Box<[u8]>,
 }
 
-impl Record {
+impl MemberRecord {
     /// Whether it fits into a datagram with room for more.
-    pub fn check(&self) -> Result<(), Unfit> {
-        if self.name.is_empty() || self.name.len() > MAX_NAME {
-            return Err(Unfit::Name);
+    pub fn validate(&self) -> Result<(), RecordError> {
+        if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
+            return Err(RecordError::NameLength);
         }
-        if self.zone.len() > MAX_ZONE {
-            return Err(Unfit::Zone);
+        if self.zone.len() > MAX_ZONE_BYTES {
+            return Err(RecordError::ZoneLength);
         }
-        if self.facts.len() > MAX_FACTS { Err(Unfit::Facts) } else { Ok(()) }
+        if self.metadata.len() > MAX_METADATA_BYTES { Err(RecordError::MetadataLength) } else { Ok(()) }
     }
 
     /// The fact under a tag.
-    pub fn fact(&self, tag: u8) -> Option<&[u8]> {
+    pub fn metadata_value(&self, tag: u8) -> Option<&[u8]> {
         self.all_facts().find(|(of, _)| *of == tag).map(|(_, bytes)| bytes)
     }
 
     fn all_facts(&self) -> impl Iterator<Item = (u8, &[u8])> {
-        let mut rest: &[u8] = &self.facts;
+        let mut rest: &[u8] = &self.metadata;
         std::iter::from_fn(move || {
             let [tag, length, after @ ..] = rest else { return None };
             let (bytes, after) = after.split_at_checked(usize::from(*length))?;
@@ -84,29 +84,29 @@
     }
 
     /// Sets or, with nothing, takes away the fact under a tag; says whether that fits.
-    pub fn set_fact(&mut self, tag: u8, bytes: &[u8]) -> Result<(), Unfit> {
-        let mut facts: Vec<(u8, &[u8])> = self.all_facts().filter(|(of, _)| *of != tag).collect();
+    pub fn set_metadata(&mut self, tag: u8, bytes: &[u8]) -> Result<(), RecordError> {
+        let mut metadata: Vec<(u8, &[u8])> = self.all_facts().filter(|(of, _)| *of != tag).collect();
         if !bytes.is_empty() {
-            facts.push((tag, bytes));
+            metadata.push((tag, bytes));
         }
-        facts.sort_by_key(|(tag, _)| *tag);
+        metadata.sort_by_key(|(tag, _)| *tag);
         let mut all = Vec::new();
-        for (tag, bytes) in facts {
-            let length = u8::try_from(bytes.len()).map_err(|_| Unfit::Facts)?;
+        for (tag, bytes) in metadata {
+            let length = u8::try_from(bytes.len()).map_err(|_| RecordError::MetadataLength)?;
             all.extend([tag, length]);
             all.extend(bytes);
         }
-        if all.len() > MAX_FACTS {
-            return Err(Unfit::Facts);
+        if all.len() > MAX_METADATA_BYTES {
+            return Err(RecordError::MetadataLength);
         }
-        self.facts = all.into();
+        self.metadata = all.into();
         Ok(())
     }
 }
 
 /// How a member is seen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum State {
+pub enum MemberState {
     /// It answers, or nobody has said otherwise.
     Alive,
     /// It did not answer somebody; it has time to say that it lives.
@@ -117,79 +117,79 @@
     Left,
 }
 
-impl State {
+impl MemberState {
     /// Whether it counts as a member.
-    pub fn lives(self) -> bool {
-        self <= State::Suspect
+    pub fn is_live(self) -> bool {
+        self <= MemberState::Suspect
     }
 }
 
-impl fmt::Display for State {
+impl fmt::Display for MemberState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            State::Alive => "alive",
-            State::Suspect => "suspect",
-            State::Dead => "dead",
-            State::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Dead => "dead",
+            MemberState::Left => "left",
         })
     }
 }
 
 /// A change of the view, for logs and figures.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum MembershipChange {
     /// A process was not known before.
-    Joined(Session),
+    Joined(InstanceId),
     /// A member did not answer.
-    Suspected(Session),
+    Suspected(InstanceId),
     /// One that was suspected or held dead lives.
-    Lives(Session),
+    Recovered(InstanceId),
     /// A member is held dead.
-    Died(Session),
+    Died(InstanceId),
     /// A member has gone by its own word.
-    Left(Session),
+    Left(InstanceId),
     /// Another process answers at a member's address: the one before has ended.
-    Replaced(Session),
+    Replaced(InstanceId),
     /// Two living processes at different addresses claim one name; neither is believed over the other.
-    Claimed(Box<str>),
+    NameConflict(Box<str>),
     /// One at most is left of them.
-    Settled(Box<str>),
+    NameConflictResolved(Box<str>),
     /// This process was suspected or held dead by others, and says that it lives.
     Refuted,
     /// This process has stood still for that long.
-    StoodStill(Micros),
+    Stalled(Micros),
 }
 
 /// What was sent and what came, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Figures {
+pub struct MembershipCounters {
     /// Datagrams sent.
     pub sent: u64,
     /// Their bytes.
     pub sent_bytes: u64,
     /// Datagrams that were taken in.
-    pub taken: u64,
+    pub accepted: u64,
     /// Turned away: not of this cluster, or with no key that is in force.
-    pub foreign: u64,
+    pub unauthenticated: u64,
     /// Turned away: neither this format nor a newer one can be read in it.
-    pub damaged: u64,
+    pub malformed: u64,
     /// Passed by: a newer format.
-    pub newer: u64,
+    pub unsupported_format: u64,
     /// Turned away: for an earlier process of this member, or by one that does not know this one yet.
-    pub stale: u64,
+    pub wrong_instance: u64,
     /// Turned away: taken in before, or too old to tell.
     pub replayed: u64,
     /// Not sent, as this period's number was reached.
-    pub held_back: u64,
-    /// Members that this process itself found not to answer.
-    pub suspected: u64,
+    pub rate_limited: u64,
+    /// Membership that this process itself found not to answer.
+    pub suspicions_started: u64,
     /// Times that this process had to say that it lives.
-    pub refuted: u64,
+    pub refutations: u64,
 }
 
-/// Members by state, and what was sent and came.
+/// Membership by state, and what was sent and came.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Counts {
+pub struct MembershipStats {
     /// Living ones that nobody suspects, this one included.
     pub alive: usize,
     /// Suspects.
@@ -197,9 +197,9 @@
     /// The dead that are remembered.
     pub dead: usize,
     /// Names claimed twice.
-    pub claimed: usize,
+    pub name_conflicts: usize,
     /// How far this member trusts itself: 0 wholly.
-    pub health: u32,
+    pub local_health: u32,
     /// Datagrams.
-    pub figures: Figures,
+    pub counters: MembershipCounters,
 }
--- a/crates/alderstile-cluster/src/membership/wire.rs
+++ b/crates/alderstile-cluster/src/membership/wire.rs
@@ -5,8 +5,8 @@
 //! | 2 | `AM` |
 //! | 1 | the format |
 //! | 1, n | the cluster's name with its length |
-//! | 8 | the sender's session |
-//! | 8 | the receiver's session as the sender knows it, 0 if it doesn't |
+//! | 8 | the sender's instance |
+//! | 8 | the receiver's instance as the sender knows it, 0 if it doesn't |
 //! | 8 | the sender's number of this datagram, from 1 on |
 //! | 1 | its kind, then what that kind holds |
 //! | 1, ... | rumors: their number, then each |
@@ -24,7 +24,9 @@
 
 use crate::authentication::{Authenticator, DecodeError, KeyError, MAC_BYTES, MAX_DATAGRAM_BYTES};
 
-use super::view::{MAX_FACTS, MAX_NAME, MAX_ZONE, Record, Session, State};
+use super::view::{
+    InstanceId, MAX_METADATA_BYTES, MAX_NAME_BYTES, MAX_ZONE_BYTES, MemberRecord, MemberState,
+};
 
 const MAGIC: [u8; 2] = *b"AM";
 /// What this program writes.
@@ -32,24 +34,24 @@
 
 /// Who sent a datagram to whom.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Header {
+pub struct DatagramHeader {
     /// The sender's process.
-    pub from: Session,
+    pub sender: InstanceId,
     /// The receiver's process as the sender knows it.
-    pub to: Session,
+    pub receiver: InstanceId,
     /// The sender's number of this datagram.
-    pub counter: u64,
+    pub sequence: u64,
 }
 
 /// What a datagram is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Body {
+pub enum Message {
     /// Answer with `Ack`. The sender tells its record.
     Ping {
         /// To be named by the answer.
         nonce: u64,
         /// The sender's own.
-        record: Record,
+        record: MemberRecord,
     },
     /// Whom was pinged lives.
     Ack {
@@ -57,11 +59,11 @@
         nonce: u64,
     },
     /// Ping another one for the sender.
-    PingFor {
+    PingRequest {
         /// To be named by the answer.
         nonce: u64,
         /// Whom.
-        target: Session,
+        target: InstanceId,
         /// Where.
         address: SocketAddr,
     },
@@ -71,64 +73,64 @@
         nonce: u64,
     },
     /// A datagram came that was meant for another process, or for none: this one is here.
-    Handshake {
+    Identify {
         /// The sender's own.
-        record: Record,
+        record: MemberRecord,
     },
-    /// Tell members whose sessions come after this one.
-    Sync {
+    /// Tell members whose instances come after this one.
+    SyncRequest {
         /// Whose.
-        after: Session,
+        after: InstanceId,
         /// The sender's own.
-        record: Record,
+        record: MemberRecord,
     },
-    /// Members by rising sessions.
-    Page {
-        /// No session comes after the last of these.
+    /// Membership by rising instances.
+    SyncPage {
+        /// No instance comes after the last of these.
         last: bool,
         /// They.
-        members: Vec<(State, Record)>,
+        members: Vec<(MemberState, MemberRecord)>,
     },
 }
 
 /// What members tell one another of members.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Rumor {
+pub enum MemberUpdate {
     /// A member's own word.
-    Alive(Record),
+    Alive(MemberRecord),
     /// It did not answer.
     Suspect {
         /// Who.
-        session: Session,
+        instance: InstanceId,
         /// Its word that this is about.
         incarnation: u64,
         /// Whom it did not answer.
-        by: Session,
+        reporter: InstanceId,
     },
     /// It did not say in time that it lives.
     Dead {
         /// Who.
-        session: Session,
+        instance: InstanceId,
         /// Its word that this is about.
         incarnation: u64,
     },
     /// It said that it goes.
     Left {
         /// Who.
-        session: Session,
+        instance: InstanceId,
         /// Its word.
         incarnation: u64,
     },
 }
 
-impl Rumor {
+impl MemberUpdate {
     /// Whom it is about.
-    pub fn session(&self) -> Session {
+    pub fn instance(&self) -> InstanceId {
         match self {
-            Rumor::Alive(record) => record.session,
-            Rumor::Suspect { session, .. } | Rumor::Dead { session, .. } | Rumor::Left { session, .. } => {
-                *session
-            }
+            MemberUpdate::Alive(record) => record.instance,
+            MemberUpdate::Suspect { instance, .. }
+            | MemberUpdate::Dead { instance, .. }
+            | MemberUpdate::Left { instance, .. } => *instance,
         }
     }
 }
@@ -137,11 +139,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
     /// Who sent it to whom.
-    pub header: Header,
+    pub header: DatagramHeader,
     /// What it is about.
-    pub body: Body,
+    pub body: Message,
     /// What it tells besides.
-    pub rumors: Vec<Rumor>,
+    pub rumors: Vec<MemberUpdate>,
 }
 
 /// Encodes and decodes the datagrams of one cluster's members.
@@ -158,9 +160,14 @@
     }
 
     /// Encodes a datagram with as many of the rumors as fit; returns how many do.
-    pub fn encode(&self, header: Header, body: &Body, rumors: &[&Rumor]) -> (Vec<u8>, usize) {
+    pub fn encode(
+        &self,
+        header: DatagramHeader,
+        body: &Message,
+        rumors: &[&MemberUpdate],
+    ) -> (Vec<u8>, usize) {
         let mut bytes = self.0.prefix().to_vec();
-        for number in [header.from.0, header.to.0, header.counter] {
+        for number in [header.sender.0, header.receiver.0, header.sequence] {
             put(&mut bytes, number);
         }
         put_body(&mut bytes, body);
@@ -189,7 +196,7 @@
 }
 
 /// The bytes that a member takes on a page.
-pub fn on_page(record: &Record) -> usize {
+pub fn on_page(record: &MemberRecord) -> usize {
     let mut bytes = Vec::new();
     put_record(&mut bytes, record);
     bytes.len() + 1
@@ -213,56 +220,56 @@
     bytes.extend(address.port().to_le_bytes());
 }
 
-fn put_record(bytes: &mut Vec<u8>, record: &Record) {
-    put(bytes, record.session.0);
+fn put_record(bytes: &mut Vec<u8>, record: &MemberRecord) {
+    put(bytes, record.instance.0);
     put(bytes, record.incarnation);
     put_short(bytes, record.name.as_bytes());
     put_short(bytes, record.zone.as_bytes());
     put_address(bytes, record.address);
-    put(bytes, record.digest);
-    put_short(bytes, &record.facts);
+    put(bytes, record.config_digest);
+    put_short(bytes, &record.metadata);
 }
 
-fn put_state(bytes: &mut Vec<u8>, state: State) {
+fn put_state(bytes: &mut Vec<u8>, state: MemberState) {
     bytes.push(match state {
-        State::Alive => 0,
-        State::Suspect => 1,
-        State::Dead => 2,
-        State::Left => 3,
+        MemberState::Alive => 0,
+        MemberState::Suspect => 1,
+        MemberState::Dead => 2,
+        MemberState::Left => 3,
     });
 }
 
-fn put_body(bytes: &mut Vec<u8>, body: &Body) {
+fn put_body(bytes: &mut Vec<u8>, body: &Message) {
     match body {
-        Body::Ping { nonce, record } => {
+        Message::Ping { nonce, record } => {
             bytes.push(1);
             put(bytes, *nonce);
             put_record(bytes, record);
         }
-        Body::Ack { nonce } => {
+        Message::Ack { nonce } => {
             bytes.push(2);
             put(bytes, *nonce);
         }
-        Body::PingFor { nonce, target, address } => {
+        Message::PingRequest { nonce, target, address } => {
             bytes.push(3);
             put(bytes, *nonce);
             put(bytes, target.0);
             put_address(bytes, *address);
         }
-        Body::Nack { nonce } => {
+        Message::Nack { nonce } => {
             bytes.push(4);
             put(bytes, *nonce);
         }
-        Body::Handshake { record } => {
+        Message::Identify { record } => {
             bytes.push(5);
             put_record(bytes, record);
         }
-        Body::Sync { after, record } => {
+        Message::SyncRequest { after, record } => {
             bytes.push(6);
             put(bytes, after.0);
             put_record(bytes, record);
         }
-        Body::Page { last, members } => {
+        Message::SyncPage { last, members } => {
             bytes.extend([7, u8::from(*last), members.len() as u8]);
             for (state, record) in members {
                 put_state(bytes, *state);
@@ -272,29 +279,29 @@
     }
 }
 
-fn put_rumor(bytes: &mut Vec<u8>, rumor: &Rumor) {
+fn put_rumor(bytes: &mut Vec<u8>, rumor: &MemberUpdate) {
     match rumor {
-        Rumor::Alive(record) => {
+        MemberUpdate::Alive(record) => {
             bytes.push(0);
             put_record(bytes, record);
         }
-        Rumor::Suspect { session, incarnation, by } => {
+        MemberUpdate::Suspect { instance, incarnation, reporter: by } => {
             bytes.push(1);
-            [session.0, *incarnation, by.0].into_iter().for_each(|number| put(bytes, number));
+            [instance.0, *incarnation, by.0].into_iter().for_each(|number| put(bytes, number));
         }
-        Rumor::Dead { session, incarnation } => {
+        MemberUpdate::Dead { instance, incarnation } => {
             bytes.push(2);
-            [session.0, *incarnation].into_iter().for_each(|number| put(bytes, number));
+            [instance.0, *incarnation].into_iter().for_each(|number| put(bytes, number));
         }
-        Rumor::Left { session, incarnation } => {
+        MemberUpdate::Left { instance, incarnation } => {
             bytes.push(3);
-            [session.0, *incarnation].into_iter().for_each(|number| put(bytes, number));
+            [instance.0, *incarnation].into_iter().for_each(|number| put(bytes, number));
         }
     }
 }
 
 /// Appends as many rumors as fit, behind their number; returns that number.
-fn put_rumors(bytes: &mut Vec<u8>, rumors: &[&Rumor]) -> usize {
+fn put_rumors(bytes: &mut Vec<u8>, rumors: &[&MemberUpdate]) -> usize {
     let count_at = bytes.len();
     bytes.push(0);
     let mut written = 0;
@@ -317,8 +324,8 @@
     Err(ErrMode::Cut(ContextError::new()))
 }
 
-fn session(input: &mut &[u8]) -> Read<Session> {
-    le_u64.map(Session).parse_next(input)
+fn instance(input: &mut &[u8]) -> Read<InstanceId> {
+    le_u64.map(InstanceId).parse_next(input)
 }
 
 fn short<'a>(most: usize, input: &mut &'a [u8]) -> Read<&'a [u8]> {
@@ -339,64 +346,68 @@
     <[u8; 16]>::try_from(ip).map(|ip| (ip, port).into()).or_else(|_| no())
 }
 
-fn record(input: &mut &[u8]) -> Read<Record> {
-    let session = session(input)?;
+fn record(input: &mut &[u8]) -> Read<MemberRecord> {
+    let instance = instance(input)?;
     let incarnation = le_u64.parse_next(input)?;
-    let (name, zone) = (text(MAX_NAME, input)?, text(MAX_ZONE, input)?);
+    let (name, zone) = (text(MAX_NAME_BYTES, input)?, text(MAX_ZONE_BYTES, input)?);
     let address = address(input)?;
-    let digest = le_u64.parse_next(input)?;
-    let facts = short(MAX_FACTS, input)?.into();
-    let record = Record { session, incarnation, name, zone, address, digest, facts };
-    if record.check().is_ok() && session != Session::default() { Ok(record) } else { no() }
+    let config_digest = le_u64.parse_next(input)?;
+    let metadata = short(MAX_METADATA_BYTES, input)?.into();
+    let record = MemberRecord { instance, incarnation, name, zone, address, config_digest, metadata };
+    if record.validate().is_ok() && instance != InstanceId::default() { Ok(record) } else { no() }
 }
 
-fn member(input: &mut &[u8]) -> Read<(State, Record)> {
+fn member(input: &mut &[u8]) -> Read<(MemberState, MemberRecord)> {
     let state = match u8.parse_next(input)? {
-        0 => State::Alive,
-        1 => State::Suspect,
-        2 => State::Dead,
-        3 => State::Left,
+        0 => MemberState::Alive,
+        1 => MemberState::Suspect,
+        2 => MemberState::Dead,
+        3 => MemberState::Left,
         _ => return no(),
     };
     Ok((state, record(input)?))
 }
 
-fn body(input: &mut &[u8]) -> Read<Body> {
+fn body(input: &mut &[u8]) -> Read<Message> {
     Ok(match u8.parse_next(input)? {
-        1 => Body::Ping { nonce: le_u64.parse_next(input)?, record: record(input)? },
-        2 => Body::Ack { nonce: le_u64.parse_next(input)? },
+        1 => Message::Ping { nonce: le_u64.parse_next(input)?, record: record(input)? },
+        2 => Message::Ack { nonce: le_u64.parse_next(input)? },
         3 => {
             let nonce = le_u64.parse_next(input)?;
-            Body::PingFor { nonce, target: session(input)?, address: address(input)? }
+            Message::PingRequest { nonce, target: instance(input)?, address: address(input)? }
         }
-        4 => Body::Nack { nonce: le_u64.parse_next(input)? },
-        5 => Body::Handshake { record: record(input)? },
-        6 => Body::Sync { after: session(input)?, record: record(input)? },
+        4 => Message::Nack { nonce: le_u64.parse_next(input)? },
+        5 => Message::Identify { record: record(input)? },
+        6 => Message::SyncRequest { after: instance(input)?, record: record(input)? },
         7 => {
             let last = take(1usize).verify(|bytes: &[u8]| bytes[0] <= 1).parse_next(input)?[0] == 1;
             let count = usize::from(u8.parse_next(input)?);
-            Body::Page { last, members: repeat(count, member).parse_next(input)? }
+            Message::SyncPage { last, members: repeat(count, member).parse_next(input)? }
         }
         _ => return no(),
     })
 }
 
-fn rumor(input: &mut &[u8]) -> Read<Rumor> {
+fn rumor(input: &mut &[u8]) -> Read<MemberUpdate> {
     let kind = u8.parse_next(input)?;
     if kind == 0 {
-        return record(input).map(Rumor::Alive);
+        return record(input).map(MemberUpdate::Alive);
     }
-    let (session, incarnation) = (session(input)?, le_u64.parse_next(input)?);
+    let (instance, incarnation) = (instance(input)?, le_u64.parse_next(input)?);
     Ok(match kind {
-        1 => Rumor::Suspect { session, incarnation, by: self::session(input)? },
-        2 => Rumor::Dead { session, incarnation },
-        3 => Rumor::Left { session, incarnation },
+        1 => MemberUpdate::Suspect { instance, incarnation, reporter: self::instance(input)? },
+        2 => MemberUpdate::Dead { instance, incarnation },
+        3 => MemberUpdate::Left { instance, incarnation },
         _ => return no(),
     })
 }
 
 fn datagram(input: &mut &[u8]) -> Read<Datagram> {
-    let header = Header { from: session(input)?, to: session(input)?, counter: le_u64.parse_next(input)? };
+    let header = DatagramHeader {
+        sender: instance(input)?,
+        receiver: instance(input)?,
+        sequence: le_u64.parse_next(input)?,
+    };
     let body = body(input)?;
     let count = usize::from(u8.parse_next(input)?);
     let rumors = repeat(count, rumor).parse_next(input)?;
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -6,7 +6,8 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::membership::{
-    Body, Change, Datagram, DatagramCodec, Header, Members, Out, Record, Rumor, Session, Settings, State,
+    Datagram, DatagramCodec, DatagramHeader, InstanceId, MemberRecord, MemberState, MemberUpdate, Membership,
+    MembershipChange, MembershipConfig, MembershipEffect, Message,
 };
 
 fn fixtures() -> PathBuf {
@@ -22,73 +23,88 @@
     DatagramCodec::new("fixtures", &[b"a fixed key of the fixtures".to_vec()]).expect("a codec")
 }
 
-fn record(number: u8) -> Record {
-    let mut record = Record {
-        session: Session(0x0102_0304_0506_0700 + u64::from(number)),
+fn record(number: u8) -> MemberRecord {
+    let mut record = MemberRecord {
+        instance: InstanceId(0x0102_0304_0506_0700 + u64::from(number)),
         incarnation: 0x1112_1314_1516_1718,
         name: format!("edge-{number}").into(),
         zone: "zone-a".into(),
         address: ([192, 0, 2, number], 7_946).into(),
-        digest: 0x2122_2324_2526_2728,
-        facts: [].into(),
+        config_digest: 0x2122_2324_2526_2728,
+        metadata: [].into(),
     };
-    record.set_fact(b't', &[42]).expect("it fits");
-    record.set_fact(4, b"cold").expect("it fits");
+    record.set_metadata(b't', &[42]).expect("it fits");
+    record.set_metadata(4, b"cold").expect("it fits");
     record
 }
 
-/// One whose address has the longer form, without a zone or facts.
-fn ipv6_record() -> Record {
+/// One whose address has the longer form, without a zone or metadata.
+fn ipv6_record() -> MemberRecord {
     let address: SocketAddr = "[2001:db8::7]:65535".parse().expect("an address");
-    Record { address, zone: "".into(), facts: [].into(), ..record(7) }
+    MemberRecord { address, zone: "".into(), metadata: [].into(), ..record(7) }
 }
 
 /// Each kind of datagram and of gossip, by the name of its file.
 fn datagrams() -> Vec<(&'static str, Datagram)> {
-    let one = Session(0x3132_3334_3536_3738);
-    let header = Header { from: record(1).session, to: one, counter: 0x4142_4344_4546_4748 };
+    let one = InstanceId(0x3132_3334_3536_3738);
+    let header =
+        DatagramHeader { sender: record(1).instance, receiver: one, sequence: 0x4142_4344_4546_4748 };
     let nonce = 0x5152_5354_5556_5758;
     let incarnation = 0x6162_6364_6566_6768;
     let of_body = |body| Datagram { header, body, rumors: Vec::new() };
-    let of_rumors = |rumors| Datagram { header, body: Body::Ack { nonce }, rumors };
+    let of_rumors = |rumors| Datagram { header, body: Message::Ack { nonce }, rumors };
     let page = vec![
-        (State::Alive, record(2)),
-        (State::Suspect, record(3)),
-        (State::Dead, ipv6_record()),
-        (State::Left, record(4)),
+        (MemberState::Alive, record(2)),
+        (MemberState::Suspect, record(3)),
+        (MemberState::Dead, ipv6_record()),
+        (MemberState::Left, record(4)),
     ];
     vec![
-        ("ping.bin", of_body(Body::Ping { nonce, record: record(1) })),
-        ("ping_ipv6.bin", of_body(Body::Ping { nonce, record: ipv6_record() })),
-        ("ack.bin", of_body(Body::Ack { nonce })),
+        ("ping.bin", of_body(Message::Ping { nonce, record: record(1) })),
+        ("ping_ipv6.bin", of_body(Message::Ping { nonce, record: ipv6_record() })),
+        ("ack.bin", of_body(Message::Ack { nonce })),
         (
             "ping_request.bin",
-            of_body(Body::PingFor { nonce, target: record(2).session, address: record(2).address }),
+            of_body(Message::PingRequest { nonce, target: record(2).instance, address: record(2).address }),
         ),
         (
             "ping_request_ipv6.bin",
-            of_body(Body::PingFor { nonce, target: record(7).session, address: ipv6_record().address }),
+            of_body(Message::PingRequest {
+                nonce,
+                target: record(7).instance,
+                address: ipv6_record().address,
+            }),
         ),
-        ("nack.bin", of_body(Body::Nack { nonce })),
-        ("handshake.bin", of_body(Body::Handshake { record: record(1) })),
-        ("sync_request.bin", of_body(Body::Sync { after: record(2).session, record: record(1) })),
-        ("sync_page.bin", of_body(Body::Page { last: false, members: page.clone() })),
-        ("sync_last_page.bin", of_body(Body::Page { last: true, members: page })),
-        ("sync_empty_page.bin", of_body(Body::Page { last: false, members: Vec::new() })),
-        ("gossip_alive.bin", of_rumors(vec![Rumor::Alive(record(2))])),
+        ("nack.bin", of_body(Message::Nack { nonce })),
+        ("handshake.bin", of_body(Message::Identify { record: record(1) })),
+        ("sync_request.bin", of_body(Message::SyncRequest { after: record(2).instance, record: record(1) })),
+        ("sync_page.bin", of_body(Message::SyncPage { last: false, members: page.clone() })),
+        ("sync_last_page.bin", of_body(Message::SyncPage { last: true, members: page })),
+        ("sync_empty_page.bin", of_body(Message::SyncPage { last: false, members: Vec::new() })),
+        ("gossip_alive.bin", of_rumors(vec![MemberUpdate::Alive(record(2))])),
         (
             "gossip_suspect.bin",
-            of_rumors(vec![Rumor::Suspect { session: record(2).session, incarnation, by: one }]),
+            of_rumors(vec![MemberUpdate::Suspect {
+                instance: record(2).instance,
+                incarnation,
+                reporter: one,
+            }]),
+        ),
+        (
+            "gossip_dead.bin",
+            of_rumors(vec![MemberUpdate::Dead { instance: record(2).instance, incarnation }]),
+        ),
+        (
+            "gossip_left.bin",
+            of_rumors(vec![MemberUpdate::Left { instance: record(2).instance, incarnation }]),
         ),
-        ("gossip_dead.bin", of_rumors(vec![Rumor::Dead { session: record(2).session, incarnation }])),
-        ("gossip_left.bin", of_rumors(vec![Rumor::Left { session: record(2).session, incarnation }])),
         (
             "gossip_several.bin",
             of_rumors(vec![
-                Rumor::Left { session: record(5).session, incarnation },
-                Rumor::Alive(ipv6_record()),
-                Rumor::Dead { session: record(3).session, incarnation },
-                Rumor::Suspect { session: record(2).session, incarnation, by: one },
+                MemberUpdate::Left { instance: record(5).instance, incarnation },
+                MemberUpdate::Alive(ipv6_record()),
+                MemberUpdate::Dead { instance: record(3).instance, incarnation },
+                MemberUpdate::Suspect { instance: record(2).instance, incarnation, reporter: one },
             ]),
         ),
     ]
@@ -99,7 +115,7 @@
     for (name, datagram) in datagrams() {
         let bytes = fixture(name);
         assert_eq!(codec().decode(&bytes).as_ref(), Ok(&datagram), "{name} is read");
-        let rumors: Vec<&Rumor> = datagram.rumors.iter().collect();
+        let rumors: Vec<&MemberUpdate> = datagram.rumors.iter().collect();
         let written = codec().encode(datagram.header, &datagram.body, &rumors);
         assert_eq!(written, (bytes, datagram.rumors.len()), "{name} is written");
     }
@@ -116,7 +132,7 @@
 
 /// Members that find each other, lose datagrams, die, stand still, are split, leave and come back.
 struct Played {
-    members: Vec<Option<Members>>,
+    members: Vec<Option<Membership>>,
     now: Micros,
     datagrams: u64,
     /// All that the members wanted done, in a running digest, and how much that was.
@@ -127,18 +143,18 @@
 const MEMBERS: u64 = 12;
 
 /// A change by a number for its kind, as the kinds' names are no part of what is kept.
-fn described(change: &Change) -> String {
+fn described(change: &MembershipChange) -> String {
     match change {
-        Change::Joined(session) => format!("0 {session}"),
-        Change::Suspected(session) => format!("1 {session}"),
-        Change::Lives(session) => format!("2 {session}"),
-        Change::Died(session) => format!("3 {session}"),
-        Change::Left(session) => format!("4 {session}"),
-        Change::Replaced(session) => format!("5 {session}"),
-        Change::Claimed(name) => format!("6 {name}"),
-        Change::Settled(name) => format!("7 {name}"),
-        Change::Refuted => "8".to_owned(),
-        Change::StoodStill(span) => format!("9 {}", span.0),
+        MembershipChange::Joined(instance) => format!("0 {instance}"),
+        MembershipChange::Suspected(instance) => format!("1 {instance}"),
+        MembershipChange::Recovered(instance) => format!("2 {instance}"),
+        MembershipChange::Died(instance) => format!("3 {instance}"),
+        MembershipChange::Left(instance) => format!("4 {instance}"),
+        MembershipChange::Replaced(instance) => format!("5 {instance}"),
+        MembershipChange::NameConflict(name) => format!("6 {name}"),
+        MembershipChange::NameConflictResolved(name) => format!("7 {name}"),
+        MembershipChange::Refuted => "8".to_owned(),
+        MembershipChange::Stalled(span) => format!("9 {}", span.0),
     }
 }
 
@@ -152,43 +168,43 @@
         played
     }
 
-    fn start(&mut self, number: u64, session: u64) {
-        let me = Record {
-            session: Session(session * 7_919),
+    fn start(&mut self, number: u64, instance: u64) {
+        let me = MemberRecord {
+            instance: InstanceId(instance * 7_919),
             incarnation: 1,
             name: format!("edge-{number}").into(),
             zone: ["a", "b"][(number % 2) as usize].into(),
             address: ([127, 0, 0, number as u8], 7_946).into(),
-            digest: 7,
-            facts: [].into(),
+            config_digest: 7,
+            metadata: [].into(),
         };
         let seeds = [1, 2, 99].map(|seed| ([127, 0, 0, seed], 7_946).into()).to_vec();
-        let settings = Settings::with_period(Micros::from_millis(1_000));
-        let member = Members::new(settings, codec(), me, seeds, session, self.now);
+        let settings = MembershipConfig::with_period(Micros::from_millis(1_000));
+        let member = Membership::new(settings, codec(), me, seeds, instance, self.now);
         self.members[number as usize - 1] = Some(member);
     }
 
-    fn note(&mut self, by: usize, out: &Out) {
+    fn note(&mut self, by: usize, out: &MembershipEffect) {
         let text = match out {
-            Out::Send(to, bytes) => format!("{} {to} {bytes:?}", self.now.0),
-            Out::Tell(change) => format!("{} {}", self.now.0, described(change)),
+            MembershipEffect::Send { to, datagram: bytes } => format!("{} {to} {bytes:?}", self.now.0),
+            MembershipEffect::Changed(change) => format!("{} {}", self.now.0, described(change)),
         };
         self.effects += 1;
         self.digest = alderstile_cluster::digest(format!("{} {by} {text}", self.digest).as_bytes());
     }
 
     /// Carries what is sent; every seventh datagram is lost, and those between the sides of a split.
-    fn carry(&mut self, by: usize, out: Vec<Out>, apart: &[u64]) {
+    fn carry(&mut self, by: usize, out: Vec<MembershipEffect>, apart: &[u64]) {
         let mut waiting = vec![(by, out)];
         while let Some((by, out)) = waiting.pop() {
             for effect in out {
                 self.note(by, &effect);
-                let Out::Send(to, bytes) = effect else { continue };
+                let MembershipEffect::Send { to, datagram: bytes } = effect else { continue };
                 self.datagrams += 1;
                 let receiver = self
                     .members
                     .iter()
-                    .position(|other| other.as_ref().is_some_and(|other| other.me().address == to));
+                    .position(|other| other.as_ref().is_some_and(|other| other.local().address == to));
                 let Some(receiver) = receiver.filter(|_| !self.datagrams.is_multiple_of(7)) else { continue };
                 let side = |number: usize| apart.contains(&(number as u64 + 1));
                 if side(by) != side(receiver) {
@@ -196,7 +212,7 @@
                 }
                 let from = ([127, 0, 0, by as u8 + 1], 7_946).into();
                 if let Some(member) = &mut self.members[receiver] {
-                    waiting.push((receiver, member.received(self.now, from, &bytes)));
+                    waiting.push((receiver, member.handle_datagram(self.now, from, &bytes)));
                 }
             }
         }
@@ -206,10 +222,11 @@
         let until = self.now + Micros::from_millis(seconds * 1_000);
         loop {
             let running = self.members.iter().enumerate().filter(|(i, _)| still != Some(*i as u64 + 1));
-            let due = running.filter_map(|(i, member)| Some((member.as_ref()?.due(), i))).min();
+            let due = running.filter_map(|(i, member)| Some((member.as_ref()?.next_timeout(), i))).min();
             let Some((at, i)) = due.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
-            let out = self.members[i].as_mut().map(|member| member.tick(self.now)).unwrap_or_default();
+            let out =
+                self.members[i].as_mut().map(|member| member.handle_timeout(self.now)).unwrap_or_default();
             self.carry(i, out, apart);
         }
         self.now = until;
@@ -236,11 +253,11 @@
     played.members[9] = None;
     if let Some(member) = &mut played.members[0] {
         member.set_digest(8);
-        member.set_fact(b't', &[42]).expect("it fits");
+        member.set_metadata(b't', &[42]).expect("it fits");
     }
     played.pass(400, None, &[1, 2]);
     played.pass(100, None, &[]);
-    let living: usize = played.members.iter().flatten().map(Members::count).sum();
+    let living: usize = played.members.iter().flatten().map(Membership::live_count).sum();
     let summary = format!(
         "{:016x} digest, {} effects, {} datagrams, {living} members in all views\n",
         played.digest, played.effects, played.datagrams
--- a/crates/alderstile-cluster/tests/membership_model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -85,9 +85,9 @@
 }
 
 struct Cluster {
-    members: Vec<Option<Members>>,
+    members: Vec<Option<Membership>>,
     now: Micros,
-    sessions: u64,
+    instances: u64,
 }
 
 fn address(node: usize) -> SocketAddr {
@@ -96,32 +96,32 @@
 
 impl Cluster {
     fn start(&mut self, node: usize) {
-        self.sessions += 1;
-        let me = Record {
-            session: Session(self.sessions * 7_919),
+        self.instances += 1;
+        let me = MemberRecord {
+            instance: InstanceId(self.instances * 7_919),
             incarnation: 1,
             name: format!("n{node}").into(),
             zone: "a".into(),
             address: address(node),
-            digest: 1,
-            facts: [].into(),
+            config_digest: 1,
+            metadata: [].into(),
         };
         let codec = DatagramCodec::new("model", &[b"a key that is long enough".to_vec()]).expect("a codec");
-        let settings = Settings::with_period(Micros::from_millis(1_000));
+        let settings = MembershipConfig::with_period(Micros::from_millis(1_000));
         let seeds = (0..NODES).map(address).collect();
-        self.members[node] = Some(Members::new(settings, codec, me, seeds, self.sessions, self.now));
+        self.members[node] = Some(Membership::new(settings, codec, me, seeds, self.instances, self.now));
     }
 
     /// Carries what is sent, to those that run and are on the same side.
-    fn carry(&mut self, world: &World, by: usize, out: Vec<Out>) {
-        let mut waiting: Vec<(usize, Vec<Out>)> = vec![(by, out)];
+    fn carry(&mut self, world: &World, by: usize, out: Vec<MembershipEffect>) {
+        let mut waiting: Vec<(usize, Vec<MembershipEffect>)> = vec![(by, out)];
         while let Some((by, out)) = waiting.pop() {
             for sent in out {
-                let Out::Send(to, bytes) = sent else { continue };
+                let MembershipEffect::Send { to, datagram: bytes } = sent else { continue };
                 let to = (0..NODES).find(|node| address(*node) == to).expect("a node");
                 if let Some(member) = self.members[to].as_mut().filter(|_| world.apart[by] == world.apart[to])
                 {
-                    let answer = member.received(self.now, address(by), &bytes);
+                    let answer = member.handle_datagram(self.now, address(by), &bytes);
                     waiting.push((to, answer));
                 }
             }
@@ -133,10 +133,11 @@
         let until = self.now + span;
         loop {
             let running = self.members.iter().enumerate().filter(|(node, _)| Some(*node) != still);
-            let due = running.filter_map(|(node, m)| Some((m.as_ref()?.due(), node))).min();
+            let due = running.filter_map(|(node, m)| Some((m.as_ref()?.next_timeout(), node))).min();
             let Some((at, node)) = due.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
-            let out = self.members[node].as_mut().map(|member| member.tick(self.now)).unwrap_or_default();
+            let out =
+                self.members[node].as_mut().map(|member| member.handle_timeout(self.now)).unwrap_or_default();
             self.carry(world, node, out);
         }
         self.now = until;
@@ -147,7 +148,7 @@
         let mut wrong = Vec::new();
         for (node, member) in self.members.iter().enumerate() {
             let Some(member) = member else { continue };
-            let living = member.others().filter(|other| other.state.lives());
+            let living = member.peers().filter(|other| other.state.is_live());
             let mut seen: Vec<String> = living.map(|other| other.record.name.to_string()).collect();
             seen.sort();
             let reached = |other: &usize| {
@@ -181,7 +182,7 @@
 
     fn init_test(_: &World) -> Self {
         let mut cluster =
-            Cluster { members: (0..NODES).map(|_| None).collect(), now: Micros(0), sessions: 0 };
+            Cluster { members: (0..NODES).map(|_| None).collect(), now: Micros(0), instances: 0 };
         (0..NODES).for_each(|node| cluster.start(node));
         cluster
     }
@@ -212,10 +213,10 @@
 
     fn check_invariants(cluster: &Self, _: &World) {
         for member in cluster.members.iter().flatten() {
-            let living = member.others().filter(|other| other.state.lives()).count();
-            assert_eq!(member.count(), living + 1);
-            assert_eq!(member.counts().alive + member.counts().suspect, living + 1);
-            assert!(member.claimed().is_empty(), "each name has one address here");
+            let living = member.peers().filter(|other| other.state.is_live()).count();
+            assert_eq!(member.live_count(), living + 1);
+            assert_eq!(member.stats().alive + member.stats().suspect, living + 1);
+            assert!(member.name_conflicts().is_empty(), "each name has one address here");
         }
     }
 }
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/fleet.rs
@@ -7,7 +7,7 @@
 
 use alderstile::types::*;
 use alderstile_cluster::host_assignment::{self, Choices, Parts, TRAFFIC};
-use alderstile_cluster::membership::Member;
+use alderstile_cluster::membership::Peer;
 use alderstile_cluster::subsetting::{self, Rule, Shares};
 use rand::RngExt;
 
@@ -521,7 +521,7 @@
             && let Some(level) = self.fleet.sides[node].choices.tell(now, held)
         {
             // A byte always fits.
-            let _ = members.set_fact(TRAFFIC, &level);
+            let _ = members.set_metadata(TRAFFIC, &level);
         }
         let Fleet { sides, tables, .. } = &mut self.fleet;
         let Side { chooser: Some(chooser), choices, .. } = &mut sides[node] else { return };
@@ -542,12 +542,12 @@
                 .map(|other| peer(self.plan, other))
                 .collect();
         };
-        let lives = members.others().filter(|member| member.state.lives());
+        let lives = members.peers().filter(|member| member.state.is_live());
         let zone = |name: &str| self.plan.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
-        let node = |member: &Member| subsetting::Node {
+        let node = |member: &Peer| subsetting::Node {
             name: member.record.name.clone(),
             zone: zone(&member.record.zone),
-            traffic: host_assignment::traffic(member.record.fact(TRAFFIC)),
+            traffic: host_assignment::traffic(member.record.metadata_value(TRAFFIC)),
         };
         lives.map(node).collect()
     }
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -10,7 +10,10 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{Change, DatagramCodec, Members, Out, Record, Session, Settings, State};
+use alderstile_cluster::membership::{
+    DatagramCodec, InstanceId, MemberRecord, MemberState, Membership, MembershipChange, MembershipConfig,
+    MembershipEffect,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use thiserror::Error;
@@ -113,7 +116,7 @@
 }
 
 struct Node {
-    members: Option<Members>,
+    members: Option<Membership>,
     /// How fast its clock runs.
     rate: f64,
     paused: bool,
@@ -122,14 +125,14 @@
     /// Number of its latest timer.
     timer: u64,
     /// How it sees each other node, as written last.
-    seen: Vec<Option<State>>,
+    seen: Vec<Option<MemberState>>,
     since_s: f64,
 }
 
 /// A run.
 struct World<'a> {
     plan: &'a Plan,
-    set: Settings,
+    set: MembershipConfig,
     history: &'a History,
     now: u64,
     queue: BinaryHeap<Reverse<Due>>,
@@ -137,9 +140,9 @@
     nodes: Vec<Node>,
     faults: Faults,
     rng: Pcg64Mcg,
-    sessions: BTreeMap<Session, usize>,
+    sessions: BTreeMap<InstanceId, usize>,
     /// All processes that a node has had.
-    processes: Vec<Vec<Session>>,
+    processes: Vec<Vec<InstanceId>>,
     fleet: Fleet,
     sums: Sums,
 }
@@ -170,10 +173,10 @@
         }
     }
     let members = plan.members.clone().unwrap_or_default();
-    let set = Settings {
-        suspicion: members.suspicion,
+    let set = MembershipConfig {
+        suspicion_multiplier: members.suspicion,
         local_health: members.local_health,
-        ..Settings::with_period(Micros::from_millis(members.period_ms))
+        ..MembershipConfig::with_period(Micros::from_millis(members.period_ms))
     };
     let period_s = plan.members.as_ref().map_or(0.0, |members| members.period_ms as f64 / 1e3);
     history.add_at(0.0, fleet.head(plan, period_s));
@@ -209,7 +212,7 @@
 
 impl World<'_> {
     fn play(&mut self, know_all: bool) {
-        let records: Vec<Record> = (0..self.plan.nodes).map(|node| self.record(node)).collect();
+        let records: Vec<MemberRecord> = (0..self.plan.nodes).map(|node| self.record(node)).collect();
         for (node, record) in records.iter().enumerate() {
             self.start(node, record.clone(), if know_all { &records } else { &[] }, true);
         }
@@ -259,13 +262,21 @@
         self.queue.push(Reverse(Due { at, made: self.made, what }));
     }
 
-    fn record(&mut self, node: usize) -> Record {
-        let session = Session(self.rng.random::<u64>().max(1));
-        self.sessions.insert(session, node);
-        self.processes[node].push(session);
+    fn record(&mut self, node: usize) -> MemberRecord {
+        let instance = InstanceId(self.rng.random::<u64>().max(1));
+        self.sessions.insert(instance, node);
+        self.processes[node].push(instance);
         let zone = self.plan.zones[node % self.plan.zones.len()].as_str().into();
         let name = format!("n{node}").into();
-        Record { session, incarnation: 1, name, zone, address: address(node), digest: 0, facts: [].into() }
+        MemberRecord {
+            instance,
+            incarnation: 1,
+            name,
+            zone,
+            address: address(node),
+            config_digest: 0,
+            metadata: [].into(),
+        }
     }
 
     /// The time on a node's own clock.
@@ -273,7 +284,7 @@
         Micros((self.now as f64 * self.nodes[node].rate) as u64)
     }
 
-    fn start(&mut self, node: usize, record: Record, known: &[Record], first: bool) {
+    fn start(&mut self, node: usize, record: MemberRecord, known: &[MemberRecord], first: bool) {
         self.write(Event::Process { node, what: Life::Started, how: None });
         if self.plan.members.is_some() {
             self.joins(node, record, known);
@@ -281,21 +292,21 @@
         self.side_starts(node, first);
     }
 
-    fn joins(&mut self, node: usize, record: Record, known: &[Record]) {
+    fn joins(&mut self, node: usize, record: MemberRecord, known: &[MemberRecord]) {
         let seeds = (0..SEEDS.min(self.plan.nodes)).map(address).collect();
         // The lab's own key: what it protects is a run.
         let Ok(codec) = DatagramCodec::new("lab", &[b"a key of the lab, and no secret".to_vec()]) else {
             return;
         };
         let seed = self.rng.random();
-        let members = Members::new(self.set, codec, record, seeds, seed, self.local(node));
-        let members = members.knowing(known.iter().cloned());
+        let members = Membership::new(self.set, codec, record, seeds, seed, self.local(node));
+        let members = members.with_known_members(known.iter().cloned());
         let now_s = self.seconds();
         let sim = &mut self.nodes[node];
         (sim.members, sim.since_s) = (Some(members), now_s);
-        sim.seen.fill(if known.is_empty() { None } else { Some(State::Alive) });
+        sim.seen.fill(if known.is_empty() { None } else { Some(MemberState::Alive) });
         if known.is_empty() {
-            sim.seen[node] = Some(State::Alive);
+            sim.seen[node] = Some(MemberState::Alive);
         }
         self.schedule(node);
     }
@@ -305,11 +316,11 @@
         let now_s = self.seconds();
         let sim = &mut self.nodes[node];
         if let Some(members) = sim.members.take() {
-            let figures = members.figures();
-            self.sums.sent += figures.sent;
-            self.sums.sent_bytes += figures.sent_bytes;
-            self.sums.suspected += figures.suspected;
-            self.sums.refuted += figures.refuted;
+            let counters = members.counters();
+            self.sums.sent += counters.sent;
+            self.sums.sent_bytes += counters.sent_bytes;
+            self.sums.suspected += counters.suspicions_started;
+            self.sums.refuted += counters.refutations;
             self.sums.member_s += now_s - sim.since_s;
         }
     }
@@ -319,7 +330,7 @@
         let Some(members) = &sim.members else { return };
         sim.timer += 1;
         let (number, rate) = (sim.timer, sim.rate);
-        let at = ((members.due().0 as f64 / rate).ceil() as u64).max(self.now + 1);
+        let at = ((members.next_timeout().0 as f64 / rate).ceil() as u64).max(self.now + 1);
         self.add(at, What::Tick { node, number });
     }
 
@@ -329,7 +340,7 @@
         }
         let now = self.local(node);
         if let Some(members) = &mut self.nodes[node].members {
-            let out = members.tick(now);
+            let out = members.handle_timeout(now);
             self.act(node, out);
         }
         self.schedule(node);
@@ -345,9 +356,9 @@
         }
         let now = self.local(to);
         if let Some(members) = &mut self.nodes[to].members {
-            let before = members.due();
-            let out = members.received(now, address(from), &bytes);
-            let moved = members.due() != before;
+            let before = members.next_timeout();
+            let out = members.handle_datagram(now, address(from), &bytes);
+            let moved = members.next_timeout() != before;
             self.act(to, out);
             if moved {
                 self.schedule(to);
@@ -355,11 +366,11 @@
         }
     }
 
-    fn act(&mut self, node: usize, out: Vec<Out>) {
+    fn act(&mut self, node: usize, out: Vec<MembershipEffect>) {
         for out in out {
             match out {
-                Out::Send(to, bytes) => self.send(node, to, bytes),
-                Out::Tell(change) => self.told(node, &change),
+                MembershipEffect::Send { to, datagram } => self.send(node, to, datagram),
+                MembershipEffect::Changed(change) => self.told(node, &change),
             }
         }
     }
@@ -388,20 +399,23 @@
     }
 
     /// Writes how a node sees another where that has changed: the best of what it holds of the other's processes.
-    fn told(&mut self, node: usize, change: &Change) {
+    fn told(&mut self, node: usize, change: &MembershipChange) {
         let session = match change {
-            Change::Joined(s)
-            | Change::Suspected(s)
-            | Change::Lives(s)
-            | Change::Died(s)
-            | Change::Left(s) => s,
-            Change::Replaced(_) | Change::Claimed(_) | Change::Settled(_) | Change::Refuted => return,
-            Change::StoodStill(_) => return,
+            MembershipChange::Joined(s)
+            | MembershipChange::Suspected(s)
+            | MembershipChange::Recovered(s)
+            | MembershipChange::Died(s)
+            | MembershipChange::Left(s) => s,
+            MembershipChange::Replaced(_)
+            | MembershipChange::NameConflict(_)
+            | MembershipChange::NameConflictResolved(_)
+            | MembershipChange::Refuted => return,
+            MembershipChange::Stalled(_) => return,
         };
         let Some(of) = self.sessions.get(session).copied() else { return };
         let Some(members) = &self.nodes[node].members else { return };
         let processes = self.processes[of].iter();
-        let seen = processes.filter_map(|session| members.other(*session)).map(|member| member.state).min();
+        let seen = processes.filter_map(|session| members.peer(*session)).map(|member| member.state).min();
         if self.nodes[node].seen[of] != seen {
             self.nodes[node].seen[of] = seen;
             let state = seen.map_or("unknown".to_owned(), |state| state.to_string());
@@ -471,7 +485,7 @@
             self.nodes[node].paused = false;
             // A process that goes on finds its timer due and its socket full.
             let now = self.local(node);
-            let out = self.nodes[node].members.as_mut().map(|members| members.tick(now));
+            let out = self.nodes[node].members.as_mut().map(|members| members.handle_timeout(now));
             self.act(node, out.unwrap_or_default());
             for (from, bytes) in std::mem::take(&mut self.nodes[node].waiting) {
                 self.comes(node, from, bytes);
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -2,7 +2,7 @@
 //! processes of their own. Hundreds share one process, and real `alderstile` processes stand among them: they send the
 //! same datagrams under the same keys, so that neither can tell the other.
 //!
-//! [`Hollows`] spreads them over a few threads. Each has [`Members`], and may have a further core on a socket of its own
+//! [`Hollows`] spreads them over a few threads. Each has [`Membership`], and may have a further core on a socket of its own
 //! ([`Part`]): whoever builds one runs it here at any number of nodes with an adapter of three calls.
 //!
 //! ```text
@@ -28,7 +28,8 @@
 use alderstile::types::Micros;
 use alderstile_cluster::authentication::MAX_DATAGRAM_BYTES;
 use alderstile_cluster::membership::{
-    Change, Counts, DatagramCodec, Members, Out, Record, Session, Settings,
+    DatagramCodec, InstanceId, MemberRecord, Membership, MembershipChange, MembershipConfig,
+    MembershipEffect, MembershipStats,
 };
 use rustix::time::{ClockId, clock_gettime};
 use tokio::net::UdpSocket;
@@ -49,14 +50,14 @@
     /// When [`Part::tick`] has something to do next.
     fn due(&self) -> Micros;
     /// Does what is due. The node's members may be read, and told a digest or a fact.
-    fn tick(&mut self, now: Micros, members: &mut Members) -> Vec<(SocketAddr, Vec<u8>)>;
+    fn tick(&mut self, now: Micros, members: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)>;
     /// Takes a datagram in.
     fn received(
         &mut self,
         now: Micros,
         from: SocketAddr,
         bytes: &[u8],
-        members: &mut Members,
+        members: &mut Membership,
     ) -> Vec<(SocketAddr, Vec<u8>)>;
 }
 
@@ -114,7 +115,7 @@
 #[derive(Clone)]
 pub struct Setup {
     /// What the members go by.
-    pub settings: Settings,
+    pub settings: MembershipConfig,
     /// The cluster's name and keys.
     pub codec: DatagramCodec,
     /// Whom a member asks that knows nobody.
@@ -132,16 +133,16 @@
 
 impl Setup {
     /// What a node tells of itself at its start of this number, from 1 on.
-    fn record(&self, spec: &Spec, start: u64) -> Record {
+    fn record(&self, spec: &Spec, start: u64) -> MemberRecord {
         let text = format!("{} {} {} {start}", self.seed, spec.name, spec.address);
-        Record {
-            session: Session(alderstile_cluster::digest(text.as_bytes()).max(1)),
+        MemberRecord {
+            instance: InstanceId(alderstile_cluster::digest(text.as_bytes()).max(1)),
             incarnation: 1,
             name: spec.name.as_str().into(),
             zone: spec.zone.as_str().into(),
             address: spec.address,
-            digest: 0,
-            facts: [].into(),
+            config_digest: 0,
+            metadata: [].into(),
         }
     }
 }
@@ -180,7 +181,7 @@
     /// Its number.
     pub number: usize,
     /// How it sees the others, and what it sent.
-    pub counts: Counts,
+    pub counts: MembershipStats,
     /// Datagrams that came.
     pub came: u64,
     /// Their bytes.
@@ -204,10 +205,10 @@
     Start(Spec),
     Kill(usize),
     News { node: usize, digest: u64 },
-    Watch { of: Session, digest: u64 },
+    Watch { of: InstanceId, digest: u64 },
     Look { peaks: bool, answer: oneshot::Sender<Looks> },
     Seen(oneshot::Sender<Vec<Seen>>),
-    Session(usize, oneshot::Sender<Option<Session>>),
+    Session(usize, oneshot::Sender<Option<InstanceId>>),
 }
 
 /// Hollow nodes on threads. They end with their owner.
@@ -306,7 +307,7 @@
     /// How often each node was started.
     starts: RefCell<BTreeMap<usize, u64>>,
     seen: RefCell<Vec<Seen>>,
-    watched: RefCell<Vec<(Session, u64)>>,
+    watched: RefCell<Vec<(InstanceId, u64)>>,
 }
 
 struct Running {
@@ -326,7 +327,7 @@
 struct Hollow {
     number: usize,
     address: SocketAddr,
-    members: RefCell<Members>,
+    members: RefCell<Membership>,
     came: Cell<(u64, u64)>,
     part: Cell<[u64; 4]>,
     known: RefCell<BTreeSet<u64>>,
@@ -376,7 +377,8 @@
             Order::Watch { of, digest } => self.watched.borrow_mut().push((of, digest)),
             Order::Session(node, answer) => {
                 let nodes = self.nodes.borrow();
-                let session = nodes.get(&node).map(|running| running.hollow.members.borrow().me().session);
+                let session =
+                    nodes.get(&node).map(|running| running.hollow.members.borrow().local().instance);
                 let _ = answer.send(session);
             }
             Order::Look { peaks, answer } => drop(answer.send(self.look(peaks))),
@@ -393,14 +395,14 @@
             *start
         };
         let me = setup.record(&spec, start);
-        me.check().map_err(io::Error::other)?;
+        me.validate().map_err(io::Error::other)?;
         let socket = UdpSocket::bind(spec.address).await?;
-        let (seeds, seed) = (setup.seeds.clone(), setup.seed ^ me.session.0);
+        let (seeds, seed) = (setup.seeds.clone(), setup.seed ^ me.instance.0);
         let mut members =
-            Members::new(setup.settings, setup.codec.clone(), me, seeds, seed, setup.network.now());
+            Membership::new(setup.settings, setup.codec.clone(), me, seeds, seed, setup.network.now());
         if start == 1 {
             let others = setup.known.iter().filter(|other| other.number != spec.number);
-            members = members.knowing(others.map(|other| setup.record(other, 1)));
+            members = members.with_known_members(others.map(|other| setup.record(other, 1)));
         }
         let hollow = Rc::new(Hollow {
             number: spec.number,
@@ -425,13 +427,13 @@
         let network = &self.setup.network;
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = network.began + Duration::from_micros(hollow.members.borrow().due().0);
+            let due = network.began + Duration::from_micros(hollow.members.borrow().next_timeout().0);
             let out = tokio::select! {
                 received = socket.recv_from(&mut data) => match received {
                     Ok((length, from)) if network.passes(&from, &hollow.address) => {
                         let (came, bytes) = hollow.came.get();
                         hollow.came.set((came + 1, bytes + length as u64));
-                        hollow.members.borrow_mut().received(network.now(), from, &data[..length])
+                        hollow.members.borrow_mut().handle_datagram(network.now(), from, &data[..length])
                     }
                     Ok(_) => continue,
                     Err(error) => {
@@ -439,16 +441,18 @@
                         continue;
                     }
                 },
-                () = tokio::time::sleep_until(due.into()) => hollow.members.borrow_mut().tick(network.now()),
+                () = tokio::time::sleep_until(due.into()) => hollow.members.borrow_mut().handle_timeout(network.now()),
             };
             for out in out {
                 match out {
                     // Lost where the system has no room for it, as on the way.
-                    Out::Send(to, bytes) if network.passes(&hollow.address, &to) => {
+                    MembershipEffect::Send { to, datagram: bytes }
+                        if network.passes(&hollow.address, &to) =>
+                    {
                         let _ = socket.try_send_to(&bytes, to);
                     }
-                    Out::Send(..) => {}
-                    Out::Tell(change) => self.note(&hollow, &change),
+                    MembershipEffect::Send { .. } => {}
+                    MembershipEffect::Changed(change) => self.note(&hollow, &change),
                 }
             }
             self.note_news(&hollow);
@@ -486,16 +490,16 @@
         }
     }
 
-    fn note(&self, hollow: &Hollow, change: &Change) {
+    fn note(&self, hollow: &Hollow, change: &MembershipChange) {
         let (session, what) = match change {
-            Change::Joined(session) => (session, What::Joined),
-            Change::Suspected(session) => (session, What::Suspected),
-            Change::Died(session) => (session, What::Died),
-            Change::Lives(session) => (session, What::Lives),
+            MembershipChange::Joined(session) => (session, What::Joined),
+            MembershipChange::Suspected(session) => (session, What::Suspected),
+            MembershipChange::Died(session) => (session, What::Died),
+            MembershipChange::Recovered(session) => (session, What::Lives),
             _ => return,
         };
         let members = hollow.members.borrow();
-        let Some(of) = members.other(*session).and_then(|member| number(&member.record.name)) else {
+        let Some(of) = members.peer(*session).and_then(|member| number(&member.record.name)) else {
             return;
         };
         self.seen.borrow_mut().push(Seen { at: self.setup.network.now(), by: hollow.number, of, what });
@@ -504,7 +508,8 @@
     fn note_news(&self, hollow: &Hollow) {
         let members = hollow.members.borrow();
         for (of, digest) in self.watched.borrow().iter() {
-            let Some(member) = members.other(*of).filter(|member| member.record.digest == *digest) else {
+            let Some(member) = members.peer(*of).filter(|member| member.record.config_digest == *digest)
+            else {
                 continue;
             };
             if hollow.known.borrow_mut().insert(*digest) {
@@ -534,7 +539,7 @@
         let look = |running: &mut Running| {
             let hollow = &running.hollow;
             let (came, came_bytes) = hollow.came.get();
-            let (counts, part) = (hollow.members.borrow().counts(), hollow.part.get());
+            let (counts, part) = (hollow.members.borrow().stats(), hollow.part.get());
             let peak = if peaks { std::mem::take(&mut running.peak) } else { running.peak };
             Look { number: hollow.number, counts, came, came_bytes, part, peak }
         };
@@ -546,7 +551,7 @@
     /// Bytes out and in, of all its cores.
     fn bytes(&self) -> (u64, u64) {
         let part = self.part.get();
-        (self.members.borrow().figures().sent_bytes + part[1], self.came.get().1 + part[3])
+        (self.members.borrow().counters().sent_bytes + part[1], self.came.get().1 + part[3])
     }
 }
 
--- a/crates/alderstile-lab/src/scale.rs
+++ b/crates/alderstile-lab/src/scale.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{DatagramCodec, Settings};
+use alderstile_cluster::membership::{DatagramCodec, MembershipConfig};
 use serde::Deserialize;
 use serde_json::json;
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
@@ -262,7 +262,7 @@
     let spans: Vec<f64> = (to.nodes().iter())
         .filter_map(|(number, now)| {
             let then = before.get(number)?;
-            Some(now.counts.figures.sent_bytes.saturating_sub(then.counts.figures.sent_bytes) as f64)
+            Some(now.counts.counters.sent_bytes.saturating_sub(then.counts.counters.sent_bytes) as f64)
         })
         .collect();
     spans.iter().sum::<f64>() / spans.len().max(1) as f64 / (to.at - from.at).as_secs_f64()
@@ -283,8 +283,8 @@
             .collect();
         let regions = specs.iter().map(|spec| (spec.address, runs.region_of(spec.number))).collect();
         let network = Network::new(regions);
-        let mut settings = Settings::with_period(Micros::from_millis(runs.period_ms));
-        settings.suspicion = runs.suspicion;
+        let mut settings = MembershipConfig::with_period(Micros::from_millis(runs.period_ms));
+        settings.suspicion_multiplier = runs.suspicion;
         let codec = DatagramCodec::new("scale", &[KEY.to_vec()]).map_err(|_| "no key")?;
         let seeds: Vec<SocketAddr> = specs.iter().take(3).map(|spec| spec.address).collect();
         let numbers: Vec<usize> =
@@ -424,18 +424,18 @@
         let both: Vec<(Look, Look)> = after
             .iter()
             .filter_map(|(number, now)| Some((*before.get(number)?, *now)))
-            .filter(|(then, now)| now.counts.figures.sent >= then.counts.figures.sent)
+            .filter(|(then, now)| now.counts.counters.sent >= then.counts.counters.sent)
             .collect();
         let each = |of: &dyn Fn(&Look) -> u64| -> Vec<f64> {
             both.iter().map(|(then, now)| of(now).saturating_sub(of(then)) as f64 / span).collect()
         };
-        let out = each(&|look| look.counts.figures.sent_bytes + look.part[1]);
+        let out = each(&|look| look.counts.counters.sent_bytes + look.part[1]);
         let into = each(&|look| look.came_bytes + look.part[3]);
-        let sent = each(&|look| look.counts.figures.sent + look.part[0]);
+        let sent = each(&|look| look.counts.counters.sent + look.part[0]);
         let came = each(&|look| look.came + look.part[2]);
         let held: Vec<f64> = both
             .iter()
-            .map(|(then, now)| (now.counts.figures.held_back - then.counts.figures.held_back) as f64)
+            .map(|(then, now)| (now.counts.counters.rate_limited - then.counts.counters.rate_limited) as f64)
             .collect();
         self.values(phase, "bytes out a node and second", &out);
         self.values(phase, "bytes in a node and second", &into);
@@ -526,7 +526,7 @@
         // Nothing was counted before a node began: all that it sent counts.
         let span = (to.at - began).as_secs_f64();
         let sent: Vec<f64> =
-            to.nodes().values().map(|look| look.counts.figures.sent_bytes as f64 / span).collect();
+            to.nodes().values().map(|look| look.counts.counters.sent_bytes as f64 / span).collect();
         self.values(phase, "bytes out a node and second", &sent);
         let peaks: Vec<f64> = to.nodes().values().map(|look| look.peak.0 as f64).collect();
         self.values(phase, "bytes out in the busiest second", &peaks);
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{DatagramCodec, Members, Settings};
+use alderstile_cluster::membership::{DatagramCodec, Membership, MembershipConfig};
 use alderstile_lab::fit::Fit;
 use alderstile_lab::hollow::{Hollows, Network, Part, Setup, Spec, What};
 use alderstile_lab::measure::{self, Sizes};
@@ -121,7 +121,7 @@
     fn due(&self) -> Micros {
         self.due
     }
-    fn tick(&mut self, now: Micros, _: &mut Members) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn tick(&mut self, now: Micros, _: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)> {
         self.due = now + Micros(50_000);
         vec![(self.to, b"ten bytes.".to_vec())]
     }
@@ -130,9 +130,9 @@
         _: Micros,
         from: SocketAddr,
         bytes: &[u8],
-        members: &mut Members,
+        members: &mut Membership,
     ) -> Vec<(SocketAddr, Vec<u8>)> {
-        assert!(from == self.to && bytes == b"ten bytes." && members.count() >= 1);
+        assert!(from == self.to && bytes == b"ten bytes." && members.live_count() >= 1);
         self.came.fetch_add(1, Ordering::Relaxed);
         Vec::new()
     }
@@ -149,7 +149,7 @@
     let network = Network::new(regions);
     let counted = came.clone();
     let setup = Setup {
-        settings: Settings::with_period(Micros(50_000)),
+        settings: MembershipConfig::with_period(Micros(50_000)),
         codec: DatagramCodec::new("test", &[vec![7; 32]]).expect("a key"),
         seeds: vec![at(0, 7_946)],
         network: network.clone(),
--- a/crates/alderstile-node/src/admin/metrics.rs
+++ b/crates/alderstile-node/src/admin/metrics.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Write;
 
-use alderstile_cluster::membership::Counts;
+use alderstile_cluster::membership::MembershipStats;
 
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
     /// Hosts in use and those added for others, where nodes share hosts out.
     pub subset: Option<(usize, usize)>,
     /// The members of the cluster, where the node is one.
-    pub members: Option<Counts>,
+    pub members: Option<MembershipStats>,
 }
 
 impl Counters {
@@ -97,19 +97,19 @@
             line("members_alive", members.alive as u64, 'g');
             line("members_suspect", members.suspect as u64, 'g');
             line("members_dead", members.dead as u64, 'g');
-            line("members_claimed", members.claimed as u64, 'g');
-            line("members_health", u64::from(members.health), 'g');
-            let figures = members.figures;
-            line("members_sent", figures.sent, 'c');
-            line("members_sent_bytes", figures.sent_bytes, 'c');
-            line("members_taken", figures.taken, 'c');
-            line("members_foreign", figures.foreign, 'c');
-            line("members_damaged", figures.damaged, 'c');
-            line("members_newer", figures.newer, 'c');
-            line("members_stale", figures.stale, 'c');
-            line("members_replayed", figures.replayed, 'c');
-            line("members_held_back", figures.held_back, 'c');
-            line("members_refuted", figures.refuted, 'c');
+            line("members_claimed", members.name_conflicts as u64, 'g');
+            line("members_health", u64::from(members.local_health), 'g');
+            let counters = members.counters;
+            line("members_sent", counters.sent, 'c');
+            line("members_sent_bytes", counters.sent_bytes, 'c');
+            line("members_taken", counters.accepted, 'c');
+            line("members_foreign", counters.unauthenticated, 'c');
+            line("members_damaged", counters.malformed, 'c');
+            line("members_newer", counters.unsupported_format, 'c');
+            line("members_stale", counters.wrong_instance, 'c');
+            line("members_replayed", counters.replayed, 'c');
+            line("members_held_back", counters.rate_limited, 'c');
+            line("members_refuted", counters.refutations, 'c');
         }
         text
     }
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -82,7 +82,7 @@
             hosts_listed: facade.maintenance().listed(),
             hosts_down: facade.avoided(now),
             subset: self.decisions.share_counts(),
-            members: self.cluster().map(|cluster| cluster.counts()),
+            members: self.cluster().map(|cluster| cluster.stats()),
         });
         let agreed = self.control().map(|control| control.figures()).unwrap_or_default();
         self.clients.figures(gauges) + &agreed
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -5,7 +5,7 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::authentication::{MAX_CLUSTER_NAME_BYTES, MIN_KEY_BYTES};
-use alderstile_cluster::membership::{self, DatagramCodec};
+use alderstile_cluster::membership::{DatagramCodec, MembershipConfig};
 use alderstile_cluster::replicated_config;
 use serde::Deserialize;
 use thiserror::Error;
@@ -130,7 +130,7 @@
     /// The cluster's name and keys, on every datagram.
     pub codec: DatagramCodec,
     /// What the members go by.
-    pub settings: membership::Settings,
+    pub settings: MembershipConfig,
     /// Each node uses a part of the hosts; all of them where this is not set.
     pub subsets: Option<Subsets>,
     /// Settings are agreed among the members; each node goes by its own file where this is not set.
@@ -176,12 +176,12 @@
         if !(50..=60_000).contains(&period_ms) {
             return Err(bad("period_ms", format!("{period_ms}: 50 to 60000 is wanted")));
         }
-        let mut settings = membership::Settings::with_period(Micros::from_millis(period_ms));
+        let mut settings = MembershipConfig::with_period(Micros::from_millis(period_ms));
         if let Some(suspicion) = file.suspicion {
             if !(1.0..=100.0).contains(&suspicion) {
                 return Err(bad("suspicion", format!("{suspicion}: 1 to 100 is wanted")));
             }
-            settings.suspicion = suspicion;
+            settings.suspicion_multiplier = suspicion;
         }
         let codec =
             DatagramCodec::new(&file.name, &keys).map_err(|_| bad("keys", "can't be used".to_owned()))?;
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -30,7 +30,7 @@
         let config = node.config();
         node.decisions.shares(others(&cluster, &config), |choices, now| {
             if let Some(level) = choices.tell(now, node.clients.held()) {
-                cluster.set_fact(TRAFFIC, &level);
+                cluster.set_metadata(TRAFFIC, &level);
             }
         });
         let counts = node.decisions.share_counts();
@@ -51,6 +51,6 @@
     cluster.living(|record| Peer {
         name: record.name.clone(),
         zone: zone(&record.zone).unwrap_or(u16::MAX),
-        traffic: traffic(record.fact(TRAFFIC)),
+        traffic: traffic(record.metadata_value(TRAFFIC)),
     })
 }
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -8,7 +8,9 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::authentication::MAX_DATAGRAM_BYTES;
-use alderstile_cluster::membership::{Change, Counts, Members, Out, Record, Session, State};
+use alderstile_cluster::membership::{
+    InstanceId, MemberRecord, MemberState, Membership, MembershipChange, MembershipEffect, MembershipStats,
+};
 use serde::Serialize;
 use serde_json::Value;
 use tokio::net::UdpSocket;
@@ -71,7 +73,7 @@
 pub struct Cluster {
     name: String,
     listen: SocketAddr,
-    members: RefCell<Members>,
+    members: RefCell<Membership>,
     began: Instant,
     let_go: Notify,
     leaving: Notify,
@@ -96,20 +98,20 @@
                 (before.incarnation.saturating_add(AHEAD), before.counter.saturating_add(AHEAD));
             seeds.extend(&before.known);
         }
-        let me = Record {
-            session: Session(session),
+        let me = MemberRecord {
+            instance: InstanceId(session),
             incarnation,
             name: config.name.as_str().into(),
             zone: zone.into(),
             address: cluster.advertise,
-            digest: digest(config),
-            facts: [].into(),
+            config_digest: digest(config),
+            metadata: [].into(),
         };
-        me.check().map_err(|unfit| unfit.to_string())?;
+        me.validate().map_err(|unfit| unfit.to_string())?;
         // Two processes of one member draw differently.
         let seed = config.seed ^ session ^ counter;
-        let members = Members::new(cluster.settings, cluster.codec.clone(), me, seeds, seed, Micros(0));
-        let members = RefCell::new(members.taking_over(counter));
+        let members = Membership::new(cluster.settings, cluster.codec.clone(), me, seeds, seed, Micros(0));
+        let members = RefCell::new(members.resuming_after(counter));
         let (name, listen, began) = (cluster.name.clone(), cluster.listen, Instant::now());
         Ok(Cluster {
             name,
@@ -143,11 +145,11 @@
         info!("members: {} listens at {}", self.name, self.listen);
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.began + Duration::from_micros(self.members.borrow().due().0);
+            let due = self.began + Duration::from_micros(self.members.borrow().next_timeout().0);
             tokio::select! {
                 received = socket.recv_from(&mut data) => match received {
                     Ok((length, from)) => {
-                        let out = self.members.borrow_mut().received(self.now(), from, &data[..length]);
+                        let out = self.members.borrow_mut().handle_datagram(self.now(), from, &data[..length]);
                         self.act(&socket, out);
                     }
                     // A member that is down refused what was sent to it; should errors go on, they must not take the core.
@@ -157,7 +159,7 @@
                     }
                 },
                 () = tokio::time::sleep_until(due.into()) => {
-                    let out = self.members.borrow_mut().tick(self.now());
+                    let out = self.members.borrow_mut().handle_timeout(self.now());
                     self.act(&socket, out);
                 }
                 () = self.leaving.notified() => {
@@ -170,44 +172,50 @@
         }
     }
 
-    fn act(&self, socket: &UdpSocket, out: Vec<Out>) {
+    fn act(&self, socket: &UdpSocket, out: Vec<MembershipEffect>) {
         for out in out {
             match out {
                 // Lost where the system has no room for it, as on the way.
-                Out::Send(to, bytes) => {
-                    if let Err(error) = socket.try_send_to(&bytes, to) {
+                MembershipEffect::Send { to, datagram } => {
+                    if let Err(error) = socket.try_send_to(&datagram, to) {
                         debug!("members: datagram to {to} lost: {error}");
                     }
                 }
-                Out::Tell(change) => self.tell(&change),
+                MembershipEffect::Changed(change) => self.tell(&change),
             }
         }
     }
 
-    fn tell(&self, change: &Change) {
+    fn tell(&self, change: &MembershipChange) {
         let members = self.members.borrow();
-        let named = |session: &Session| {
-            let member = members.other(*session);
+        let named = |session: &InstanceId| {
+            let member = members.peer(*session);
             member.map_or_else(
                 || session.to_string(),
                 |member| format!("{} ({})", member.record.name, member.record.address),
             )
         };
         match change {
-            Change::Joined(session) => info!("members: {} joined", named(session)),
-            Change::Suspected(session) => info!("members: {} does not answer", named(session)),
-            Change::Lives(session) => info!("members: {} lives", named(session)),
-            Change::Died(session) => warn!("members: {} is held dead", named(session)),
-            Change::Left(session) => info!("members: {} has left", named(session)),
-            Change::Replaced(session) => info!("members: another process is in place of {}", named(session)),
-            Change::Claimed(name) => {
-                let living = members.others().filter(|m| m.record.name == *name && m.state.lives());
+            MembershipChange::Joined(session) => info!("members: {} joined", named(session)),
+            MembershipChange::Suspected(session) => info!("members: {} does not answer", named(session)),
+            MembershipChange::Recovered(session) => info!("members: {} lives", named(session)),
+            MembershipChange::Died(session) => warn!("members: {} is held dead", named(session)),
+            MembershipChange::Left(session) => info!("members: {} has left", named(session)),
+            MembershipChange::Replaced(session) => {
+                info!("members: another process is in place of {}", named(session))
+            }
+            MembershipChange::NameConflict(name) => {
+                let living = members.peers().filter(|m| m.record.name == *name && m.state.is_live());
                 let at: Vec<String> = living.map(|member| member.record.address.to_string()).collect();
                 warn!("members: two processes claim the name {name}, at {}", at.join(" and "));
             }
-            Change::Settled(name) => info!("members: the name {name} is claimed by one process"),
-            Change::Refuted => info!("members: others held this one dead or silent; told that it lives"),
-            Change::StoodStill(span) => {
+            MembershipChange::NameConflictResolved(name) => {
+                info!("members: the name {name} is claimed by one process")
+            }
+            MembershipChange::Refuted => {
+                info!("members: others held this one dead or silent; told that it lives")
+            }
+            MembershipChange::Stalled(span) => {
                 warn!("members: this process stood still for {:.1} s", span.as_secs_f64())
             }
         }
@@ -224,22 +232,22 @@
     }
 
     /// Sets a fact of this member.
-    pub fn set_fact(&self, tag: u8, bytes: &[u8]) {
-        if let Err(error) = self.members.borrow_mut().set_fact(tag, bytes) {
+    pub fn set_metadata(&self, tag: u8, bytes: &[u8]) {
+        if let Err(error) = self.members.borrow_mut().set_metadata(tag, bytes) {
             warn!("members: {error}");
         }
     }
 
     /// The other members that live or may live.
-    pub fn living<T>(&self, each: impl Fn(&Record) -> T) -> Vec<T> {
+    pub fn living<T>(&self, each: impl Fn(&MemberRecord) -> T) -> Vec<T> {
         let members = self.members.borrow();
-        members.others().filter(|member| member.state.lives()).map(|member| each(&member.record)).collect()
+        members.peers().filter(|member| member.state.is_live()).map(|member| each(&member.record)).collect()
     }
 
     /// This member's name, and where others reach it.
     pub fn me(&self) -> (String, SocketAddr) {
         let members = self.members.borrow();
-        (members.me().name.to_string(), members.me().address)
+        (members.local().name.to_string(), members.local().address)
     }
 
     /// Lets go of the socket: the other process of this node goes on as the same member.
@@ -259,43 +267,43 @@
     /// What the process that takes over is to know.
     pub fn word(&self) -> MemberWord {
         let members = self.members.borrow();
-        let living = members.others().filter(|member| member.state == State::Alive);
+        let living = members.peers().filter(|member| member.state == MemberState::Alive);
         MemberWord {
-            session: members.me().session.0,
-            incarnation: members.me().incarnation,
-            counter: members.counter(),
+            session: members.local().instance.0,
+            incarnation: members.local().incarnation,
+            counter: members.last_sequence(),
             known: living.map(|member| member.record.address).take(TOLD).collect(),
         }
     }
 
     /// Members by state, and what was sent and came.
-    pub fn counts(&self) -> Counts {
-        self.members.borrow().counts()
+    pub fn stats(&self) -> MembershipStats {
+        self.members.borrow().stats()
     }
 
     /// All members, as operators see them.
     pub fn view(&self) -> View {
         let members = self.members.borrow();
         let now = self.now();
-        let shown = |record: &Record, state: State, since: Micros, me| Shown {
+        let shown = |record: &MemberRecord, state: MemberState, since: Micros, me| Shown {
             name: record.name.to_string(),
             state: state.to_string(),
             zone: record.zone.to_string(),
             address: record.address,
-            session: record.session.to_string(),
+            session: record.instance.to_string(),
             incarnation: record.incarnation,
-            settings: format!("{:016x}", record.digest),
+            settings: format!("{:016x}", record.config_digest),
             for_ms: (now - since).0 / 1_000,
             me,
         };
-        let others = members.others().map(|member| shown(&member.record, member.state, member.since, false));
+        let others = members.peers().map(|member| shown(&member.record, member.state, member.since, false));
         let mut all: Vec<Shown> =
-            others.chain([shown(members.me(), State::Alive, Micros(0), true)]).collect();
+            others.chain([shown(members.local(), MemberState::Alive, Micros(0), true)]).collect();
         all.sort_by(|a, b| (&a.name, &a.state, &a.session).cmp(&(&b.name, &b.state, &b.session)));
         View {
             cluster: self.name.clone(),
-            health: members.health(),
-            claimed: members.claimed().iter().map(|name| name.to_string()).collect(),
+            health: members.local_health(),
+            claimed: members.name_conflicts().iter().map(|name| name.to_string()).collect(),
             members: all,
         }
     }
--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config.rs
@@ -140,7 +140,7 @@
             }
             let Some(socket) = self.socket.borrow().clone() else { continue };
             let port = socket.local_addr().map_or(listen.port(), |address| address.port());
-            cluster.set_fact(PORT, &port.to_le_bytes());
+            cluster.set_metadata(PORT, &port.to_le_bytes());
             if bound.is_none() || votes {
                 info!(
                     "agreed: hears of versions at {}:{port}{}",
@@ -229,7 +229,8 @@
     fn look(&self, cluster: &Cluster, port: u16) {
         let voters = &self.config.settings.voters;
         let others = cluster.living(|record| {
-            let port = record.fact(PORT).and_then(|fact| fact.try_into().ok()).map(u16::from_le_bytes)?;
+            let port =
+                record.metadata_value(PORT).and_then(|port| port.try_into().ok()).map(u16::from_le_bytes)?;
             let address = SocketAddr::new(record.address.ip(), port);
             (!voters.contains(&address)).then(|| (alderstile_cluster::hashed(&record.name), address))
         });
