--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -124,7 +124,7 @@
     let config = ClusterConfig::load(&fixture("cluster.toml")).expect("fine");
     assert_eq!((config.name.as_str(), config.listen.port(), config.advertise.port()), ("edge", 19946, 19947));
     assert_eq!(config.seeds.len(), 2);
-    assert_eq!((config.settings.period.0, config.settings.suspicion), (200_000, 3.5));
+    assert_eq!((config.settings.period.0, config.settings.suspicion_multiplier), (200_000, 3.5));
     let subsets = config.subsets.expect("a table");
     assert_eq!((subsets.size, subsets.users), (12, 3));
     assert_eq!((subsets.zones_first, subsets.hold.0), (true, 12_500_000));
