--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -81,7 +81,7 @@
             inflight: self.clients.inflight(),
             hosts_listed: facade.maintenance().listed(),
             hosts_down: facade.avoided(now),
-            subset: self.decisions.share_counts(),
+            subset: self.decisions.assigned_host_counts(),
             members: self.cluster().map(|cluster| cluster.counts()),
         });
         let agreed = self.control().map(|control| control.figures()).unwrap_or_default();
--- a/crates/alderstile-node/src/clock.rs
+++ b/crates/alderstile-node/src/clock.rs
@@ -1,20 +1,21 @@
-//! The node's clock: monotonic, with its zero at the Unix epoch, so that a server's start can be told on it.
+//! The node's clock: monotonic, counted from the Unix epoch, so that a host's start can be placed on it.
 
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use alderstile::types::Micros;
 
-/// Steps of the system's clock after the start do not reach it.
+/// A clock that does not follow steps of the system's clock after its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
+    /// The origin, counted from the Unix epoch.
     origin_unix: Micros,
 }
 
 impl Default for Clock {
     fn default() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), origin_unix: Micros(whole(since_epoch.as_micros())) }
+        Clock { origin: Instant::now(), origin_unix: micros(since_epoch) }
     }
 }
 
@@ -24,17 +25,18 @@
         self.at(Instant::now())
     }
 
-    /// A moment on this clock.
-    pub fn at(&self, moment: Instant) -> Micros {
-        self.origin_unix + Micros(whole(moment.saturating_duration_since(self.origin).as_micros()))
+    /// An instant as a time of this clock.
+    pub fn at(&self, instant: Instant) -> Micros {
+        self.origin_unix + micros(instant.saturating_duration_since(self.origin))
     }
 
-    /// A time of this clock as a moment.
-    pub fn moment(&self, time: Micros) -> Instant {
-        self.origin + std::time::Duration::from_micros((time - self.origin_unix).0)
+    /// A time of this clock as an instant.
+    pub fn instant(&self, time: Micros) -> Instant {
+        self.origin + Duration::from_micros((time - self.origin_unix).0)
     }
 }
 
-fn whole(micros: u128) -> u64 {
-    u64::try_from(micros).unwrap_or(u64::MAX)
+/// A span in microseconds.
+pub fn micros(span: Duration) -> Micros {
+    Micros(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/alderstile-node/src/config/mod.rs
+++ b/crates/alderstile-node/src/config/mod.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use tracing::warn;
 
-use crate::discovery::endpoint_list::List;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::lifecycle::upgrade_state::Handshake;
 
 mod cluster;
@@ -101,7 +101,7 @@
     /// All nodes at once.
     pub peers_all: Option<SocketAddr>,
     /// The server list last known.
-    pub known: List,
+    pub known: EndpointList,
     /// The classes by their numbers, which they keep for the process's life.
     pub classes: Vec<String>,
     /// Classes that a later configuration named no more: they take no new requests.
@@ -293,8 +293,8 @@
         let set = flat("settings.", &told);
         let keys = flat("", &value);
         let known = match known {
-            Some(known) => List::from_value(known).map_err(ConfigError::Known)?,
-            None => List::default(),
+            Some(known) => EndpointList::from_value(known).map_err(ConfigError::Known)?,
+            None => EndpointList::default(),
         };
         let address = "an address and a port";
         let peers = keys.list("peers").into_iter();
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -20,7 +20,7 @@
     let me = Peer { name: config.name.as_str().into(), zone: config.settings.zone, traffic: 0.0 };
     let rule = Rule { size: subsets.size, users: subsets.users, zones: subsets.zones_first };
     let parts = Parts { subsets: Some(rule), hold: subsets.hold, cold: config.settings.cold };
-    node.decisions.share(&config, |sized| Choices::new(parts, me, sized));
+    node.decisions.enable_host_assignment(&config, |sized| Choices::new(parts, me, sized));
 }
 
 /// Follows the members for as long as the node runs.
@@ -28,12 +28,12 @@
     let mut before = None;
     loop {
         let config = node.config();
-        node.decisions.shares(others(&cluster, &config), |choices, now| {
+        node.decisions.update_host_assignment(others(&cluster, &config), |choices, now| {
             if let Some(level) = choices.tell(now, node.clients.held()) {
                 cluster.set_fact(TRAFFIC, &level);
             }
         });
-        let counts = node.decisions.share_counts();
+        let counts = node.decisions.assigned_host_counts();
         if counts != before {
             if let Some((used, added)) = counts.filter(|(used, _)| *used > 0) {
                 info!("subset: {used} hosts in use, {added} of them for others that can't be reached");
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -1,7 +1,6 @@
-//! The decisions, what they know of the list, and when they have something to do next.
+//! The policy on this node's clock: asks and reports to it, keeps it up to date with discovery, and does what is due.
 
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -16,327 +15,305 @@
 
 use crate::clock::Clock;
 use crate::config::{Config, Current};
-use crate::discovery::endpoint_list::{Health, Host, List, server_id};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::endpoint_table::{EndpointTable, HostAddress};
 use crate::discovery::lease::Lease;
 
-/// How often it is told what the watching instance would have done otherwise.
-const SHADOW_EVERY: Micros = Micros::from_millis(10_000);
+/// How often it is logged what the shadow instance would have done differently.
+const SHADOW_LOG_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// A server as this node reaches it.
-#[derive(Clone, Debug)]
-pub struct HostAt {
-    /// Its name.
-    pub name: Rc<str>,
-    /// Its address.
-    pub dial: SocketAddr,
+/// How a watch of the endpoint list, or the call for one, ended.
+#[derive(Clone, Copy, Debug)]
+pub struct WatchEnd {
+    /// When the call began.
+    pub began: Instant,
+    /// Whether the call got no connection to discovery.
+    pub discovery_unreachable: bool,
 }
 
-/// The decisions of a node, and the list.
+/// The policy of a node, and the endpoint list that it decides by.
 pub struct Decisions {
     config: Rc<Current>,
     /// The node's clock.
     pub clock: Clock,
-    /// A watch of the server list is wanted.
-    pub ask_list: Notify,
-    /// The server list is to be had elsewhere from now on.
+    /// The policy wants a watch of the endpoint list.
+    pub list_requested: Notify,
+    /// Discovery has a new address.
     pub discovery_moved: Notify,
     discovery: Cell<SocketAddr>,
     facade: RefCell<Facade>,
-    /// What nodes share out among themselves; nothing where no cluster's file says so.
-    choices: RefCell<Option<Choices>>,
-    hosts: RefCell<BTreeMap<ServerId, HostAt>>,
-    listed: RefCell<BTreeMap<ServerId, Host>>,
-    seq: Cell<u64>,
+    /// The hosts' assignment to the cluster's nodes; none where the cluster's file says nothing of it.
+    host_assignment: RefCell<Option<Choices>>,
+    endpoints: RefCell<EndpointTable>,
     lease: RefCell<Lease>,
-    /// What the running node sleeps until, and what wakes it earlier.
-    due: Cell<Option<Micros>>,
+    /// What [`Decisions::run`] sleeps until, and what wakes it earlier.
+    next_due: Cell<Option<Micros>>,
     wake: Notify,
-    ready: Cell<bool>,
+    can_serve: Cell<bool>,
 }
 
 impl Decisions {
-    /// Decisions that know nothing yet but the settings.
+    /// A policy that knows nothing yet but its settings.
     pub fn new(config: Rc<Current>) -> Self {
-        let (clock, told) = (Clock::default(), config.get());
-        let facade = Facade::watched(told.settings.clone(), told.shadow.clone(), told.seed, clock.now());
-        let lease = Lease::new(clock.now(), told.pushed);
+        let (clock, initial) = (Clock::default(), config.get());
+        let facade =
+            Facade::watched(initial.settings.clone(), initial.shadow.clone(), initial.seed, clock.now());
+        let lease = Lease::new(clock.now(), initial.pushed);
         Decisions {
             config,
             clock,
-            ask_list: Notify::new(),
+            list_requested: Notify::new(),
             discovery_moved: Notify::new(),
-            discovery: Cell::new(told.discovery),
+            discovery: Cell::new(initial.discovery),
             facade: RefCell::new(facade),
-            choices: RefCell::default(),
-            hosts: RefCell::default(),
-            listed: RefCell::default(),
-            seq: Cell::default(),
+            host_assignment: RefCell::default(),
+            endpoints: RefCell::default(),
             lease: RefCell::new(lease),
-            due: Cell::default(),
+            next_due: Cell::default(),
             wake: Notify::new(),
-            ready: Cell::new(false),
+            can_serve: Cell::new(false),
         }
     }
 
-    /// Begins with the list that the node last had.
-    pub fn begin(&self, known: &List) {
-        self.take_addresses(known);
-        self.decide(|facade, now| {
-            facade.report_list(now, ListKind::Cached, known.entries(&self.config.get().zones))
-        });
+    /// Asks or reports to the policy at this moment.
+    pub fn decide<T>(&self, call: impl FnOnce(&mut Facade, Micros) -> T) -> T {
+        let mut facade = self.facade.borrow_mut();
+        let answer = call(&mut facade, self.clock.now());
+        let due = facade.next_due();
+        if due.is_some_and(|due| self.next_due.get().is_none_or(|planned| due < planned)) {
+            self.wake.notify_one();
+        }
+        answer
     }
 
-    /// Other settings from now on.
-    pub fn renew(&self, config: &Config) {
-        let shares = self.choices.borrow().is_some();
-        let laid_over = |settings: &Settings| {
-            // What is laid over the list names this node's shares as weights.
-            let weights = if shares { Weights::Size } else { settings.weights };
+    /// Applies other settings.
+    pub fn apply_config(&self, config: &Config) {
+        let assigned = self.host_assignment.borrow().is_some();
+        let adapted = |settings: &Settings| {
+            // An assigned list carries this node's shares in place of weights.
+            let weights = if assigned { Weights::Size } else { settings.weights };
             Settings { weights, ..settings.clone() }
         };
-        let (settings, shadow) = (laid_over(&config.settings), config.shadow.as_ref().map(laid_over));
-        self.lease.borrow_mut().renew(config.pushed);
+        let (settings, shadow) = (adapted(&config.settings), config.shadow.as_ref().map(adapted));
+        self.lease.borrow_mut().set_push_grace(config.pushed);
         self.decide(|facade, now| facade.renew(now, settings, shadow));
     }
 
-    /// Something is laid over every list from now on, and over the one that is held. `make` is told whether weights are sizes.
-    pub fn share(&self, config: &Config, make: impl FnOnce(bool) -> Choices) {
-        self.choices.replace(Some(make(config.settings.weights == Weights::Size)));
-        self.renew(config);
-        self.list(ListKind::Full, self.whole_list().entries(&config.zones));
+    /// Gives the policy the list that the node knew before its start.
+    pub fn start_with_cached_list(&self, list: &EndpointList) {
+        self.endpoints.borrow_mut().apply(list);
+        self.decide(|facade, now| facade.report_list(now, ListKind::Cached, self.entries(list)));
     }
 
-    /// Brings what is laid over the list up to date with the other nodes and with what this one can't reach.
-    pub fn shares(&self, others: Vec<Peer>, more: impl FnOnce(&mut Choices, Micros)) {
-        let mut choices = self.choices.borrow_mut();
-        let Some(choices) = &mut *choices else { return };
-        choices.members(others);
-        self.decide(|facade, now| {
-            more(choices, now);
-            let changed = choices.refresh(now, &facade.unreached());
-            if !changed.is_empty() {
-                facade.report_list(now, ListKind::Delta, changed);
+    /// Applies a list that discovery sent.
+    pub fn apply_list(&self, list: &EndpointList) {
+        self.endpoints.borrow_mut().apply(list);
+        let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
+        self.report_list(kind, self.entries(list));
+    }
+
+    /// Reports a list to the policy, or that a call for it failed.
+    pub fn report_list(&self, kind: ListKind, entries: Vec<ServerEntry>) {
+        let mut host_assignment = self.host_assignment.borrow_mut();
+        self.decide(|facade, now| match &mut *host_assignment {
+            None => facade.report_list(now, kind, entries),
+            Some(assignment) => {
+                let entries = assignment.lay_over(kind, entries);
+                facade.report_list(now, kind, entries);
+                if assignment.starved() {
+                    let changed = assignment.refresh(now, &facade.unreached());
+                    facade.report_list(now, ListKind::Delta, changed);
+                }
             }
         });
+        // A cached list may be old: a node serves by it only once it is known that discovery can't be had.
+        self.can_serve.set(self.can_serve.get() || !self.endpoints.borrow().is_empty());
     }
 
-    /// Hosts in use, and those of them that were added for others; none where nothing is laid over the list.
-    pub fn share_counts(&self) -> Option<(usize, usize)> {
-        self.choices.borrow().as_ref().and_then(Choices::counts)
+    fn entries(&self, list: &EndpointList) -> Vec<ServerEntry> {
+        list.entries(&self.config.get().zones)
     }
 
-    /// The list as held, whole.
-    pub fn whole_list(&self) -> List {
-        List { seq: self.seq.get(), whole: true, hosts: self.listed.borrow().values().cloned().collect() }
+    /// The endpoint list as this node knows it, complete.
+    pub fn complete_list(&self) -> EndpointList {
+        self.endpoints.borrow().complete_list()
     }
 
-    /// Asks the decisions or reports to them, at this moment.
-    pub fn decide<T>(&self, call: impl FnOnce(&mut Facade, Micros) -> T) -> T {
-        let mut facade = self.facade.borrow_mut();
-        let done = call(&mut facade, self.clock.now());
-        let due = facade.next_due();
-        if due.is_some_and(|due| self.due.get().is_none_or(|old| due < old)) {
-            self.wake.notify_one();
-        }
-        done
+    /// The name and address of a listed host.
+    pub fn host(&self, host: ServerId) -> Option<HostAddress> {
+        self.endpoints.borrow().host(host).cloned()
     }
 
-    /// Takes in a list that discovery sent.
-    pub fn learn(&self, list: &List) {
-        self.take_addresses(list);
-        let kind = if list.whole { ListKind::Full } else { ListKind::Delta };
-        self.list(kind, list.entries(&self.config.get().zones));
+    /// The name of a host; its number once it is listed no more.
+    pub fn host_name(&self, host: ServerId) -> Rc<str> {
+        self.host(host).map_or_else(|| format!("{:016x}", host.0).into(), |host| host.name)
     }
 
-    /// Reports a list, or that a call for it failed.
-    pub fn list(&self, kind: ListKind, entries: Vec<ServerEntry>) {
-        let mut choices = self.choices.borrow_mut();
-        self.decide(|facade, now| match &mut *choices {
-            None => facade.report_list(now, kind, entries),
-            Some(choices) => {
-                let entries = choices.lay_over(kind, entries);
-                facade.report_list(now, kind, entries);
-                if choices.starved() {
-                    let changed = choices.refresh(now, &facade.unreached());
-                    facade.report_list(now, ListKind::Delta, changed);
-                }
+    /// Assigns hosts to this node from now on, in the list known and in every later one. `make` is told whether weights are
+    /// sizes.
+    pub fn enable_host_assignment(&self, config: &Config, make: impl FnOnce(bool) -> Choices) {
+        self.host_assignment.replace(Some(make(config.settings.weights == Weights::Size)));
+        self.apply_config(config);
+        self.report_list(ListKind::Full, self.complete_list().entries(&config.zones));
+    }
+
+    /// Brings the assignment up to date with the other nodes and with the hosts that this one can't reach.
+    pub fn update_host_assignment(&self, others: Vec<Peer>, update: impl FnOnce(&mut Choices, Micros)) {
+        let mut host_assignment = self.host_assignment.borrow_mut();
+        let Some(assignment) = &mut *host_assignment else { return };
+        assignment.members(others);
+        self.decide(|facade, now| {
+            update(assignment, now);
+            let changed = assignment.refresh(now, &facade.unreached());
+            if !changed.is_empty() {
+                facade.report_list(now, ListKind::Delta, changed);
             }
         });
-        // The list known may be old: who serves by it does so only where discovery is not to be had.
-        self.ready.set(self.ready.get() || !self.hosts.borrow().is_empty());
     }
 
-    /// A whole line of a watch, or a whole list, was taken in: nothing was missed until now.
-    pub fn heard(&self) {
+    /// How many hosts this node uses, and how many of them were added in place of others; none without an assignment.
+    pub fn assigned_host_counts(&self) -> Option<(usize, usize)> {
+        self.host_assignment.borrow().as_ref().and_then(Choices::counts)
+    }
+
+    /// Renews the lease on the endpoint list: nothing was missed until now. Hosts that were withheld get new work again.
+    pub fn renew_lease(&self) {
         let now = self.clock.now();
         let mut lease = self.lease.borrow_mut();
-        lease.heard(now);
-        let restored = lease.restore(now);
+        lease.renew(now);
+        let released = lease.release_withheld(now);
         drop(lease);
-        if !restored.is_empty() {
-            info!("server list: heard of again, {} hosts are sent new work again", restored.len());
-            let listed = self.listed.borrow();
-            let hosts = restored.iter().filter_map(|id| listed.get(id)).cloned().collect();
-            let entries = List { seq: 0, whole: false, hosts }.entries(&self.config.get().zones);
-            drop(listed);
-            self.list(ListKind::Delta, entries);
+        if !released.is_empty() {
+            info!(hosts = released.len(), "endpoint list lease renewed, new work to hosts resumed");
+            let changes = self.endpoints.borrow().changes(&released);
+            self.report_list(ListKind::Delta, self.entries(&changes));
         }
     }
 
-    /// The watch has ended, or a call has failed that began then. `unreachable` says that it got no connection.
-    pub fn unheard(&self, began: Instant, unreachable: bool) {
+    /// Shortens the lease on the endpoint list: the watch has ended, or a call has failed.
+    pub fn on_watch_ended(&self, ended: WatchEnd) {
         let mut lease = self.lease.borrow_mut();
-        if unreachable {
-            lease.unreachable(self.clock.at(began.into_std()));
+        if ended.discovery_unreachable {
+            lease.on_discovery_unreachable(self.clock.at(ended.began.into_std()));
         }
-        lease.ended(self.clock.now());
+        lease.on_watch_ended(self.clock.now());
         self.wake.notify_one();
     }
 
-    /// A server took a request that it was asked to take then.
-    pub fn took(&self, server: ServerId, asked: Instant) {
-        self.lease.borrow_mut().took(server, self.clock.at(asked.into_std()));
+    /// Records that a host accepted a request that was sent to it at `sent`.
+    pub fn on_accepted(&self, host: ServerId, sent: Instant) {
+        self.lease.borrow_mut().on_accepted(host, self.clock.at(sent.into_std()));
     }
 
-    /// What is left of the lease on the list.
-    pub fn lease_left(&self) -> Micros {
-        self.lease.borrow().left(self.clock.now())
+    /// What remains of the lease on the endpoint list.
+    pub fn lease_remaining(&self) -> Micros {
+        self.lease.borrow().remaining(self.clock.now())
     }
 
-    /// The process before this one had so much left of it.
-    pub fn inherit_lease(&self, left: Micros) {
-        self.lease.borrow_mut().inherit(self.clock.now(), left);
+    /// Takes over what the predecessor had left of the lease.
+    pub fn inherit_lease(&self, remaining: Micros) {
+        self.lease.borrow_mut().inherit(self.clock.now(), remaining);
         self.wake.notify_one();
     }
 
-    /// Nothing new goes to servers that may have changed since the list was last heard of; their clients stay.
-    fn withhold(&self) {
-        let now = self.clock.now();
-        let listed = self.listed.borrow();
-        let up = listed.iter().filter(|(_, host)| host.health == Health::Up).map(|(id, _)| *id);
-        let out = self.lease.borrow_mut().withhold(now, up);
-        if out.is_empty() {
+    /// Withholds new work from hosts that may have changed since the lease expired; their clients stay.
+    fn withhold_expired(&self) {
+        let endpoints = self.endpoints.borrow();
+        let expired = self.lease.borrow_mut().withhold_expired(self.clock.now(), endpoints.up());
+        if expired.is_empty() {
             return;
         }
-        warn!("server list: nothing heard for too long, {} hosts are sent nothing new", out.len());
-        let hosts = out.iter().filter_map(|id| listed.get(id)).cloned().collect();
-        let mut entries = List { seq: 0, whole: false, hosts }.entries(&self.config.get().zones);
-        drop(listed);
+        warn!(hosts = expired.len(), "endpoint list lease expired, new work to hosts withheld");
+        let changes = endpoints.changes(&expired);
+        drop(endpoints);
+        let mut entries = self.entries(&changes);
         entries.iter_mut().for_each(|entry| entry.state = ServerState::Aside);
-        // Past what nodes share out among themselves: that one is to go on with what is listed.
+        // Not through the host assignment, which continues with what is listed.
         self.decide(|facade, now| facade.report_list(now, ListKind::Delta, entries));
     }
 
-    fn take_addresses(&self, list: &List) {
-        let (mut hosts, mut listed) = (self.hosts.borrow_mut(), self.listed.borrow_mut());
-        self.seq.set(list.seq);
-        if list.whole {
-            let named: BTreeSet<ServerId> = list.hosts.iter().map(|host| server_id(&host.host)).collect();
-            hosts.retain(|id, _| named.contains(id));
-            listed.retain(|id, _| named.contains(id));
-        }
-        for host in &list.hosts {
-            let id = server_id(&host.host);
-            match host.dial {
-                Some(dial) if host.health != Health::Removed => {
-                    hosts.insert(id, HostAt { name: host.host.as_str().into(), dial });
-                    listed.insert(id, host.clone());
-                }
-                _ => {
-                    hosts.remove(&id);
-                    listed.remove(&id);
-                }
-            }
-        }
-    }
-
-    /// Where a server is reached.
-    pub fn host(&self, server: ServerId) -> Option<HostAt> {
-        self.hosts.borrow().get(&server).cloned()
-    }
-
-    /// Whether an attempt that is out may still be sent where its connection was made.
-    pub fn may_go(&self, id: RequestId, server: ServerId, dial: SocketAddr) -> bool {
-        let (there, now) = (self.host(server).is_some_and(|at| at.dial == dial), self.clock.now());
-        there && self.lease.borrow().holds(now, server) && self.facade.borrow().may_go(now, id)
+    /// Whether a planned attempt may still be sent on the connection made for it.
+    pub fn may_send(&self, id: RequestId, host: ServerId, address: SocketAddr) -> bool {
+        let (listed, now) = (self.host(host).is_some_and(|host| host.address == address), self.clock.now());
+        listed && self.lease.borrow().allows(now, host) && self.facade.borrow().may_go(now, id)
     }
 
-    /// The name of a server; its number once it is listed no more.
-    pub fn host_name(&self, server: ServerId) -> Rc<str> {
-        self.host(server).map_or_else(|| format!("{:016x}", server.0).into(), |host| host.name)
-    }
-
-    /// Where the server list is to be had.
+    /// The address of discovery.
     pub fn discovery(&self) -> SocketAddr {
         self.discovery.get()
     }
 
-    /// From now on the server list is to be had there.
+    /// Changes the address of discovery.
     pub fn move_discovery(&self, to: SocketAddr) {
         self.discovery.set(to);
-        self.lease.borrow_mut().moved(self.clock.now());
+        self.lease.borrow_mut().on_discovery_moved(self.clock.now());
         self.discovery_moved.notify_one();
     }
 
     /// Whether clients could be served.
     pub fn can_serve(&self) -> bool {
-        self.ready.get()
+        self.can_serve.get()
     }
 
-    /// The process that was to take over has ended: what it has spent of the budget is not known.
-    pub fn serve_on(&self) {
+    /// Continues after a successor that was handed the retry budget has ended. What it spent is not known, so no retries are
+    /// made until the budget's span has passed.
+    pub fn continue_without_successor(&self) {
         self.decide(|facade, now| facade.inherit(now, None, Micros(0)));
     }
 
-    /// What the watching instance would have done otherwise so far; none where there is no such instance.
-    pub fn differences(&self) -> Option<Differences> {
+    /// What the shadow instance would have done differently so far; none without one.
+    pub fn shadow_differences(&self) -> Option<Differences> {
         self.facade.borrow().differences()
     }
 
-    /// Says in the log what the watching instance would have done otherwise.
-    pub fn tell_differences(&self) {
-        self.differences().iter().for_each(|differences| info!("shadow: {differences}"));
+    /// Logs what the shadow instance would have done differently.
+    pub fn log_shadow_differences(&self) {
+        self.shadow_differences().iter().for_each(|differences| info!("shadow: {differences}"));
     }
 
-    /// Does what is due, for as long as the node runs.
-    /// `moves` is given each client that is to move, `tell` what all other nodes are to hear.
-    pub async fn run(self: Rc<Self>, moves: impl Fn(RequestId), tell: impl Fn(&[u8])) {
-        let mut shadow_due = self.clock.now() + SHADOW_EVERY;
+    /// Does what is due for as long as the node runs. `migrate` is called for each client that is to move, `broadcast` with
+    /// each message to all other nodes.
+    pub async fn run(self: Rc<Self>, migrate: impl Fn(RequestId), broadcast: impl Fn(&[u8])) {
+        let mut shadow_log_due = self.clock.now() + SHADOW_LOG_INTERVAL;
         loop {
-            if self.clock.now() >= shadow_due {
-                shadow_due = self.clock.now() + SHADOW_EVERY;
-                self.tell_differences();
-            }
-            let chores = self.decide(|facade, now| facade.tick(now));
-            chores.moves.into_iter().for_each(&moves);
-            if chores.watch {
-                self.ask_list.notify_one();
+            if self.clock.now() >= shadow_log_due {
+                shadow_log_due = self.clock.now() + SHADOW_LOG_INTERVAL;
+                self.log_shadow_differences();
             }
-            chores.tell.iter().for_each(|data| tell(data));
-            for (server, line) in chores.lines {
-                match server {
-                    Some(server) => info!("host {}: {line}", self.host_name(server)),
-                    None => info!("{line}"),
-                }
-            }
-            self.withhold();
-            let leased = self.lease.borrow().due(self.clock.now());
-            let due = self.decide(|facade, _| facade.next_due()).into_iter().chain(leased).min();
-            self.due.set(due);
-            let due = due.map(|due| self.clock.moment(due).into());
+            self.do_due_work(&migrate, &broadcast);
+            self.withhold_expired();
+            let lease_due = self.lease.borrow().next_due(self.clock.now());
+            let due = self.decide(|facade, _| facade.next_due()).into_iter().chain(lease_due).min();
+            self.next_due.set(due);
+            let due = due.map(|due| self.clock.instant(due).into());
             tokio::select! {
                 () = sleep_until(due) => {}
-                // A report may bring something forward.
+                // A report may make something due earlier.
                 () = self.wake.notified() => {}
             }
         }
     }
+
+    fn do_due_work(&self, migrate: &impl Fn(RequestId), broadcast: &impl Fn(&[u8])) {
+        let work = self.decide(|facade, now| facade.tick(now));
+        work.moves.into_iter().for_each(migrate);
+        if work.watch {
+            self.list_requested.notify_one();
+        }
+        work.tell.iter().for_each(|message| broadcast(message));
+        for (host, line) in work.lines {
+            match host {
+                Some(host) => info!("host {}: {line}", self.host_name(host)),
+                None => info!("{line}"),
+            }
+        }
+    }
 }
 
-/// Sleeps until a moment; for ever where there is none.
-pub async fn sleep_until(moment: Option<Instant>) {
-    match moment {
-        Some(moment) => tokio::time::sleep_until(moment).await,
+/// Sleeps until a deadline; for ever without one.
+pub async fn sleep_until(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => tokio::time::sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
--- a/crates/alderstile-node/src/discovery/endpoint_list.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_list.rs
@@ -1,126 +1,100 @@
-//! The server list as discovery tells it, and a server's number; pure.
+//! The endpoint list as discovery sends it, and the numbers of hosts; pure.
 
 use std::net::SocketAddr;
 
 use alderstile::types::{Micros, ServerEntry, ServerId, ServerState};
 use serde::{Deserialize, Serialize};
 
-/// A list of servers, or the changes of one.
+// Discovery's JSON has names of its own. They are mapped to the names of this code here and nowhere else; the upgrade's
+// messages and the configuration's `known` carry the same JSON.
+
+/// A list of endpoints, or the changes to one.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
-pub struct List {
+pub struct EndpointList {
     /// Its version.
-    pub seq: u64,
-    /// It names all servers.
-    pub whole: bool,
-    /// The servers.
-    pub hosts: Vec<Host>,
+    #[serde(rename = "seq")]
+    pub version: u64,
+    /// Whether it names all endpoints, and not only those that changed.
+    #[serde(rename = "whole")]
+    pub complete: bool,
+    /// The endpoints.
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<Endpoint>,
 }
 
-/// One server of a list.
+/// One host of an endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Host {
+pub struct Endpoint {
     /// Its name, the same at every node.
-    pub host: String,
-    /// Where this node reaches it; a removed one may have none.
-    #[serde(default)]
-    pub dial: Option<SocketAddr>,
-    /// Its zone by its name.
-    #[serde(default)]
-    pub site: String,
-    /// Its cell.
-    #[serde(default)]
-    pub block: u16,
+    #[serde(rename = "host")]
+    pub name: String,
+    /// The address at which this node reaches it; a removed one may have none.
+    #[serde(rename = "dial", default)]
+    pub address: Option<SocketAddr>,
+    /// The name of its zone.
+    #[serde(rename = "site", default)]
+    pub zone: String,
+    /// Its cell, a failure domain within the zone.
+    #[serde(rename = "block", default)]
+    pub cell: u16,
     /// Whether it may be sent new work.
     pub health: Health,
     /// Its weight.
-    #[serde(default)]
-    pub share: f64,
-    /// When it last started, Unix time in milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: u64,
+    #[serde(rename = "share", default)]
+    pub weight: f64,
+    /// When it last started, in milliseconds since the Unix epoch; 0 for long ago.
+    #[serde(rename = "born_ms", default)]
+    pub started_ms: u64,
 }
 
-/// A server's state.
+/// The state of an endpoint.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
     /// It may be sent new work.
     Up,
-    /// It finishes what it has.
+    /// It finishes the work that it has.
     Draining,
-    /// It is no more.
+    /// It no longer exists.
     Removed,
 }
 
-impl List {
-    /// Reads a list.
+impl EndpointList {
+    /// Reads a list from JSON.
+    ///
+    /// # Errors
+    ///
+    /// The value is no endpoint list.
     pub fn from_value(value: serde_json::Value) -> Result<Self, serde_json::Error> {
         serde_json::from_value(value)
     }
 
-    /// As the decisions want it. A zone that the settings do not name is none of theirs.
+    /// The list as the policy takes it. A zone that the settings do not name gets a number that none of theirs has.
     pub fn entries(&self, zones: &[String]) -> Vec<ServerEntry> {
-        let zone =
-            |site: &str| zones.iter().position(|zone| zone == site).and_then(|i| u16::try_from(i).ok());
-        self.hosts
-            .iter()
-            .map(|host| ServerEntry {
-                id: server_id(&host.host),
-                zone: zone(&host.site).unwrap_or(u16::MAX),
-                cell: host.block,
-                state: match host.health {
-                    Health::Up => ServerState::Ready,
-                    Health::Draining => ServerState::Draining,
-                    Health::Removed => ServerState::Gone,
-                },
-                weight: host.share,
-                started: (host.born_ms > 0).then(|| Micros::from_millis(host.born_ms)),
-                joined: None,
-            })
-            .collect()
+        self.endpoints.iter().map(|endpoint| endpoint.entry(zones)).collect()
     }
 }
 
-/// What has come of a watch's next list: one a line or, indented, on several.
-#[derive(Debug, Default)]
-pub struct Pieces {
-    held: Vec<u8>,
-    /// Objects and arrays that are open.
-    depth: usize,
-    /// Inside a text, and right behind its escape.
-    text: bool,
-    escape: bool,
-}
-
-impl Pieces {
-    /// Adds bytes up to the end of a line at most; returns what that makes whole, which is nothing at all for an empty line.
-    pub fn add(&mut self, piece: &[u8]) -> Option<Vec<u8>> {
-        for byte in piece {
-            match byte {
-                _ if self.escape => self.escape = false,
-                b'\\' if self.text => self.escape = true,
-                b'"' => self.text = !self.text,
-                b'{' | b'[' if !self.text => self.depth += 1,
-                b'}' | b']' if !self.text => self.depth = self.depth.saturating_sub(1),
-                _ => {}
-            }
+impl Endpoint {
+    fn entry(&self, zones: &[String]) -> ServerEntry {
+        let zone = zones.iter().position(|zone| *zone == self.zone);
+        ServerEntry {
+            id: server_id(&self.name),
+            zone: zone.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX),
+            cell: self.cell,
+            state: match self.health {
+                Health::Up => ServerState::Ready,
+                Health::Draining => ServerState::Draining,
+                Health::Removed => ServerState::Gone,
+            },
+            weight: self.weight,
+            started: (self.started_ms > 0).then(|| Micros::from_millis(self.started_ms)),
+            joined: None,
         }
-        self.held.extend_from_slice(piece);
-        // No text of JSON's holds an end of line: one that does is none, and is read to be told so.
-        if !piece.ends_with(b"\n") || (self.depth > 0 && !self.text) {
-            return None;
-        }
-        let whole = std::mem::take(self).held;
-        Some(whole.trim_ascii().to_vec())
-    }
-
-    /// Bytes held.
-    pub fn held(&self) -> usize {
-        self.held.len()
     }
 }
 
-/// The number of a server: the same at all nodes and at every start, as groups begin alike by it.
+/// The number of a host by its name: the same at all nodes and after every start, since a group's first host is chosen by it.
 pub fn server_id(host: &str) -> ServerId {
     ServerId(alderstile_cluster::hashed(host))
 }
--- a/crates/alderstile-node/src/discovery/lease.rs
+++ b/crates/alderstile-node/src/discovery/lease.rs
@@ -1,117 +1,126 @@
-//! How long the server list that is held may be gone by; pure.
+//! The lease on the endpoint list: how long this node may act on the list that it has; pure.
 //!
-//! A change counts as told a fixed time after discovery had it and could be reached, whether or not it arrived. The list held
-//! therefore is under a lease, which each sign that nothing was missed renews. When it has run out, nothing new goes to
-//! servers that may have changed: all but those that took a request of late, since a server that drains takes none.
+//! The platform counts a change as notified a fixed time after discovery had it and could be reached, whether or not it
+//! arrived here. The list is therefore under a lease, which each proof that nothing was missed renews. Once it has expired,
+//! no new work goes to hosts that may have changed: all but those that accepted a request recently, since a draining host
+//! accepts none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use alderstile::types::{Micros, ServerId};
 
-/// What discovery had, and what a silent watch missed, counts as told this long after. The grace at drains comes on top and
-/// is the margin of this.
-const TOLD: Micros = Micros::from_millis(6_000);
-/// What discovery at a new place has counts as told this long after the configuration that names it.
-const TOLD_MOVED: Micros = Micros::from_millis(4_000);
+/// How long after discovery had it, or a silent watch missed it, a change counts as notified. The grace at drains is added
+/// to this, and is the margin.
+const NOTIFICATION_BOUND: Micros = Micros::from_millis(6_000);
+/// The same for what discovery at a new address has, from the configuration that names the address.
+const NOTIFICATION_BOUND_AFTER_MOVE: Micros = Micros::from_millis(4_000);
 
-/// The lease on the server list.
+/// The lease on the endpoint list.
 #[derive(Debug)]
 pub struct Lease {
-    /// Until then nothing that may have changed counts as told.
-    until: Micros,
-    /// Where lists are pushed: how long something new may still go to a server after its drain was told. What the agent has
-    /// counts as told at once while no watch is open.
-    pushed: Option<Micros>,
-    /// Discovery is elsewhere, and has told nothing yet.
-    moved: bool,
-    /// When servers that took a request last were asked to.
-    took: BTreeMap<ServerId, Micros>,
-    /// Nothing new goes there now.
+    /// Nothing that may have changed counts as notified before this.
+    expires: Micros,
+    /// Where lists are pushed: how long new work may go to a host after its drain was notified. What the local agent has
+    /// counts as notified at once while no watch is open.
+    push_grace: Option<Micros>,
+    /// Discovery has a new address, and has answered nothing there yet.
+    discovery_moved: bool,
+    /// When each host was last sent a request that it accepted.
+    last_accepted: BTreeMap<ServerId, Micros>,
+    /// Hosts that no new work goes to.
     withheld: BTreeSet<ServerId>,
 }
 
 impl Lease {
-    /// A process that has just started, with the list that it knows from before. `pushed` is the grace at drains in
-    /// microseconds where lists are pushed.
-    pub fn new(now: Micros, pushed: Option<Micros>) -> Self {
-        let mut lease =
-            Lease { until: now, pushed, moved: false, took: BTreeMap::new(), withheld: BTreeSet::new() };
-        lease.until = now + lease.told();
+    /// The lease of a process that has just started with a cached list. `push_grace` is the grace at drains where lists are
+    /// pushed.
+    pub fn new(now: Micros, push_grace: Option<Micros>) -> Self {
+        let mut lease = Lease {
+            expires: now,
+            push_grace,
+            discovery_moved: false,
+            last_accepted: BTreeMap::new(),
+            withheld: BTreeSet::new(),
+        };
+        lease.expires = now + lease.bound_without_watch();
         lease
     }
 
-    /// How long after discovery had it, and could be reached, a change counts as told to a node without a watch.
-    fn told(&self) -> Micros {
-        let told = if self.moved { TOLD_MOVED } else { TOLD };
-        self.pushed.unwrap_or(told)
+    /// How long after discovery had it, and could be reached, a change counts as notified to a node without a watch.
+    fn bound_without_watch(&self) -> Micros {
+        let pulled = if self.discovery_moved { NOTIFICATION_BOUND_AFTER_MOVE } else { NOTIFICATION_BOUND };
+        self.push_grace.unwrap_or(pulled)
     }
 
-    /// Other settings: whether lists are pushed.
-    pub fn renew(&mut self, pushed: Option<Micros>) {
-        self.pushed = pushed;
+    /// Changes whether lists are pushed.
+    pub fn set_push_grace(&mut self, push_grace: Option<Micros>) {
+        self.push_grace = push_grace;
     }
 
-    /// A whole line has come on a watch, or a whole list: nothing was missed until now.
-    pub fn heard(&mut self, now: Micros) {
-        self.moved = false;
-        self.until = now + TOLD;
+    /// Renews the lease: a complete line of a watch or a complete list has come, so nothing was missed until now.
+    pub fn renew(&mut self, now: Micros) {
+        self.discovery_moved = false;
+        self.expires = now + NOTIFICATION_BOUND;
     }
 
-    /// The watch has ended.
-    pub fn ended(&mut self, now: Micros) {
-        self.until = self.until.min(now + self.told());
+    /// Shortens the lease: the watch has ended.
+    pub fn on_watch_ended(&mut self, now: Micros) {
+        self.expires = self.expires.min(now + self.bound_without_watch());
     }
 
-    /// Discovery is elsewhere from now on.
-    pub fn moved(&mut self, now: Micros) {
-        self.moved = true;
-        self.until = self.until.min(now + self.told());
+    /// Shortens the lease: discovery has a new address.
+    pub fn on_discovery_moved(&mut self, now: Micros) {
+        self.discovery_moved = true;
+        self.expires = self.expires.min(now + self.bound_without_watch());
     }
 
-    /// A call that began then got no connection: what discovery had it could not tell anybody here until then.
-    pub fn unreachable(&mut self, began: Micros) {
-        self.until = self.until.max(began + self.told());
+    /// Extends the lease: a call begun at `call_began` got no connection, so discovery could notify nobody here until then.
+    pub fn on_discovery_unreachable(&mut self, call_began: Micros) {
+        self.expires = self.expires.max(call_began + self.bound_without_watch());
     }
 
-    /// The process before this one had so long left.
-    pub fn inherit(&mut self, now: Micros, left: Micros) {
-        self.until = self.until.min(now + left);
+    /// Shortens the lease to what the predecessor had left of it.
+    pub fn inherit(&mut self, now: Micros, remaining: Micros) {
+        self.expires = self.expires.min(now + remaining);
     }
 
-    /// What is left of it.
-    pub fn left(&self, now: Micros) -> Micros {
-        self.until - now
+    /// What remains of the lease.
+    pub fn remaining(&self, now: Micros) -> Micros {
+        self.expires - now
     }
 
-    /// A server took a request that it was asked to take then: it did not drain.
-    pub fn took(&mut self, server: ServerId, asked: Micros) {
-        self.took.insert(server, asked);
+    /// Records that a host accepted a request sent to it at `sent`: it was not draining then.
+    pub fn on_accepted(&mut self, host: ServerId, sent: Micros) {
+        self.last_accepted.insert(host, sent);
     }
 
-    /// Whether something new may go to a server by the list held.
-    pub fn holds(&self, now: Micros, server: ServerId) -> bool {
-        now < self.until || self.took.get(&server).is_some_and(|asked| now < *asked + self.told())
+    /// Whether new work may go to a host by the list that this node has.
+    pub fn allows(&self, now: Micros, host: ServerId) -> bool {
+        let proof_expires = |sent: &Micros| *sent + self.bound_without_watch();
+        now < self.expires || self.last_accepted.get(&host).is_some_and(|sent| now < proof_expires(sent))
     }
 
-    /// The servers of those listed to which nothing new goes from now on.
-    pub fn withhold(&mut self, now: Micros, listed: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
-        let told = self.told();
-        self.took.retain(|_, asked| now < *asked + told);
-        let out: Vec<_> = listed.filter(|id| !self.holds(now, *id) && !self.withheld.contains(id)).collect();
-        self.withheld.extend(&out);
-        out
+    /// Withholds new work from the listed hosts that the lease no longer allows, and returns those newly withheld.
+    pub fn withhold_expired(&mut self, now: Micros, listed: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
+        let bound = self.bound_without_watch();
+        self.last_accepted.retain(|_, sent| now < *sent + bound);
+        let expired: Vec<_> =
+            listed.filter(|id| !self.allows(now, *id) && !self.withheld.contains(id)).collect();
+        self.withheld.extend(&expired);
+        expired
     }
 
-    /// The servers to which something new may go again.
-    pub fn restore(&mut self, now: Micros) -> BTreeSet<ServerId> {
-        if now < self.until { std::mem::take(&mut self.withheld) } else { BTreeSet::new() }
+    /// Ends the withholding while the lease is valid, and returns the hosts that may get new work again.
+    pub fn release_withheld(&mut self, now: Micros) -> BTreeSet<ServerId> {
+        if now < self.expires { std::mem::take(&mut self.withheld) } else { BTreeSet::new() }
     }
 
-    /// When to look again what is to be withheld.
-    pub fn due(&self, now: Micros) -> Option<Micros> {
-        if now < self.until {
-            return Some(self.until);
+    /// When [`Lease::withhold_expired`] is due next.
+    pub fn next_due(&self, now: Micros) -> Option<Micros> {
+        if now < self.expires {
+            return Some(self.expires);
         }
-        self.took.values().map(|asked| *asked + self.told()).filter(|due| *due > now).min()
+        let bound = self.bound_without_watch();
+        self.last_accepted.values().map(|sent| *sent + bound).filter(|due| *due > now).min()
     }
 }
--- a/crates/alderstile-node/src/discovery/watch.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -1,5 +1,6 @@
-//! The server list: read from discovery's answers, watched for changes.
+//! Watching discovery for the endpoint list, over HTTP.
 
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -14,184 +15,218 @@
 use tokio::time::{Instant, timeout_at};
 use tracing::{info, warn};
 
-use crate::decisions::Decisions;
-use crate::discovery::endpoint_list::{List, Pieces};
-
-/// How long a call may take: until a watch begins, or a whole list has come.
-const ANSWER: Duration = Duration::from_secs(4);
-/// How long its connection may take: it is knocked for again after a second. One that never comes up says that discovery
-/// can't be reached, and has to say so before the lease on the list has run out: the longest wait between two calls and
-/// this twice are under 6 s.
-const CONNECT: Duration = Duration::from_millis(1_250);
-/// An empty line comes every 2 s: after this long without a whole one the watch is dead, whatever TCP says. What it misses
-/// counts as told 6 s after it fell silent, which may be right after its last line. With the wait before the next call
-/// (0.75 s at most after a first failure, spread over the nodes) a call may take 2.25 s to be in time. Shorter, and one line
-/// that is late by a little would have all nodes call at once.
-const SILENCE: Duration = Duration::from_secs(3);
-/// The longest list that is read: far above any real one, and a bound on what a wrong answer can cost.
-const MAX_LIST: usize = 16 << 20;
+use super::endpoint_list::EndpointList;
+use super::json_framer::JsonFramer;
+use crate::decisions::{Decisions, WatchEnd};
+
+/// How long a call may take until a watch begins or a complete list has come.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// How long the connection of a call may take: the system retries it after one second. A connection that never comes up
+/// shows that discovery can't be reached, and must do so before the lease on the list expires: the longest wait between two
+/// calls and twice this are under 6 s.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_250);
+/// An empty line comes every 2 s: after this long without a complete one the watch is dead, whatever TCP says. What it
+/// misses counts as notified 6 s after it fell silent, which may be right after its last line; with the wait before the next
+/// call (0.75 s at most after a first failure, spread over the nodes) a call may take 2.25 s to be in time. If this were
+/// shorter, one line that is slightly late would make all nodes call at once.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The largest list that is read: far above any real one, and a bound on what a wrong answer can cost.
+const MAX_LIST_BYTES: usize = 16 << 20;
 
 /// Why a watch ended.
 #[derive(Debug, Error)]
 enum WatchError {
     #[error("no answer in time")]
-    NoAnswer,
-    #[error("silent for {} s", SILENCE.as_secs())]
+    AnswerTimeout,
+    #[error("silent for {} s", SILENCE_TIMEOUT.as_secs())]
     Silent,
     #[error("no connection: {0}")]
-    Unreachable(std::io::Error),
+    Unreachable(io::Error),
     #[error("no socket: {0}")]
-    NoSocket(std::io::Error),
+    NoSocket(io::Error),
     #[error("HTTP: {0}")]
     Http(#[from] hyper::Error),
+    #[error("request: {0}")]
+    Request(#[from] hyper::http::Error),
     #[error("answered {0}")]
     Status(StatusCode),
     #[error("line that is no list: {0}")]
-    NoList(#[from] serde_json::Error),
+    MalformedList(#[from] serde_json::Error),
     #[error("line without end")]
-    Overlong,
+    LineTooLong,
     #[error("ended")]
     Ended,
 }
 
-/// Watches whenever the decisions ask for it, and tells them when a watch has ended. Where discovery has moved, the
-/// watch or call that is out is dropped at once and the new address asked.
+impl WatchError {
+    /// Whether it is the other side that is not there, or this side that has no socket to reach it by.
+    fn of_connect(error: io::Error) -> Self {
+        use io::ErrorKind::{
+            ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut,
+        };
+        match error.kind() {
+            ConnectionRefused | ConnectionReset | HostUnreachable | NetworkUnreachable | TimedOut => {
+                WatchError::Unreachable(error)
+            }
+            _ => WatchError::NoSocket(error),
+        }
+    }
+}
+
+/// Watches discovery whenever the policy asks for it, and reports each watch that ends. When discovery has moved, the open
+/// watch or call is dropped at once and the new address is asked.
 pub async fn run(decisions: Rc<Decisions>) {
-    // The version held, where it is one of the discovery that is asked.
-    let mut seq = Some(decisions.whole_list().seq);
+    // The version that this node has, if it is one of the discovery that is asked.
+    let mut version = Some(decisions.complete_list().version);
     loop {
         tokio::select! {
-            () = decisions.ask_list.notified() => {}
-            () = decisions.discovery_moved.notified() => seq = None,
+            () = decisions.list_requested.notified() => {}
+            () = decisions.discovery_moved.notified() => version = None,
         }
-        let (ended, began) = loop {
-            let began = Instant::now();
-            tokio::select! {
-                // Where it has moved in the same moment, nothing is asked with the other one's version.
-                biased;
-                () = decisions.discovery_moved.notified() => seq = None,
-                ended = watch(&decisions, &mut seq) => break (ended.err().unwrap_or(WatchError::Ended), began),
-            }
-        };
-        decisions.unheard(began, matches!(ended, WatchError::Unreachable(_)));
-        // What was asked for while the watch stood: nodes that lose theirs together must not ask again at once.
+        let (began, error) = watch_until_failure(&decisions, &mut version).await;
+        let discovery_unreachable = matches!(error, WatchError::Unreachable(_));
+        decisions.on_watch_ended(WatchEnd { began, discovery_unreachable });
+        discard_request(&decisions).await;
+        warn!(%error, "watch of the endpoint list ended");
+        decisions.report_list(ListKind::Failed, Vec::new());
+    }
+}
+
+/// Watches until a watch or call fails at an address that is still discovery's; returns when it began and why it failed.
+async fn watch_until_failure(decisions: &Decisions, version: &mut Option<u64>) -> (Instant, WatchError) {
+    loop {
+        let began = Instant::now();
         tokio::select! {
+            // If discovery moves in the same moment, the new address is never asked with the old one's version.
             biased;
-            () = decisions.ask_list.notified() => {}
-            () = std::future::ready(()) => {}
+            () = decisions.discovery_moved.notified() => *version = None,
+            ended = watch(decisions, version) => return (began, ended.err().unwrap_or(WatchError::Ended)),
         }
-        warn!("watch of the server list: {ended}");
-        decisions.list(ListKind::Failed, Vec::new());
     }
 }
 
-/// The task of a connection ends with the watch.
-struct Abort(AbortHandle);
-
-impl Drop for Abort {
-    fn drop(&mut self) {
-        self.0.abort();
+/// Discards a request made while the watch was open: nodes that lose their watches together must not all call again at once.
+async fn discard_request(decisions: &Decisions) {
+    tokio::select! {
+        biased;
+        () = decisions.list_requested.notified() => {}
+        () = std::future::ready(()) => {}
     }
 }
 
-/// Watches from the version held; where there is none, asks for the whole list first, since a watch may begin with
+/// Watches from the version that this node has. Without one it gets the complete list first, since a watch may begin with
 /// no more than what has changed.
-async fn watch(decisions: &Decisions, seq: &mut Option<u64>) -> Result<(), WatchError> {
-    let held = match *seq {
-        Some(held) => held,
+async fn watch(decisions: &Decisions, version: &mut Option<u64>) -> Result<(), WatchError> {
+    let known = match *version {
+        Some(known) => known,
         None => {
-            let deadline = Instant::now() + ANSWER;
-            let (answer, _abort) = call(decisions, "/catalog/members", deadline).await?;
-            let body = timeout_at(deadline, Limited::new(answer.into_body(), MAX_LIST).collect()).await;
-            let body = body.map_err(|_| WatchError::NoAnswer)?.map_err(|_| WatchError::Overlong)?.to_bytes();
-            let list: List = serde_json::from_slice(&body)?;
-            take_in(decisions, &list);
-            decisions.heard();
-            *seq.insert(list.seq)
+            let list = fetch_complete_list(decisions).await?;
+            apply(decisions, &list);
+            decisions.renew_lease();
+            *version.insert(list.version)
         }
     };
-    let path = format!("/catalog/members?stream=1&index={held}");
-    let (answer, _abort) = call(decisions, &path, Instant::now() + ANSWER).await?;
-    follow(decisions, seq.insert(held), answer).await
+    let path = format!("/catalog/members?stream=1&index={known}");
+    let (response, _connection) = call(decisions, &path, Instant::now() + CALL_TIMEOUT).await?;
+    follow(decisions, version.insert(known), response).await
 }
 
-/// Whether it is the other side that is not there, or this side that has no socket to reach it by.
-fn no_connection(error: std::io::Error) -> WatchError {
-    use std::io::ErrorKind::{
-        ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut,
-    };
-    match error.kind() {
-        ConnectionRefused | ConnectionReset | HostUnreachable | NetworkUnreachable | TimedOut => {
-            WatchError::Unreachable(error)
-        }
-        _ => WatchError::NoSocket(error),
+async fn fetch_complete_list(decisions: &Decisions) -> Result<EndpointList, WatchError> {
+    let deadline = Instant::now() + CALL_TIMEOUT;
+    let (response, _connection) = call(decisions, "/catalog/members", deadline).await?;
+    let body = timeout_at(deadline, Limited::new(response.into_body(), MAX_LIST_BYTES).collect()).await;
+    let body = body.map_err(|_| WatchError::AnswerTimeout)?.map_err(|_| WatchError::LineTooLong)?;
+    Ok(serde_json::from_slice(&body.to_bytes())?)
+}
+
+/// Ends the task of a connection when it is dropped.
+struct AbortOnDrop(AbortHandle);
+
+impl Drop for AbortOnDrop {
+    fn drop(&mut self) {
+        self.0.abort();
     }
 }
 
-/// Asks discovery; the call has its own connection, which ends with the guard.
+/// Calls discovery on a connection of its own, which ends with the guard returned.
 async fn call(
     decisions: &Decisions,
     path: &str,
     deadline: Instant,
-) -> Result<(Response<Incoming>, Abort), WatchError> {
-    let connect_until = deadline.min(Instant::now() + CONNECT);
-    let stream = timeout_at(connect_until, TcpStream::connect(decisions.discovery())).await;
-    let stream =
-        stream.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into())).map_err(no_connection)?;
-    // One that can't be set so is broken and will say so.
-    stream.set_nodelay(true).unwrap_or_default();
+) -> Result<(Response<Incoming>, AbortOnDrop), WatchError> {
+    let stream = connect(decisions, deadline).await?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move { connection.await.unwrap_or_default() });
-    let abort = Abort(task.abort_handle());
-    let request =
-        Request::get(path).header("Host", decisions.discovery().to_string()).body(Empty::<Bytes>::new());
-    let Ok(request) = request else { return Err(WatchError::Ended) };
-    let answer = timeout_at(deadline, sender.send_request(request)).await;
-    let answer = answer.map_err(|_| WatchError::NoAnswer)??;
-    if answer.status() != StatusCode::OK {
-        return Err(WatchError::Status(answer.status()));
+    let guard = AbortOnDrop(task.abort_handle());
+    let host = decisions.discovery().to_string();
+    let request = Request::get(path).header("Host", host).body(Empty::<Bytes>::new())?;
+    let response = timeout_at(deadline, sender.send_request(request)).await;
+    let response = response.map_err(|_| WatchError::AnswerTimeout)??;
+    if response.status() != StatusCode::OK {
+        return Err(WatchError::Status(response.status()));
     }
-    Ok((answer, abort))
+    Ok((response, guard))
+}
+
+async fn connect(decisions: &Decisions, deadline: Instant) -> Result<TcpStream, WatchError> {
+    let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
+    let connected = timeout_at(deadline, TcpStream::connect(decisions.discovery())).await;
+    let stream =
+        connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())).map_err(WatchError::of_connect)?;
+    // A connection that can't be set so is broken, and its first use reports that.
+    stream.set_nodelay(true).unwrap_or_default();
+    Ok(stream)
 }
 
-/// Takes in one line after the other until the watch ends.
+/// Applies one line of the watch after the other until the watch ends.
 async fn follow(
     decisions: &Decisions,
-    seq: &mut u64,
-    mut answer: Response<Incoming>,
+    version: &mut u64,
+    mut response: Response<Incoming>,
 ) -> Result<(), WatchError> {
-    // Lines and chunks need not end together.
-    let mut pieces = Pieces::default();
-    let (mut first, mut heard) = (true, Instant::now());
+    // Lines and HTTP chunks need not end together.
+    let mut framer = JsonFramer::default();
+    let (mut first_line, mut last_line_at) = (true, Instant::now());
     loop {
-        // Guards against a watch that brings parts of a line for ever: only what is whole is a sign of life.
-        let frame = timeout_at(heard + SILENCE, answer.frame()).await.map_err(|_| WatchError::Silent)?;
-        let Some(frame) = frame else { return Ok(()) };
+        // A watch that brings parts of a line for ever must end: only a complete line is a sign of life.
+        let frame = timeout_at(last_line_at + SILENCE_TIMEOUT, response.frame()).await;
+        let Some(frame) = frame.map_err(|_| WatchError::Silent)? else { return Ok(()) };
         let Ok(data) = frame?.into_data() else { continue };
         for piece in data.split_inclusive(|byte| *byte == b'\n') {
-            let whole = pieces.add(piece);
-            if pieces.held() > MAX_LIST {
-                return Err(WatchError::Overlong);
-            }
-            let Some(list) = whole else { continue };
-            if !list.is_empty() {
-                let list: List = serde_json::from_slice(&list)?;
-                // Changes from before the version held would undo later ones.
-                if list.whole || list.seq >= *seq {
-                    *seq = list.seq;
-                    take_in(decisions, &list);
-                }
-            } else if first {
-                // Nothing has changed since the version held: the call has succeeded all the same.
-                decisions.list(ListKind::Delta, Vec::new());
+            let line = framer.add(piece);
+            if framer.buffered() > MAX_LIST_BYTES {
+                return Err(WatchError::LineTooLong);
             }
-            decisions.heard();
-            (first, heard) = (false, Instant::now());
+            let Some(line) = line else { continue };
+            on_line(decisions, version, &line, first_line)?;
+            decisions.renew_lease();
+            (first_line, last_line_at) = (false, Instant::now());
+        }
+    }
+}
+
+fn on_line(
+    decisions: &Decisions,
+    version: &mut u64,
+    line: &[u8],
+    first_line: bool,
+) -> Result<(), WatchError> {
+    if !line.is_empty() {
+        let list: EndpointList = serde_json::from_slice(line)?;
+        // Changes from before the known version would undo later ones.
+        if list.complete || list.version >= *version {
+            *version = list.version;
+            apply(decisions, &list);
         }
+    } else if first_line {
+        // Nothing has changed since the known version, and the call has succeeded all the same.
+        decisions.report_list(ListKind::Delta, Vec::new());
     }
+    Ok(())
 }
 
-fn take_in(decisions: &Decisions, list: &List) {
-    info!("server list {}: {} lines{}", list.seq, list.hosts.len(), if list.whole { ", whole" } else { "" });
-    decisions.learn(list);
+fn apply(decisions: &Decisions, list: &EndpointList) {
+    let (version, complete, endpoints) = (list.version, list.complete, list.endpoints.len());
+    info!(version, complete, endpoints, "endpoint list received");
+    decisions.apply_list(list);
 }
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -94,6 +94,6 @@
     {
         cluster.leave().await;
     }
-    node.decisions.tell_differences();
+    node.decisions.log_shadow_differences();
     info!("left");
 }
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -114,7 +114,7 @@
         Ok(Word::Handshake(handshake)) if handshake.name == who.name => {
             info!(
                 "takes over: {} hosts listed, {} named by hand",
-                handshake.list.hosts.len(),
+                handshake.list.endpoints.len(),
                 handshake.hosts.len()
             );
             return Ok(Some(Predecessor { handshake: *handshake, reader, writer }));
@@ -189,13 +189,13 @@
             match write(&mut writer, &handshake).await {
                 Ok(()) => {
                     talk(&node, &link, reader, writer, words).await;
-                    node.decisions.serve_on();
+                    node.decisions.continue_without_successor();
                     info!("the process that was to take over has ended: this one serves on");
                     return;
                 }
                 Err(error) => {
                     node.process.link(None);
-                    node.decisions.serve_on();
+                    node.decisions.continue_without_successor();
                     error
                 }
             }
--- a/crates/alderstile-node/src/lifecycle/upgrade_state.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -7,7 +7,7 @@
 use serde_json::Value;
 
 use crate::admin::maintenance_store::Stand;
-use crate::discovery::endpoint_list::List;
+use crate::discovery::endpoint_list::EndpointList;
 
 /// What the predecessor tells first.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
@@ -21,7 +21,7 @@
     /// Where discovery is.
     pub discovery: Option<SocketAddr>,
     /// The server list, whole.
-    pub list: List,
+    pub list: EndpointList,
     /// Where hosts stand that operators have named.
     pub hosts: BTreeMap<String, Stand>,
     /// Ids of requests that are open, or have ended not long ago.
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -33,7 +33,7 @@
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
         let operators = Operators::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
-        decisions.begin(&known);
+        decisions.start_with_cached_list(&known);
         Node { config, decisions, clients, process, operators: Rc::new(operators) }
     }
 
@@ -45,7 +45,7 @@
     /// Other settings from now on, all of them in this step.
     pub fn renew(&self, config: Config) {
         self.clients.count(|counters| counters.classes(&config.classes));
-        self.decisions.renew(&config);
+        self.decisions.apply_config(&config);
         // Agreed settings have versions of their own: told by the members too, each change would be 510 rumors.
         if self.operators.control().is_none() {
             self.operators.cluster().iter().for_each(|cluster| cluster.renew(&config));
@@ -77,8 +77,8 @@
             name: self.config().name.clone(),
             config: self.config().told.clone(),
             discovery: Some(self.decisions.discovery()),
-            list: self.decisions.whole_list(),
-            lease_left: Some(self.decisions.lease_left().0),
+            list: self.decisions.complete_list(),
+            lease_left: Some(self.decisions.lease_remaining().0),
             hosts: self.operators.hosts().into_iter().collect(),
             ids: self.clients.known_ids(),
             held: self.clients.held(),
@@ -109,6 +109,6 @@
         self.decisions.decide(|facade, now| facade.inherit(now, spent, late));
         handshake.ids.iter().for_each(|id| self.clients.know_id(id.as_bytes()));
         handshake.lease_left.iter().for_each(|left| self.decisions.inherit_lease(Micros(*left)));
-        self.decisions.ask_list.notify_one();
+        self.decisions.list_requested.notify_one();
     }
 }
--- a/crates/alderstile-node/src/proxy/session.rs
+++ b/crates/alderstile-node/src/proxy/session.rs
@@ -12,8 +12,8 @@
 use tracing::{debug, info, warn};
 
 use crate::admin::metrics::Ended;
-use crate::decisions::HostAt;
 use crate::discovery::endpoint_list::server_id;
+use crate::discovery::endpoint_table::HostAddress;
 use crate::lifecycle::connection_handover::{self, Handover};
 use crate::lifecycle::upgrade_channel::{WORD, Word};
 use crate::node::Node;
@@ -236,7 +236,7 @@
             let (outcome, host) = match self.node.decisions.host(server) {
                 None => (Outcome::ConnectFailed, None),
                 Some(at) => {
-                    let may_go = || self.node.decisions.may_go(id, server, at.dial);
+                    let may_go = || self.node.decisions.may_send(id, server, at.address);
                     match self.attempt(client, &at, until, may_go).await {
                         Tried::Unwanted(ended) => {
                             self.node.decisions.decide(|facade, now| facade.report_left(now, id));
@@ -251,7 +251,7 @@
                 let latency = began.elapsed();
                 self.up_ms = latency.as_millis();
                 self.node.decisions.decide(|facade, now| facade.report_up(now, id, micros(latency)));
-                self.node.decisions.took(server, began);
+                self.node.decisions.on_accepted(server, began);
                 let Some(descriptor) = descriptor.take() else { return Placed::ClientGone };
                 return Placed::Up(Up { id, server, name, host, _descriptor: descriptor });
             }
@@ -315,7 +315,7 @@
     async fn attempt(
         &self,
         client: &mut Side,
-        at: &HostAt,
+        at: &HostAddress,
         until: Instant,
         may_go: impl Fn() -> bool,
     ) -> Tried {
@@ -330,7 +330,7 @@
     async fn exchange(
         &self,
         client: &mut Side,
-        at: &HostAt,
+        at: &HostAddress,
         until: Instant,
         may_go: impl Fn() -> bool,
         sent: &mut bool,
@@ -340,7 +340,7 @@
             return Ok(Tried::Failed(Outcome::Unsent));
         }
         let connect_until = until.min(Instant::now() + self.node.config().connect_timeout);
-        let connected = timeout_at(connect_until, TcpStream::connect(at.dial));
+        let connected = timeout_at(connect_until, TcpStream::connect(at.address));
         let stream = match self.while_wanted(client, connected).await? {
             Ok(Ok(stream)) => stream,
             // Nothing was sent, and it says nothing of the host.
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -76,7 +76,7 @@
         assert!(config.settings.must_ask && config.settings.must_ask_in.0 == wanted, "{discovery}");
     }
     let config = Config::parse(value).expect("fine");
-    assert_eq!((config.sockets, config.peers.len(), config.known.hosts.len()), (1_024, 0, 0));
+    assert_eq!((config.sockets, config.peers.len(), config.known.endpoints.len()), (1_024, 0, 0));
 }
 
 #[test]
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -533,7 +533,7 @@
     run(async {
         let host = Host::new("s-1").await;
         let (setup, watch) = serving(&[&host]).await;
-        setup.node.decisions.ask_list.notify_one();
+        setup.node.decisions.list_requested.notify_one();
         let ended = Instant::now();
         drop(watch);
         setup.discovery.call().await;
@@ -574,7 +574,7 @@
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         let drains = list(2, false, &[hosts[0].entry("draining")]);
         let _watch = setup.discovery.watch(&[&drains]).await;
-        while setup.node.decisions.whole_list().seq < 2 {
+        while setup.node.decisions.complete_list().version < 2 {
             sleep(Duration::from_millis(1)).await;
         }
         let mut open = Vec::new();
@@ -613,7 +613,7 @@
             let mut told = setup.node.config().told.clone();
             told["discovery"] = json!(discovery.0.local_addr().expect("bound").to_string());
             // A watch is wanted in the same moment.
-            setup.node.decisions.ask_list.notify_one();
+            setup.node.decisions.list_requested.notify_one();
             setup.node.renew(Config::of_file(told, |_| None).expect("a fine configuration"));
         }
         assert_eq!(watch.line().await, None, "the old watch is dropped");
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -70,78 +70,78 @@
 #[test]
 fn what_is_heard_renews_it_and_nothing_else_does() {
     let mut lease = Lease::new(ms(0), None);
-    assert!(lease.holds(ms(5_999), A) && !lease.holds(ms(6_000), A));
-    lease.heard(ms(10_000));
-    lease.ended(ms(11_000));
-    assert!(lease.holds(ms(15_999), A) && !lease.holds(ms(16_000), A));
-    assert_eq!(lease.due(ms(11_000)), Some(ms(16_000)));
-    lease.renew(None);
-    assert!(!lease.holds(ms(16_000), A));
+    assert!(lease.allows(ms(5_999), A) && !lease.allows(ms(6_000), A));
+    lease.renew(ms(10_000));
+    lease.on_watch_ended(ms(11_000));
+    assert!(lease.allows(ms(15_999), A) && !lease.allows(ms(16_000), A));
+    assert_eq!(lease.next_due(ms(11_000)), Some(ms(16_000)));
+    lease.set_push_grace(None);
+    assert!(!lease.allows(ms(16_000), A));
 }
 
 #[test]
 fn a_server_that_took_a_request_did_not_drain_when_it_was_asked() {
     let mut lease = Lease::new(ms(0), None);
-    lease.took(B, ms(4_000));
-    assert_eq!(lease.withhold(ms(6_000), [A, B].into_iter()), [A]);
-    assert_eq!(lease.withhold(ms(6_000), [A, B].into_iter()), []);
-    assert!(lease.holds(ms(9_999), B) && !lease.holds(ms(10_000), B));
-    assert_eq!(lease.due(ms(6_000)), Some(ms(10_000)));
-    assert_eq!(lease.withhold(ms(10_000), [A, B].into_iter()), [B]);
-    assert_eq!(lease.due(ms(10_000)), None);
-    assert!(lease.restore(ms(10_000)).is_empty());
-    lease.heard(ms(11_000));
-    assert_eq!(lease.restore(ms(11_000)), [A, B].into());
-    assert!(lease.restore(ms(11_000)).is_empty());
+    lease.on_accepted(B, ms(4_000));
+    assert_eq!(lease.withhold_expired(ms(6_000), [A, B].into_iter()), [A]);
+    assert_eq!(lease.withhold_expired(ms(6_000), [A, B].into_iter()), []);
+    assert!(lease.allows(ms(9_999), B) && !lease.allows(ms(10_000), B));
+    assert_eq!(lease.next_due(ms(6_000)), Some(ms(10_000)));
+    assert_eq!(lease.withhold_expired(ms(10_000), [A, B].into_iter()), [B]);
+    assert_eq!(lease.next_due(ms(10_000)), None);
+    assert!(lease.release_withheld(ms(10_000)).is_empty());
+    lease.renew(ms(11_000));
+    assert_eq!(lease.release_withheld(ms(11_000)), [A, B].into());
+    assert!(lease.release_withheld(ms(11_000)).is_empty());
 }
 
 #[test]
 fn what_nobody_can_reach_tells_nobody() {
     let mut lease = Lease::new(ms(0), None);
-    lease.unreachable(ms(5_000));
-    assert!(lease.holds(ms(10_999), A) && !lease.holds(ms(11_000), A));
+    lease.on_discovery_unreachable(ms(5_000));
+    assert!(lease.allows(ms(10_999), A) && !lease.allows(ms(11_000), A));
     // An earlier call that ends later takes nothing back.
-    lease.unreachable(ms(1_000));
-    assert!(lease.holds(ms(10_999), A));
+    lease.on_discovery_unreachable(ms(1_000));
+    assert!(lease.allows(ms(10_999), A));
 }
 
 #[test]
 fn discovery_at_a_new_place_counts_four_seconds_later() {
     let mut lease = Lease::new(ms(0), None);
-    lease.heard(ms(1_000));
-    lease.moved(ms(2_000));
-    assert!(lease.holds(ms(5_999), A) && !lease.holds(ms(6_000), A));
+    lease.renew(ms(1_000));
+    lease.on_discovery_moved(ms(2_000));
+    assert!(lease.allows(ms(5_999), A) && !lease.allows(ms(6_000), A));
     // One that had run out is not made good by the move.
     let mut lease = Lease::new(ms(0), None);
-    lease.moved(ms(7_000));
-    assert!(!lease.holds(ms(7_000), A));
-    lease.heard(ms(8_000));
-    assert!(lease.holds(ms(13_999), A));
+    lease.on_discovery_moved(ms(7_000));
+    assert!(!lease.allows(ms(7_000), A));
+    lease.renew(ms(8_000));
+    assert!(lease.allows(ms(13_999), A));
 }
 
 #[test]
 fn where_lists_are_pushed_the_grace_at_drains_is_all_there_is_without_a_watch() {
     let mut lease = Lease::new(ms(0), Some(ms(400)));
-    assert!(lease.holds(ms(399), A) && !lease.holds(ms(400), A));
-    lease.heard(ms(1_000));
+    assert!(lease.allows(ms(399), A) && !lease.allows(ms(400), A));
+    lease.renew(ms(1_000));
     // One clock for silence.
-    assert!(lease.holds(ms(6_999), A) && !lease.holds(ms(7_000), A));
-    lease.ended(ms(2_000));
-    assert!(lease.holds(ms(2_399), A) && !lease.holds(ms(2_400), A));
-    lease.unreachable(ms(2_300));
-    assert!(lease.holds(ms(2_699), A) && !lease.holds(ms(2_700), A));
+    assert!(lease.allows(ms(6_999), A) && !lease.allows(ms(7_000), A));
+    lease.on_watch_ended(ms(2_000));
+    assert!(lease.allows(ms(2_399), A) && !lease.allows(ms(2_400), A));
+    lease.on_discovery_unreachable(ms(2_300));
+    assert!(lease.allows(ms(2_699), A) && !lease.allows(ms(2_700), A));
 }
 
 #[test]
 fn a_successor_has_what_was_left_and_no_more() {
     let mut lease = Lease::new(ms(0), None);
-    lease.heard(ms(1_000));
-    assert_eq!(lease.left(ms(3_000)), ms(4_000));
+    lease.renew(ms(1_000));
+    assert_eq!(lease.remaining(ms(3_000)), ms(4_000));
     let mut next = Lease::new(ms(3_000), None);
     next.inherit(ms(3_000), ms(4_000));
-    assert!(next.holds(ms(6_999), A) && !next.holds(ms(7_000), A));
+    assert!(next.allows(ms(6_999), A) && !next.allows(ms(7_000), A));
     next.inherit(ms(3_000), ms(60_000));
-    assert!(!next.holds(ms(7_000), A));
+    assert!(!next.allows(ms(7_000), A));
 }
 
 // ---- a fleet at discovery's limit ----
@@ -258,7 +258,7 @@
         drop(watch);
         let _stays = beside(turn_away(&setup.discovery, Duration::from_millis(700)), async {
             sleep_until(heard + Duration::from_millis(5_000)).await;
-            assert!(setup.node.decisions.lease_left() > Micros(0), "called it run out too early");
+            assert!(setup.node.decisions.lease_remaining() > Micros(0), "called it run out too early");
             sleep_until(heard + Duration::from_millis(6_100)).await;
             refused(&setup, 2, &hosts[0]).await;
             // Who is served stays, and who stood there before comes back.
@@ -335,7 +335,7 @@
         let back = Discovery(tokio::net::TcpListener::bind(place).await.expect("its port again"));
         let setup = Setup { node, address, accepting, discovery: back };
         served(&setup, 1, &host).await;
-        assert!(setup.node.decisions.lease_left() > Micros(0), "nothing can have been told");
+        assert!(setup.node.decisions.lease_remaining() > Micros(0), "nothing can have been told");
         // It is back, and takes calls in that it never answers.
         let back = Instant::now();
         sleep_until(back + Duration::from_millis(7_000)).await;
@@ -355,7 +355,7 @@
         refused(&setup, 1, &host).await;
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         chunk(&mut call, "\n").await;
-        while setup.node.decisions.lease_left() == Micros(0) {
+        while setup.node.decisions.lease_remaining() == Micros(0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         served(&setup, 2, &host).await;
@@ -430,7 +430,7 @@
         assert!(operators.maintain("s-1", false).await.expect("done"), "the list names it");
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         chunk(&mut call, "\n").await;
-        while setup.node.decisions.lease_left() == Micros(0) {
+        while setup.node.decisions.lease_remaining() == Micros(0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         refused(&setup, 2, &host).await;
@@ -467,7 +467,7 @@
         let moved = Instant::now();
         setup.node.renew(Config::of_file(told, |_| None).expect("a fine configuration"));
         sleep_until(moved + Duration::from_millis(3_500)).await;
-        assert!(setup.node.decisions.lease_left() > Micros(0));
+        assert!(setup.node.decisions.lease_remaining() > Micros(0));
         sleep_until(moved + Duration::from_millis(4_100)).await;
         refused(&setup, 1, &host).await;
     });
@@ -480,11 +480,11 @@
         let (setup, _watch) = serving(&[&host]).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let handshake = setup.node.handshake(1);
-        let left = setup.node.decisions.lease_left();
+        let left = setup.node.decisions.lease_remaining();
         assert!(left < ms(5_750) && left > Micros(0), "{left:?}");
         let config = Config::of_file(setup.node.config().told.clone(), |_| None).expect("fine");
         let next = Node::new(config);
         next.take_over(&handshake);
-        assert!(next.decisions.lease_left() <= Micros(handshake.lease_left.expect("told")));
+        assert!(next.decisions.lease_remaining() <= Micros(handshake.lease_left.expect("told")));
     });
 }
--- a/crates/alderstile-node/tests/node.rs
+++ b/crates/alderstile-node/tests/node.rs
@@ -624,7 +624,7 @@
                 held.push((client, server));
             }
             assert_eq!(at, [3, 3], "the deciding settings know no groups: the lowest record decides");
-            let counted = setup.node.decisions.differences();
+            let counted = setup.node.decisions.shadow_differences();
             assert_eq!(counted.is_some(), on);
             if let Some(counted) = counted {
                 // The second of the group would have joined the first.
--- a/crates/alderstile-node/tests/protocol.rs
+++ b/crates/alderstile-node/tests/protocol.rs
@@ -1,6 +1,7 @@
 //! The lines of clients and hosts.
 
-use alderstile_node::discovery::endpoint_list::{Health, Host, List, Pieces};
+use alderstile_node::discovery::endpoint_list::{Endpoint, EndpointList, Health};
+use alderstile_node::discovery::json_framer::JsonFramer;
 use alderstile_node::proxy::protocol::{ClientLine, HostLine, client_line, host_line};
 use proptest::prelude::*;
 
@@ -102,17 +103,17 @@
 }
 
 /// A list whose names hold what could be taken for its end.
-fn a_list(names: &[String]) -> List {
-    let host = |name: &String| Host {
-        host: name.clone(),
-        dial: None,
-        site: "}]\\\"".to_owned(),
-        block: 1,
+fn a_list(names: &[String]) -> EndpointList {
+    let host = |name: &String| Endpoint {
+        name: name.clone(),
+        address: None,
+        zone: "}]\\\"".to_owned(),
+        cell: 1,
         health: Health::Up,
-        share: 0.5,
-        born_ms: 0,
+        weight: 0.5,
+        started_ms: 0,
     };
-    List { seq: 7, whole: true, hosts: names.iter().map(host).collect() }
+    EndpointList { version: 7, complete: true, endpoints: names.iter().map(host).collect() }
 }
 
 proptest! {
@@ -129,7 +130,7 @@
             // An empty line between two, as a watch has them.
             said.extend_from_slice(b"\r\n\r\n");
         }
-        let (mut pieces, mut told, mut empty) = (Pieces::default(), Vec::new(), 0);
+        let (mut pieces, mut told, mut empty) = (JsonFramer::default(), Vec::new(), 0);
         let mut cuts = cuts.into_iter();
         let mut rest = &said[..];
         while !rest.is_empty() {
@@ -138,14 +139,14 @@
             for piece in chunk.split_inclusive(|byte| *byte == b'\n') {
                 match pieces.add(piece) {
                     Some(whole) if whole.is_empty() => empty += 1,
-                    Some(whole) => told.push(serde_json::from_slice::<List>(&whole).expect("a whole list")),
+                    Some(whole) => told.push(serde_json::from_slice::<EndpointList>(&whole).expect("a whole list")),
                     None => {}
                 }
             }
         }
         prop_assert_eq!(empty, lists.len());
-        prop_assert_eq!(pieces.held(), 0);
-        let names = |list: &List| list.hosts.iter().map(|host| host.host.clone()).collect::<Vec<_>>();
+        prop_assert_eq!(pieces.buffered(), 0);
+        let names = |list: &EndpointList| list.endpoints.iter().map(|host| host.name.clone()).collect::<Vec<_>>();
         prop_assert_eq!(told.iter().map(names).collect::<Vec<_>>(), lists.into_iter().map(|(names, _)| names).collect::<Vec<_>>());
     }
 
@@ -153,12 +154,12 @@
     fn whatever_a_watch_brings_is_held_or_told_and_never_more_than_came(
         pieces in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..30), 0..30),
     ) {
-        let (mut held, mut came, mut told) = (Pieces::default(), 0, 0);
+        let (mut held, mut came, mut told) = (JsonFramer::default(), 0, 0);
         for piece in pieces {
             for piece in piece.split_inclusive(|byte| *byte == b'\n') {
                 came += piece.len();
                 told += held.add(piece).map_or(0, |whole| whole.len());
-                prop_assert!(told + held.held() <= came);
+                prop_assert!(told + held.buffered() <= came);
             }
         }
     }
