--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
-use alderstile::types::{ListKind, Micros, ServerEntry, ServerId, ServerState};
+use alderstile::types::{Endpoint, EndpointListKind, EndpointState, Micros, ServerId};
 use alderstile_cluster::host_assignment::{Choices, Parts, level, traffic};
 use alderstile_cluster::subsetting::{Host, Node, Place, Rule, Subset, order, table};
 
@@ -93,23 +93,23 @@
     let mut nodes = nodes(12);
     let me = nodes.swap_remove(3);
     let mut assigned = Choices::new(parts, me, true);
-    let entry = |host: &Host| ServerEntry {
+    let entry = |host: &Host| Endpoint {
         id: host.id,
         zone: host.zone,
         cell: host.group,
         weight: host.weight,
-        state: ServerState::Ready,
-        ..ServerEntry::default()
+        state: EndpointState::Ready,
+        ..Endpoint::default()
     };
-    let listed: Vec<ServerEntry> = hosts(30).iter().map(entry).collect();
+    let listed: Vec<Endpoint> = hosts(30).iter().map(entry).collect();
     let mut lines = String::new();
-    let shown = |entries: Vec<ServerEntry>| {
-        let one = |entry: &ServerEntry| {
+    let shown = |entries: Vec<Endpoint>| {
+        let one = |entry: &Endpoint| {
             let state = match entry.state {
-                ServerState::Ready => 0,
-                ServerState::Draining => 1,
-                ServerState::Gone => 2,
-                ServerState::Aside => 3,
+                EndpointState::Ready => 0,
+                EndpointState::Draining => 1,
+                EndpointState::Gone => 2,
+                EndpointState::Cordoned => 3,
             };
             let joined = entry.joined.map(|at| at.0);
             format!("{} {state} {:.9} {joined:?}", entry.id.0, entry.weight)
@@ -120,16 +120,19 @@
     for second in 0..60u64 {
         let now = Micros::from_millis(second * 1_000);
         match second {
-            1 => lines += &format!("full {}\n", shown(assigned.lay_over(ListKind::Full, listed.clone()))),
+            1 => {
+                lines +=
+                    &format!("full {}\n", shown(assigned.lay_over(EndpointListKind::Full, listed.clone())))
+            }
             5 => {
                 nodes.iter_mut().step_by(2).for_each(|node| node.traffic = 0.0);
                 assigned.members(nodes.clone());
             }
             9 => {
-                let gone = ServerEntry { state: ServerState::Gone, ..listed[4] };
-                let cold = ServerEntry { started: Some(now), ..listed[7] };
+                let gone = Endpoint { state: EndpointState::Gone, ..listed[4] };
+                let cold = Endpoint { started: Some(now), ..listed[7] };
                 let changes = vec![gone, cold];
-                lines += &format!("change {}\n", shown(assigned.lay_over(ListKind::Delta, changes)));
+                lines += &format!("change {}\n", shown(assigned.lay_over(EndpointListKind::Delta, changes)));
             }
             20 => assigned.members(nodes[..5].to_vec()),
             _ => {}
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -4,9 +4,11 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use alderstile::facade::Facade;
+use alderstile::facade::Balancer;
 use alderstile::shadow::Differences;
-use alderstile::types::{ListKind, Micros, RequestId, ServerEntry, ServerId, ServerState, Settings, Weights};
+use alderstile::types::{
+    BalancerSettings, Endpoint, EndpointListKind, EndpointState, Micros, RequestId, ServerId, WeightMeaning,
+};
 use alderstile_cluster::host_assignment::Choices;
 use alderstile_cluster::subsetting::Node as Peer;
 use tokio::sync::Notify;
@@ -41,7 +43,7 @@
     /// Discovery has a new address.
     pub discovery_moved: Notify,
     discovery: Cell<SocketAddr>,
-    facade: RefCell<Facade>,
+    balancer: RefCell<Balancer>,
     /// The hosts' assignment to the cluster's nodes; none where the cluster's file says nothing of it.
     host_assignment: RefCell<Option<Choices>>,
     endpoints: RefCell<EndpointTable>,
@@ -56,8 +58,8 @@
     /// A policy that knows nothing yet but its settings.
     pub fn new(config: Rc<Current>) -> Self {
         let (clock, initial) = (Clock::default(), config.get());
-        let facade =
-            Facade::watched(initial.settings.clone(), initial.shadow.clone(), initial.seed, clock.now());
+        let balancer =
+            Balancer::watched(initial.settings.clone(), initial.shadow.clone(), initial.seed, clock.now());
         let lease = Lease::new(clock.now(), initial.pushed);
         Decisions {
             config,
@@ -65,7 +67,7 @@
             list_requested: Notify::new(),
             discovery_moved: Notify::new(),
             discovery: Cell::new(initial.discovery),
-            facade: RefCell::new(facade),
+            balancer: RefCell::new(balancer),
             host_assignment: RefCell::default(),
             endpoints: RefCell::default(),
             lease: RefCell::new(lease),
@@ -76,10 +78,10 @@
     }
 
     /// Asks or reports to the policy at this moment.
-    pub fn decide<T>(&self, call: impl FnOnce(&mut Facade, Micros) -> T) -> T {
-        let mut facade = self.facade.borrow_mut();
-        let answer = call(&mut facade, self.clock.now());
-        let due = facade.next_due();
+    pub fn decide<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
+        let mut balancer = self.balancer.borrow_mut();
+        let answer = call(&mut balancer, self.clock.now());
+        let due = balancer.next_due();
         if due.is_some_and(|due| self.next_due.get().is_none_or(|planned| due < planned)) {
             self.wake.notify_one();
         }
@@ -89,40 +91,40 @@
     /// Applies other settings.
     pub fn apply_config(&self, config: &Config) {
         let assigned = self.host_assignment.borrow().is_some();
-        let adapted = |settings: &Settings| {
+        let adapted = |settings: &BalancerSettings| {
             // An assigned list carries this node's shares in place of weights.
-            let weights = if assigned { Weights::Size } else { settings.weights };
-            Settings { weights, ..settings.clone() }
+            let weights = if assigned { WeightMeaning::NominalCapacity } else { settings.weight_meaning };
+            BalancerSettings { weight_meaning: weights, ..settings.clone() }
         };
         let (settings, shadow) = (adapted(&config.settings), config.shadow.as_ref().map(adapted));
         self.lease.borrow_mut().set_push_grace(config.pushed);
-        self.decide(|facade, now| facade.renew(now, settings, shadow));
+        self.decide(|balancer, now| balancer.renew(now, settings, shadow));
     }
 
     /// Gives the policy the list that the node knew before its start.
     pub fn start_with_cached_list(&self, list: &EndpointList) {
         self.endpoints.borrow_mut().apply(list);
-        self.decide(|facade, now| facade.report_list(now, ListKind::Cached, self.entries(list)));
+        self.decide(|balancer, now| balancer.report_list(now, EndpointListKind::Cached, self.entries(list)));
     }
 
     /// Applies a list that discovery sent.
     pub fn apply_list(&self, list: &EndpointList) {
         self.endpoints.borrow_mut().apply(list);
-        let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
+        let kind = if list.complete { EndpointListKind::Full } else { EndpointListKind::Delta };
         self.report_list(kind, self.entries(list));
     }
 
     /// Reports a list to the policy, or that a call for it failed.
-    pub fn report_list(&self, kind: ListKind, entries: Vec<ServerEntry>) {
+    pub fn report_list(&self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         let mut host_assignment = self.host_assignment.borrow_mut();
-        self.decide(|facade, now| match &mut *host_assignment {
-            None => facade.report_list(now, kind, entries),
+        self.decide(|balancer, now| match &mut *host_assignment {
+            None => balancer.report_list(now, kind, entries),
             Some(assignment) => {
                 let entries = assignment.lay_over(kind, entries);
-                facade.report_list(now, kind, entries);
+                balancer.report_list(now, kind, entries);
                 if assignment.starved() {
-                    let changed = assignment.refresh(now, &facade.unreached());
-                    facade.report_list(now, ListKind::Delta, changed);
+                    let changed = assignment.refresh(now, &balancer.unreached());
+                    balancer.report_list(now, EndpointListKind::Delta, changed);
                 }
             }
         });
@@ -130,7 +132,7 @@
         self.can_serve.set(self.can_serve.get() || !self.endpoints.borrow().is_empty());
     }
 
-    fn entries(&self, list: &EndpointList) -> Vec<ServerEntry> {
+    fn entries(&self, list: &EndpointList) -> Vec<Endpoint> {
         list.entries(&self.config.get().zones)
     }
 
@@ -152,9 +154,10 @@
     /// Assigns hosts to this node from now on, in the list known and in every later one. `make` is told whether weights are
     /// sizes.
     pub fn enable_host_assignment(&self, config: &Config, make: impl FnOnce(bool) -> Choices) {
-        self.host_assignment.replace(Some(make(config.settings.weights == Weights::Size)));
+        self.host_assignment
+            .replace(Some(make(config.settings.weight_meaning == WeightMeaning::NominalCapacity)));
         self.apply_config(config);
-        self.report_list(ListKind::Full, self.complete_list().entries(&config.zones));
+        self.report_list(EndpointListKind::Full, self.complete_list().entries(&config.zones));
     }
 
     /// Brings the assignment up to date with the other nodes and with the hosts that this one can't reach.
@@ -162,11 +165,11 @@
         let mut host_assignment = self.host_assignment.borrow_mut();
         let Some(assignment) = &mut *host_assignment else { return };
         assignment.members(others);
-        self.decide(|facade, now| {
+        self.decide(|balancer, now| {
             update(assignment, now);
-            let changed = assignment.refresh(now, &facade.unreached());
+            let changed = assignment.refresh(now, &balancer.unreached());
             if !changed.is_empty() {
-                facade.report_list(now, ListKind::Delta, changed);
+                balancer.report_list(now, EndpointListKind::Delta, changed);
             }
         });
     }
@@ -186,7 +189,7 @@
         if !released.is_empty() {
             info!(hosts = released.len(), "endpoint list lease renewed, new work to hosts resumed");
             let changes = self.endpoints.borrow().changes(&released);
-            self.report_list(ListKind::Delta, self.entries(&changes));
+            self.report_list(EndpointListKind::Delta, self.entries(&changes));
         }
     }
 
@@ -227,15 +230,15 @@
         let changes = endpoints.changes(&expired);
         drop(endpoints);
         let mut entries = self.entries(&changes);
-        entries.iter_mut().for_each(|entry| entry.state = ServerState::Aside);
+        entries.iter_mut().for_each(|entry| entry.state = EndpointState::Cordoned);
         // Not through the host assignment, which continues with what is listed.
-        self.decide(|facade, now| facade.report_list(now, ListKind::Delta, entries));
+        self.decide(|balancer, now| balancer.report_list(now, EndpointListKind::Delta, entries));
     }
 
     /// Whether a planned attempt may still be sent on the connection made for it.
     pub fn may_send(&self, id: RequestId, host: ServerId, address: SocketAddr) -> bool {
         let (listed, now) = (self.host(host).is_some_and(|host| host.address == address), self.clock.now());
-        listed && self.lease.borrow().allows(now, host) && self.facade.borrow().may_go(now, id)
+        listed && self.lease.borrow().allows(now, host) && self.balancer.borrow().may_go(now, id)
     }
 
     /// The address of discovery.
@@ -258,12 +261,12 @@
     /// Continues after a successor that was handed the retry budget has ended. What it spent is not known, so no retries are
     /// made until the budget's span has passed.
     pub fn continue_without_successor(&self) {
-        self.decide(|facade, now| facade.inherit(now, None, Micros(0)));
+        self.decide(|balancer, now| balancer.inherit(now, None, Micros(0)));
     }
 
     /// What the shadow instance would have done differently so far; none without one.
     pub fn shadow_differences(&self) -> Option<Differences> {
-        self.facade.borrow().differences()
+        self.balancer.borrow().differences()
     }
 
     /// Logs what the shadow instance would have done differently.
@@ -283,7 +286,7 @@
             self.do_due_work(&migrate, &broadcast);
             self.withhold_expired();
             let lease_due = self.lease.borrow().next_due(self.clock.now());
-            let due = self.decide(|facade, _| facade.next_due()).into_iter().chain(lease_due).min();
+            let due = self.decide(|balancer, _| balancer.next_due()).into_iter().chain(lease_due).min();
             self.next_due.set(due);
             let due = due.map(|due| self.clock.instant(due).into());
             tokio::select! {
@@ -295,7 +298,7 @@
     }
 
     fn do_due_work(&self, migrate: &impl Fn(RequestId), broadcast: &impl Fn(&[u8])) {
-        let work = self.decide(|facade, now| facade.tick(now));
+        let work = self.decide(|balancer, now| balancer.tick(now));
         work.moves.into_iter().for_each(migrate);
         if work.watch {
             self.list_requested.notify_one();
--- a/crates/alderstile-node/src/discovery/endpoint_list.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_list.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use alderstile::types::{Micros, ServerEntry, ServerId, ServerState};
+use alderstile::types::{Endpoint, EndpointState, Micros, ServerId};
 use serde::{Deserialize, Serialize};
 
 // Discovery's JSON has names of its own. They are mapped to the names of this code here and nowhere else; the upgrade's
@@ -19,12 +19,12 @@
     pub complete: bool,
     /// The endpoints.
     #[serde(rename = "hosts")]
-    pub endpoints: Vec<Endpoint>,
+    pub endpoints: Vec<EndpointRecord>,
 }
 
 /// One host of an endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-pub struct Endpoint {
+pub struct EndpointRecord {
     /// Its name, the same at every node.
     #[serde(rename = "host")]
     pub name: String,
@@ -70,22 +70,22 @@
     }
 
     /// The list as the policy takes it. A zone that the settings do not name gets a number that none of theirs has.
-    pub fn entries(&self, zones: &[String]) -> Vec<ServerEntry> {
+    pub fn entries(&self, zones: &[String]) -> Vec<Endpoint> {
         self.endpoints.iter().map(|endpoint| endpoint.entry(zones)).collect()
     }
 }
 
-impl Endpoint {
-    fn entry(&self, zones: &[String]) -> ServerEntry {
+impl EndpointRecord {
+    fn entry(&self, zones: &[String]) -> Endpoint {
         let zone = zones.iter().position(|zone| *zone == self.zone);
-        ServerEntry {
+        Endpoint {
             id: server_id(&self.name),
             zone: zone.and_then(|index| u16::try_from(index).ok()).unwrap_or(u16::MAX),
             cell: self.cell,
             state: match self.health {
-                Health::Up => ServerState::Ready,
-                Health::Draining => ServerState::Draining,
-                Health::Removed => ServerState::Gone,
+                Health::Up => EndpointState::Ready,
+                Health::Draining => EndpointState::Draining,
+                Health::Removed => EndpointState::Gone,
             },
             weight: self.weight,
             started: (self.started_ms > 0).then(|| Micros::from_millis(self.started_ms)),
--- a/crates/alderstile-node/src/discovery/endpoint_table.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_table.rs
@@ -6,7 +6,7 @@
 
 use alderstile::types::ServerId;
 
-use super::endpoint_list::{Endpoint, EndpointList, Health, server_id};
+use super::endpoint_list::{EndpointList, EndpointRecord, Health, server_id};
 
 /// A host's name and the address at which this node reaches it.
 #[derive(Clone, Debug)]
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     version: u64,
-    endpoints: BTreeMap<ServerId, (HostAddress, Endpoint)>,
+    endpoints: BTreeMap<ServerId, (HostAddress, EndpointRecord)>,
 }
 
 impl EndpointTable {
--- a/crates/alderstile-node/src/discovery/watch.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::types::ListKind;
+use alderstile::types::EndpointListKind;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, Response, StatusCode};
@@ -88,7 +88,7 @@
         decisions.on_watch_ended(WatchEnd { began, discovery_unreachable });
         discard_request(&decisions).await;
         warn!(%error, "watch of the endpoint list ended");
-        decisions.report_list(ListKind::Failed, Vec::new());
+        decisions.report_list(EndpointListKind::Failed, Vec::new());
     }
 }
 
@@ -220,7 +220,7 @@
         }
     } else if first_line {
         // Nothing has changed since the known version, and the call has succeeded all the same.
-        decisions.report_list(ListKind::Delta, Vec::new());
+        decisions.report_list(EndpointListKind::Delta, Vec::new());
     }
     Ok(())
 }
--- a/crates/alderstile-node/tests/protocol.rs
+++ b/crates/alderstile-node/tests/protocol.rs
@@ -1,6 +1,6 @@
 //! The lines of clients and hosts.
 
-use alderstile_node::discovery::endpoint_list::{Endpoint, EndpointList, Health};
+use alderstile_node::discovery::endpoint_list::{EndpointList, EndpointRecord, Health};
 use alderstile_node::discovery::json_framer::JsonFramer;
 use alderstile_node::proxy::protocol::{ClientLine, HostLine, client_line, host_line};
 use proptest::prelude::*;
@@ -104,7 +104,7 @@
 
 /// A list whose names hold what could be taken for its end.
 fn a_list(names: &[String]) -> EndpointList {
-    let host = |name: &String| Endpoint {
+    let host = |name: &String| EndpointRecord {
         name: name.clone(),
         address: None,
         zone: "}]\\\"".to_owned(),
