--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -43,7 +43,7 @@
 pub use proposal::{InvalidDocument, ValidateDocument};
 pub use raft::{FetchFromVoter, HardState, Raft, RaftEffects, Role, StepTime};
 pub use settings::{MAX_VOTERS, ReplicationSettings};
-pub use wire::Seal;
+pub use wire::DatagramCodec;
 
 use activation::{ActiveVersion, CommittedVersion};
 use proposal::Proposals;
@@ -53,7 +53,7 @@
 pub struct ReplicatedConfig {
     settings: ReplicationSettings,
     voters_digest: u64,
-    seal: Seal,
+    codec: DatagramCodec,
     validate: ValidateDocument,
     rng: Pcg64Mcg,
     now: Micros,
@@ -75,7 +75,7 @@
     /// A node that knows of no version, or a voter with its hard state and the document of its entry.
     pub fn new(
         settings: ReplicationSettings,
-        seal: Seal,
+        codec: DatagramCodec,
         stored: Option<(HardState, Vec<u8>)>,
         validate: ValidateDocument,
         seed: u64,
@@ -99,7 +99,7 @@
         ReplicatedConfig {
             voters_digest: settings.voters_digest(),
             settings,
-            seal,
+            codec,
             validate,
             rng,
             now,
@@ -142,8 +142,8 @@
     }
 
     /// Uses other keys from now on.
-    pub fn set_seal(&mut self, seal: Seal) {
-        self.seal = seal;
+    pub fn set_codec(&mut self, codec: DatagramCodec) {
+        self.codec = codec;
     }
 
     /// A hard state could not be persisted: this voter goes on as one that has lost it.
@@ -192,7 +192,7 @@
     pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Effect> {
         self.now = self.now.max(now);
         let mut effects = Vec::new();
-        match self.seal.read(bytes) {
+        match self.codec.decode(bytes) {
             Ok(message) => {
                 self.traffic.received += 1;
                 self.traffic.received_bytes += bytes.len() as u64;
@@ -275,7 +275,7 @@
     }
 
     fn send(&mut self, effects: &mut Vec<Effect>, to: SocketAddr, message: &Message) {
-        let bytes = self.seal.write(message);
+        let bytes = self.codec.encode(message);
         self.traffic.sent += 1;
         self.traffic.sent_bytes += bytes.len() as u64;
         effects.push(Effect::Send(to, bytes));
--- a/crates/alderstile-cluster/tests/replicated_config.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -6,10 +6,10 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::replicated_config::{
-    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, Effect, HardState, InvalidDocument,
-    LeaseState, LogPosition, MAX_CHUNK, MAX_DOCUMENT, Message, ProposalOutcome, ProposalRequest, Raft,
-    RaftEffects, RaftMessage, RaftPayload, ReplicatedConfig, ReplicationSettings, Role, Seal, StepTime,
-    VersionHeader, apply_delta, encode_delta,
+    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, DatagramCodec, Effect, HardState,
+    InvalidDocument, LeaseState, LogPosition, MAX_CHUNK, MAX_DOCUMENT, Message, ProposalOutcome,
+    ProposalRequest, Raft, RaftEffects, RaftMessage, RaftPayload, ReplicatedConfig, ReplicationSettings,
+    Role, StepTime, VersionHeader, apply_delta, encode_delta,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -18,8 +18,8 @@
 
 const KEY: &[u8] = b"sixteen bytes or more";
 
-fn seal() -> Seal {
-    Seal::new("test", &[KEY.to_vec()]).expect("a seal")
+fn codec() -> DatagramCodec {
+    DatagramCodec::new("test", &[KEY.to_vec()]).expect("a codec")
 }
 
 fn address(n: usize) -> SocketAddr {
@@ -143,7 +143,7 @@
         let set = ReplicationSettings { me, ..self.set.clone() };
         let seed = self.rng.random();
         let disk = self.processes[n].disk.clone();
-        let mut core = ReplicatedConfig::new(set, seal(), disk, Box::new(check), seed, Micros(0));
+        let mut core = ReplicatedConfig::new(set, codec(), disk, Box::new(check), seed, Micros(0));
         let others = (self.voters..self.processes.len()).map(address).collect();
         core.set_members(others, n.checked_sub(self.voters));
         let process = &mut self.processes[n];
@@ -872,9 +872,9 @@
 
     #[test]
     fn every_message_is_read_as_it_was_written(message in message()) {
-        let bytes = seal().write(&message);
+        let bytes = codec().encode(&message);
         prop_assert!(bytes.len() <= 1_200);
-        prop_assert_eq!(seal().read(&bytes), Ok(message));
+        prop_assert_eq!(codec().decode(&bytes), Ok(message));
     }
 
     /// Whatever comes, from a member that has the key too, nothing panics.
@@ -887,7 +887,7 @@
         for me in [None, Some(1)] {
             let set = ReplicationSettings::new((0..3).map(address).collect(), me);
             let memory = me.map(|_| (HardState::genesis(), Vec::new()));
-            let mut core = ReplicatedConfig::new(set.clone(), seal(), memory, Box::new(check), 5, Micros(0));
+            let mut core = ReplicatedConfig::new(set.clone(), codec(), memory, Box::new(check), 5, Micros(0));
             let mut now = Micros(0);
             let mut give = |bytes: &[u8]| {
                 now = now + Micros(40_000);
@@ -897,13 +897,13 @@
             };
             for inside in &inside {
                 give(inside);
-                give(&seal().sealed(inside));
+                give(&codec().sign_payload(inside));
             }
             for message in &messages {
-                let bytes = seal().write(message);
+                let bytes = codec().encode(message);
                 give(&bytes[..bytes.len().min(usize::from(cut))]);
                 give(&bytes);
-                let foreign = Seal::new("other", &[KEY.to_vec()]).expect("a seal").write(message);
+                let foreign = DatagramCodec::new("other", &[KEY.to_vec()]).expect("a codec").encode(message);
                 give(&foreign);
             }
             prop_assert!(core.traffic().foreign > 0);
--- a/crates/alderstile-cluster/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_fixtures.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 
 use alderstile_cluster::replicated_config::{
-    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, LogPosition, Message, ProposalOutcome,
-    ProposalRequest, RaftPayload, Seal, VersionHeader,
+    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, DatagramCodec, LogPosition, Message,
+    ProposalOutcome, ProposalRequest, RaftPayload, VersionHeader,
 };
 
 /// One message of each kind, under the name of its fixture.
@@ -82,8 +82,8 @@
     ]
 }
 
-fn seal() -> Seal {
-    Seal::new("edge", &[(0..16).collect()]).expect("a seal")
+fn codec() -> DatagramCodec {
+    DatagramCodec::new("edge", &[(0..16).collect()]).expect("a codec")
 }
 
 fn fixture(name: &str) -> PathBuf {
@@ -94,7 +94,7 @@
 fn datagrams_of_the_version_before_are_read() {
     for (name, message) in messages() {
         let bytes = std::fs::read(fixture(name)).expect(name);
-        assert_eq!(seal().read(&bytes), Ok(message), "{name}");
+        assert_eq!(codec().decode(&bytes), Ok(message), "{name}");
     }
 }
 
@@ -102,7 +102,7 @@
 fn datagrams_are_written_as_the_version_before_wrote_them() {
     for (name, message) in messages() {
         let bytes = std::fs::read(fixture(name)).expect(name);
-        assert_eq!(seal().write(&message), bytes, "{name}");
+        assert_eq!(codec().encode(&message), bytes, "{name}");
     }
 }
 
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -78,7 +78,7 @@
     /// Where this node hears of versions, UDP.
     pub listen: SocketAddr,
     /// The cluster's name and keys, on every datagram.
-    pub seal: replicated_config::Seal,
+    pub codec: replicated_config::DatagramCodec,
     /// What the core goes by.
     pub settings: replicated_config::ReplicationSettings,
     /// Where a voter keeps its memory.
@@ -205,13 +205,13 @@
                 Some(Subsets { size, users, zones_first, hold: Micros((hold_s * 1e6) as u64) })
             }
         };
-        let seal_of = || {
-            replicated_config::Seal::new(&file.name, &keys)
-                .ok_or_else(|| bad("keys", "can't be used".to_owned()))
+        let replication_codec = || {
+            replicated_config::DatagramCodec::new(&file.name, &keys)
+                .map_err(|_| bad("keys", "can't be used".to_owned()))
         };
         let control = match file.control {
             None => None,
-            Some(table) => Some(control(table, seal_of()?, bad)?),
+            Some(table) => Some(control(table, replication_codec()?, bad)?),
         };
         Ok(ClusterConfig {
             control,
@@ -229,7 +229,7 @@
 /// Checks the table `[control]`.
 fn control(
     table: ControlTable,
-    seal: replicated_config::Seal,
+    codec: replicated_config::DatagramCodec,
     bad: impl Fn(&str, String) -> ClusterError,
 ) -> Result<ControlConfig, ClusterError> {
     let ControlTable { listen, voters, state_dir, .. } = table;
@@ -277,5 +277,5 @@
     if !(2..=64).contains(&settings.fanout) {
         return Err(bad("control.fanout", format!("{}: 2 to 64 is wanted", settings.fanout)));
     }
-    Ok(ControlConfig { listen, seal, settings, state_dir, cut_off: table.cut_off.unwrap_or_default() })
+    Ok(ControlConfig { listen, codec, settings, state_dir, cut_off: table.cut_off.unwrap_or_default() })
 }
--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config.rs
@@ -367,7 +367,7 @@
 
     /// Other keys count from now on.
     pub fn renew_keys(&self, config: &ControlConfig) {
-        self.core.borrow_mut().set_seal(config.seal.clone());
+        self.core.borrow_mut().set_codec(config.codec.clone());
     }
 
     /// Tells when this node is cut off, and when it is not any more.
@@ -504,7 +504,7 @@
     };
     let set = ReplicationSettings { me, ..config.settings.clone() };
     // Never the same at two starts: what an earlier process was told must not count for this one.
-    ReplicatedConfig::new(set, config.seal.clone(), found, Box::new(check), seed(), now)
+    ReplicatedConfig::new(set, config.codec.clone(), found, Box::new(check), seed(), now)
 }
 
 fn shown(role: Role) -> &'static str {
