--- a/crates/alderstile-node/src/admin/maintenance_store.rs
+++ b/crates/alderstile-node/src/admin/maintenance_store.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use alderstile::facade::Balancer;
+use alderstile::balancer::Balancer;
 use alderstile::types::{Micros, ServerId};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use alderstile::facade::Balancer;
+use alderstile::balancer::Balancer;
 use alderstile::shadow::Differences;
 use alderstile::types::{
     BalancerSettings, Endpoint, EndpointListKind, EndpointState, Micros, RequestId, ServerId, WeightMeaning,
--- a/crates/alderstile-node/src/proxy/session.rs
+++ b/crates/alderstile-node/src/proxy/session.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::facade::{ConnectionRequest, Verdict};
+use alderstile::balancer::{ConnectionRequest, Verdict};
 use alderstile::types::{GroupId, Micros, Outcome, RequestId, ServerId};
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use alderstile::facade::Balancer;
+use alderstile::balancer::Balancer;
 use alderstile::types::{EndpointListKind, Micros, ServerId};
 use alderstile_node::config::Config;
 use alderstile_node::discovery::lease::Lease;
--- a/src/facade.rs
+++ b/src/balancer.rs
@@ -7,8 +7,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
+use crate::load_signal::{Note, Notes};
 use crate::maintenance::Maintenance;
-use crate::notes::{Note, Notes};
 use crate::policy::Policy;
 use crate::shadow::{Differences, Shadow};
 use crate::types::*;
--- a/tests/facade.rs
+++ b/tests/balancer.rs
@@ -1,6 +1,6 @@
 //! The facade hands on what the policy decides, and keeps its timers and numbers.
 
-use alderstile::facade::{Balancer, ConnectionRequest, Verdict};
+use alderstile::balancer::{Balancer, ConnectionRequest, Verdict};
 use alderstile::types::*;
 
 mod support;
--- a/tests/notes.rs
+++ b/tests/load_signal.rs
@@ -1,6 +1,6 @@
 //! Loads and delays told in the same form are told apart.
 
-use alderstile::notes::{Note, Notes};
+use alderstile::load_signal::{Note, Notes};
 use alderstile::types::{Micros, RequestId, ServerId};
 use proptest::prelude::*;
 
--- a/tests/shadow.rs
+++ b/tests/shadow.rs
@@ -1,6 +1,6 @@
 //! The watching instance changes nothing, and counts what it would have done otherwise.
 
-use alderstile::facade::{Balancer, ConnectionRequest, Verdict};
+use alderstile::balancer::{Balancer, ConnectionRequest, Verdict};
 use alderstile::shadow::{Differences, Shadow};
 use alderstile::types::*;
 use proptest::prelude::*;
