--- a/crates/alderstile-drill/src/host.rs
+++ b/crates/alderstile-drill/src/host.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use alderstile::policy::Policy;
-use alderstile::settings::{self, Keys, SettingsError};
+use alderstile::settings::{self, SettingValues, SettingsError};
 use alderstile::types::Action;
 use thiserror::Error;
 
@@ -60,9 +60,10 @@
         while let Some(record) = records.next_record()? {
             match record.body {
                 Body::Launch(seed, options) => {
-                    let settings = settings::parse(&Keys::from_lines(&options)).map_err(|error| {
-                        HostError::Settings { batch: header.batch, instance: record.instance, error }
-                    })?;
+                    let settings =
+                        settings::parse(&SettingValues::from_lines(&options)).map_err(|error| {
+                            HostError::Settings { batch: header.batch, instance: record.instance, error }
+                        })?;
                     let mut policy = Policy::new(settings, seed, header.now);
                     policy.start(&mut self.actions);
                     self.instances.insert(record.instance, policy);
--- a/crates/alderstile-drill/tests/codec.rs
+++ b/crates/alderstile-drill/tests/codec.rs
@@ -5,7 +5,7 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-use alderstile::settings::{self, Keys, SettingsError};
+use alderstile::settings::{self, SettingValues, SettingsError};
 use alderstile::types::*;
 
 const SETTINGS: &str = "balancers=2\nmy_zone=1\nclasses.count=1\nclasses.0.aim=300000\n\
@@ -242,13 +242,13 @@
 
 #[test]
 fn settings_name_the_key_that_is_missing_or_bad() {
-    assert!(settings::parse(&Keys::from_lines(SETTINGS)).is_ok());
+    assert!(settings::parse(&SettingValues::from_lines(SETTINGS)).is_ok());
     let without = |key: &str| -> String {
         SETTINGS.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect()
     };
     for key in ["balancers", "classes.count", "classes.0.aim", "discovery", "obligations.cold", "weights"] {
-        match settings::parse(&Keys::from_lines(&without(&format!("{key}=")))) {
-            Err(SettingsError::Missing(missing)) => assert_eq!(missing, key),
+        match settings::parse(&SettingValues::from_lines(&without(&format!("{key}=")))) {
+            Err(SettingsError::MissingKey(missing)) => assert_eq!(missing, key),
             other => panic!("{key}: {other:?}"),
         }
     }
@@ -263,8 +263,8 @@
         ("extra.message_aim", "soon"),
     ] {
         let text = without(&format!("{key}=")) + &format!("{key}={value}\n");
-        match settings::parse(&Keys::from_lines(&text)) {
-            Err(SettingsError::Bad { key: named, .. }) => assert_eq!(named, key),
+        match settings::parse(&SettingValues::from_lines(&text)) {
+            Err(SettingsError::InvalidValue { key: named, .. }) => assert_eq!(named, key),
             other => panic!("{key}: {other:?}"),
         }
     }
--- a/crates/alderstile-drill/tests/settings.rs
+++ b/crates/alderstile-drill/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Each setting that a deployment states reaches the decisions: the first messages of three of them, as they came.
 
-use alderstile::settings::{self, Keys, SettingsError};
+use alderstile::settings::{self, SettingValues, SettingsError};
 use alderstile::types::*;
 
 const DFA: &str = include_str!("first/dfa-photo-wire.txt");
@@ -8,14 +8,14 @@
 const EGE: &str = include_str!("first/ege-photo-feed.txt");
 
 fn parsed(text: &str) -> BalancerSettings {
-    settings::parse(&Keys::from_lines(text)).expect("settings as they came")
+    settings::parse(&SettingValues::from_lines(text)).expect("settings as they came")
 }
 
 /// As the node hands its configuration over: the same paths below `settings.`, with further ones.
 fn configured(text: &str, further: &[(&str, &str)]) -> Result<BalancerSettings, SettingsError> {
     let lines = text.lines().filter_map(|line| line.split_once('='));
     let pairs = lines.chain(further.iter().copied()).map(|(key, value)| (key.to_owned(), value.to_owned()));
-    settings::parse(&Keys::new("settings.", pairs))
+    settings::parse(&SettingValues::new("settings.", pairs))
 }
 
 #[test]
@@ -121,11 +121,13 @@
         ("charges.cross_zone", "-0.1"),
         ("charges.probe", "dear"),
         ("tenants.count", "four"),
-        ("tenants.2.quota_share", "NaN"),
+        ("tenants.2.share", "NaN"),
         ("allowed.cpu_us_per_s", "-1"),
     ] {
         match configured(DOGU, &[(key, value)]) {
-            Err(SettingsError::Bad { key: named, .. }) => assert_eq!(named, format!("settings.{key}")),
+            Err(SettingsError::InvalidValue { key: named, .. }) => {
+                assert_eq!(named, format!("settings.{key}"))
+            }
             other => panic!("{key}: {other:?}"),
         }
     }
--- a/crates/alderstile-node/src/admin/maintenance_store.rs
+++ b/crates/alderstile-node/src/admin/maintenance_store.rs
@@ -26,12 +26,12 @@
 
 impl Stand {
     /// Tells the decisions.
-    pub fn apply(self, facade: &mut Balancer, now: Micros, host: ServerId) {
+    pub fn apply(self, balancer: &mut Balancer, now: Micros, host: ServerId) {
         match self {
-            Stand::Out => facade.take_out(now, host),
+            Stand::Out => balancer.begin_maintenance(now, host),
             Stand::Back(since) => {
-                facade.take_out(now, host);
-                facade.put_back(now, host, Micros(since));
+                balancer.begin_maintenance(now, host);
+                balancer.end_maintenance(now, host, Micros(since));
             }
         }
     }
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -38,7 +38,7 @@
         let told = config.get();
         let kept = told.state_dir.as_deref().map(|dir| Kept::load(dir, &told.name)).unwrap_or_default();
         for (host, stand) in kept.hosts() {
-            decisions.decide(|facade, now| stand.apply(facade, now, server_id(host)));
+            decisions.decide(|balancer, now| stand.apply(balancer, now, server_id(host)));
         }
         let (kept, cluster, control) = (RefCell::new(kept), RefCell::default(), RefCell::default());
         Operators { config, decisions, clients, process, kept, cluster, control }
@@ -77,10 +77,10 @@
 
     /// The figures for operators, as text.
     pub fn figures(&self) -> String {
-        let gauges = self.decisions.decide(|facade, now| Gauges {
+        let gauges = self.decisions.decide(|balancer, now| Gauges {
             inflight: self.clients.inflight(),
-            hosts_listed: facade.maintenance().listed(),
-            hosts_down: facade.avoided(now),
+            hosts_listed: balancer.maintenance().listed_count(),
+            hosts_down: balancer.unavailable_servers(now),
             subset: self.decisions.share_counts(),
             members: self.cluster().map(|cluster| cluster.counts()),
         });
@@ -92,9 +92,9 @@
     /// nobody has that host.
     pub async fn maintain(&self, host: &str, online: bool) -> io::Result<bool> {
         let id = server_id(host);
-        let (known, out) = self.decisions.decide(|facade, _| {
-            let hosts = facade.maintenance();
-            (hosts.knows(id), hosts.is_out(id))
+        let (known, out) = self.decisions.decide(|balancer, _| {
+            let hosts = balancer.maintenance();
+            (hosts.is_known(id), hosts.is_in_maintenance(id))
         });
         if known && online == out {
             let stand = if online { Stand::Back(self.decisions.clock.now().0) } else { Stand::Out };
@@ -113,7 +113,7 @@
     /// A host stands elsewhere by hand.
     pub fn stand(&self, host: &str, stand: Stand) {
         self.kept.borrow_mut().set(host, stand, self.decisions.clock.now());
-        self.decisions.decide(|facade, now| stand.apply(facade, now, server_id(host)));
+        self.decisions.decide(|balancer, now| stand.apply(balancer, now, server_id(host)));
         info!("host {host}: {} by hand", if stand == Stand::Out { "out" } else { "back" });
     }
 }
--- a/crates/alderstile-node/src/config/mod.rs
+++ b/crates/alderstile-node/src/config/mod.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::settings::{self, Keys, SettingsError, absent};
+use alderstile::settings::{self, SettingValues, SettingsError, default_if_missing};
 use alderstile::types::{BalancerSettings, Micros};
 use serde_json::{Map, Value};
 use thiserror::Error;
@@ -221,10 +221,12 @@
     /// one's file told the new one must tell too: a default would hide a lost key.
     pub fn renewed(&self, value: Value) -> Result<(Self, Vec<&'static str>), ConfigError> {
         if !value.is_object() {
-            return Err(Keys::new("", []).bad("(the whole file)", &plain(&value), "an object").into());
+            return Err(SettingValues::new("", [])
+                .invalid("(the whole file)", &plain(&value), "an object")
+                .into());
         }
         if let Some(key) = lacking(&self.told, &value) {
-            return Err(SettingsError::Missing(key).into());
+            return Err(SettingsError::MissingKey(key).into());
         }
         let mut told = value.clone();
         // What can't change is checked all the same, and says nothing.
@@ -299,47 +301,47 @@
         let address = "an address and a port";
         let peers = keys.list("peers").into_iter();
         let peers =
-            peers.map(|text| text.parse().map_err(|_| keys.bad("peers", text, "addresses and ports")));
+            peers.map(|text| text.parse().map_err(|_| keys.invalid("peers", text, "addresses and ports")));
         let count: u16 = set.read("classes.count", "a list of classes")?;
         let classes = (0..count).map(|i| set.text(&format!("classes.{i}.name")).map(str::to_owned));
         let classes = classes.collect::<Result<Vec<_>, _>>()?;
         if let Some(twice) = (1..classes.len()).find(|i| classes[..*i].contains(&classes[*i])) {
             return Err(set
-                .bad(&format!("classes.{twice}.name"), &classes[twice], "a name of its own")
+                .invalid(&format!("classes.{twice}.name"), &classes[twice], "a name of its own")
                 .into());
         }
-        let give_ups =
-            (0..count).map(|i| set.micros(&format!("classes.{i}.give_up")).or_else(absent(GIVE_UP)));
+        let give_ups = (0..count)
+            .map(|i| set.micros(&format!("classes.{i}.give_up")).or_else(default_if_missing(GIVE_UP)));
         let longest = give_ups.collect::<Result<Vec<_>, _>>()?.into_iter().max().unwrap_or(GIVE_UP);
         let timeout = set.micros("allowed.connect_timeout").map(|span| Duration::from_micros(span.0));
         let settings = settings::parse(&set)?;
-        let grace = set.micros("obligations.stop_sending_within").or_else(absent(GRACE))?;
+        let grace = set.micros("obligations.stop_sending_within").or_else(default_if_missing(GRACE))?;
         let pushed = (!settings.must_subscribe).then_some(grace - GRACE_KEPT);
         let settings = on_sockets(settings);
         let shadow = shadow.map(|section| self::shadow(section, &set, settings.classes.len())).transpose()?;
         Ok(Config {
             name: keys.text("name")?.to_owned(),
             listen: keys.read("listen", address)?,
-            admin_addr: keys.read("admin_addr", address).map(Some).or_else(absent(None))?,
+            admin_addr: keys.read("admin_addr", address).map(Some).or_else(default_if_missing(None))?,
             state_dir: None,
             discovery: keys.read("discovery", address)?,
             seed: match keys.text("seed") {
                 Ok(text) => u64::from_str_radix(text, 16)
-                    .map_err(|_| keys.bad("seed", text, "at most 16 hexadecimal digits"))?,
+                    .map_err(|_| keys.invalid("seed", text, "at most 16 hexadecimal digits"))?,
                 Err(_) => std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), 0),
             },
             sockets: keys
                 .read("limits.sockets", "a whole number")
-                .or_else(absent(SOCKETS))?
+                .or_else(default_if_missing(SOCKETS))?
                 .min(system_sockets()),
-            peer_listen: keys.read("peer_listen", address).map(Some).or_else(absent(None))?,
+            peer_listen: keys.read("peer_listen", address).map(Some).or_else(default_if_missing(None))?,
             peers: peers.collect::<Result<_, _>>()?,
-            peers_all: keys.read("peers_all", address).map(Some).or_else(absent(None))?,
+            peers_all: keys.read("peers_all", address).map(Some).or_else(default_if_missing(None))?,
             known,
             classes,
             gone: BTreeSet::new(),
             zones: set.list("zones").into_iter().map(str::to_owned).collect(),
-            connect_timeout: timeout.or_else(absent(CONNECT_TIMEOUT))?,
+            connect_timeout: timeout.or_else(default_if_missing(CONNECT_TIMEOUT))?,
             stop_within: Duration::from_micros(longest.0.min(LONGEST_GIVE_UP.0)) + STOP_AFTER,
             pushed,
             settings,
@@ -387,7 +389,7 @@
 fn above_zero(value: &Value, path: &str) -> Result<(), SettingsError> {
     match value {
         Value::Number(number) if number.as_u64().is_some_and(|number| number > 0) => Ok(()),
-        bad => Err(Keys::new("settings.", []).bad(path, &plain(bad), "a whole number above 0")),
+        bad => Err(SettingValues::new("settings.", []).invalid(path, &plain(bad), "a whole number above 0")),
     }
 }
 
@@ -421,34 +423,38 @@
 /// checked also while it is off.
 fn shadow(
     mut section: Value,
-    deciding: &Keys,
+    deciding: &SettingValues,
     classes: usize,
 ) -> Result<Option<BalancerSettings>, SettingsError> {
     let Some(fields) = section.as_object_mut() else {
-        return Err(Keys::new("", []).bad("shadow", &plain(&section), "an object"));
+        return Err(SettingValues::new("", []).invalid("shadow", &plain(&section), "an object"));
     };
     let told = fields.remove("settings").unwrap_or_default();
     let (keys, own) = (flat("shadow.", &section), flat("shadow.settings.", &told));
     if !told.is_null() && !told.is_object() {
-        return Err(keys.bad("settings", &plain(&told), "an object"));
+        return Err(keys.invalid("settings", &plain(&told), "an object"));
     }
-    let on = keys.flag("on").or_else(absent(false))?;
-    keys.all_read(&keys)?;
-    let whole = own.above(deciding);
+    let on = keys.flag("on").or_else(default_if_missing(false))?;
+    keys.reject_unread(&keys)?;
+    let whole = own.overlaid_on(deciding);
     let settings = on_sockets(settings::parse(&whole)?);
-    own.all_read(&whole)?;
+    own.reject_unread(&whole)?;
     if settings.classes.len() != classes {
         // Both are handed the same requests.
-        return Err(own.bad("classes", &settings.classes.len().to_string(), "as many classes as are served"));
+        return Err(own.invalid(
+            "classes",
+            &settings.classes.len().to_string(),
+            "as many classes as are served",
+        ));
     }
     Ok(on.then_some(settings))
 }
 
 /// Values by path: objects by their keys, lists of plain values joined by commas, lists of objects by their number.
-fn flat(place: &'static str, value: &Value) -> Keys {
+fn flat(place: &'static str, value: &Value) -> SettingValues {
     let mut pairs = Vec::new();
     flatten(String::new(), value, &mut pairs);
-    Keys::new(place, pairs)
+    SettingValues::new(place, pairs)
 }
 
 fn flatten(path: String, value: &Value, pairs: &mut Vec<(String, String)>) {
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -96,8 +96,9 @@
                     let number = node.config().peers.iter().position(|peer| *peer == from);
                     match number.and_then(|number| u32::try_from(number).ok()) {
                         Some(number) if len <= MAX_MESSAGE => {
-                            node.decisions
-                                .decide(|facade, now| facade.report_peer(now, number, data[..len].to_vec()));
+                            node.decisions.decide(|balancer, now| {
+                                balancer.on_peer_message(now, number, data[..len].to_vec())
+                            });
                         }
                         _ => debug!("message of {len} bytes from {from} ignored"),
                     }
--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config.rs
@@ -333,7 +333,7 @@
         for host in hosts {
             if self.out.borrow_mut().insert(host.clone()) {
                 info!("agreed: host {host} is out");
-                node.decisions.decide(|facade, now| Stand::Out.apply(facade, now, server_id(host)));
+                node.decisions.decide(|balancer, now| Stand::Out.apply(balancer, now, server_id(host)));
             }
         }
     }
@@ -346,7 +346,7 @@
             self.out.borrow_mut().remove(&host);
             info!("agreed: host {host} is back");
             if !by_hand.contains(&(host.clone(), Stand::Out)) {
-                node.decisions.decide(|facade, now| facade.put_back(now, server_id(&host), now));
+                node.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(&host), now));
             }
         }
     }
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use alderstile::balancer::Balancer;
+use alderstile::balancer::{Balancer, LogLine};
 use alderstile::shadow::Differences;
 use alderstile::types::{
     BalancerSettings, Endpoint, EndpointListKind, EndpointState, Micros, RequestId, ServerId, WeightMeaning,
@@ -43,7 +43,7 @@
     /// The server list is to be had elsewhere from now on.
     pub discovery_moved: Notify,
     discovery: Cell<SocketAddr>,
-    facade: RefCell<Balancer>,
+    balancer: RefCell<Balancer>,
     /// What nodes share out among themselves; nothing where no cluster's file says so.
     choices: RefCell<Option<Choices>>,
     hosts: RefCell<BTreeMap<ServerId, HostAt>>,
@@ -60,7 +60,8 @@
     /// Decisions that know nothing yet but the settings.
     pub fn new(config: Rc<Current>) -> Self {
         let (clock, told) = (Clock::default(), config.get());
-        let facade = Balancer::watched(told.settings.clone(), told.shadow.clone(), told.seed, clock.now());
+        let balancer =
+            Balancer::with_shadow(told.settings.clone(), told.shadow.clone(), told.seed, clock.now());
         let lease = Lease::new(clock.now(), told.pushed);
         Decisions {
             config,
@@ -68,7 +69,7 @@
             ask_list: Notify::new(),
             discovery_moved: Notify::new(),
             discovery: Cell::new(told.discovery),
-            facade: RefCell::new(facade),
+            balancer: RefCell::new(balancer),
             choices: RefCell::default(),
             hosts: RefCell::default(),
             listed: RefCell::default(),
@@ -83,8 +84,8 @@
     /// Begins with the list that the node last had.
     pub fn begin(&self, known: &List) {
         self.take_addresses(known);
-        self.decide(|facade, now| {
-            facade.report_list(now, EndpointListKind::Cached, known.entries(&self.config.get().zones))
+        self.decide(|balancer, now| {
+            balancer.on_endpoint_list(now, EndpointListKind::Cached, known.entries(&self.config.get().zones))
         });
     }
 
@@ -98,7 +99,7 @@
         };
         let (settings, shadow) = (laid_over(&config.settings), config.shadow.as_ref().map(laid_over));
         self.lease.borrow_mut().renew(config.pushed);
-        self.decide(|facade, now| facade.renew(now, settings, shadow));
+        self.decide(|balancer, now| balancer.apply_settings(now, settings, shadow));
     }
 
     /// Something is laid over every list from now on, and over the one that is held. `make` is told whether weights are sizes.
@@ -113,11 +114,11 @@
         let mut choices = self.choices.borrow_mut();
         let Some(choices) = &mut *choices else { return };
         choices.members(others);
-        self.decide(|facade, now| {
+        self.decide(|balancer, now| {
             more(choices, now);
-            let changed = choices.refresh(now, &facade.unreached());
+            let changed = choices.refresh(now, &balancer.ejected_servers());
             if !changed.is_empty() {
-                facade.report_list(now, EndpointListKind::Delta, changed);
+                balancer.on_endpoint_list(now, EndpointListKind::Delta, changed);
             }
         });
     }
@@ -134,9 +135,9 @@
 
     /// Asks the decisions or reports to them, at this moment.
     pub fn decide<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
-        let mut facade = self.facade.borrow_mut();
-        let done = call(&mut facade, self.clock.now());
-        let due = facade.next_due();
+        let mut balancer = self.balancer.borrow_mut();
+        let done = call(&mut balancer, self.clock.now());
+        let due = balancer.poll_timeout();
         if due.is_some_and(|due| self.due.get().is_none_or(|old| due < old)) {
             self.wake.notify_one();
         }
@@ -153,14 +154,14 @@
     /// Reports a list, or that a call for it failed.
     pub fn list(&self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         let mut choices = self.choices.borrow_mut();
-        self.decide(|facade, now| match &mut *choices {
-            None => facade.report_list(now, kind, entries),
+        self.decide(|balancer, now| match &mut *choices {
+            None => balancer.on_endpoint_list(now, kind, entries),
             Some(choices) => {
                 let entries = choices.lay_over(kind, entries);
-                facade.report_list(now, kind, entries);
+                balancer.on_endpoint_list(now, kind, entries);
                 if choices.starved() {
-                    let changed = choices.refresh(now, &facade.unreached());
-                    facade.report_list(now, EndpointListKind::Delta, changed);
+                    let changed = choices.refresh(now, &balancer.ejected_servers());
+                    balancer.on_endpoint_list(now, EndpointListKind::Delta, changed);
                 }
             }
         });
@@ -226,7 +227,7 @@
         drop(listed);
         entries.iter_mut().for_each(|entry| entry.state = EndpointState::Cordoned);
         // Past what nodes share out among themselves: that one is to go on with what is listed.
-        self.decide(|facade, now| facade.report_list(now, EndpointListKind::Delta, entries));
+        self.decide(|balancer, now| balancer.on_endpoint_list(now, EndpointListKind::Delta, entries));
     }
 
     fn take_addresses(&self, list: &List) {
@@ -260,7 +261,7 @@
     /// Whether an attempt that is out may still be sent where its connection was made.
     pub fn may_go(&self, id: RequestId, server: ServerId, dial: SocketAddr) -> bool {
         let (there, now) = (self.host(server).is_some_and(|at| at.dial == dial), self.clock.now());
-        there && self.lease.borrow().holds(now, server) && self.facade.borrow().may_go(now, id)
+        there && self.lease.borrow().holds(now, server) && self.balancer.borrow().may_forward(now, id)
     }
 
     /// The name of a server; its number once it is listed no more.
@@ -287,12 +288,12 @@
 
     /// The process that was to take over has ended: what it has spent of the budget is not known.
     pub fn serve_on(&self) {
-        self.decide(|facade, now| facade.inherit(now, None, Micros(0)));
+        self.decide(|balancer, now| balancer.import_retry_budget(now, None, Micros(0)));
     }
 
     /// What the watching instance would have done otherwise so far; none where there is no such instance.
     pub fn differences(&self) -> Option<Differences> {
-        self.facade.borrow().differences()
+        self.balancer.borrow().differences()
     }
 
     /// Says in the log what the watching instance would have done otherwise.
@@ -309,13 +310,13 @@
                 shadow_due = self.clock.now() + SHADOW_EVERY;
                 self.tell_differences();
             }
-            let chores = self.decide(|facade, now| facade.tick(now));
-            chores.moves.into_iter().for_each(&moves);
-            if chores.watch {
+            let pending = self.decide(|balancer, now| balancer.handle_timeout(now));
+            pending.migrations.into_iter().for_each(&moves);
+            if pending.watch_endpoints {
                 self.ask_list.notify_one();
             }
-            chores.tell.iter().for_each(|data| tell(data));
-            for (server, line) in chores.lines {
+            pending.broadcasts.iter().for_each(|data| tell(data));
+            for LogLine { server, text: line } in pending.log_lines {
                 match server {
                     Some(server) => info!("host {}: {line}", self.host_name(server)),
                     None => info!("{line}"),
@@ -323,7 +324,7 @@
             }
             self.withhold();
             let leased = self.lease.borrow().due(self.clock.now());
-            let due = self.decide(|facade, _| facade.next_due()).into_iter().chain(leased).min();
+            let due = self.decide(|balancer, _| balancer.poll_timeout()).into_iter().chain(leased).min();
             self.due.set(due);
             let due = due.map(|due| self.clock.moment(due).into());
             tokio::select! {
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -71,7 +71,7 @@
     /// What the process that takes over is to know.
     pub fn handshake(&self, version: u32) -> Handshake {
         // Two processes of one node have one budget: from here on it is the other's.
-        let spent = self.decisions.decide(|facade, now| facade.hand_over(now));
+        let spent = self.decisions.decide(|balancer, now| balancer.export_retry_budget(now));
         Handshake {
             version,
             name: self.config().name.clone(),
@@ -109,7 +109,7 @@
         };
         let spent = handshake.spent.as_ref().map(|parts| parts.iter().map(part).collect());
         let late = Micros(WORD.as_micros() as u64);
-        self.decisions.decide(|facade, now| facade.inherit(now, spent, late));
+        self.decisions.decide(|balancer, now| balancer.import_retry_budget(now, spent, late));
         handshake.ids.iter().for_each(|id| self.clients.know_id(id.as_bytes()));
         handshake.lease_left.iter().for_each(|left| self.decisions.inherit_lease(Micros(*left)));
         self.decisions.ask_list.notify_one();
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -82,7 +82,8 @@
                 HostLine::Load(load) => {
                     self.load = Some(load);
                     debug!("load number={} load={load}", self.id.0);
-                    self.decisions.decide(|facade, now| facade.report_load(now, self.id, self.server, load))
+                    self.decisions
+                        .decide(|balancer, now| balancer.on_load_report(now, self.id, self.server, load))
                 }
                 parting @ (HostLine::Bye | HostLine::Move) => self.parting = Some(parting),
                 HostLine::Up => {}
--- a/crates/alderstile-node/src/proxy/session.rs
+++ b/crates/alderstile-node/src/proxy/session.rs
@@ -219,7 +219,7 @@
         let mut descriptor = Some(descriptor);
         let shown = String::from_utf8_lossy(self.open.id).into_owned();
         let ask = self.ask(deadline.saturating_duration_since(Instant::now()));
-        let (id, mut answer) = self.node.decisions.decide(|facade, now| facade.pick(now, ask));
+        let (id, mut answer) = self.node.decisions.decide(|balancer, now| balancer.place(now, ask));
         loop {
             let (server, within) = match answer {
                 Verdict::Forward(server, within) => (server, within),
@@ -239,7 +239,9 @@
                     let may_go = || self.node.decisions.may_go(id, server, at.dial);
                     match self.attempt(client, &at, until, may_go).await {
                         Tried::Unwanted(ended) => {
-                            self.node.decisions.decide(|facade, now| facade.report_left(now, id));
+                            self.node
+                                .decisions
+                                .decide(|balancer, now| balancer.on_client_disconnected(now, id));
                             return Placed::unwanted(ended);
                         }
                         Tried::Up(host) => (Outcome::Ok, Some((host, at.name))),
@@ -250,14 +252,17 @@
             if let Some((host, name)) = host {
                 let latency = began.elapsed();
                 self.up_ms = latency.as_millis();
-                self.node.decisions.decide(|facade, now| facade.report_up(now, id, micros(latency)));
+                self.node.decisions.decide(|balancer, now| balancer.on_established(now, id, micros(latency)));
                 self.node.decisions.took(server, began);
                 let Some(descriptor) = descriptor.take() else { return Placed::ClientGone };
                 return Placed::Up(Up { id, server, name, host, _descriptor: descriptor });
             }
             let (name, ms) = (self.node.decisions.host_name(server), began.elapsed().as_millis());
             debug!("attempt id={shown} host={name} outcome={outcome:?} ms={ms}");
-            answer = self.node.decisions.decide(|facade, now| facade.report_failed(now, id, server, outcome));
+            answer = self
+                .node
+                .decisions
+                .decide(|balancer, now| balancer.on_attempt_failed(now, id, server, outcome));
         }
     }
 
@@ -276,7 +281,10 @@
             match tried {
                 (Tried::Up(host), name) => {
                     let ask = self.ask(Duration::ZERO);
-                    let id = self.node.decisions.decide(|facade, now| facade.adopt(now, ask, server));
+                    let id = self
+                        .node
+                        .decisions
+                        .decide(|balancer, now| balancer.adopt_connection(now, ask, server));
                     return Placed::Up(Up { id, server, name, host, _descriptor: descriptor });
                 }
                 (Tried::Unwanted(ended), _) => return Placed::unwanted(ended),
@@ -405,15 +413,15 @@
             (reason, ending) = relay::send_away(&mut host, &client, Reason::NodeLeaving).await;
         }
         self.node.clients.unserve(id);
-        self.node.decisions.decide(|facade, now| match reason {
+        self.node.decisions.decide(|balancer, now| match reason {
             Reason::ClientLeft | Reason::ClientReset | Reason::ClientOverlong | Reason::ClientStuck => {
-                facade.report_left(now, id)
+                balancer.on_client_disconnected(now, id)
             }
-            Reason::Served => facade.report_ended(now, id, server, Outcome::Ok),
+            Reason::Served => balancer.on_connection_ended(now, id, server, Outcome::Ok),
             Reason::Moved | Reason::NodeLeaving | Reason::HandedOver | Reason::HostMoved => {
-                facade.report_ended(now, id, server, Outcome::Cancelled)
+                balancer.on_connection_ended(now, id, server, Outcome::Cancelled)
             }
-            _ => facade.report_ended(now, id, server, Outcome::Reset),
+            _ => balancer.on_connection_ended(now, id, server, Outcome::Reset),
         });
         self.log(reason, &name);
         drop(taken);
@@ -483,9 +491,9 @@
     let (attempts, up_ms) = (passed.attempts, u128::from(passed.up_ms));
     let session = Session { node: node.clone(), line, open, class, arrived, attempts, up_ms };
     let (ask, server) = (session.ask(Duration::ZERO), server_id(&passed.host));
-    let id = node.decisions.decide(|facade, now| {
-        let id = facade.adopt(now, ask, server);
-        passed.carried.load.iter().for_each(|load| facade.report_load(now, id, server, *load));
+    let id = node.decisions.decide(|balancer, now| {
+        let id = balancer.adopt_connection(now, ask, server);
+        passed.carried.load.iter().for_each(|load| balancer.on_load_report(now, id, server, *load));
         id
     });
     if let Some((link, number)) = node.process.linked().zip(passed.number) {
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -116,7 +116,10 @@
         );
         assert_eq!(node.say(call.as_bytes()).await.0, 413);
         assert!(
-            node.setup.node.decisions.decide(|facade, _| facade.maintenance().is_out(server_id("s-1"))),
+            node.setup
+                .node
+                .decisions
+                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1"))),
             "nothing done"
         );
         let call = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(64 << 10));
@@ -152,8 +155,12 @@
             stream.write_all(&call[..cut]).await.expect("sent");
             drop(stream);
         }
-        let out =
-            || node.setup.node.decisions.decide(|facade, _| facade.maintenance().is_out(server_id("s-1")));
+        let out = || {
+            node.setup
+                .node
+                .decisions
+                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
+        };
         assert_eq!(node.call("GET", "/control/ready").await.0, 200);
         assert!(!out(), "half a call changes nothing");
         let mut stream = TcpStream::connect(node.admin).await.expect("connected");
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -380,7 +380,10 @@
         let hosts = [Host::new("s-1").await, Host::new("s-2").await];
         let (setup, _watch, control, dir) = alone(86, &[&hosts[0], &hosts[1]]).await;
         let out = |host: &str| {
-            setup.node.decisions.decide(|facade, _| facade.maintenance().is_out(server_id(host)))
+            setup
+                .node
+                .decisions
+                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id(host)))
         };
         let most = || setup.node.config().settings.max_attempts;
         let both = document(|document| {
@@ -423,7 +426,12 @@
     run(async {
         let host = Host::new("s-1").await;
         let (setup, _watch, control, dir) = alone(87, &[&host]).await;
-        let out = || setup.node.decisions.decide(|facade, _| facade.maintenance().is_out(server_id("s-1")));
+        let out = || {
+            setup
+                .node
+                .decisions
+                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
+        };
         agreed(&control, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
         in_force(&control, 1).await;
         setup.node.operators.stand("s-1", alderstile_node::admin::maintenance_store::Stand::Out);
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -169,8 +169,8 @@
     // The first calls, spread over the start, are of no interest here: each has a watch by then.
     let began = 20_000;
     for node in &mut fleet {
-        node.tick(ms(began));
-        node.report_list(ms(began), EndpointListKind::Delta, Vec::new());
+        node.handle_timeout(ms(began));
+        node.on_endpoint_list(ms(began), EndpointListKind::Delta, Vec::new());
     }
     let noticed = |node: u64| match lost {
         Lost::Silent => began + 3_000 + node * 1_000 / u64::from(nodes),
@@ -185,16 +185,18 @@
     for now in began.. {
         for (number, node) in fleet.iter_mut().enumerate() {
             if now == noticed(number as u64) {
-                node.report_list(ms(now), EndpointListKind::Failed, Vec::new());
+                node.on_endpoint_list(ms(now), EndpointListKind::Failed, Vec::new());
             }
-            if node.next_due().is_some_and(|due| due <= ms(now)) && node.tick(ms(now)).watch {
+            if node.poll_timeout().is_some_and(|due| due <= ms(now))
+                && node.handle_timeout(ms(now)).watch_endpoints
+            {
                 queue.push_back((number, now));
             }
         }
         while queue.front().is_some_and(|(_, asked)| now >= *asked + GIVEN_UP)
             && let Some((number, _)) = queue.pop_front()
         {
-            fleet[number].report_list(ms(now), EndpointListKind::Failed, Vec::new());
+            fleet[number].on_endpoint_list(ms(now), EndpointListKind::Failed, Vec::new());
         }
         worked = worked.max((now - began) * calls_a_second);
         while now >= back
@@ -202,7 +204,7 @@
             && let Some((number, _)) = queue.pop_front()
         {
             worked += 1_000;
-            fleet[number].report_list(ms(now), EndpointListKind::Delta, Vec::new());
+            fleet[number].on_endpoint_list(ms(now), EndpointListKind::Delta, Vec::new());
             heard[number] = Some(now - since(number as u64));
         }
         if heard.iter().all(Option::is_some) {
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,26 +1,29 @@
-//! The decisions in blocking style for a program that serves connections: ask where a client goes, report what
-//! came of it, wake up when something is due.
+//! The decisions as plain calls for a program that serves connections: ask where a client goes, report what came of
+//! it, and wake up when something is due.
 //!
-//! A [`Balancer`] keeps the timers and the numbers of requests, takes the time as an argument and decides nothing:
-//! every answer is the policy's.
+//! A [`Balancer`] keeps the timers and assigns request ids, takes the time as an argument and decides nothing: every
+//! verdict is the [`Policy`]'s.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 
-use crate::load_signal::{Note, Notes};
-use crate::maintenance::Maintenance;
+use crate::load_signal::{LoadSignal, LoadSignalClassifier};
+use crate::maintenance::MaintenanceOverlay;
 use crate::policy::Policy;
 use crate::shadow::{Differences, Shadow};
-use crate::types::*;
+use crate::types::{
+    Action, BalancerSettings, Endpoint, EndpointListKind, Event, GroupId, Micros, Outcome, Request,
+    RequestId, RetryBudgetBucket, ServerId, TimerToken,
+};
 
-/// What a client asks for; its number is the facade's to give.
+/// A client's request for a connection, before the balancer has assigned its id.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionRequest {
-    /// Its class, by its number.
+    /// Its class, as an index into [`BalancerSettings::classes`].
     pub class: u16,
     /// Its group, where connections share work.
     pub group: Option<GroupId>,
-    /// What it is about; the same for all tries of one client.
+    /// The idempotency key: the same for all of one client's requests for the same thing.
     pub key: Option<u64>,
     /// Its expected load in microseconds of work a second.
     pub expected_load: Option<f64>,
@@ -31,148 +34,177 @@
 /// What to do with a request that is owed an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Try this server, no longer than the time named or else until the client gives up.
+    /// Forward it to this server; the attempt lasts no longer than the time named, or else until the client gives up.
     Forward(ServerId, Option<Micros>),
-    /// Answer: declined, a further try does no harm; perhaps not before the time named.
+    /// Answer that it is rejected without effect and safe to retry, not before the Retry-After time if one is named.
     Reject(Option<Micros>),
-    /// Answer: failed, nothing promised.
+    /// Answer that it failed; whether it had an effect is unknown.
     Fail,
 }
 
-/// What is due, whatever was asked.
+/// A log line of the decisions.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LogLine {
+    /// The server that it is about.
+    pub server: Option<ServerId>,
+    /// The text.
+    pub text: String,
+}
+
+/// Effects that are due, independent of any one call's verdict.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PendingWork {
-    /// Clients to be told to move.
-    pub moves: Vec<RequestId>,
-    /// Watch the server list from now on.
-    pub watch: bool,
-    /// Messages for all other nodes.
-    pub tell: Vec<Vec<u8>>,
-    /// Lines for people, and the server that each is about.
-    pub lines: Vec<(Option<ServerId>, String)>,
+    /// Connections whose clients are to be asked to reconnect.
+    pub migrations: Vec<RequestId>,
+    /// The endpoint list has to be watched from now on.
+    pub watch_endpoints: bool,
+    /// Messages to all other nodes.
+    pub broadcasts: Vec<Vec<u8>>,
+    /// Lines for the log.
+    pub log_lines: Vec<LogLine>,
 }
 
-/// On sockets there is no way to look at a server but to send it a client, and a client whose server stops may notice
-/// late: it is told to move before that.
-fn on_sockets(settings: BalancerSettings) -> BalancerSettings {
+/// The settings as they apply on sockets. Probes are off, as the only probe there is to send a client. Connections are
+/// migrated from draining servers: a client whose server stops may notice late.
+fn settings_on_sockets(settings: BalancerSettings) -> BalancerSettings {
     BalancerSettings { probes_allowed: false, migrate_from_draining: true, ..settings }
 }
 
+/// Servers that report delays use the same form for them as for loads: a classifier tells the two apart.
+fn classifier(settings: &BalancerSettings) -> Option<LoadSignalClassifier> {
+    settings.servers_report_delay.then(LoadSignalClassifier::default)
+}
+
 /// The decisions of one node as plain calls.
 pub struct Balancer {
     policy: Policy,
-    /// Watches only.
     shadow: Option<Shadow>,
-    /// Where servers tell delays too, what they tell is to be told apart.
-    notes: Option<Notes>,
-    maintenance: Maintenance,
+    classifier: Option<LoadSignalClassifier>,
+    maintenance: MaintenanceOverlay,
     timers: BinaryHeap<Reverse<(Micros, TimerToken)>>,
     last_id: u64,
     actions: Vec<Action>,
-    chores: PendingWork,
+    pending: PendingWork,
 }
 
 impl Balancer {
-    /// A node that has just started and holds nothing.
+    /// Creates a node that holds nothing.
     pub fn new(settings: BalancerSettings, seed: u64, now: Micros) -> Self {
-        let settings = on_sockets(settings);
-        let mut facade = Balancer {
-            notes: settings.servers_report_delay.then(Notes::default),
+        let settings = settings_on_sockets(settings);
+        let mut balancer = Balancer {
+            classifier: classifier(&settings),
             policy: Policy::new(settings, seed, now),
             shadow: None,
-            maintenance: Maintenance::default(),
+            maintenance: MaintenanceOverlay::default(),
             timers: BinaryHeap::new(),
             last_id: 0,
             actions: Vec::new(),
-            chores: PendingWork::default(),
+            pending: PendingWork::default(),
         };
-        facade.policy.start(&mut facade.actions);
-        facade.settle(now);
-        facade
+        balancer.policy.start(&mut balancer.actions);
+        balancer.sort_actions(now);
+        balancer
     }
 
-    /// A node that has just started, and a second instance with other settings that watches it.
-    pub fn watched(
+    /// Creates a node that holds nothing, and a shadow instance with other settings where these are given.
+    pub fn with_shadow(
         settings: BalancerSettings,
         shadow: Option<BalancerSettings>,
         seed: u64,
         now: Micros,
     ) -> Self {
-        let shadow = shadow.map(|settings| Shadow::new(on_sockets(settings), seed, now));
+        let shadow = shadow.map(|settings| Shadow::new(settings_on_sockets(settings), seed, now));
         Balancer { shadow, ..Self::new(settings, seed, now) }
     }
 
-    /// Other settings from now on, and others for the instance that watches; without any it watches no more. One that
-    /// did not watch so far has no record to begin with, and none is begun.
-    pub fn renew(&mut self, now: Micros, settings: BalancerSettings, shadow: Option<BalancerSettings>) {
-        let settings = on_sockets(settings);
-        if settings.servers_report_delay != self.notes.is_some() {
-            self.notes = settings.servers_report_delay.then(Notes::default);
+    /// Applies other settings, and others for the shadow instance; without any it ends. None is begun: an instance that
+    /// has not seen the traffic so far has no record to compare with.
+    pub fn apply_settings(
+        &mut self,
+        now: Micros,
+        settings: BalancerSettings,
+        shadow: Option<BalancerSettings>,
+    ) {
+        let settings = settings_on_sockets(settings);
+        if settings.servers_report_delay != self.classifier.is_some() {
+            self.classifier = classifier(&settings);
         }
         self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
-        self.settle(now);
-        self.shadow = self.shadow.take().zip(shadow).map(|(mut watching, settings)| {
-            watching.renew(now, on_sockets(settings));
-            watching
+        self.sort_actions(now);
+        self.shadow = self.shadow.take().zip(shadow).map(|(mut running, settings)| {
+            running.apply_settings(now, settings_on_sockets(settings));
+            running
         });
     }
 
-    /// What was counted of further attempts, as ages, for the process that takes this one's place; nothing where that is
-    /// not known. This one makes no further attempts from now on.
-    pub fn hand_over(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
-        let told = self.policy.hand_over(now);
-        let aged = |part: RetryBudgetBucket| RetryBudgetBucket {
-            first_event: now - part.first_event,
-            last_event: now - part.last_event,
-            ..part
+    /// Exports the retry budget's window for the process that takes over, with ages in place of times; none where it is
+    /// not known. This process retries no more from now on: two processes of one node share one budget.
+    pub fn export_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
+        let buckets = self.policy.hand_over(now);
+        let aged = |bucket: RetryBudgetBucket| RetryBudgetBucket {
+            first_event: now - bucket.first_event,
+            last_event: now - bucket.last_event,
+            ..bucket
         };
-        told.map(|parts| parts.into_iter().map(aged).collect())
+        buckets.map(|buckets| buckets.into_iter().map(aged).collect())
     }
 
-    /// Takes over what the process before has counted, as ages that were true `late` ago at most. Where it told nothing,
-    /// or where this one serves on after it had handed over, no further attempts are made until the span has passed.
-    pub fn inherit(&mut self, now: Micros, told: Option<Vec<RetryBudgetBucket>>, late: Micros) {
-        // Requests count as earlier than they may have been, attempts as later.
-        let dated = |part: RetryBudgetBucket| RetryBudgetBucket {
-            first_event: now - part.first_event - late,
-            last_event: now - part.last_event,
-            ..part
+    /// Imports the retry budget's window of the process before, whose ages were taken at most `transfer_time` ago.
+    /// Without one, nothing is retried until a whole window has passed.
+    pub fn import_retry_budget(
+        &mut self,
+        now: Micros,
+        exported: Option<Vec<RetryBudgetBucket>>,
+        transfer_time: Micros,
+    ) {
+        // Admitted requests expire by the first event, which may be dated too early, and retries by the last, which may
+        // be dated too late: the count is never laxer than the budget.
+        let dated = |bucket: RetryBudgetBucket| RetryBudgetBucket {
+            first_event: now - bucket.first_event - transfer_time,
+            last_event: now - bucket.last_event,
+            ..bucket
         };
-        self.policy.inherit(now, told.map(|parts| parts.into_iter().map(dated).collect()));
+        let buckets = exported.map(|buckets| buckets.into_iter().map(dated).collect());
+        self.policy.inherit(now, buckets);
     }
 
-    /// What the watching instance would have done otherwise so far; none where there is no such instance.
+    /// What the shadow instance would have decided otherwise so far; none without one.
     pub fn differences(&self) -> Option<Differences> {
         self.shadow.as_ref().map(Shadow::differences)
     }
 
-    /// A client asks to be served. Its number stands for it from now on.
-    pub fn pick(&mut self, now: Micros, ask: ConnectionRequest) -> (RequestId, Verdict) {
-        let request = self.number(ask);
-        let answer = self.hand(now, Event::Request(request));
-        // Every request is sent or answered at once where nothing is probed.
-        (request.id, answer.unwrap_or(Verdict::Fail))
+    /// Decides where a client's request goes. The id returned stands for the request from now on.
+    pub fn place(&mut self, now: Micros, request: ConnectionRequest) -> (RequestId, Verdict) {
+        let request = self.assign_id(request);
+        let verdict = self.handle_event(now, Event::Request(request));
+        // Without probes every request is forwarded or answered at once.
+        (request.id, verdict.unwrap_or(Verdict::Fail))
     }
 
-    /// A connection that was open at a server before this node started, or that this node is to take there.
-    pub fn adopt(&mut self, now: Micros, ask: ConnectionRequest, server: ServerId) -> RequestId {
-        let request = self.number(ask);
-        self.hand(now, Event::ExistingConnection(request, server));
+    /// Takes over a connection that is already open at a server.
+    pub fn adopt_connection(
+        &mut self,
+        now: Micros,
+        request: ConnectionRequest,
+        server: ServerId,
+    ) -> RequestId {
+        let request = self.assign_id(request);
+        self.handle_event(now, Event::ExistingConnection(request, server));
         request.id
     }
 
-    /// Whether the attempt that is out may still be sent, now that its connection is up.
-    pub fn may_go(&self, now: Micros, id: RequestId) -> bool {
+    /// Whether the attempt in flight may still be forwarded, now that its connection to the server is up.
+    pub fn may_forward(&self, now: Micros, id: RequestId) -> bool {
         self.policy.may_go(now, id)
     }
 
-    /// The attempt that was out has become a connection.
-    pub fn report_up(&mut self, now: Micros, id: RequestId, latency: Micros) {
-        self.hand(now, Event::Established { id, latency });
+    /// The attempt in flight became a connection.
+    pub fn on_established(&mut self, now: Micros, id: RequestId, latency: Micros) {
+        self.handle_event(now, Event::Established { id, latency });
     }
 
-    /// The attempt that was out has failed: what next?
-    pub fn report_failed(
+    /// The attempt in flight failed. Returns what to do next with the request.
+    pub fn on_attempt_failed(
         &mut self,
         now: Micros,
         id: RequestId,
@@ -180,154 +212,159 @@
         outcome: Outcome,
     ) -> Verdict {
         let event = Event::Ended { id, server, outcome, closed: false, report: Vec::new() };
-        self.hand(now, event).unwrap_or(Verdict::Fail)
+        self.handle_event(now, event).unwrap_or(Verdict::Fail)
     }
 
-    /// A connection has ended at its server's side, or because it was told to move.
-    pub fn report_ended(&mut self, now: Micros, id: RequestId, server: ServerId, outcome: Outcome) {
-        self.forget(id);
-        self.hand(now, Event::Ended { id, server, outcome, closed: true, report: Vec::new() });
+    /// A connection ended at its server's side, or because its client was asked to reconnect.
+    pub fn on_connection_ended(&mut self, now: Micros, id: RequestId, server: ServerId, outcome: Outcome) {
+        self.forget_signals(id);
+        self.handle_event(now, Event::Ended { id, server, outcome, closed: true, report: Vec::new() });
     }
 
-    /// The client has left; nothing is owed to it.
-    pub fn report_left(&mut self, now: Micros, id: RequestId) {
-        self.forget(id);
-        self.hand(now, Event::ClientDisconnected(id));
+    /// The client disconnected; nothing is owed to it.
+    pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
+        self.forget_signals(id);
+        self.handle_event(now, Event::ClientDisconnected(id));
     }
 
-    /// A figure told on a connection to this server: its load now in microseconds of work a second or, where servers
-    /// tell that too, the milliseconds that messages take there, which looks the same.
-    pub fn report_load(&mut self, now: Micros, id: RequestId, server: ServerId, figure: f64) {
-        let note = match &mut self.notes {
-            Some(notes) => notes.told(now, id, server, figure),
-            None => Some(Note::Load(id, figure)),
+    /// A server sent a load report on a connection: the connection's load in microseconds of work a second or, where
+    /// servers report that too, the milliseconds that messages take there, which has the same form.
+    pub fn on_load_report(&mut self, now: Micros, id: RequestId, server: ServerId, figure: f64) {
+        let signal = match &mut self.classifier {
+            Some(classifier) => classifier.classify(now, id, server, figure),
+            None => Some(LoadSignal::Load(id, figure)),
         };
-        note.into_iter().for_each(|note| self.note(now, note));
+        if let Some(signal) = signal {
+            self.handle_signal(now, signal);
+        }
     }
 
-    fn note(&mut self, now: Micros, note: Note) {
-        let event = match note {
-            Note::Load(id, load) => Event::LoadReported(id, load),
-            Note::Delay(server, ms) => Event::DelayReported(server, ms),
+    fn handle_signal(&mut self, now: Micros, signal: LoadSignal) {
+        let event = match signal {
+            LoadSignal::Load(id, load) => Event::LoadReported(id, load),
+            LoadSignal::Delay(server, ms) => Event::DelayReported(server, ms),
         };
-        self.hand(now, event);
+        self.handle_event(now, event);
     }
 
-    fn forget(&mut self, id: RequestId) {
-        if let Some(notes) = &mut self.notes {
-            notes.forget(id);
+    fn forget_signals(&mut self, id: RequestId) {
+        if let Some(classifier) = &mut self.classifier {
+            classifier.forget(id);
         }
     }
 
-    /// A server list has come, or a call for it has failed.
-    pub fn report_list(&mut self, now: Micros, kind: EndpointListKind, entries: Vec<Endpoint>) {
-        let entries = self.maintenance.lay_over(kind, entries);
-        self.hand(now, Event::EndpointList(kind, entries));
+    /// An endpoint list arrived, or a call for it failed.
+    pub fn on_endpoint_list(&mut self, now: Micros, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
+        let endpoints = self.maintenance.overlay(kind, endpoints);
+        self.handle_event(now, Event::EndpointList(kind, endpoints));
     }
 
-    /// From now on nothing new goes to this server, whatever the list says: operators took it out.
-    pub fn take_out(&mut self, now: Micros, server: ServerId) {
-        let change = self.maintenance.take_out(server);
-        self.relist(now, change);
+    /// Operators put this server into maintenance: from now on it receives nothing new, whatever the list says.
+    pub fn begin_maintenance(&mut self, now: Micros, server: ServerId) {
+        let change = self.maintenance.begin(server);
+        self.on_maintenance_change(now, change);
     }
 
-    /// Operators put this server back at `since`: from now on it is as the list says, but cold from then on at least.
-    pub fn put_back(&mut self, now: Micros, server: ServerId, since: Micros) {
-        let change = self.maintenance.put_back(since, server);
-        self.relist(now, change);
+    /// Operators took this server out of maintenance at `since`: it is as the list says, and warms up from then on.
+    pub fn end_maintenance(&mut self, now: Micros, server: ServerId, since: Micros) {
+        let change = self.maintenance.end(since, server);
+        self.on_maintenance_change(now, change);
     }
 
-    fn relist(&mut self, now: Micros, change: Option<Endpoint>) {
-        if let Some(entry) = change {
-            self.hand(now, Event::EndpointList(EndpointListKind::Delta, vec![entry]));
+    fn on_maintenance_change(&mut self, now: Micros, change: Option<Endpoint>) {
+        if let Some(endpoint) = change {
+            self.handle_event(now, Event::EndpointList(EndpointListKind::Delta, vec![endpoint]));
         }
     }
 
-    /// Which servers operators took out, and how many are listed.
-    pub fn maintenance(&self) -> &Maintenance {
+    /// The servers in maintenance, and the listed ones.
+    pub fn maintenance(&self) -> &MaintenanceOverlay {
         &self.maintenance
     }
 
-    /// Listed servers that nothing new is sent to now: they drain, are out by hand, pause or are late.
-    pub fn avoided(&self, now: Micros) -> usize {
+    /// How many listed servers receive nothing new now: draining, in maintenance, in backoff or late.
+    pub fn unavailable_servers(&self, now: Micros) -> usize {
         self.policy.avoided(now)
     }
 
-    /// Servers that this node could not reach, or that dropped all it held there or turned work away, until a set-up succeeds.
-    pub fn unreached(&self) -> BTreeSet<ServerId> {
+    /// Servers that this node has ejected until a set-up succeeds: they could not be reached, had no capacity or dropped
+    /// all their connections.
+    pub fn ejected_servers(&self) -> BTreeSet<ServerId> {
         self.policy.unreached()
     }
 
-    /// Another node has sent a message.
-    pub fn report_peer(&mut self, now: Micros, from: u32, data: Vec<u8>) {
-        self.hand(now, Event::PeerMessage(from, data));
+    /// Another node sent a message.
+    pub fn on_peer_message(&mut self, now: Micros, from: u32, data: Vec<u8>) {
+        self.handle_event(now, Event::PeerMessage(from, data));
     }
 
-    /// Lets everything happen that is due, and hands over what is to be done.
-    pub fn tick(&mut self, now: Micros) -> PendingWork {
+    /// Handles all timers that are due, and returns the pending work.
+    pub fn handle_timeout(&mut self, now: Micros) -> PendingWork {
         while let Some(&Reverse((due, token))) = self.timers.peek()
             && due <= now
         {
             self.timers.pop();
-            self.hand(now, Event::Timer(token));
+            self.handle_event(now, Event::Timer(token));
+        }
+        let expired = self.classifier.as_mut().map(|classifier| classifier.expired(now));
+        for signal in expired.into_iter().flatten() {
+            self.handle_signal(now, signal);
         }
-        let settled = self.notes.as_mut().map(|notes| notes.settled(now));
-        settled.into_iter().flatten().for_each(|note| self.note(now, note));
-        std::mem::take(&mut self.chores)
+        std::mem::take(&mut self.pending)
     }
 
-    /// When [`Balancer::tick`] is due next; any report may bring that forward, at most to the present.
-    pub fn next_due(&self) -> Option<Micros> {
-        if self.chores != PendingWork::default() {
+    /// When [`Balancer::handle_timeout`] is due next. Any other call may bring that forward, at most to the present.
+    pub fn poll_timeout(&self) -> Option<Micros> {
+        if self.pending != PendingWork::default() {
             return Some(Micros(0));
         }
         let timer = self.timers.peek().map(|Reverse((due, _))| *due);
-        let settles = self.notes.as_ref().and_then(Notes::next_due);
-        timer.into_iter().chain(settles).min()
+        let expiry = self.classifier.as_ref().and_then(LoadSignalClassifier::next_expiry);
+        timer.into_iter().chain(expiry).min()
     }
 
-    fn number(&mut self, ask: ConnectionRequest) -> Request {
+    fn assign_id(&mut self, request: ConnectionRequest) -> Request {
         self.last_id += 1;
         Request {
             id: RequestId(self.last_id),
-            class: ask.class,
-            group: ask.group,
-            expected_load: ask.expected_load,
-            remaining: ask.remaining,
-            key: ask.key,
+            class: request.class,
+            group: request.group,
+            expected_load: request.expected_load,
+            remaining: request.remaining,
+            key: request.key,
             mid_flow: false,
         }
     }
 
-    fn hand(&mut self, now: Micros, event: Event) -> Option<Verdict> {
-        let copy = self.shadow.as_mut().map(|shadow| {
-            shadow.align(&self.policy);
+    fn handle_event(&mut self, now: Micros, event: Event) -> Option<Verdict> {
+        let shadow_event = self.shadow.as_mut().map(|shadow| {
+            shadow.align_randomness(&self.policy);
             event.clone()
         });
         self.policy.handle(now, event, &mut self.actions);
-        if let (Some(shadow), Some(event)) = (&mut self.shadow, copy) {
-            shadow.watch(now, event, &self.actions);
+        if let (Some(shadow), Some(event)) = (&mut self.shadow, shadow_event) {
+            shadow.compare(now, event, &self.actions);
         }
-        self.settle(now)
+        self.sort_actions(now)
     }
 
-    /// Sorts the actions into the answer, the timers and the chores.
-    fn settle(&mut self, now: Micros) -> Option<Verdict> {
-        let mut answer = None;
+    /// Sorts the actions into the verdict, the timers and the pending work.
+    fn sort_actions(&mut self, now: Micros) -> Option<Verdict> {
+        let mut verdict = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Forward(_, server, time_out) => answer = Some(Verdict::Forward(server, time_out)),
-                Action::Reject(_, wait) => answer = Some(Verdict::Reject(wait)),
-                Action::Fail(_) => answer = Some(Verdict::Fail),
-                Action::Migrate(id) => self.chores.moves.push(id),
+                Action::Forward(_, server, time_out) => verdict = Some(Verdict::Forward(server, time_out)),
+                Action::Reject(_, retry_after) => verdict = Some(Verdict::Reject(retry_after)),
+                Action::Fail(_) => verdict = Some(Verdict::Fail),
+                Action::Migrate(id) => self.pending.migrations.push(id),
                 Action::SetTimer(after, token) => self.timers.push(Reverse((now + after, token))),
-                Action::WatchEndpoints => self.chores.watch = true,
-                Action::Broadcast(data) => self.chores.tell.push(data),
-                Action::Log(server, line) => self.chores.lines.push((server, line)),
-                // Never asked for: `new` says that nothing can be probed.
+                Action::WatchEndpoints => self.pending.watch_endpoints = true,
+                Action::Broadcast(data) => self.pending.broadcasts.push(data),
+                Action::Log(server, text) => self.pending.log_lines.push(LogLine { server, text }),
+                // Never requested: `settings_on_sockets` turns probes off.
                 Action::Probe(_) => {}
             }
         }
-        answer
+        verdict
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! The library does no input or output of its own: [`policy::Policy`] is handed one event at a time
 //! with the time at which it happened, and answers with actions. [`types`] holds the words that
-//! both sides use, [`maintenance`] keeps the hosts that operators took out, [`load_signal`] tells kinds of figures apart, [`settings`] reads what a node is told at its start,
+//! both sides use, [`maintenance`] overlays the servers in maintenance, [`load_signal`] tells loads from delays, [`settings`] reads what a node is told at its start,
 //! [`balancer`] turns events and actions into plain calls for a program that serves connections, and [`shadow`] lets a
 //! second instance watch it.
 
--- a/src/load_signal.rs
+++ b/src/load_signal.rs
@@ -1,104 +1,152 @@
-//! Tells apart two kinds of figures that look the same on sockets: a connection's load, in microseconds of work a
-//! second, told when it changes; and the milliseconds that messages take at its server, told about once a second on
-//! one of its connections while they are late.
+//! Classification of load reports on sockets, where two kinds of figures have the same form.
 //!
-//! Guards against a late server whose notes, taken for loads, leave it next to nothing in the record, so that it draws
-//! all new work. A figure is suspected where it lies far below what its connection was told, or what connections
-//! usually are. One alone may be a client gone idle. It is believed to be a delay when another followed within a
-//! note's rhythm, on the same connection or both far below their own; and taken for a load when none did.
+//! A connection's load, in microseconds of work a second, is reported when it changes. The milliseconds that messages
+//! take at the connection's server are reported about once a second on one of its connections while they are late.
+//! A late server whose delays are taken for loads would have next to nothing in the record and draw all new work.
+//!
+//! A figure is ambiguous where it lies far below what its connection last reported, or what connections typically
+//! report. A single one may be a client that went idle. It is a delay if another one follows within the interval of
+//! delay reports, on the same connection or both far below their own loads; and a load if none does.
 
 use std::collections::BTreeMap;
 
 use crate::types::{Micros, RequestId, ServerId};
 
-/// A figure is far below a load that is this much higher. Of 6,600 changes of a connection's load by the operators'
-/// hosts 3.5% were to less than a twentieth, of 8,100 delays 77% were.
-const FAR_BELOW: f64 = 20.0;
-/// Notes of one server come once a second, give or take this much on the way: within 10 ms in the logs of two nodes. Where
-/// a node holds many connections there, light loads follow one another by chance: the wider this, the oftener they pass
-/// for notes. At 50 ms either way, seven did in 20 s of a crowd's day, and 26 to 65 clients were refused for it.
-const RHYTHM: (Micros, Micros) = (Micros::from_millis(980), Micros::from_millis(1_020));
-/// Loads above this are none and teach nothing.
-const LOAD_LIMIT: f64 = 1e9;
-
-/// What a figure is.
+/// A figure lies far below a load that is this many times higher. Few changes of a load are that large, most delays are.
+const FAR_BELOW_FACTOR: f64 = 20.0;
+/// The least interval between two delay reports of one server.
+const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(980);
+/// The greatest such interval: delay reports come once a second. Where a node holds many connections at a server, light
+/// loads follow one another by chance; in a wider interval they would pass for delays.
+const MAX_REPORT_INTERVAL: Micros = Micros::from_millis(1_020);
+/// The greatest figure that counts as a load, in microseconds of work a second.
+const MAX_LOAD: f64 = 1e9;
+
+/// A classified figure.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Note {
-    /// The load of this connection.
+pub enum LoadSignal {
+    /// The load of this connection, in microseconds of work a second.
     Load(RequestId, f64),
     /// The milliseconds that messages take at this server.
     Delay(ServerId, f64),
 }
 
-/// A figure that may be either.
-struct Suspect {
+/// A figure that may still be a load or a delay.
+struct AmbiguousFigure {
     id: RequestId,
     server: ServerId,
     figure: f64,
-    at: Micros,
-    /// It lies far below what its own connection was told.
-    falls: bool,
+    reported_at: Micros,
+    /// It lies far below what its own connection last reported.
+    below_own_load: bool,
+}
+
+impl AmbiguousFigure {
+    fn expires_at(&self) -> Micros {
+        self.reported_at + MAX_REPORT_INTERVAL
+    }
+
+    /// Whether a further ambiguous figure, reported `now`, shows that this one is a delay.
+    fn is_confirmed_by(&self, now: Micros, id: RequestId, server: ServerId, below_own_load: bool) -> bool {
+        let same_source = self.id == id || (self.below_own_load && below_own_load);
+        self.server == server && is_report_interval(self.reported_at, now) && same_source
+    }
 }
 
-/// What was told so far.
+/// The sum and the number of connections' first loads.
 #[derive(Default)]
-pub struct Notes {
+struct FirstLoads {
+    sum: f64,
+    count: f64,
+}
+
+impl FirstLoads {
+    fn add(&mut self, load: f64) {
+        self.sum += load;
+        self.count += 1.0;
+    }
+
+    /// Whether a figure lies far below the mean; never while there is none.
+    fn far_above(&self, figure: f64) -> bool {
+        self.count > 0.0 && figure * FAR_BELOW_FACTOR < self.sum / self.count
+    }
+}
+
+/// Whether a report now follows one at `earlier` at the interval of delay reports.
+fn is_report_interval(earlier: Micros, now: Micros) -> bool {
+    now >= earlier + MIN_REPORT_INTERVAL && now <= earlier + MAX_REPORT_INTERVAL
+}
+
+/// Tells loads and delays apart.
+#[derive(Default)]
+pub struct LoadSignalClassifier {
+    /// The load that each connection last reported.
     loads: BTreeMap<RequestId, f64>,
-    /// The first loads of all connections, for the usual one.
-    first_loads: (f64, f64),
-    suspects: Vec<Suspect>,
-    /// When each server that is late said so last.
-    late: BTreeMap<ServerId, Micros>,
+    first_loads: FirstLoads,
+    /// In the order in which they were reported.
+    ambiguous: Vec<AmbiguousFigure>,
+    /// When each late server last reported a delay.
+    last_delay_report: BTreeMap<ServerId, Micros>,
 }
 
-impl Notes {
-    /// Takes in a figure told on a connection to this server. Nothing comes back while it may be either.
-    pub fn told(&mut self, now: Micros, id: RequestId, server: ServerId, figure: f64) -> Option<Note> {
-        let own = self.loads.get(&id);
-        let falls = own.is_some_and(|load| figure * FAR_BELOW < *load);
-        let (sum, count) = self.first_loads;
-        let suspected = falls || (count > 0.0 && figure * FAR_BELOW < sum / count);
-        // Loads are told again unchanged; what waits at a server never stays the same.
-        if !suspected || own == Some(&figure) {
+impl LoadSignalClassifier {
+    /// Takes in a figure reported on a connection to this server. Returns nothing while the figure is ambiguous.
+    pub fn classify(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        server: ServerId,
+        figure: f64,
+    ) -> Option<LoadSignal> {
+        let own_load = self.loads.get(&id);
+        let below_own_load = own_load.is_some_and(|load| figure * FAR_BELOW_FACTOR < *load);
+        let ambiguous = below_own_load || self.first_loads.far_above(figure);
+        // An unchanged load is reported again to the digit; a delay never stays the same.
+        if !ambiguous || own_load == Some(&figure) {
             return Some(self.load(id, figure));
         }
-        let follows = |at: Micros| now >= at + RHYTHM.0 && now <= at + RHYTHM.1;
-        let goes_on = self.late.get(&server).is_some_and(|at| follows(*at));
-        let second = |s: &Suspect| s.server == server && follows(s.at) && (s.id == id || (s.falls && falls));
-        if !goes_on && !self.suspects.iter().any(second) {
-            self.suspects.push(Suspect { id, server, figure, at: now, falls });
+        let last_delay = self.last_delay_report.get(&server);
+        let continues = last_delay.is_some_and(|at| is_report_interval(*at, now));
+        let mut earlier = self.ambiguous.iter();
+        if !continues && !earlier.any(|first| first.is_confirmed_by(now, id, server, below_own_load)) {
+            self.ambiguous.push(AmbiguousFigure { id, server, figure, reported_at: now, below_own_load });
             return None;
         }
-        self.suspects.retain(|s| s.server != server || !follows(s.at));
-        self.late.retain(|_, at| now <= *at + RHYTHM.1);
-        self.late.insert(server, now);
-        Some(Note::Delay(server, figure))
+        Some(self.delay(now, server, figure))
     }
 
-    /// Figures that nothing followed: loads after all.
-    pub fn settled(&mut self, now: Micros) -> Vec<Note> {
-        let (old, open) = std::mem::take(&mut self.suspects).into_iter().partition(|s| now > s.at + RHYTHM.1);
-        self.suspects = open;
-        old.into_iter().map(|s: Suspect| self.load(s.id, s.figure)).collect()
+    /// Ambiguous figures that no further one has confirmed in time: they are loads.
+    pub fn expired(&mut self, now: Micros) -> Vec<LoadSignal> {
+        let figures = std::mem::take(&mut self.ambiguous);
+        let (expired, open): (Vec<_>, Vec<_>) =
+            figures.into_iter().partition(|figure| now > figure.expires_at());
+        self.ambiguous = open;
+        expired.into_iter().map(|figure| self.load(figure.id, figure.figure)).collect()
     }
 
-    /// When figures are settled next.
-    pub fn next_due(&self) -> Option<Micros> {
-        // They stand in the order in which they came.
-        self.suspects.first().map(|s| s.at + RHYTHM.1 + Micros(1))
+    /// When the next ambiguous figure expires.
+    pub fn next_expiry(&self) -> Option<Micros> {
+        self.ambiguous.first().map(|figure| figure.expires_at() + Micros(1))
     }
 
-    /// A connection is no more.
+    /// A connection has ended.
     pub fn forget(&mut self, id: RequestId) {
         self.loads.remove(&id);
-        self.suspects.retain(|s| s.id != id);
+        self.ambiguous.retain(|figure| figure.id != id);
     }
 
-    fn load(&mut self, id: RequestId, load: f64) -> Note {
-        if (0.0..=LOAD_LIMIT).contains(&load) && self.loads.insert(id, load).is_none() {
-            self.first_loads.0 += load;
-            self.first_loads.1 += 1.0;
+    fn load(&mut self, id: RequestId, load: f64) -> LoadSignal {
+        if (0.0..=MAX_LOAD).contains(&load) && self.loads.insert(id, load).is_none() {
+            self.first_loads.add(load);
         }
-        Note::Load(id, load)
+        LoadSignal::Load(id, load)
+    }
+
+    fn delay(&mut self, now: Micros, server: ServerId, figure: f64) -> LoadSignal {
+        self.ambiguous
+            .retain(|earlier| earlier.server != server || !is_report_interval(earlier.reported_at, now));
+        self.last_delay_report.retain(|_, at| now <= *at + MAX_REPORT_INTERVAL);
+        self.last_delay_report.insert(server, now);
+        LoadSignal::Delay(server, figure)
     }
 }
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,78 +1,83 @@
-//! Hosts that operators have taken out by hand, laid over every server list before the decisions see it.
+//! Servers in maintenance, overlaid on every endpoint list before the decisions see it.
 //!
-//! To the decisions a host that is out drains, whatever the list says; they have no other notion of it. It comes back
-//! as the list has it by then, started no earlier than it was put back: operators restart a host meanwhile, and the
-//! list may tell of that late.
+//! To the decisions a server in maintenance is draining, whatever the list says; they have no other notion of it. It
+//! returns as the list has it by then, but started no earlier than maintenance ended: operators restart servers
+//! meanwhile, and the list may say so late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::types::*;
+use crate::types::{Endpoint, EndpointListKind, EndpointState, Micros, ServerId};
 
-/// Which hosts are out, and what the list says of all of them.
+/// The servers in maintenance, and what the list says of all servers.
 #[derive(Debug, Default)]
-pub struct Maintenance {
+pub struct MaintenanceOverlay {
     listed: BTreeMap<ServerId, Endpoint>,
-    out: BTreeSet<ServerId>,
-    /// When hosts were put back, until the list tells of a later start.
-    returned: BTreeMap<ServerId, Micros>,
+    in_maintenance: BTreeSet<ServerId>,
+    /// When servers came out of maintenance, until the list has a later start.
+    returned_at: BTreeMap<ServerId, Micros>,
 }
 
-impl Maintenance {
-    /// Takes in a list as it came, and returns it as the decisions are to see it.
-    pub fn lay_over(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) -> Vec<Endpoint> {
+impl MaintenanceOverlay {
+    /// Takes in an endpoint list, and returns it as the decisions are to see it.
+    pub fn overlay(&mut self, kind: EndpointListKind, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
             self.listed.clear();
         }
-        for entry in &entries {
-            if entry.state == EndpointState::Gone {
-                self.listed.remove(&entry.id);
-            } else {
-                self.listed.insert(entry.id, *entry);
-            }
-            if self.returned.get(&entry.id).is_some_and(|at| entry.started >= Some(*at)) {
-                self.returned.remove(&entry.id);
-            }
+        for endpoint in &endpoints {
+            self.record(endpoint);
         }
-        entries.into_iter().map(|entry| self.seen(entry)).collect()
+        endpoints.into_iter().map(|endpoint| self.overlaid(endpoint)).collect()
     }
 
-    /// A listed host as the decisions are to see it.
-    fn seen(&self, mut entry: Endpoint) -> Endpoint {
-        if self.is_out(entry.id) && entry.state != EndpointState::Gone {
-            entry.state = EndpointState::Draining;
+    fn record(&mut self, endpoint: &Endpoint) {
+        if endpoint.state == EndpointState::Gone {
+            self.listed.remove(&endpoint.id);
+        } else {
+            self.listed.insert(endpoint.id, *endpoint);
         }
-        // None is long ago, and less than any time.
-        entry.started = entry.started.max(self.returned.get(&entry.id).copied());
-        entry
+        if self.returned_at.get(&endpoint.id).is_some_and(|at| endpoint.started >= Some(*at)) {
+            self.returned_at.remove(&endpoint.id);
+        }
+    }
+
+    /// A listed server as the decisions are to see it.
+    fn overlaid(&self, mut endpoint: Endpoint) -> Endpoint {
+        if self.is_in_maintenance(endpoint.id) && endpoint.state != EndpointState::Gone {
+            endpoint.state = EndpointState::Draining;
+        }
+        // No start time means long ago, and compares as less than any time.
+        endpoint.started = endpoint.started.max(self.returned_at.get(&endpoint.id).copied());
+        endpoint
     }
 
-    /// Takes a host out. Returns the change for the decisions; none where nothing changes for them.
-    pub fn take_out(&mut self, id: ServerId) -> Option<Endpoint> {
-        self.out.insert(id);
-        self.listed.get(&id).map(|entry| self.seen(*entry))
+    /// Puts a server into maintenance. Returns the change for the decisions; none where the list does not name it.
+    pub fn begin(&mut self, id: ServerId) -> Option<Endpoint> {
+        self.in_maintenance.insert(id);
+        self.listed.get(&id).map(|endpoint| self.overlaid(*endpoint))
     }
 
-    /// Puts a host back that is out. Returns the change for the decisions; none where nothing changes for them.
-    pub fn put_back(&mut self, now: Micros, id: ServerId) -> Option<Endpoint> {
-        if !self.out.remove(&id) {
+    /// Takes a server out of maintenance. Returns the change for the decisions; none where it was not in maintenance or
+    /// the list does not name it.
+    pub fn end(&mut self, now: Micros, id: ServerId) -> Option<Endpoint> {
+        if !self.in_maintenance.remove(&id) {
             return None;
         }
-        self.returned.insert(id, now);
-        self.listed.get(&id).map(|entry| self.seen(*entry))
+        self.returned_at.insert(id, now);
+        self.listed.get(&id).map(|endpoint| self.overlaid(*endpoint))
     }
 
-    /// Whether a host is out.
-    pub fn is_out(&self, id: ServerId) -> bool {
-        self.out.contains(&id)
+    /// Whether a server is in maintenance.
+    pub fn is_in_maintenance(&self, id: ServerId) -> bool {
+        self.in_maintenance.contains(&id)
     }
 
-    /// Whether the list names a host, or it is out.
-    pub fn knows(&self, id: ServerId) -> bool {
-        self.listed.contains_key(&id) || self.is_out(id)
+    /// Whether the list names a server, or it is in maintenance.
+    pub fn is_known(&self, id: ServerId) -> bool {
+        self.listed.contains_key(&id) || self.is_in_maintenance(id)
     }
 
-    /// Hosts in the list.
-    pub fn listed(&self) -> usize {
+    /// The number of listed servers.
+    pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,6 +1,7 @@
-//! The settings of an instance: values by path. Keys that are not needed are ignored.
+//! Parser of an instance's settings: values by path, keys that nothing needs are ignored.
 //!
-//! The drill hands them over as lines of `path=value`, the node as nested JSON flattened to the same paths.
+//! The simulator sends them as lines of `path=value`, the node has nested JSON that is flattened to the same paths. The
+//! keys' words are the operators'; [`parse`] is the one place that maps them to the terms of the code.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -8,196 +9,264 @@
 
 use thiserror::Error;
 
-use crate::types::*;
+use crate::types::{
+    BalancerSettings, ClassSettings, DedupScope, Idempotency, Micros, Prices, ReportField, RetryBudget,
+    TenantSettings, WeightMeaning,
+};
 
-/// The shared work of a group where nothing else is said, in usual connections: what the operators tell of the fleets
-/// whose connections share work.
-const GROUP_LOAD: f64 = 3.0;
+/// The shared work of a group where the settings state none, in typical connections.
+const DEFAULT_GROUP_LOAD: f64 = 3.0;
 
-/// No limit of further attempts is meant to be above this.
-const MOST_RESENDS: f64 = 1e6;
+/// The greatest number of retries, or of retries a request, that a budget may state: more limits nothing.
+const MAX_RETRY_BUDGET: f64 = 1e6;
 
 /// What can be wrong with settings.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// A key that nothing reads, where that is not allowed.
     #[error("the key {0} is not known")]
-    Unknown(String),
-    /// A key that the decisions need is not there.
+    UnknownKey(String),
+    /// A required key is absent.
     #[error("the key {0} is missing")]
-    Missing(String),
-    /// A value cannot be read or is out of range.
-    #[error("the key {key} has the value {value:?}, which is not {wanted}")]
-    Bad {
+    MissingKey(String),
+    /// A value cannot be parsed or is out of range.
+    #[error("the key {key} has the value {value:?}, which is not {expected}")]
+    InvalidValue {
         /// The key.
         key: String,
         /// The value.
         value: String,
         /// What was expected.
-        wanted: &'static str,
+        expected: &'static str,
     },
 }
 
-/// Values by path, and the place that error messages name before each path.
-pub struct Keys {
+/// Settings as text values by path, with a path prefix for error messages.
+pub struct SettingValues {
     values: HashMap<String, String>,
-    place: &'static str,
-    /// Keys that were asked for.
-    read: RefCell<BTreeSet<String>>,
+    prefix: &'static str,
+    /// Keys that were read, for [`SettingValues::reject_unread`].
+    read_keys: RefCell<BTreeSet<String>>,
 }
 
-impl Keys {
-    /// Values found at `place`: a prefix of their paths in messages, perhaps empty.
-    pub fn new(place: &'static str, values: impl IntoIterator<Item = (String, String)>) -> Self {
-        Keys { values: values.into_iter().collect(), place, read: RefCell::default() }
+impl SettingValues {
+    /// Values found below `prefix`, which may be empty and is named in messages.
+    pub fn new(prefix: &'static str, values: impl IntoIterator<Item = (String, String)>) -> Self {
+        SettingValues { values: values.into_iter().collect(), prefix, read_keys: RefCell::default() }
     }
 
-    /// These values, and below them those of `other`; messages name the place of these.
-    pub fn above(&self, other: &Keys) -> Self {
-        let both = other.values.iter().chain(&self.values);
-        Keys::new(self.place, both.map(|(key, value)| (key.clone(), value.clone())))
+    /// Parses lines of `path=value`; other lines are ignored.
+    pub fn from_lines(text: &str) -> Self {
+        let pairs = text.lines().filter_map(|line| line.split_once('='));
+        SettingValues::new("", pairs.map(|(key, value)| (key.to_owned(), value.to_owned())))
     }
 
-    /// Refuses what stands here and was not read from `whole`: a misspelt key would be taken for its default.
-    pub fn all_read(&self, whole: &Keys) -> Result<(), SettingsError> {
-        let read = whole.read.borrow();
-        let unknown = self.values.keys().filter(|key| !read.contains(*key)).min();
-        unknown.map_or(Ok(()), |key| Err(SettingsError::Unknown(format!("{}{key}", self.place))))
+    /// These values, and those of `base` for keys that are absent here; messages name the prefix of these.
+    pub fn overlaid_on(&self, base: &SettingValues) -> Self {
+        let both = base.values.iter().chain(&self.values);
+        SettingValues::new(self.prefix, both.map(|(key, value)| (key.clone(), value.clone())))
     }
 
-    /// Lines of `path=value`; others are ignored.
-    pub fn from_lines(text: &str) -> Self {
-        let pairs = text.lines().filter_map(|line| line.split_once('='));
-        Keys::new("", pairs.map(|(key, value)| (key.to_owned(), value.to_owned())))
+    /// Checks that each key here was read from `merged`: a misspelt key would silently be taken for its default.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::UnknownKey`] with the first key that was not read.
+    pub fn reject_unread(&self, merged: &SettingValues) -> Result<(), SettingsError> {
+        let read_keys = merged.read_keys.borrow();
+        let unread = self.values.keys().filter(|key| !read_keys.contains(*key)).min();
+        unread.map_or(Ok(()), |key| Err(SettingsError::UnknownKey(format!("{}{key}", self.prefix))))
     }
 
     /// The value as it stands.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::MissingKey`] where it is absent.
     pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
-        self.read.borrow_mut().insert(key.to_owned());
+        self.read_keys.borrow_mut().insert(key.to_owned());
         let found = self.values.get(key).map(String::as_str);
-        found.ok_or_else(|| SettingsError::Missing(format!("{}{key}", self.place)))
+        found.ok_or_else(|| SettingsError::MissingKey(format!("{}{key}", self.prefix)))
     }
 
-    /// An error that names the key with its place.
-    pub fn bad(&self, key: &str, value: &str, wanted: &'static str) -> SettingsError {
-        SettingsError::Bad { key: format!("{}{key}", self.place), value: value.to_owned(), wanted }
+    /// An error for a value that is not as `expected`, which names the key with its prefix.
+    pub fn invalid(&self, key: &str, value: &str, expected: &'static str) -> SettingsError {
+        SettingsError::InvalidValue {
+            key: format!("{}{key}", self.prefix),
+            value: value.to_owned(),
+            expected,
+        }
     }
 
-    /// The value, parsed.
-    pub fn read<T: FromStr>(&self, key: &str, wanted: &'static str) -> Result<T, SettingsError> {
+    /// The value, parsed; `expected` describes the form for messages.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::MissingKey`] where it is absent, [`SettingsError::InvalidValue`] where it cannot be parsed.
+    pub fn read<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<T, SettingsError> {
         let value = self.text(key)?;
-        value.trim().parse().map_err(|_| self.bad(key, value, wanted))
+        value.trim().parse().map_err(|_| self.invalid(key, value, expected))
     }
 
-    /// A span.
+    /// A time span in whole microseconds.
+    ///
+    /// # Errors
+    ///
+    /// As of [`SettingValues::read`].
     pub fn micros(&self, key: &str) -> Result<Micros, SettingsError> {
         self.read(key, "a whole number of microseconds").map(Micros)
     }
 
-    /// True or false.
+    /// `true` or `false`.
+    ///
+    /// # Errors
+    ///
+    /// As of [`SettingValues::read`].
     pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         self.read(key, "true or false")
     }
 
     /// A finite number that is not negative.
+    ///
+    /// # Errors
+    ///
+    /// As of [`SettingValues::read`], and [`SettingsError::InvalidValue`] for numbers out of range.
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         let value: f64 = self.read(key, "a number")?;
         if value.is_finite() && value >= 0.0 {
             return Ok(value);
         }
-        Err(self.bad(key, self.text(key)?, "a finite number of zero or more"))
+        Err(self.invalid(key, self.text(key)?, "a finite number of zero or more"))
     }
 
-    /// One of the words named.
+    /// The meaning of one of the words named.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::MissingKey`] where it is absent, [`SettingsError::InvalidValue`] for any other word.
     pub fn word<T: Copy>(
         &self,
         key: &str,
         words: &[(&str, T)],
-        wanted: &'static str,
+        expected: &'static str,
     ) -> Result<T, SettingsError> {
         let value = self.text(key)?;
         let found = words.iter().find(|(word, _)| *word == value.trim());
-        found.map(|(_, meaning)| *meaning).ok_or_else(|| self.bad(key, value, wanted))
+        found.map(|(_, meaning)| *meaning).ok_or_else(|| self.invalid(key, value, expected))
     }
 
-    /// A list of plain values; a key that is absent is an empty list.
+    /// A comma-separated list; empty where the key is absent.
     pub fn list(&self, key: &str) -> Vec<&str> {
-        self.read.borrow_mut().insert(key.to_owned());
+        self.read_keys.borrow_mut().insert(key.to_owned());
         let value = self.values.get(key).map(String::as_str).unwrap_or_default();
         value.split(',').map(str::trim).filter(|item| !item.is_empty()).collect()
     }
 }
 
-/// Reads the settings.
-pub fn parse(keys: &Keys) -> Result<BalancerSettings, SettingsError> {
-    let balancers = keys.read("balancers", "a whole number")?;
-    if balancers == 0 {
-        return Err(keys.bad("balancers", "0", "one or more"));
-    }
-    let groups = keys.flag("extra.groups").or_else(absent(false))?;
-    let group_load = keys.number("extra.group_load");
-    if let (false, Ok(load)) = (groups, &group_load) {
-        // Somebody means connections to share work: with groups off nothing would be done about it.
-        return Err(keys.bad(
-            "extra.group_load",
-            &load.to_string(),
-            "of any use while extra.groups is not true",
-        ));
+/// Turns a missing key into a default value, and leaves an invalid value an error.
+pub fn default_if_missing<T>(default: T) -> impl FnOnce(SettingsError) -> Result<T, SettingsError> {
+    |error| match error {
+        SettingsError::MissingKey(_) => Ok(default),
+        invalid => Err(invalid),
     }
+}
+
+/// Parses the settings of an instance.
+///
+/// # Errors
+///
+/// [`SettingsError::MissingKey`] for an absent required key, [`SettingsError::InvalidValue`] for a value that cannot be
+/// parsed, is out of range or contradicts another.
+pub fn parse(values: &SettingValues) -> Result<BalancerSettings, SettingsError> {
+    let node_count = node_count(values)?;
+    let groups = values.flag("extra.groups").or_else(default_if_missing(false))?;
+    let group_load = group_load(values, groups)?;
     Ok(BalancerSettings {
-        node_count: balancers,
-        node_index: keys.read("index", "a whole number").map(Some).or_else(absent(None))?,
-        zone: keys.read("my_zone", "a zone's number")?,
-        classes: classes(keys)?,
-        must_subscribe: keys.word(
-            "discovery",
-            &[("automatic", false), ("subscribe", true)],
-            "automatic or subscribe",
-        )?,
-        max_poll_interval: keys.micros("obligations.must_ask_in").or_else(absent(Micros(0)))?,
-        max_attempts: keys.read("allowed.max_attempts", "a whole number")?,
-        retry_after_allowed: keys.flag("allowed.retry_after")?,
-        max_retry_after: keys.micros("allowed.max_retry_after").or_else(absent(Micros(0)))?,
-        probes_allowed: keys.flag("allowed.probes")?,
-        gossip_allowed: keys.flag("allowed.may_tell")?,
-        weight_meaning: keys.word(
-            "weights",
-            &[
-                ("silent", WeightMeaning::Ignored),
-                ("nominal", WeightMeaning::NominalCapacity),
-                ("rough", WeightMeaning::NominalCapacity),
-                ("live", WeightMeaning::LiveLoad),
-            ],
-            "silent, nominal, rough or live",
-        )?,
-        servers_report_delay: keys.flag("extra.tells_delay").or_else(absent(true))?,
-        // The facade asks for it; on the drill, where a break is told at once, it costs more than it gains.
+        node_count,
+        node_index: values.read("index", "a whole number").map(Some).or_else(default_if_missing(None))?,
+        zone: values.read("my_zone", "a zone's number")?,
+        classes: classes(values)?,
+        must_subscribe: values.word("discovery", &DISCOVERY_WORDS, "automatic or subscribe")?,
+        max_poll_interval: values.micros("obligations.must_ask_in").or_else(default_if_missing(Micros(0)))?,
+        max_attempts: values.read("allowed.max_attempts", "a whole number")?,
+        retry_after_allowed: values.flag("allowed.retry_after")?,
+        max_retry_after: values.micros("allowed.max_retry_after").or_else(default_if_missing(Micros(0)))?,
+        probes_allowed: values.flag("allowed.probes")?,
+        gossip_allowed: values.flag("allowed.may_tell")?,
+        weight_meaning: values.word("weights", &WEIGHT_WORDS, "silent, nominal, rough or live")?,
+        servers_report_delay: values.flag("extra.tells_delay").or_else(default_if_missing(true))?,
+        // The balancer turns it on; in the simulator, where clients notice a stop at once, it costs more than it gains.
         migrate_from_draining: false,
         groups,
-        group_load: group_load.or_else(absent(GROUP_LOAD))?,
-        report_fields: (keys.list("load_info.columns").iter())
-            .map(|field| match *field {
-                "x0" => ReportField::LoadRatio,
-                _ => ReportField::Other,
-            })
-            .collect(),
-        warm_up: keys.micros("obligations.cold")?,
-        warm_up_initial_capacity: keys.number("obligations.cold_from")?,
-        overload_multiple: keys.number("obligations.fall_multiple")?,
-        overload_window: keys.micros("obligations.overload_for")?,
-        retry_budget: resends(keys)?,
-        deadline_tolerance: keys.micros("obligations.deadline_drift").or_else(absent(Micros(0)))?,
-        removal_is_advisory: keys.flag("obligations.gone_is_advice").or_else(absent(false))?,
-        start_time_tolerance: keys.micros("obligations.stamp_doubt").or_else(absent(Micros(0)))?,
-        drain_grace: keys.micros("obligations.stop_sending_within").or_else(absent(Micros(0)))?,
-        prices: prices(keys)?,
-        tenants: tenants(keys)?,
-        cpu_us_per_s: keys.number("allowed.cpu_us_per_s").map(Some).or_else(absent(None))?,
+        group_load,
+        report_fields: report_fields(values),
+        warm_up: values.micros("obligations.cold")?,
+        warm_up_initial_capacity: values.number("obligations.cold_from")?,
+        overload_multiple: values.number("obligations.fall_multiple")?,
+        overload_window: values.micros("obligations.overload_for")?,
+        retry_budget: retry_budget(values)?,
+        deadline_tolerance: values
+            .micros("obligations.deadline_drift")
+            .or_else(default_if_missing(Micros(0)))?,
+        removal_is_advisory: values.flag("obligations.gone_is_advice").or_else(default_if_missing(false))?,
+        start_time_tolerance: values
+            .micros("obligations.stamp_doubt")
+            .or_else(default_if_missing(Micros(0)))?,
+        drain_grace: values
+            .micros("obligations.stop_sending_within")
+            .or_else(default_if_missing(Micros(0)))?,
+        prices: prices(values)?,
+        tenants: tenants(values)?,
+        cpu_us_per_s: values.number("allowed.cpu_us_per_s").map(Some).or_else(default_if_missing(None))?,
     })
 }
 
-fn prices(keys: &Keys) -> Result<Prices, SettingsError> {
-    let price = |name: &str| keys.number(&format!("charges.{name}")).or_else(absent(0.0));
+/// The words of the key `discovery`, and whether the endpoint list has to be subscribed to.
+const DISCOVERY_WORDS: [(&str, bool); 2] = [("automatic", false), ("subscribe", true)];
+
+/// The words of the key `weights`.
+const WEIGHT_WORDS: [(&str, WeightMeaning); 4] = [
+    ("silent", WeightMeaning::Ignored),
+    ("nominal", WeightMeaning::NominalCapacity),
+    ("rough", WeightMeaning::NominalCapacity),
+    ("live", WeightMeaning::LiveLoad),
+];
+
+/// The words of the key `group` of a class.
+const DEDUP_SCOPE_WORDS: [(&str, DedupScope); 3] =
+    [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
+
+fn node_count(values: &SettingValues) -> Result<u32, SettingsError> {
+    match values.read("balancers", "a whole number")? {
+        0 => Err(values.invalid("balancers", "0", "one or more")),
+        count => Ok(count),
+    }
+}
+
+/// A group load beside groups that are off is an error: somebody means connections to share work, and nothing would be
+/// done about it.
+fn group_load(values: &SettingValues, groups: bool) -> Result<f64, SettingsError> {
+    let load = values.number("extra.group_load");
+    match (groups, &load) {
+        (false, Ok(load)) => Err(values.invalid(
+            "extra.group_load",
+            &load.to_string(),
+            "of any use while extra.groups is not true",
+        )),
+        _ => load.or_else(default_if_missing(DEFAULT_GROUP_LOAD)),
+    }
+}
+
+fn report_fields(values: &SettingValues) -> Vec<ReportField> {
+    let field = |name: &&str| match *name {
+        "x0" => ReportField::LoadRatio,
+        _ => ReportField::Other,
+    };
+    values.list("load_info.columns").iter().map(field).collect()
+}
+
+fn prices(values: &SettingValues) -> Result<Prices, SettingsError> {
+    let price = |name: &str| values.number(&format!("charges.{name}")).or_else(default_if_missing(0.0));
     Ok(Prices {
         cross_zone: price("cross_zone")?,
         moves: price("moves")?,
@@ -208,75 +277,90 @@
     })
 }
 
-/// Who shares the service: nobody where no count is stated.
-fn tenants(keys: &Keys) -> Result<Vec<TenantSettings>, SettingsError> {
-    let count: u16 = keys.read("tenants.count", "a whole number").or_else(absent(0))?;
-    let number = |i: u16, field: &str| keys.number(&format!("tenants.{i}.{field}")).or_else(absent(0.0));
-    let tenant =
-        |i| Ok(TenantSettings { quota_share: number(i, "share")?, quota_per_s: number(i, "quota_per_s")? });
+/// The tenants: none where no count is stated.
+fn tenants(values: &SettingValues) -> Result<Vec<TenantSettings>, SettingsError> {
+    let count: u16 = values.read("tenants.count", "a whole number").or_else(default_if_missing(0))?;
+    let number = |tenant: u16, field: &str| {
+        values.number(&format!("tenants.{tenant}.{field}")).or_else(default_if_missing(0.0))
+    };
+    let tenant = |tenant| {
+        Ok(TenantSettings {
+            quota_share: number(tenant, "share")?,
+            quota_per_s: number(tenant, "quota_per_s")?,
+        })
+    };
     (0..count).map(tenant).collect()
 }
 
-/// The budget of further attempts: all three keys or none, as a part of them limits nothing.
-fn resends(keys: &Keys) -> Result<Option<RetryBudget>, SettingsError> {
-    let [free, ratio, over] =
+/// The retry budget: all three keys or none, as a part of them limits nothing.
+fn retry_budget(values: &SettingValues) -> Result<Option<RetryBudget>, SettingsError> {
+    let [min_retries, retry_ratio, window] =
         ["free_resends", "resend_ratio", "counted_over"].map(|key| format!("obligations.{key}"));
-    if [&free, &ratio, &over].iter().all(|key| matches!(keys.text(key), Err(SettingsError::Missing(_)))) {
+    let is_missing = |key: &String| matches!(values.text(key), Err(SettingsError::MissingKey(_)));
+    if [&min_retries, &retry_ratio, &window].into_iter().all(is_missing) {
         return Ok(None);
     }
     let budget = RetryBudget {
-        min_retries: keys.number(&free)?,
-        retry_ratio: keys.number(&ratio)?,
-        window: keys.micros(&over)?,
+        min_retries: values.number(&min_retries)?,
+        retry_ratio: values.number(&retry_ratio)?,
+        window: values.micros(&window)?,
     };
-    if budget.min_retries.fract() != 0.0 || budget.min_retries > MOST_RESENDS {
-        return Err(keys.bad(&free, keys.text(&free)?, "a whole number up to a million"));
+    if budget.min_retries.fract() != 0.0 || budget.min_retries > MAX_RETRY_BUDGET {
+        return Err(values.invalid(
+            &min_retries,
+            values.text(&min_retries)?,
+            "a whole number up to a million",
+        ));
     }
-    if budget.retry_ratio > MOST_RESENDS {
-        return Err(keys.bad(&ratio, keys.text(&ratio)?, "a number up to a million"));
+    if budget.retry_ratio > MAX_RETRY_BUDGET {
+        return Err(values.invalid(&retry_ratio, values.text(&retry_ratio)?, "a number up to a million"));
     }
     if budget.window == Micros(0) {
-        return Err(keys.bad(&over, "0", "a span above 0"));
+        return Err(values.invalid(&window, "0", "a span above 0"));
     }
     Ok(Some(budget))
 }
 
-/// Turns a missing key into a value, and leaves a bad one bad.
-pub fn absent<T>(value: T) -> impl FnOnce(SettingsError) -> Result<T, SettingsError> {
-    |error| match error {
-        SettingsError::Missing(_) => Ok(value),
-        bad => Err(bad),
+fn classes(values: &SettingValues) -> Result<Vec<ClassSettings>, SettingsError> {
+    let count: u16 = values.read("classes.count", "a whole number")?;
+    let message_objectives = values.list("extra.message_aim");
+    (0..count).map(|class| class_settings(values, class, &message_objectives)).collect()
+}
+
+fn class_settings(
+    values: &SettingValues,
+    class: u16,
+    message_objectives: &[&str],
+) -> Result<ClassSettings, SettingsError> {
+    let key = |field: &str| format!("classes.{class}.{field}");
+    let idempotency = idempotency(values, &key("semantics"), &key("group"))?;
+    let message_objective = message_objectives.get(usize::from(class));
+    let message_latency_objective =
+        message_objective.map(|value| message_latency_objective(values, value)).transpose()?;
+    Ok(ClassSettings {
+        latency_objective: values.micros(&key("aim"))?,
+        priority_weight: values.number(&key("worth"))?,
+        idempotency,
+        dedup_window: values.micros(&key("window")).or_else(default_if_missing(Micros(0)))?,
+        message_latency_objective,
+    })
+}
+
+fn idempotency(values: &SettingValues, key: &str, scope_key: &str) -> Result<Idempotency, SettingsError> {
+    match values.text(key)? {
+        "retryable" => Ok(Idempotency::Idempotent),
+        "dedup" => {
+            let scope = values.word(scope_key, &DEDUP_SCOPE_WORDS, "all, zone or cell")?;
+            Ok(Idempotency::Deduplicated(scope))
+        }
+        "fragile" => Ok(Idempotency::NotIdempotent),
+        other => Err(values.invalid(key, other, "retryable, dedup or fragile")),
     }
 }
 
-fn classes(keys: &Keys) -> Result<Vec<ClassSettings>, SettingsError> {
-    let count: u16 = keys.read("classes.count", "a whole number")?;
-    let message_aims = keys.list("extra.message_aim");
-    let mut classes = Vec::new();
-    for i in 0..count {
-        let key = |field: &str| format!("classes.{i}.{field}");
-        let group_words = [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
-        let group = || keys.word(&key("group"), &group_words, "all, zone or cell");
-        let semantics = match keys.text(&key("semantics"))? {
-            "retryable" => Idempotency::Idempotent,
-            "dedup" => Idempotency::Deduplicated(group()?),
-            "fragile" => Idempotency::NotIdempotent,
-            other => return Err(keys.bad(&key("semantics"), other, "retryable, dedup or fragile")),
-        };
-        let message_aim = match message_aims.get(usize::from(i)) {
-            Some(value) => match value.parse::<f64>() {
-                Ok(us) if us.is_finite() && us >= 0.0 => Some(Micros(us as u64)),
-                _ => return Err(keys.bad("extra.message_aim", value, "microseconds for each class")),
-            },
-            None => None,
-        };
-        classes.push(ClassSettings {
-            latency_objective: keys.micros(&key("aim"))?,
-            priority_weight: keys.number(&key("worth"))?,
-            idempotency: semantics,
-            dedup_window: keys.micros(&key("window")).or_else(absent(Micros(0)))?,
-            message_latency_objective: message_aim,
-        });
+fn message_latency_objective(values: &SettingValues, value: &str) -> Result<Micros, SettingsError> {
+    match value.parse::<f64>() {
+        Ok(us) if us.is_finite() && us >= 0.0 => Ok(Micros(us as u64)),
+        _ => Err(values.invalid("extra.message_aim", value, "microseconds for each class")),
     }
-    Ok(classes)
 }
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -1,75 +1,76 @@
-//! The watch mode: a second instance of the decisions with other settings is handed every event that the deciding one
-//! is handed, and what it would have done otherwise is counted. It does nothing and decides nothing.
+//! The shadow mode: a second instance of the decisions, with other settings, is given every event of the deciding one,
+//! and counts where it would have decided otherwise. It has no effects.
 //!
 //! Its record follows what was really done, so that each difference counts for itself and not for all that follows.
-//! Chance falls alike for both: with equal settings there is no difference.
+//! Both draw the same random numbers: with equal settings there is no difference.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
 use crate::policy::Policy;
-use crate::types::*;
+use crate::types::{Action, BalancerSettings, Event, Micros, Request, RequestId, ServerId};
 
-/// How often the watching instance would have decided otherwise, by kind.
+/// How often the shadow instance would have decided otherwise, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Differences {
-    /// Answers and moves that were compared.
+    /// Verdicts and migrations that were compared.
     pub decisions: u64,
-    /// It would have taken another server.
+    /// It would have chosen another server.
     pub elsewhere: u64,
-    /// It would have turned away, or failed, what was sent to a server.
-    pub turned_away: u64,
-    /// It would have sent to a server what was turned away or failed.
-    pub sent: u64,
-    /// It would have moved a client that stayed.
-    pub moved: u64,
-    /// It would have left a client where it was that was told to move.
+    /// It would have rejected, or failed, what was forwarded.
+    pub rejected: u64,
+    /// It would have forwarded what was rejected or failed.
+    pub forwarded: u64,
+    /// It would have migrated a connection that stayed.
+    pub migrated: u64,
+    /// It would have left a connection where it was that was migrated.
     pub stayed: u64,
 }
 
 impl Differences {
     /// All kinds together.
     pub fn total(&self) -> u64 {
-        self.elsewhere + self.turned_away + self.sent + self.moved + self.stayed
+        self.elsewhere + self.rejected + self.forwarded + self.migrated + self.stayed
     }
 }
 
+/// The form in the log, whose field names operators' tools know.
 impl fmt::Display for Differences {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Differences { decisions, elsewhere, turned_away, sent, moved, stayed } = self;
+        let Differences { decisions, elsewhere, rejected, forwarded, migrated, stayed } = self;
         let total = self.total();
         write!(
             f,
-            "{decisions} decisions, {total} otherwise: elsewhere={elsewhere} turned_away={turned_away} \
-             sent={sent} moved={moved} stayed={stayed}"
+            "{decisions} decisions, {total} otherwise: elsewhere={elsewhere} turned_away={rejected} \
+             sent={forwarded} moved={migrated} stayed={stayed}"
         )
     }
 }
 
-/// The watching instance.
+/// The shadow instance.
 pub struct Shadow {
     policy: Policy,
     actions: Vec<Action>,
     differences: Differences,
 }
 
-/// What a list of actions does about each request.
-fn answers(actions: &[Action]) -> BTreeMap<RequestId, Option<ServerId>> {
-    let answer = |action: &Action| match action {
+/// The server to which each answered request was forwarded; none where it was rejected or failed.
+fn verdicts(actions: &[Action]) -> BTreeMap<RequestId, Option<ServerId>> {
+    let verdict = |action: &Action| match action {
         Action::Forward(id, server, _) => Some((*id, Some(*server))),
         Action::Reject(id, _) | Action::Fail(id) => Some((*id, None)),
         _ => None,
     };
-    actions.iter().filter_map(answer).collect()
+    actions.iter().filter_map(verdict).collect()
 }
 
-fn moves(actions: &[Action]) -> BTreeSet<RequestId> {
-    let moved = |action: &Action| if let Action::Migrate(id) = action { Some(*id) } else { None };
-    actions.iter().filter_map(moved).collect()
+fn migrations(actions: &[Action]) -> BTreeSet<RequestId> {
+    let migrated = |action: &Action| if let Action::Migrate(id) = action { Some(*id) } else { None };
+    actions.iter().filter_map(migrated).collect()
 }
 
 impl Shadow {
-    /// An instance that has just started, as the deciding one has.
+    /// Creates an instance that holds nothing.
     pub fn new(settings: BalancerSettings, seed: u64, now: Micros) -> Self {
         Shadow {
             policy: Policy::new(settings, seed, now),
@@ -83,45 +84,63 @@
         self.differences
     }
 
-    /// Other settings for this instance from now on.
-    pub fn renew(&mut self, now: Micros, settings: BalancerSettings) {
+    /// Applies other settings to this instance.
+    pub fn apply_settings(&mut self, now: Micros, settings: BalancerSettings) {
         self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
     }
 
-    /// Before the deciding instance takes in an event: chance is to fall alike.
-    pub fn align(&mut self, deciding: &Policy) {
+    /// Takes over the random state of the deciding instance, before that one handles an event.
+    pub fn align_randomness(&mut self, deciding: &Policy) {
         self.policy.share_chance(deciding);
     }
 
-    /// Takes in the event and compares with what the deciding instance has done about it.
-    pub fn watch(&mut self, now: Micros, event: Event, decided: &[Action]) {
-        let held = match &event {
+    /// Handles the event and compares with what the deciding instance did about it.
+    pub fn compare(&mut self, now: Micros, event: Event, decided: &[Action]) {
+        let request = self.request_of(&event);
+        self.policy.handle(now, event, &mut self.actions);
+        let own: Vec<Action> = self.actions.drain(..).collect();
+        self.compare_verdicts(now, request, &verdicts(decided), &verdicts(&own));
+        self.compare_migrations(&migrations(decided), &migrations(&own));
+    }
+
+    /// The request that an event may decide anew.
+    fn request_of(&self, event: &Event) -> Option<Request> {
+        match event {
             Event::Request(request) => Some(*request),
             Event::Ended { id, .. } => self.policy.request(*id),
             _ => None,
-        };
-        self.policy.handle(now, event, &mut self.actions);
-        let mine: Vec<Action> = self.actions.drain(..).collect();
-        let (told, counts) = (answers(decided), &mut self.differences);
-        let answers = answers(&mine);
-        for (id, &server) in &told {
+        }
+    }
+
+    fn compare_verdicts(
+        &mut self,
+        now: Micros,
+        request: Option<Request>,
+        decided: &BTreeMap<RequestId, Option<ServerId>>,
+        own: &BTreeMap<RequestId, Option<ServerId>>,
+    ) {
+        let counts = &mut self.differences;
+        for (id, &server) in decided {
             counts.decisions += 1;
-            let other = answers.get(id).copied().flatten();
-            match (server, other) {
-                (a, b) if a == b => continue,
+            let own_server = own.get(id).copied().flatten();
+            match (server, own_server) {
+                (decided, own) if decided == own => continue,
                 (Some(_), Some(_)) => counts.elsewhere += 1,
-                (Some(_), None) => counts.turned_away += 1,
-                _ => counts.sent += 1,
+                (Some(_), None) => counts.rejected += 1,
+                _ => counts.forwarded += 1,
             }
-            if let Some(request) = held.filter(|request| request.id == *id) {
+            if let Some(request) = request.filter(|request| request.id == *id) {
                 self.policy.follow(now, request, server);
             }
         }
-        let (told, mine) = (moves(decided), moves(&mine));
-        counts.decisions += told.union(&mine).count() as u64;
-        counts.stayed += told.difference(&mine).count() as u64;
-        for id in mine.difference(&told) {
-            counts.moved += 1;
+    }
+
+    fn compare_migrations(&mut self, decided: &BTreeSet<RequestId>, own: &BTreeSet<RequestId>) {
+        let counts = &mut self.differences;
+        counts.decisions += decided.union(own).count() as u64;
+        counts.stayed += decided.difference(own).count() as u64;
+        for id in own.difference(decided) {
+            counts.migrated += 1;
             self.policy.stays(*id);
         }
     }
--- a/tests/maintenance.rs
+++ b/tests/maintenance.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use alderstile::maintenance::Maintenance;
+use alderstile::maintenance::MaintenanceOverlay;
 use alderstile::types::*;
 use proptest::prelude::*;
 
@@ -18,54 +18,53 @@
 
 #[test]
 fn a_host_that_is_out_drains_whatever_the_lists_say() {
-    let mut hosts = Maintenance::default();
-    hosts.lay_over(
+    let mut hosts = MaintenanceOverlay::default();
+    hosts.overlay(
         EndpointListKind::Full,
         vec![entry(1, EndpointState::Ready, None), entry(2, EndpointState::Ready, None)],
     );
-    let change = hosts.take_out(ServerId(1)).expect("a change");
+    let change = hosts.begin(ServerId(1)).expect("a change");
     assert_eq!(change.state, EndpointState::Draining);
     for kind in [EndpointListKind::Full, EndpointListKind::Delta, EndpointListKind::Cached] {
         let up = vec![entry(1, EndpointState::Ready, Some(Micros(7))), entry(2, EndpointState::Ready, None)];
-        assert_eq!(states(&hosts.lay_over(kind, up)), [EndpointState::Draining, EndpointState::Ready]);
+        assert_eq!(states(&hosts.overlay(kind, up)), [EndpointState::Draining, EndpointState::Ready]);
     }
-    let gone = hosts.lay_over(EndpointListKind::Delta, vec![entry(1, EndpointState::Gone, None)]);
+    let gone = hosts.overlay(EndpointListKind::Delta, vec![entry(1, EndpointState::Gone, None)]);
     assert_eq!(states(&gone), [EndpointState::Gone], "what is gone stays gone");
-    assert!(hosts.knows(ServerId(1)), "it can be put back");
-    assert_eq!(hosts.listed(), 1);
-    let again = hosts.lay_over(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, None)]);
+    assert!(hosts.is_known(ServerId(1)), "it can be put back");
+    assert_eq!(hosts.listed_count(), 1);
+    let again = hosts.overlay(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, None)]);
     assert_eq!(states(&again), [EndpointState::Draining]);
 }
 
 #[test]
 fn it_comes_back_as_listed_and_cold_from_the_call_on() {
-    let mut hosts = Maintenance::default();
-    hosts.lay_over(EndpointListKind::Full, vec![entry(1, EndpointState::Ready, Some(Micros(7)))]);
-    hosts.take_out(ServerId(1));
-    assert!(hosts.take_out(ServerId(1)).is_some_and(|entry| !entry.ready()), "a second call changes nothing");
-    let back = hosts.put_back(NOW, ServerId(1)).expect("a change");
+    let mut hosts = MaintenanceOverlay::default();
+    hosts.overlay(EndpointListKind::Full, vec![entry(1, EndpointState::Ready, Some(Micros(7)))]);
+    hosts.begin(ServerId(1));
+    assert!(hosts.begin(ServerId(1)).is_some_and(|entry| !entry.ready()), "a second call changes nothing");
+    let back = hosts.end(NOW, ServerId(1)).expect("a change");
     assert_eq!((back.state, back.started), (EndpointState::Ready, Some(NOW)));
-    assert!(hosts.put_back(NOW + NOW, ServerId(1)).is_none(), "one call back undoes two");
+    assert!(hosts.end(NOW + NOW, ServerId(1)).is_none(), "one call back undoes two");
     // The list tells late of the restart that the operators did meanwhile.
     let late =
-        hosts.lay_over(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, Some(NOW - Micros(9)))]);
+        hosts.overlay(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, Some(NOW - Micros(9)))]);
     assert_eq!(late[0].started, Some(NOW));
-    let later =
-        hosts.lay_over(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, Some(NOW + NOW))]);
+    let later = hosts.overlay(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, Some(NOW + NOW))]);
     assert_eq!(later[0].started, Some(NOW + NOW), "a start after the return counts");
-    let draining = hosts.lay_over(EndpointListKind::Delta, vec![entry(1, EndpointState::Draining, None)]);
+    let draining = hosts.overlay(EndpointListKind::Delta, vec![entry(1, EndpointState::Draining, None)]);
     assert_eq!(states(&draining), [EndpointState::Draining]);
 }
 
 #[test]
 fn a_host_that_came_and_went_while_out_is_cold_when_listed_again() {
-    let mut hosts = Maintenance::default();
-    hosts.lay_over(EndpointListKind::Full, vec![entry(1, EndpointState::Ready, None)]);
-    hosts.take_out(ServerId(1));
-    hosts.lay_over(EndpointListKind::Full, vec![]);
-    assert!(hosts.put_back(NOW, ServerId(1)).is_none(), "nothing to tell the decisions");
-    assert!(!hosts.knows(ServerId(1)));
-    let listed = hosts.lay_over(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, None)]);
+    let mut hosts = MaintenanceOverlay::default();
+    hosts.overlay(EndpointListKind::Full, vec![entry(1, EndpointState::Ready, None)]);
+    hosts.begin(ServerId(1));
+    hosts.overlay(EndpointListKind::Full, vec![]);
+    assert!(hosts.end(NOW, ServerId(1)).is_none(), "nothing to tell the decisions");
+    assert!(!hosts.is_known(ServerId(1)));
+    let listed = hosts.overlay(EndpointListKind::Delta, vec![entry(1, EndpointState::Ready, None)]);
     assert_eq!((listed[0].state, listed[0].started), (EndpointState::Ready, Some(NOW)));
 }
 
@@ -91,7 +90,7 @@
     /// other one just as the list has it.
     #[test]
     fn what_the_decisions_see_is_the_list_under_the_hosts_out(steps in steps()) {
-        let (mut hosts, mut now) = (Maintenance::default(), Micros(0));
+        let (mut hosts, mut now) = (MaintenanceOverlay::default(), Micros(0));
         let (mut seen, mut list) = (BTreeMap::new(), BTreeMap::new());
         let mut out = std::collections::BTreeSet::new();
         for step in steps {
@@ -105,22 +104,22 @@
                     }
                     list.extend(entries.iter().map(|entry| (entry.id, entry.state)));
                     let kind = if whole { EndpointListKind::Full } else { EndpointListKind::Delta };
-                    hosts.lay_over(kind, entries)
+                    hosts.overlay(kind, entries)
                 }
                 Step::Out(id) => {
                     out.insert(ServerId(id));
-                    hosts.take_out(ServerId(id)).into_iter().collect()
+                    hosts.begin(ServerId(id)).into_iter().collect()
                 }
                 Step::Back(id) => {
                     out.remove(&ServerId(id));
-                    hosts.put_back(now, ServerId(id)).into_iter().collect()
+                    hosts.end(now, ServerId(id)).into_iter().collect()
                 }
             };
             seen.extend(changes.iter().map(|entry| (entry.id, entry.state)));
             for (id, listed) in &list {
                 let wanted = if *listed == EndpointState::Ready && out.contains(id) { EndpointState::Draining } else { *listed };
                 prop_assert_eq!(seen.get(id), Some(&wanted));
-                prop_assert_eq!(hosts.is_out(*id), out.contains(id));
+                prop_assert_eq!(hosts.is_in_maintenance(*id), out.contains(id));
             }
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -63,7 +63,7 @@
 struct Round {
     must_subscribe: bool,
     probes: bool,
-    /// As behind the facade: no delays told, nodes talk, draining servers are emptied.
+    /// As behind the balancer: no delays told, nodes talk, draining servers are emptied.
     sockets: bool,
     /// Further attempts are limited, clocks differ and only draining binds.
     doubts: bool,
--- a/tests/shadow.rs
+++ b/tests/shadow.rs
@@ -15,8 +15,8 @@
     shadow: Option<BalancerSettings>,
 ) -> (Vec<String>, Option<Differences>) {
     let mut now = ms(1_000_000);
-    let mut facade = Balancer::watched(set.clone(), shadow, 7, now);
-    facade.report_list(now, EndpointListKind::Full, (1..=9).map(entry).collect());
+    let mut balancer = Balancer::with_shadow(set.clone(), shadow, 7, now);
+    balancer.on_endpoint_list(now, EndpointListKind::Full, (1..=9).map(entry).collect());
     let (mut told, mut open) = (Vec::new(), Vec::<(RequestId, ServerId)>::new());
     for &(what, which, value) in script {
         now = now + ms(u64::from(value));
@@ -31,54 +31,54 @@
                     expected_load: None,
                     remaining: ms(1_200),
                 };
-                let (id, mut answer) = facade.pick(now, ask);
+                let (id, mut answer) = balancer.place(now, ask);
                 told.push(format!("{answer:?}"));
                 if let (Verdict::Forward(server, _), 0) = (answer, value % 4) {
-                    answer = facade.report_failed(now, id, server, Outcome::Error);
+                    answer = balancer.on_attempt_failed(now, id, server, Outcome::Error);
                     told.push(format!("{answer:?}"));
                 }
                 if let Verdict::Forward(server, _) = answer {
-                    facade.report_up(now, id, ms(u64::from(value)));
+                    balancer.on_established(now, id, ms(u64::from(value)));
                     open.push((id, server));
                 }
             }
             (3, Some(i)) => {
                 let (id, server) = open.swap_remove(i);
-                facade.report_ended(
+                balancer.on_connection_ended(
                     now,
                     id,
                     server,
                     if value % 2 == 0 { Outcome::Ok } else { Outcome::Reset },
                 );
             }
-            (4, Some(i)) => facade.report_left(now, open.swap_remove(i).0),
+            (4, Some(i)) => balancer.on_client_disconnected(now, open.swap_remove(i).0),
             (5, Some(i)) => {
                 let (id, server) = open[i];
-                facade.report_load(now, id, server, f64::from(value) * 400.0);
+                balancer.on_load_report(now, id, server, f64::from(value) * 400.0);
             }
             (6, _) => {
                 let state = [EndpointState::Ready, EndpointState::Draining, EndpointState::Gone]
                     [usize::from(value % 3)];
                 let entries = vec![Endpoint { state, ..entry(1 + u64::from(which % 9)) }];
-                facade.report_list(now, EndpointListKind::Delta, entries);
+                balancer.on_endpoint_list(now, EndpointListKind::Delta, entries);
             }
             _ => {
                 now = now + ms(1_000);
-                let chores = facade.tick(now);
-                for id in &chores.moves {
+                let pending = balancer.handle_timeout(now);
+                for id in &pending.migrations {
                     open.retain(|(held, server)| {
                         let moved = held == id;
                         if moved {
-                            facade.report_ended(now, *held, *server, Outcome::Cancelled);
+                            balancer.on_connection_ended(now, *held, *server, Outcome::Cancelled);
                         }
                         !moved
                     });
                 }
-                told.push(format!("{:?} {:?}", chores.moves, chores.tell));
+                told.push(format!("{:?} {:?}", pending.migrations, pending.broadcasts));
             }
         }
     }
-    (told, facade.differences())
+    (told, balancer.differences())
 }
 
 fn new_shape() -> BalancerSettings {
@@ -116,48 +116,48 @@
     assert_eq!(counted.total(), counted.elsewhere, "{counted}");
     // With no attempt allowed everything is turned away.
     let set = settings();
-    let mut facade =
-        Balancer::watched(set, Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, ms(0));
-    facade.report_list(ms(0), EndpointListKind::Full, (1..=9).map(entry).collect());
+    let mut balancer =
+        Balancer::with_shadow(set, Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, ms(0));
+    balancer.on_endpoint_list(ms(0), EndpointListKind::Full, (1..=9).map(entry).collect());
     let ask =
         ConnectionRequest { class: 0, group: None, key: None, expected_load: None, remaining: ms(1_200) };
     for _ in 0..3 {
-        assert!(matches!(facade.pick(ms(1), ask).1, Verdict::Forward(..)));
+        assert!(matches!(balancer.place(ms(1), ask).1, Verdict::Forward(..)));
     }
-    let counted = facade.differences().expect("watched");
-    assert_eq!((counted.turned_away, counted.total()), (3, 3), "{counted}");
+    let counted = balancer.differences().expect("watched");
+    assert_eq!((counted.rejected, counted.total()), (3, 3), "{counted}");
 }
 
 #[test]
 fn the_second_instance_holds_clients_where_they_really_are() {
     // It turns all of them away, and still knows whom it would move from a server that drains.
     let mut now = ms(1_000);
-    let mut facade =
-        Balancer::watched(settings(), Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, now);
-    facade.report_list(now, EndpointListKind::Full, (1..=2).map(entry).collect());
+    let mut balancer =
+        Balancer::with_shadow(settings(), Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, now);
+    balancer.on_endpoint_list(now, EndpointListKind::Full, (1..=2).map(entry).collect());
     let ask =
         ConnectionRequest { class: 0, group: None, key: None, expected_load: None, remaining: ms(1_200) };
     for _ in 0..4 {
-        let (id, answer) = facade.pick(now, ask);
+        let (id, answer) = balancer.place(now, ask);
         assert!(matches!(answer, Verdict::Forward(..)));
-        facade.report_up(now, id, ms(5));
+        balancer.on_established(now, id, ms(5));
     }
     let draining = Endpoint { state: EndpointState::Draining, ..entry(1) };
-    facade.report_list(now, EndpointListKind::Delta, vec![draining]);
+    balancer.on_endpoint_list(now, EndpointListKind::Delta, vec![draining]);
     now = now + ms(1_000);
-    assert_eq!(facade.tick(now).moves.len(), 1, "half of two");
-    let counted = facade.differences().expect("watched");
-    assert_eq!((counted.turned_away, counted.moved, counted.stayed), (4, 0, 0), "{counted}");
+    assert_eq!(balancer.handle_timeout(now).migrations.len(), 1, "half of two");
+    let counted = balancer.differences().expect("watched");
+    assert_eq!((counted.rejected, counted.migrated, counted.stayed), (4, 0, 0), "{counted}");
 }
 
 #[test]
 fn a_client_that_only_the_second_instance_would_move_stays_and_counts_again() {
     let mut shadow = Shadow::new(settings(), 7, ms(0));
-    shadow.watch(ms(0), Event::EndpointList(EndpointListKind::Full, (1..=2).map(entry).collect()), &[]);
-    (1..=4).for_each(|id| shadow.watch(ms(0), Event::ExistingConnection(request(id), ServerId(1)), &[]));
+    shadow.compare(ms(0), Event::EndpointList(EndpointListKind::Full, (1..=2).map(entry).collect()), &[]);
+    (1..=4).for_each(|id| shadow.compare(ms(0), Event::ExistingConnection(request(id), ServerId(1)), &[]));
     for (second, moved) in [(1, 2), (2, 4)] {
-        shadow.watch(ms(second * 1_000), Event::DelayReported(ServerId(1), 900.0), &[]);
-        shadow.watch(ms(second * 1_000), Event::Timer(TimerToken(0)), &[]);
-        assert_eq!(shadow.differences().moved, moved, "half of four, each time");
+        shadow.compare(ms(second * 1_000), Event::DelayReported(ServerId(1), 900.0), &[]);
+        shadow.compare(ms(second * 1_000), Event::Timer(TimerToken(0)), &[]);
+        assert_eq!(shadow.differences().migrated, moved, "half of four, each time");
     }
 }
