--- a/crates/alderstile-node/src/proxy/session.rs
+++ b/crates/alderstile-node/src/proxy/session.rs
@@ -12,8 +12,8 @@
 use tracing::{debug, info, warn};
 
 use crate::admin::metrics::Ended;
-use crate::decisions::HostAt;
 use crate::discovery::endpoint_list::server_id;
+use crate::discovery::endpoint_table::HostAddress;
 use crate::lifecycle::connection_handover::{self, Handover};
 use crate::lifecycle::upgrade_channel::{WORD, Word};
 use crate::node::Node;
@@ -236,7 +236,7 @@
             let (outcome, host) = match self.node.decisions.host(server) {
                 None => (Outcome::ConnectFailed, None),
                 Some(at) => {
-                    let may_go = || self.node.decisions.may_go(id, server, at.dial);
+                    let may_go = || self.node.decisions.may_send(id, server, at.address);
                     match self.attempt(client, &at, until, may_go).await {
                         Tried::Unwanted(ended) => {
                             self.node
@@ -253,7 +253,7 @@
                 let latency = began.elapsed();
                 self.up_ms = latency.as_millis();
                 self.node.decisions.decide(|balancer, now| balancer.on_established(now, id, micros(latency)));
-                self.node.decisions.took(server, began);
+                self.node.decisions.on_accepted(server, began);
                 let Some(descriptor) = descriptor.take() else { return Placed::ClientGone };
                 return Placed::Up(Up { id, server, name, host, _descriptor: descriptor });
             }
@@ -323,7 +323,7 @@
     async fn attempt(
         &self,
         client: &mut Side,
-        at: &HostAt,
+        at: &HostAddress,
         until: Instant,
         may_go: impl Fn() -> bool,
     ) -> Tried {
@@ -338,7 +338,7 @@
     async fn exchange(
         &self,
         client: &mut Side,
-        at: &HostAt,
+        at: &HostAddress,
         until: Instant,
         may_go: impl Fn() -> bool,
         sent: &mut bool,
@@ -348,7 +348,7 @@
             return Ok(Tried::Failed(Outcome::NotForwarded));
         }
         let connect_until = until.min(Instant::now() + self.node.config().connect_timeout);
-        let connected = timeout_at(connect_until, TcpStream::connect(at.dial));
+        let connected = timeout_at(connect_until, TcpStream::connect(at.address));
         let stream = match self.while_wanted(client, connected).await? {
             Ok(Ok(stream)) => stream,
             // Nothing was sent, and it says nothing of the host.
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -79,7 +79,7 @@
         );
     }
     let config = Config::parse(value).expect("fine");
-    assert_eq!((config.sockets, config.peers.len(), config.known.hosts.len()), (1_024, 0, 0));
+    assert_eq!((config.sockets, config.peers.len(), config.known.endpoints.len()), (1_024, 0, 0));
 }
 
 #[test]
