--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -4,9 +4,12 @@
 
 use alderstile::types::{Micros, RetryBudgetBucket};
 
+use crate::admin::maintenance_store::Stand;
 use crate::admin::service::Operators;
 use crate::config::{Config, Current};
+use crate::control::configured_node::ConfiguredNode;
 use crate::decisions::Decisions;
+use crate::discovery::endpoint_list::server_id;
 use crate::lifecycle::process::Process;
 use crate::lifecycle::upgrade_channel::WORD;
 use crate::lifecycle::upgrade_state::Handshake;
@@ -33,7 +36,7 @@
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
         let operators = Operators::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
-        decisions.begin(&known);
+        decisions.start_with_cached_list(&known);
         Node { config, decisions, clients, process, operators: Rc::new(operators) }
     }
 
@@ -45,7 +48,7 @@
     /// Other settings from now on, all of them in this step.
     pub fn renew(&self, config: Config) {
         self.clients.count(|counters| counters.classes(&config.classes));
-        self.decisions.renew(&config);
+        self.decisions.apply_config(&config);
         // Agreed settings have versions of their own: told by the members too, each change would be 510 rumors.
         if self.operators.control().is_none() {
             self.operators.cluster().iter().for_each(|cluster| cluster.renew(&config));
@@ -71,14 +74,14 @@
     /// What the process that takes over is to know.
     pub fn handshake(&self, version: u32) -> Handshake {
         // Two processes of one node have one budget: from here on it is the other's.
-        let spent = self.decisions.decide(|facade, now| facade.hand_over(now));
+        let spent = self.decisions.decide(|balancer, now| balancer.export_retry_budget(now));
         Handshake {
             version,
             name: self.config().name.clone(),
             config: self.config().told.clone(),
             discovery: Some(self.decisions.discovery()),
-            list: self.decisions.whole_list(),
-            lease_left: Some(self.decisions.lease_left().0),
+            list: self.decisions.complete_list(),
+            lease_left: Some(self.decisions.lease_remaining().0),
             hosts: self.operators.hosts().into_iter().collect(),
             ids: self.clients.known_ids(),
             held: self.clients.held(),
@@ -109,9 +112,37 @@
         };
         let spent = handshake.spent.as_ref().map(|parts| parts.iter().map(part).collect());
         let late = Micros(WORD.as_micros() as u64);
-        self.decisions.decide(|facade, now| facade.inherit(now, spent, late));
+        self.decisions.decide(|balancer, now| balancer.import_retry_budget(now, spent, late));
         handshake.ids.iter().for_each(|id| self.clients.know_id(id.as_bytes()));
         handshake.lease_left.iter().for_each(|left| self.decisions.inherit_lease(Micros(*left)));
-        self.decisions.ask_list.notify_one();
+        self.decisions.list_requested.notify_one();
+    }
+}
+
+impl ConfiguredNode for Node {
+    fn config(&self) -> Rc<Config> {
+        self.config.get()
+    }
+
+    fn apply_config(&self, config: Config) {
+        self.renew(config);
+    }
+
+    fn count_reconfiguration(&self, applied: bool) {
+        self.clients.count(|counters| match applied {
+            true => counters.reconfig_ok += 1,
+            false => counters.reconfig_failed += 1,
+        });
+    }
+
+    fn take_host_out(&self, host: &str) {
+        self.decisions.decide(|balancer, now| balancer.begin_maintenance(now, server_id(host)));
+    }
+
+    fn put_host_back(&self, host: &str) {
+        let out_by_hand = (host.to_owned(), Stand::Out);
+        if !self.operators.hosts().contains(&out_by_hand) {
+            self.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
+        }
     }
 }
