--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -140,7 +140,7 @@
     /// Exports the retry budget's window for the process that takes over, with ages in place of times; none where it is
     /// not known. This process retries no more from now on: two processes of one node share one budget.
     pub fn export_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
-        let buckets = self.policy.hand_over(now);
+        let buckets = self.policy.hand_over_retry_budget(now);
         let aged = |bucket: RetryBudgetBucket| RetryBudgetBucket {
             first_event: now - bucket.first_event,
             last_event: now - bucket.last_event,
@@ -165,7 +165,7 @@
             ..bucket
         };
         let buckets = exported.map(|buckets| buckets.into_iter().map(dated).collect());
-        self.policy.inherit(now, buckets);
+        self.policy.take_over_retry_budget(now, buckets);
     }
 
     /// What the shadow instance would have decided otherwise so far; none without one.
@@ -195,7 +195,7 @@
 
     /// Whether the attempt in flight may still be forwarded, now that its connection to the server is up.
     pub fn may_forward(&self, now: Micros, id: RequestId) -> bool {
-        self.policy.may_go(now, id)
+        self.policy.may_still_send(now, id)
     }
 
     /// The attempt in flight became a connection.
