--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,8 +4,8 @@
 //! performs the actions that it returns. The same seed and events give the same actions.
 //!
 //! The ordinary path: a request lands on the server with the lowest load in this node's own record
-//! ([`selection`]), and once a period each server that stands above this node's mean sheds its excess
-//! ([`rebalance`]). `docs/design.md` says where that comes from and when each exception acts.
+//! (`selection.rs`), and once a period each server that stands above this node's mean sheds its excess
+//! (`rebalance.rs`). `docs/design.md` says where that comes from and when each exception acts.
 
 mod admission;
 mod attempt_timeout;
