--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/codec/encode.rs
@@ -0,0 +1,131 @@
+//! From the parts of a datagram to its bytes.
+
+use std::net::{IpAddr, SocketAddr};
+
+use crate::authentication::{MAC_BYTES, MAX_DATAGRAM_BYTES};
+use crate::membership::datagram::{DatagramHeader, MemberUpdate, Message};
+use crate::membership::peer::MemberState;
+use crate::membership::record::MemberRecord;
+
+/// The bytes that a member takes on a sync page.
+pub fn page_entry_bytes(record: &MemberRecord) -> usize {
+    let mut bytes = Vec::new();
+    put_page_entry(&mut bytes, MemberState::Alive, record);
+    bytes.len()
+}
+
+pub fn put_header(bytes: &mut Vec<u8>, header: DatagramHeader) {
+    put_numbers(bytes, &[header.sender.0, header.receiver.0, header.sequence]);
+}
+
+pub fn put_message(bytes: &mut Vec<u8>, message: &Message) {
+    match message {
+        Message::Ping { nonce, record } => {
+            bytes.push(1);
+            put_numbers(bytes, &[*nonce]);
+            put_record(bytes, record);
+        }
+        Message::Ack { nonce } => {
+            bytes.push(2);
+            put_numbers(bytes, &[*nonce]);
+        }
+        Message::PingRequest { nonce, target, address } => {
+            bytes.push(3);
+            put_numbers(bytes, &[*nonce, target.0]);
+            put_address(bytes, *address);
+        }
+        Message::Nack { nonce } => {
+            bytes.push(4);
+            put_numbers(bytes, &[*nonce]);
+        }
+        Message::Identify { record } => {
+            bytes.push(5);
+            put_record(bytes, record);
+        }
+        Message::SyncRequest { after, record } => {
+            bytes.push(6);
+            put_numbers(bytes, &[after.0]);
+            put_record(bytes, record);
+        }
+        Message::SyncPage { last, members } => {
+            bytes.extend([7, u8::from(*last), members.len() as u8]);
+            members.iter().for_each(|(state, record)| put_page_entry(bytes, *state, record));
+        }
+    }
+}
+
+/// Appends as many updates as fit, behind their number; returns that number.
+pub fn put_updates(bytes: &mut Vec<u8>, updates: &[&MemberUpdate]) -> usize {
+    let count_at = bytes.len();
+    bytes.push(0);
+    let mut written = 0;
+    for update in updates {
+        let before = bytes.len();
+        put_update(bytes, update);
+        if bytes.len() + MAC_BYTES > MAX_DATAGRAM_BYTES || written == u8::MAX {
+            bytes.truncate(before);
+            break;
+        }
+        written += 1;
+    }
+    bytes[count_at] = written;
+    usize::from(written)
+}
+
+fn put_update(bytes: &mut Vec<u8>, update: &MemberUpdate) {
+    match update {
+        MemberUpdate::Alive(record) => {
+            bytes.push(0);
+            put_record(bytes, record);
+        }
+        MemberUpdate::Suspect { instance, incarnation, reporter } => {
+            bytes.push(1);
+            put_numbers(bytes, &[instance.0, *incarnation, reporter.0]);
+        }
+        MemberUpdate::Dead { instance, incarnation } => {
+            bytes.push(2);
+            put_numbers(bytes, &[instance.0, *incarnation]);
+        }
+        MemberUpdate::Left { instance, incarnation } => {
+            bytes.push(3);
+            put_numbers(bytes, &[instance.0, *incarnation]);
+        }
+    }
+}
+
+fn put_page_entry(bytes: &mut Vec<u8>, state: MemberState, record: &MemberRecord) {
+    bytes.push(match state {
+        MemberState::Alive => 0,
+        MemberState::Suspect => 1,
+        MemberState::Dead => 2,
+        MemberState::Left => 3,
+    });
+    put_record(bytes, record);
+}
+
+fn put_record(bytes: &mut Vec<u8>, record: &MemberRecord) {
+    put_numbers(bytes, &[record.instance.0, record.incarnation]);
+    put_short(bytes, record.name.as_bytes());
+    put_short(bytes, record.zone.as_bytes());
+    put_address(bytes, record.address);
+    put_numbers(bytes, &[record.config_digest]);
+    put_short(bytes, &record.metadata);
+}
+
+fn put_address(bytes: &mut Vec<u8>, address: SocketAddr) {
+    match address.ip() {
+        IpAddr::V4(ip) => put_short(bytes, &ip.octets()),
+        IpAddr::V6(ip) => put_short(bytes, &ip.octets()),
+    }
+    bytes.extend(address.port().to_le_bytes());
+}
+
+/// Bytes behind their length, which fits into one byte: records are validated where they are made.
+fn put_short(bytes: &mut Vec<u8>, short: &[u8]) {
+    bytes.push(short.len() as u8);
+    bytes.extend(short);
+}
+
+fn put_numbers(bytes: &mut Vec<u8>, numbers: &[u64]) {
+    numbers.iter().for_each(|number| bytes.extend(number.to_le_bytes()));
+}
--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/indirect_probe.rs
@@ -0,0 +1,105 @@
+//! Indirect probes: pings that members send for one another, past a broken path (SWIM section 3.1).
+
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
+
+use alderstile::types::Micros;
+use rand::RngExt;
+
+use super::Membership;
+use super::datagram::Message;
+use super::peer::MemberState;
+use super::record::InstanceId;
+
+/// Others that are asked to ping a peer that has not answered (SWIM section 3.1; the paper's k).
+pub(super) const INDIRECT_PROBES: usize = 3;
+/// A member that was asked sends a nack at this part of a period without an answer (Lifeguard section IV-A).
+const NACK_DELAY_PERIODS: f64 = 0.2;
+/// Relayed pings that wait at once: a member can't be made to store what it is asked.
+const MAX_RELAYED_PINGS: usize = 64;
+
+/// A ping that was sent for another member.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct RelayedPing {
+    nonce: u64,
+    requester: InstanceId,
+    requester_nonce: u64,
+    /// When a nack is due; none once it was sent.
+    nack_at: Option<Micros>,
+    expires_at: Micros,
+}
+
+impl RelayedPing {
+    pub fn next_deadline(&self) -> Micros {
+        self.nack_at.unwrap_or(self.expires_at)
+    }
+}
+
+impl Membership {
+    /// Asks so many others to ping a peer for this member; returns how many were asked.
+    pub(super) fn request_pings(&mut self, count: usize, target: InstanceId, nonce: u64) -> u32 {
+        let Some(address) = self.peers.get(target).map(|peer| peer.record.address) else { return 0 };
+        let relays = self.random_alive_peers(count, target);
+        for relay in &relays {
+            self.send(*relay, &Message::PingRequest { nonce, target, address });
+        }
+        relays.len() as u32
+    }
+
+    /// So many alive peers at random, but not that one; by rising instances.
+    pub(super) fn random_alive_peers(&mut self, count: usize, except: InstanceId) -> Vec<InstanceId> {
+        let alive = self.peers.iter().filter(|(_, peer)| peer.state == MemberState::Alive);
+        let alive: Vec<InstanceId> =
+            alive.map(|(instance, _)| instance).filter(|instance| *instance != except).collect();
+        let mut drawn = BTreeSet::new();
+        // Few of many: drawing again is cheaper than shuffling all.
+        for _ in 0..4 * count {
+            if drawn.len() < count.min(alive.len()) {
+                drawn.insert(alive[self.rng.random_range(0..alive.len())]);
+            }
+        }
+        drawn.into_iter().collect()
+    }
+
+    pub(super) fn relay_ping(
+        &mut self,
+        requester: InstanceId,
+        requester_nonce: u64,
+        target: InstanceId,
+        address: SocketAddr,
+    ) {
+        if self.relayed_pings.len() >= MAX_RELAYED_PINGS || target == self.local.instance {
+            return;
+        }
+        let nonce = self.new_nonce();
+        let nack_at = Some(self.now + self.config.period.scale(NACK_DELAY_PERIODS));
+        let expires_at = self.now + self.config.period;
+        self.relayed_pings.push(RelayedPing { nonce, requester, requester_nonce, nack_at, expires_at });
+        let record = self.local.clone();
+        self.send_to(address, target, &Message::Ping { nonce, record });
+    }
+
+    /// The target of a relayed ping has answered: passes that on.
+    pub(super) fn relay_ack(&mut self, nonce: u64) {
+        let Some(place) = self.relayed_pings.iter().position(|relayed| relayed.nonce == nonce) else {
+            return;
+        };
+        let relayed = self.relayed_pings.swap_remove(place);
+        self.send(relayed.requester, &Message::Ack { nonce: relayed.requester_nonce });
+    }
+
+    pub(super) fn send_due_nacks(&mut self) {
+        let now = self.now;
+        let mut unanswered = Vec::new();
+        for relayed in &mut self.relayed_pings {
+            if relayed.nack_at.is_some_and(|at| at <= now) {
+                relayed.nack_at = None;
+                unanswered.push(*relayed);
+            }
+        }
+        self.relayed_pings.retain(|relayed| relayed.expires_at > now);
+        for relayed in unanswered {
+            self.send(relayed.requester, &Message::Nack { nonce: relayed.requester_nonce });
+        }
+    }
+}
--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/probe.rs
@@ -0,0 +1,194 @@
+//! The failure detector: one peer is pinged each period, in rounds (SWIM sections 3.1 and 4.3).
+
+use std::collections::BTreeSet;
+
+use alderstile::types::Micros;
+use rand::RngExt;
+use rand_pcg::Pcg64Mcg;
+
+use super::Membership;
+use super::datagram::Message;
+use super::indirect_probe::INDIRECT_PROBES;
+use super::peer::MemberState;
+use super::peer_table::PeerTable;
+use super::record::InstanceId;
+
+/// An answer to a direct ping has this part of a period; after it others are asked to ping.
+const DIRECT_TIMEOUT_PERIODS: f64 = 0.25;
+/// With them, a probe has this part of a period: e/(e-1) - 1, so that a dead member is suspected e/(e-1) periods after its end
+/// in the mean, as in the paper, though the members' periods begin at moments of their own.
+pub(super) const PROBE_TIMEOUT_PERIODS: f64 = 0.58;
+/// The most periods from one probe to the next of a member with bad local health. Its probes wait longer, so that several
+/// wait side by side; but a member that is cut off with few others has to see that without a round of the longest waits.
+const MAX_PROBE_INTERVAL_PERIODS: u32 = 3;
+
+/// Which peer is probed next, and the probes that wait for an answer.
+#[derive(Default)]
+pub(super) struct Prober {
+    round: Vec<InstanceId>,
+    /// Where the round stands.
+    position: usize,
+    /// Suspected by another member: to be probed before the round goes on.
+    out_of_turn: Option<InstanceId>,
+    pending: Vec<Probe>,
+    /// Periods to skip until the next probe.
+    periods_to_skip: u32,
+}
+
+/// A probe that waits for its answer.
+#[derive(Clone, Copy, Debug)]
+struct Probe {
+    target: InstanceId,
+    nonce: u64,
+    stage: ProbeStage,
+    deadline: Micros,
+    /// Others that were asked to ping, and how many of them said that they have no answer so far.
+    indirect_probes: u32,
+    nacks: u32,
+}
+
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ProbeStage {
+    /// The target was pinged; others are asked at the deadline.
+    Direct,
+    /// Others were asked; the target is suspected at the deadline.
+    Indirect,
+}
+
+impl Prober {
+    pub fn deadlines(&self) -> impl Iterator<Item = Micros> {
+        self.pending.iter().map(|probe| probe.deadline)
+    }
+
+    pub fn cancel_pending(&mut self) {
+        self.pending.clear();
+    }
+
+    pub fn probe_out_of_turn(&mut self, target: InstanceId) {
+        self.out_of_turn = Some(target);
+    }
+
+    /// Puts a newcomer anywhere in the order (SWIM section 4.3), also where this round has passed: in the rest of a round that
+    /// is nearly over all members would ping it in the same few periods, and nobody in the others.
+    pub fn add_to_round(&mut self, instance: InstanceId, rng: &mut Pcg64Mcg) {
+        let place = rng.random_range(0..=self.round.len());
+        self.round.insert(place, instance);
+        self.position += usize::from(place < self.position);
+    }
+
+    /// Ends the probe with this nonce, if one waits.
+    pub fn finish(&mut self, nonce: u64) -> bool {
+        let place = self.pending.iter().position(|probe| probe.nonce == nonce);
+        place.map(|place| self.pending.swap_remove(place)).is_some()
+    }
+
+    pub fn count_nack(&mut self, nonce: u64) {
+        if let Some(probe) = self.pending.iter_mut().find(|probe| probe.nonce == nonce) {
+            probe.nacks += 1;
+        }
+    }
+
+    /// Whether a probe is due in this period; one that skips periods counts it.
+    fn is_due(&mut self, local_health: u32) -> bool {
+        if self.periods_to_skip > 0 {
+            self.periods_to_skip -= 1;
+            return false;
+        }
+        self.periods_to_skip = local_health.min(MAX_PROBE_INTERVAL_PERIODS - 1);
+        true
+    }
+
+    fn next_target(&mut self, peers: &PeerTable, rng: &mut Pcg64Mcg) -> Option<InstanceId> {
+        let out_of_turn = self.out_of_turn.take().filter(|target| self.may_probe(*target, peers));
+        out_of_turn.or_else(|| self.next_in_round(peers, rng))
+    }
+
+    /// The next in an order that is random and names each once a round (SWIM section 4.3).
+    fn next_in_round(&mut self, peers: &PeerTable, rng: &mut Pcg64Mcg) -> Option<InstanceId> {
+        for _ in 0..2 {
+            while let Some(target) = self.round.get(self.position).copied() {
+                self.position += 1;
+                if self.may_probe(target, peers) {
+                    return Some(target);
+                }
+            }
+            self.begin_round(peers, rng);
+        }
+        None
+    }
+
+    /// The order is kept from round to round, so that no two probes of a peer lie further apart than a round; who came back is
+    /// put in anywhere.
+    fn begin_round(&mut self, peers: &PeerTable, rng: &mut Pcg64Mcg) {
+        self.position = 0;
+        self.round.retain(|instance| peers.is_live(*instance));
+        let listed: BTreeSet<InstanceId> = self.round.iter().copied().collect();
+        for (instance, peer) in peers.iter() {
+            if peer.state.is_live() && !listed.contains(&instance) {
+                self.round.insert(rng.random_range(0..=self.round.len()), instance);
+            }
+        }
+    }
+
+    /// A peer that a probe waits for is not probed a second time meanwhile.
+    fn may_probe(&self, target: InstanceId, peers: &PeerTable) -> bool {
+        peers.is_live(target) && self.pending.iter().all(|probe| probe.target != target)
+    }
+}
+
+impl Membership {
+    pub(super) fn begin_probe(&mut self) {
+        if !self.prober.is_due(self.local_health.score()) {
+            return;
+        }
+        let Some(target) = self.prober.next_target(&self.peers, &mut self.rng) else { return };
+        let nonce = self.new_nonce();
+        let deadline = self.probe_deadline(DIRECT_TIMEOUT_PERIODS);
+        let stage = ProbeStage::Direct;
+        self.prober.pending.push(Probe { target, nonce, stage, deadline, indirect_probes: 0, nacks: 0 });
+        self.ping(target, nonce);
+    }
+
+    pub(super) fn ping(&mut self, target: InstanceId, nonce: u64) {
+        let record = self.local.clone();
+        self.send(target, &Message::Ping { nonce, record });
+    }
+
+    pub(super) fn handle_probe_timeouts(&mut self) {
+        let now = self.now;
+        let due: Vec<Probe> = self.prober.pending.extract_if(.., |probe| probe.deadline <= now).collect();
+        for probe in due {
+            // A target that is dead or has left meanwhile says nothing about this member's health.
+            if !self.peers.is_live(probe.target) {
+                continue;
+            }
+            match probe.stage {
+                ProbeStage::Direct => self.begin_indirect_probe(probe),
+                ProbeStage::Indirect => self.handle_failed_probe(probe),
+            }
+        }
+    }
+
+    fn begin_indirect_probe(&mut self, mut probe: Probe) {
+        probe.indirect_probes = self.request_pings(INDIRECT_PROBES, probe.target, probe.nonce);
+        probe.stage = ProbeStage::Indirect;
+        probe.deadline = self.probe_deadline(PROBE_TIMEOUT_PERIODS - DIRECT_TIMEOUT_PERIODS);
+        self.prober.pending.push(probe);
+    }
+
+    fn handle_failed_probe(&mut self, probe: Probe) {
+        // Others that do not even send a nack tell of this member's own network (Lifeguard section IV-A).
+        let missing_nacks = probe.indirect_probes.saturating_sub(probe.nacks);
+        self.local_health.degrade(if probe.indirect_probes > 0 { missing_nacks } else { 1 });
+        let Some(peer) = self.peers.get(probe.target).filter(|peer| peer.state.is_live()) else { return };
+        let incarnation = peer.record.incarnation;
+        if peer.state == MemberState::Alive {
+            self.counters.suspicions_started += 1;
+        }
+        self.apply_suspect(probe.target, incarnation, self.local.instance);
+    }
+
+    fn probe_deadline(&self, periods: f64) -> Micros {
+        self.now + self.local_health.scaled_timeout(self.config.period, periods)
+    }
+}
--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/self_update.rs
@@ -0,0 +1,94 @@
+//! Updates about this member: its own statements, refutations, leaving.
+
+use alderstile::types::Micros;
+
+use super::Membership;
+use super::datagram::{MemberUpdate, Message};
+use super::effect::{MembershipChange, MembershipEffect};
+use super::indirect_probe::INDIRECT_PROBES;
+use super::record::{InstanceId, RecordError};
+
+/// Peers that are told at once of a refutation or of leaving, without waiting for a ping.
+const URGENT_RECEIVERS: usize = 2 * INDIRECT_PROBES;
+
+impl Membership {
+    /// The configuration that this member runs with has this digest from now on.
+    pub fn set_digest(&mut self, digest: u64) {
+        if self.local.config_digest != digest {
+            self.local.config_digest = digest;
+            self.announce_new_incarnation();
+        }
+    }
+
+    /// Sets metadata of this member or, with nothing, removes it.
+    ///
+    /// # Errors
+    /// It would be too long; nothing has changed then.
+    pub fn set_metadata(&mut self, tag: u8, value: &[u8]) -> Result<(), RecordError> {
+        if self.local.metadata_value(tag).unwrap_or_default() != value {
+            self.local.set_metadata(tag, value)?;
+            self.announce_new_incarnation();
+        }
+        Ok(())
+    }
+
+    /// This member is about to leave: tells some peers at once, which tell the rest.
+    pub fn leave(&mut self, now: Micros) -> Vec<MembershipEffect> {
+        self.now = self.now.max(now);
+        self.leaving = true;
+        self.raise_incarnation_above(self.local.incarnation);
+        let (instance, incarnation) = (self.local.instance, self.local.incarnation);
+        self.gossip.push(MemberUpdate::Left { instance, incarnation });
+        self.gossip_at_once();
+        self.take_effects()
+    }
+
+    pub(super) fn handle_update_about_self(&mut self, update: &MemberUpdate) {
+        match update {
+            MemberUpdate::Suspect { incarnation, .. } | MemberUpdate::Dead { incarnation, .. } => {
+                self.refute(*incarnation);
+            }
+            // What an earlier datagram of its own said, or a process that wrongly has its instance.
+            MemberUpdate::Alive(_) | MemberUpdate::Left { .. } => {}
+        }
+    }
+
+    /// Refutes a suspicion by a higher incarnation (SWIM section 4.2), to some peers at once.
+    fn refute(&mut self, suspected_incarnation: u64) {
+        if self.leaving {
+            return;
+        }
+        if suspected_incarnation < self.local.incarnation {
+            // Refuted already, but not heard by all: a member that says it in a ping has it in the answer.
+            return self.gossip.push(MemberUpdate::Alive(self.local.clone()));
+        }
+        self.raise_incarnation_above(suspected_incarnation);
+        self.counters.refutations += 1;
+        // Who is suspected though it is alive may be slow itself (Lifeguard section IV-A).
+        self.local_health.degrade(1);
+        self.gossip.push(MemberUpdate::Alive(self.local.clone()));
+        self.gossip_at_once();
+        self.report(MembershipChange::Refuted);
+    }
+
+    fn announce_new_incarnation(&mut self) {
+        self.raise_incarnation_above(self.local.incarnation);
+        self.gossip.push(MemberUpdate::Alive(self.local.clone()));
+    }
+
+    /// Saturates: only a faulty member names the highest incarnation, and it must not make this one panic.
+    fn raise_incarnation_above(&mut self, incarnation: u64) {
+        self.local.incarnation = incarnation.saturating_add(1);
+    }
+
+    fn gossip_at_once(&mut self) {
+        for receiver in self.random_alive_peers(URGENT_RECEIVERS, InstanceId::default()) {
+            self.send_gossip(receiver);
+        }
+    }
+
+    /// Sends updates without waiting for a ping, on a sync page without members.
+    pub(super) fn send_gossip(&mut self, receiver: InstanceId) {
+        self.send(receiver, &Message::SyncPage { last: false, members: Vec::new() });
+    }
+}
--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/suspicion.rs
@@ -0,0 +1,126 @@
+//! Suspicion: a peer that does not answer has time to refute that before it is dead (SWIM section 4.2), less the more members
+//! confirm it (Lifeguard section IV-B).
+
+use alderstile::types::Micros;
+use rand::RngExt;
+
+use super::Membership;
+use super::datagram::MemberUpdate;
+use super::effect::MembershipChange;
+use super::indirect_probe::INDIRECT_PROBES;
+use super::peer::{FinalProbe, MemberState, Peer};
+use super::probe::PROBE_TIMEOUT_PERIODS;
+use super::record::InstanceId;
+
+/// Independent confirmations after which a suspicion lasts no longer than the shortest timeout (Lifeguard's K).
+const MAX_CONFIRMATIONS: usize = 3;
+/// How much longer an unconfirmed one lasts (Lifeguard's beta): a member that alone suspects may be cut off itself.
+const MAX_TIMEOUT_FACTOR: f64 = 2.0;
+/// Of all members so many ping a suspect once more before they declare it dead, so that lost gossip costs nobody its life.
+const FINAL_PROBERS: f64 = 8.0;
+/// The others give them this many periods for it.
+const FINAL_PROBE_GRACE_PERIODS: f64 = 2.0;
+
+impl Membership {
+    /// A member reports that a peer does not answer.
+    pub(super) fn apply_suspect(&mut self, instance: InstanceId, incarnation: u64, reporter: InstanceId) {
+        if self.correct_stale_update(instance, incarnation) {
+            return;
+        }
+        let Some(peer) = self.peers.get_mut(instance) else { return };
+        match peer.state {
+            MemberState::Alive => self.begin_suspicion(instance, incarnation, reporter),
+            MemberState::Suspect => self.confirm_suspicion(instance, incarnation, reporter),
+            MemberState::Dead | MemberState::Left => {}
+        }
+    }
+
+    fn begin_suspicion(&mut self, instance: InstanceId, incarnation: u64, reporter: InstanceId) {
+        let final_probe = self.draw_final_probe();
+        // The peer may have stated more since than has come here: the reporter's incarnation counts.
+        let Some(peer) = self.peers.mark_suspect(instance, incarnation, self.now) else { return };
+        peer.reporters = vec![reporter];
+        peer.final_probe = final_probe;
+        self.gossip.push(MemberUpdate::Suspect { instance, incarnation, reporter });
+        self.report(MembershipChange::Suspected(instance));
+        if reporter != self.local.instance && self.draws_early_probe() {
+            self.prober.probe_out_of_turn(instance);
+        }
+    }
+
+    fn confirm_suspicion(&mut self, instance: InstanceId, incarnation: u64, reporter: InstanceId) {
+        let Some(peer) = self.peers.get_mut(instance) else { return };
+        if peer.reporters.len() <= MAX_CONFIRMATIONS && !peer.reporters.contains(&reporter) {
+            peer.reporters.push(reporter);
+            self.gossip.push(MemberUpdate::Suspect { instance, incarnation, reporter });
+        }
+    }
+
+    /// A few of all members, by chance, probe a suspect finally.
+    fn draw_final_probe(&mut self) -> FinalProbe {
+        let chance = FINAL_PROBERS / self.live_count() as f64;
+        if self.rng.random::<f64>() < chance { FinalProbe::Due } else { FinalProbe::ByOthers }
+    }
+
+    /// Whether this member is among the few that probe a suspect out of turn: it hears of the suspicion soon, and others
+    /// confirm it soon.
+    fn draws_early_probe(&mut self) -> bool {
+        let peers = self.peers.live_count().max(1) as f64;
+        self.rng.random::<f64>() < (MAX_CONFIRMATIONS + 1) as f64 / peers
+    }
+
+    /// When a suspect is to be probed finally or declared dead.
+    pub(super) fn suspicion_deadline(&self, instance: InstanceId) -> Micros {
+        let Some(peer) = self.peers.get(instance) else { return self.now };
+        let timeout_at = peer.since + self.suspicion_timeout(peer);
+        match peer.final_probe {
+            FinalProbe::Due => timeout_at - self.config.period.scale(PROBE_TIMEOUT_PERIODS),
+            FinalProbe::AwaitingAck(until) => until,
+            FinalProbe::ByOthers => timeout_at + self.config.period.scale(FINAL_PROBE_GRACE_PERIODS),
+        }
+    }
+
+    /// From the longest timeout to the shortest as others confirm the suspicion (Lifeguard section IV-B).
+    fn suspicion_timeout(&self, suspect: &Peer) -> Micros {
+        let shortest = self.config.min_suspicion_timeout(self.live_count());
+        let longest = if self.config.local_health { shortest.scale(MAX_TIMEOUT_FACTOR) } else { shortest };
+        let confirmations = suspect.reporters.len().saturating_sub(1).min(MAX_CONFIRMATIONS) as f64;
+        let shortened = (confirmations + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
+        longest - (longest - shortest).scale(shortened)
+    }
+
+    /// Time in which this process heard nothing does not count.
+    pub(super) fn extend_suspicions(&mut self, by: Micros) {
+        let suspects: Vec<InstanceId> = self.peers.suspects().iter().copied().collect();
+        for suspect in suspects {
+            if let Some(peer) = self.peers.get_mut(suspect) {
+                peer.since = peer.since + by;
+            }
+        }
+    }
+
+    pub(super) fn handle_suspicion_timeouts(&mut self) {
+        let suspects = self.peers.suspects().iter().copied();
+        let overdue: Vec<InstanceId> =
+            suspects.filter(|suspect| self.suspicion_deadline(*suspect) <= self.now).collect();
+        for suspect in overdue {
+            let Some(peer) = self.peers.get(suspect) else { continue };
+            match peer.final_probe {
+                FinalProbe::AwaitingAck(_) => self.apply_dead(suspect, peer.record.incarnation),
+                // Also whom others were to probe: what came of that has not been heard here.
+                FinalProbe::Due | FinalProbe::ByOthers => self.begin_final_probe(suspect),
+            }
+        }
+    }
+
+    fn begin_final_probe(&mut self, suspect: InstanceId) {
+        let until = self.now + self.config.period.scale(PROBE_TIMEOUT_PERIODS);
+        if let Some(peer) = self.peers.get_mut(suspect) {
+            peer.final_probe = FinalProbe::AwaitingAck(until);
+        }
+        let nonce = self.new_nonce();
+        self.ping(suspect, nonce);
+        // A datagram that is lost must not cost a member its life: some others ask it too.
+        self.request_pings(INDIRECT_PROBES - 1, suspect, nonce);
+    }
+}
--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/timeout.rs
@@ -0,0 +1,74 @@
+//! Time: what is due when, and the protocol period.
+
+use alderstile::types::Micros;
+
+use super::Membership;
+use super::anti_entropy::SYNC_INTERVAL_PERIODS;
+use super::effect::{MembershipChange, MembershipEffect};
+
+/// A call that comes later than this part of a period means that the process was not scheduled.
+const STALL_PERIODS: f64 = 0.5;
+
+impl Membership {
+    /// When [`Membership::handle_timeout`] has something to do next.
+    pub fn next_timeout(&self) -> Micros {
+        let probes = self.prober.deadlines();
+        let nacks = self.relayed_pings.iter().map(|relayed| relayed.next_deadline());
+        let suspicions = self.peers.suspects().iter().map(|instance| self.suspicion_deadline(*instance));
+        probes.chain(nacks).chain(suspicions).fold(self.next_period_at, Micros::min)
+    }
+
+    /// Does what is due.
+    pub fn handle_timeout(&mut self, now: Micros) -> Vec<MembershipEffect> {
+        let late = now - self.next_timeout();
+        self.now = self.now.max(now);
+        if late > self.config.period.scale(STALL_PERIODS) {
+            self.recover_from_stall(late);
+        }
+        self.send_due_nacks();
+        self.handle_probe_timeouts();
+        self.handle_suspicion_timeouts();
+        if self.next_period_at <= self.now {
+            self.begin_period();
+        }
+        self.take_effects()
+    }
+
+    /// Guards against a process that was stopped, or whose machine slept: what it did not hear in that time says nothing
+    /// about others.
+    fn recover_from_stall(&mut self, late: Micros) {
+        self.prober.cancel_pending();
+        self.relayed_pings.clear();
+        self.local_health.degrade(1);
+        self.extend_suspicions(late);
+        self.report(MembershipChange::Stalled(late));
+    }
+
+    fn begin_period(&mut self) {
+        self.periods += 1;
+        self.next_period_at = self.now + self.config.period;
+        self.transmitter.begin_period();
+        self.anti_entropy.begin_period();
+        self.forget_gone_peers();
+        if self.leaving {
+            return;
+        }
+        self.contact_seeds();
+        self.probe_a_dead_peer();
+        if !self.anti_entropy.is_complete() || self.periods.is_multiple_of(SYNC_INTERVAL_PERIODS) {
+            self.request_sync_page();
+        }
+        self.begin_probe();
+    }
+
+    /// The dead and those that left are remembered for a while, so that late gossip does not bring them back.
+    fn forget_gone_peers(&mut self) {
+        if !self.periods.is_multiple_of(SYNC_INTERVAL_PERIODS) {
+            return;
+        }
+        for instance in self.peers.gone_before(self.now - self.config.dead_retention) {
+            self.peers.forget(instance);
+            self.gossip.remove(instance);
+        }
+    }
+}
--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/transmit.rs
@@ -0,0 +1,95 @@
+//! Sending: piggybacked gossip and the rate limit.
+
+use std::net::SocketAddr;
+
+use super::Membership;
+use super::datagram::{DatagramHeader, MemberUpdate, Message};
+use super::effect::MembershipEffect;
+use super::gossip::retransmit_limit;
+use super::peer::MemberState;
+use super::record::InstanceId;
+use crate::authentication::MAX_DATAGRAM_BYTES;
+
+/// More updates than fit into a datagram, by the shortest update.
+const MAX_UPDATES: usize = MAX_DATAGRAM_BYTES / 16;
+
+/// What was sent: sequence numbers, and the datagrams of this period.
+#[derive(Debug, Default)]
+pub(super) struct Transmitter {
+    last_sequence: u64,
+    sent_in_period: u32,
+}
+
+impl Transmitter {
+    pub fn begin_period(&mut self) {
+        self.sent_in_period = 0;
+    }
+
+    pub fn last_sequence(&self) -> u64 {
+        self.last_sequence
+    }
+
+    pub fn set_last_sequence(&mut self, sequence: u64) {
+        self.last_sequence = sequence;
+    }
+
+    /// The sequence number of the next datagram; none where the period's limit is reached.
+    fn next_sequence(&mut self, max_per_period: u32) -> Option<u64> {
+        if self.sent_in_period >= max_per_period {
+            return None;
+        }
+        self.sent_in_period += 1;
+        self.last_sequence += 1;
+        Some(self.last_sequence)
+    }
+}
+
+impl Membership {
+    /// Sends a message to a peer that is known.
+    pub(super) fn send(&mut self, receiver: InstanceId, message: &Message) {
+        if let Some(address) = self.peers.get(receiver).map(|peer| peer.record.address) {
+            self.send_to(address, receiver, message);
+        }
+    }
+
+    /// Sends a message to an address; `receiver` is the default one where nobody is known there.
+    pub(super) fn send_to(&mut self, address: SocketAddr, receiver: InstanceId, message: &Message) {
+        let Some(sequence) = self.transmitter.next_sequence(self.config.max_datagrams_per_period) else {
+            self.counters.rate_limited += 1;
+            return;
+        };
+        let header = DatagramHeader { sender: self.local.instance, receiver, sequence };
+        let suspicion = self.suspicion_of(receiver);
+        let selected = if may_be_nobody(receiver, message, suspicion.as_ref()) {
+            Vec::new()
+        } else {
+            self.gossip.select(MAX_UPDATES)
+        };
+        let updates: Vec<&MemberUpdate> = suspicion.iter().chain(self.gossip.at(&selected)).collect();
+        let (datagram, written) = self.codec.encode(header, message, &updates);
+        let written_gossip = written.saturating_sub(usize::from(suspicion.is_some()));
+        self.gossip.mark_sent(&selected[..written_gossip], retransmit_limit(self.live_count()));
+        self.counters.sent += 1;
+        self.counters.sent_bytes += datagram.len() as u64;
+        self.effects.push(MembershipEffect::Send { to: address, datagram });
+    }
+
+    /// A suspect or dead member is told that first, so that it can refute it (Lifeguard section IV-C, the buddy system).
+    fn suspicion_of(&self, receiver: InstanceId) -> Option<MemberUpdate> {
+        let peer = self.peers.get(receiver)?;
+        let (instance, incarnation) = (receiver, peer.record.incarnation);
+        match peer.state {
+            MemberState::Suspect => {
+                Some(MemberUpdate::Suspect { instance, incarnation, reporter: self.local.instance })
+            }
+            MemberState::Dead => Some(MemberUpdate::Dead { instance, incarnation }),
+            MemberState::Alive | MemberState::Left => None,
+        }
+    }
+}
+
+/// Whether perhaps nobody receives a datagram: gossip on it would count as sent and be lost.
+fn may_be_nobody(receiver: InstanceId, message: &Message, suspicion: Option<&MemberUpdate>) -> bool {
+    let is_dead = matches!(suspicion, Some(MemberUpdate::Dead { .. }));
+    receiver == InstanceId::default() || matches!(message, Message::Ping { .. }) && is_dead
+}
--- /dev/null
+++ b/crates/alderstile-cluster/src/membership/update.rs
@@ -0,0 +1,94 @@
+//! Updates about peers: which of two statements counts, and what follows from it (SWIM section 4.2).
+
+use rand::RngExt;
+
+use super::Membership;
+use super::datagram::MemberUpdate;
+use super::effect::MembershipChange;
+use super::peer::MemberState;
+use super::record::{InstanceId, MemberRecord};
+
+impl Membership {
+    pub(super) fn apply_update(&mut self, update: MemberUpdate) {
+        if update.instance() == self.local.instance {
+            return self.handle_update_about_self(&update);
+        }
+        match update {
+            MemberUpdate::Alive(record) => self.apply_alive(record),
+            MemberUpdate::Suspect { instance, incarnation, reporter } => {
+                self.apply_suspect(instance, incarnation, reporter);
+            }
+            MemberUpdate::Dead { instance, incarnation } => self.apply_dead(instance, incarnation),
+            MemberUpdate::Left { instance, incarnation } => self.apply_left(instance, incarnation),
+        }
+    }
+
+    /// A peer's own statement: it is alive, with this record.
+    pub(super) fn apply_alive(&mut self, record: MemberRecord) {
+        let instance = record.instance;
+        if instance == self.local.instance {
+            return;
+        }
+        let Some(peer) = self.peers.get(instance) else { return self.add_peer(record) };
+        // An instance that has left does not come back.
+        if record.incarnation <= peer.record.incarnation || peer.state == MemberState::Left {
+            return;
+        }
+        // An instance has one name for its life: the index by name rests on it.
+        let record = MemberRecord { name: peer.record.name.clone(), ..record };
+        let before = self.peers.mark_alive(record.clone(), self.now);
+        self.gossip.push(MemberUpdate::Alive(record));
+        if before.is_some_and(|state| state != MemberState::Alive) {
+            self.report(MembershipChange::Recovered(instance));
+        }
+        self.check_name_conflict(instance);
+    }
+
+    fn add_peer(&mut self, record: MemberRecord) {
+        let instance = record.instance;
+        self.gossip.push(MemberUpdate::Alive(record.clone()));
+        self.peers.insert_alive(record, self.now);
+        self.prober.add_to_round(instance, &mut self.rng);
+        self.report(MembershipChange::Joined(instance));
+        self.check_name_conflict(instance);
+    }
+
+    /// A peer did not refute a suspicion in time, or another instance is at its address.
+    pub(super) fn apply_dead(&mut self, instance: InstanceId, incarnation: u64) {
+        let probe_interval = self.rejoin_probe_interval();
+        if self.correct_stale_update(instance, incarnation) || !self.peers.is_live(instance) {
+            return;
+        }
+        // Members that hear of it together must not probe together for whether it is back.
+        let probed_ago = probe_interval.scale(self.rng.random::<f64>());
+        self.peers.mark_dead(instance, incarnation, self.now);
+        if let Some(peer) = self.peers.get_mut(instance) {
+            peer.rejoin_probed_at = self.now - probed_ago;
+        }
+        self.gossip.push(MemberUpdate::Dead { instance, incarnation });
+        self.report(MembershipChange::Died(instance));
+        self.check_name_conflict(instance);
+    }
+
+    /// A peer has left on its own account.
+    fn apply_left(&mut self, instance: InstanceId, incarnation: u64) {
+        let Some(peer) = self.peers.get(instance) else { return };
+        if incarnation < peer.record.incarnation || peer.state == MemberState::Left {
+            return;
+        }
+        self.peers.mark_left(instance, incarnation, self.now);
+        self.gossip.push(MemberUpdate::Left { instance, incarnation });
+        self.report(MembershipChange::Left(instance));
+        self.check_name_conflict(instance);
+    }
+
+    /// Whether an update is older than what is known. Its sender has not heard the newer statement, and does with the answer.
+    pub(super) fn correct_stale_update(&mut self, instance: InstanceId, incarnation: u64) -> bool {
+        let Some(peer) = self.peers.get(instance) else { return false };
+        let is_stale = incarnation < peer.record.incarnation;
+        if is_stale && peer.state == MemberState::Alive {
+            self.gossip.push(MemberUpdate::Alive(peer.record.clone()));
+        }
+        is_stale
+    }
+}
--- a/crates/alderstile-cluster/tests/membership.rs
+++ b/crates/alderstile-cluster/tests/membership.rs
@@ -210,7 +210,7 @@
     let here = codec().encode(header, &Message::Identify { record: record(2) }, &[]).0;
     let out = one.handle_datagram(Micros(0), address(2), &here);
     let [MembershipEffect::Send { to, datagram: bytes }] = &out[..] else { panic!("{out:?}") };
-    let rumors = codec().decode(bytes).expect("a datagram").rumors;
+    let rumors = codec().decode(bytes).expect("a datagram").updates;
     assert_eq!(*to, address(2));
     assert_eq!(rumors, [MemberUpdate::Dead { instance: InstanceId(2_000), incarnation: 1 }]);
 }
@@ -264,7 +264,7 @@
         let out = members[i].handle_timeout(now);
         carry_watched(&mut members, now, vec![(i, out)], &mut |to, bytes| {
             let ping =
-                codec().decode(bytes).is_ok_and(|datagram| matches!(datagram.body, Message::Ping { .. }));
+                codec().decode(bytes).is_ok_and(|datagram| matches!(datagram.message, Message::Ping { .. }));
             if ping && to == address(99) {
                 longest = longest.max(now - last);
                 last = now;
@@ -513,7 +513,7 @@
             let (bytes, written) = codec().encode(header, &body, &refs);
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let read = codec().decode(&bytes).expect("read");
-            prop_assert_eq!((read.header, &read.body, &read.rumors[..]), (header, &body, &rumors[..written]));
+            prop_assert_eq!((read.header, &read.message, &read.updates[..]), (header, &body, &rumors[..written]));
         }
     }
 
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -51,8 +51,8 @@
         DatagramHeader { sender: record(1).instance, receiver: one, sequence: 0x4142_4344_4546_4748 };
     let nonce = 0x5152_5354_5556_5758;
     let incarnation = 0x6162_6364_6566_6768;
-    let of_body = |body| Datagram { header, body, rumors: Vec::new() };
-    let of_rumors = |rumors| Datagram { header, body: Message::Ack { nonce }, rumors };
+    let of_body = |body| Datagram { header, message: body, updates: Vec::new() };
+    let of_updates = |updates| Datagram { header, message: Message::Ack { nonce }, updates };
     let page = vec![
         (MemberState::Alive, record(2)),
         (MemberState::Suspect, record(3)),
@@ -81,10 +81,10 @@
         ("sync_page.bin", of_body(Message::SyncPage { last: false, members: page.clone() })),
         ("sync_last_page.bin", of_body(Message::SyncPage { last: true, members: page })),
         ("sync_empty_page.bin", of_body(Message::SyncPage { last: false, members: Vec::new() })),
-        ("gossip_alive.bin", of_rumors(vec![MemberUpdate::Alive(record(2))])),
+        ("gossip_alive.bin", of_updates(vec![MemberUpdate::Alive(record(2))])),
         (
             "gossip_suspect.bin",
-            of_rumors(vec![MemberUpdate::Suspect {
+            of_updates(vec![MemberUpdate::Suspect {
                 instance: record(2).instance,
                 incarnation,
                 reporter: one,
@@ -92,15 +92,15 @@
         ),
         (
             "gossip_dead.bin",
-            of_rumors(vec![MemberUpdate::Dead { instance: record(2).instance, incarnation }]),
+            of_updates(vec![MemberUpdate::Dead { instance: record(2).instance, incarnation }]),
         ),
         (
             "gossip_left.bin",
-            of_rumors(vec![MemberUpdate::Left { instance: record(2).instance, incarnation }]),
+            of_updates(vec![MemberUpdate::Left { instance: record(2).instance, incarnation }]),
         ),
         (
             "gossip_several.bin",
-            of_rumors(vec![
+            of_updates(vec![
                 MemberUpdate::Left { instance: record(5).instance, incarnation },
                 MemberUpdate::Alive(ipv6_record()),
                 MemberUpdate::Dead { instance: record(3).instance, incarnation },
@@ -115,9 +115,9 @@
     for (name, datagram) in datagrams() {
         let bytes = fixture(name);
         assert_eq!(codec().decode(&bytes).as_ref(), Ok(&datagram), "{name} is read");
-        let rumors: Vec<&MemberUpdate> = datagram.rumors.iter().collect();
-        let written = codec().encode(datagram.header, &datagram.body, &rumors);
-        assert_eq!(written, (bytes, datagram.rumors.len()), "{name} is written");
+        let updates: Vec<&MemberUpdate> = datagram.updates.iter().collect();
+        let written = codec().encode(datagram.header, &datagram.message, &updates);
+        assert_eq!(written, (bytes, datagram.updates.len()), "{name} is written");
     }
 }
 
