--- a/crates/alderstile-node/src/control/mod.rs
+++ b/crates/alderstile-node/src/control/mod.rs
@@ -5,6 +5,3 @@
 pub mod membership;
 pub mod peer_gossip;
 pub mod replicated_config;
-pub mod replicated_config_client;
-pub mod replicated_config_document;
-pub mod replicated_config_store;
--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -23,8 +23,12 @@
 use crate::config::{ControlConfig, CutOff};
 use crate::control::configured_node::ConfiguredNode;
 use crate::control::membership::Cluster;
-use crate::control::replicated_config_document::Document;
-use crate::control::replicated_config_store::{Store, StoreError};
+use crate::control::replicated_config::document::Document;
+use crate::control::replicated_config::store::{Store, StoreError};
+
+pub mod client;
+pub mod document;
+pub mod store;
 
 /// The tag of the fact by which a member tells on which port it hears of versions.
 const PORT: u8 = b'c';
@@ -493,7 +497,7 @@
     config: &ControlConfig,
     node: &Weak<dyn ConfiguredNode>,
     me: Option<u8>,
-    found: crate::control::replicated_config_store::Found,
+    found: crate::control::replicated_config::store::Found,
     now: Micros,
 ) -> ReplicatedConfig {
     let node = node.clone();
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -7,8 +7,8 @@
 use alderstile_cluster::replicated_config::{HardState, LogPosition, VersionHeader};
 use alderstile_node::config::{ClusterConfig, Config};
 use alderstile_node::control::replicated_config::Shown;
-use alderstile_node::control::replicated_config_document::Document;
-use alderstile_node::control::replicated_config_store::{Store, StoreError, parse};
+use alderstile_node::control::replicated_config::document::Document;
+use alderstile_node::control::replicated_config::store::{Store, StoreError, parse};
 use alderstile_node::discovery::endpoint_list::server_id;
 use alderstile_node::lifecycle::reload::reload;
 use proptest::prelude::*;
@@ -350,7 +350,7 @@
     };
     let show = |admin: &str| {
         let admin = admin.parse().expect("an address");
-        alderstile_node::control::replicated_config_client::show(admin).ok()
+        alderstile_node::control::replicated_config::client::show(admin).ok()
     };
     let until = |admin: &str, what: &str, wanted: &dyn Fn(&Shown) -> bool| {
         let began = Instant::now();
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -7,8 +7,8 @@
 use alderstile_cluster::replicated_config::HardState;
 use alderstile_node::config::ClusterConfig;
 use alderstile_node::control::membership::Cluster;
+use alderstile_node::control::replicated_config::store::Store;
 use alderstile_node::control::replicated_config::{Control, Proposed};
-use alderstile_node::control::replicated_config_store::Store;
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
