--- a/crates/alderstile-node/src/admin/maintenance_store.rs
+++ b/crates/alderstile-node/src/admin/maintenance_store.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use alderstile::facade::Balancer;
+use alderstile::balancer::Balancer;
 use alderstile::types::{Micros, ServerId};
 use serde::{Deserialize, Serialize};
 use tracing::{info, warn};
@@ -26,12 +26,12 @@
 
 impl Stand {
     /// Tells the decisions.
-    pub fn apply(self, facade: &mut Balancer, now: Micros, host: ServerId) {
+    pub fn apply(self, balancer: &mut Balancer, now: Micros, host: ServerId) {
         match self {
-            Stand::Out => facade.take_out(now, host),
+            Stand::Out => balancer.begin_maintenance(now, host),
             Stand::Back(since) => {
-                facade.take_out(now, host);
-                facade.put_back(now, host, Micros(since));
+                balancer.begin_maintenance(now, host);
+                balancer.end_maintenance(now, host, Micros(since));
             }
         }
     }
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -74,7 +74,7 @@
     /// What the process that takes over is to know.
     pub fn handshake(&self, version: u32) -> Handshake {
         // Two processes of one node have one budget: from here on it is the other's.
-        let spent = self.decisions.decide(|facade, now| facade.hand_over(now));
+        let spent = self.decisions.decide(|balancer, now| balancer.export_retry_budget(now));
         Handshake {
             version,
             name: self.config().name.clone(),
@@ -112,7 +112,7 @@
         };
         let spent = handshake.spent.as_ref().map(|parts| parts.iter().map(part).collect());
         let late = Micros(WORD.as_micros() as u64);
-        self.decisions.decide(|facade, now| facade.inherit(now, spent, late));
+        self.decisions.decide(|balancer, now| balancer.import_retry_budget(now, spent, late));
         handshake.ids.iter().for_each(|id| self.clients.know_id(id.as_bytes()));
         handshake.lease_left.iter().for_each(|left| self.decisions.inherit_lease(Micros(*left)));
         self.decisions.list_requested.notify_one();
@@ -136,13 +136,13 @@
     }
 
     fn take_host_out(&self, host: &str) {
-        self.decisions.decide(|facade, now| facade.take_out(now, server_id(host)));
+        self.decisions.decide(|balancer, now| balancer.begin_maintenance(now, server_id(host)));
     }
 
     fn put_host_back(&self, host: &str) {
         let out_by_hand = (host.to_owned(), Stand::Out);
         if !self.operators.hosts().contains(&out_by_hand) {
-            self.decisions.decide(|facade, now| facade.put_back(now, server_id(host), now));
+            self.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
         }
     }
 }
