--- a/crates/alderstile-node/src/admin/maintenance_store.rs
+++ b/crates/alderstile-node/src/admin/maintenance_store.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use alderstile::facade::Balancer;
+use alderstile::balancer::Balancer;
 use alderstile::types::{Micros, ServerId};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -32,10 +32,10 @@
     /// Tells the decisions.
     pub fn apply(self, balancer: &mut Balancer, now: Micros, host: ServerId) {
         match self {
-            MaintenanceState::OutOfService => balancer.take_out(now, host),
+            MaintenanceState::OutOfService => balancer.begin_maintenance(now, host),
             MaintenanceState::ReturnedAt(since) => {
-                balancer.take_out(now, host);
-                balancer.put_back(now, host, Micros(since));
+                balancer.begin_maintenance(now, host);
+                balancer.end_maintenance(now, host, Micros(since));
             }
         }
     }
--- a/crates/alderstile-node/src/admin/metrics.rs
+++ b/crates/alderstile-node/src/admin/metrics.rs
@@ -4,7 +4,7 @@
 
 use std::fmt::Write;
 
-use alderstile_cluster::membership::Counts;
+use alderstile_cluster::membership::MembershipStats;
 
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -59,7 +59,7 @@
     /// Where each node uses a subset of the hosts.
     pub subset: Option<SubsetGauges>,
     /// The members of the cluster, where the node is one.
-    pub members: Option<Counts>,
+    pub members: Option<MembershipStats>,
 }
 
 impl Counters {
@@ -105,23 +105,23 @@
     }
 }
 
-fn render_members(text: &mut StatsdText, members: Counts) {
+fn render_members(text: &mut StatsdText, members: MembershipStats) {
     text.gauge("members_alive", members.alive as u64);
     text.gauge("members_suspect", members.suspect as u64);
     text.gauge("members_dead", members.dead as u64);
-    text.gauge("members_claimed", members.claimed as u64);
-    text.gauge("members_health", u64::from(members.health));
-    let figures = members.figures;
-    text.counter("members_sent", figures.sent);
-    text.counter("members_sent_bytes", figures.sent_bytes);
-    text.counter("members_taken", figures.taken);
-    text.counter("members_foreign", figures.foreign);
-    text.counter("members_damaged", figures.damaged);
-    text.counter("members_newer", figures.newer);
-    text.counter("members_stale", figures.stale);
-    text.counter("members_replayed", figures.replayed);
-    text.counter("members_held_back", figures.held_back);
-    text.counter("members_refuted", figures.refuted);
+    text.gauge("members_claimed", members.name_conflicts as u64);
+    text.gauge("members_health", u64::from(members.local_health));
+    let counters = members.counters;
+    text.counter("members_sent", counters.sent);
+    text.counter("members_sent_bytes", counters.sent_bytes);
+    text.counter("members_taken", counters.accepted);
+    text.counter("members_foreign", counters.unauthenticated);
+    text.counter("members_damaged", counters.malformed);
+    text.counter("members_newer", counters.unsupported_format);
+    text.counter("members_stale", counters.wrong_instance);
+    text.counter("members_replayed", counters.replayed);
+    text.counter("members_held_back", counters.rate_limited);
+    text.counter("members_refuted", counters.refutations);
 }
 
 /// Metrics of the statsd format, gathered line by line.
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -40,7 +40,7 @@
         let maintenance =
             state_dir.map(|dir| MaintenanceStore::load(dir, &in_force.name)).unwrap_or_default();
         for (host, state) in maintenance.hosts() {
-            decisions.decide(|facade, now| state.apply(facade, now, server_id(host)));
+            decisions.decide(|balancer, now| state.apply(balancer, now, server_id(host)));
         }
         AdminService {
             config,
@@ -89,12 +89,12 @@
 
     /// The metrics as statsd text.
     pub fn metrics_text(&self) -> String {
-        let gauges = self.decisions.decide(|facade, now| Gauges {
+        let gauges = self.decisions.decide(|balancer, now| Gauges {
             inflight: self.clients.inflight(),
-            hosts_listed: facade.maintenance().listed(),
-            hosts_down: facade.avoided(now),
-            subset: self.decisions.share_counts().map(|(used, added)| SubsetGauges { used, added }),
-            members: self.membership().map(|membership| membership.counts()),
+            hosts_listed: balancer.maintenance().listed_count(),
+            hosts_down: balancer.unavailable_servers(now),
+            subset: self.decisions.assigned_host_counts().map(|(used, added)| SubsetGauges { used, added }),
+            members: self.membership().map(|membership| membership.stats()),
         });
         let replicated_config = self.replicated_config().map(|control| control.figures()).unwrap_or_default();
         self.clients.figures(gauges) + &replicated_config
@@ -108,9 +108,9 @@
     /// The maintenance file can't be written; the decisions go by the new state all the same.
     pub async fn set_host_online(&self, host: &str, online: bool) -> io::Result<bool> {
         let id = server_id(host);
-        let (known, out) = self.decisions.decide(|facade, _| {
-            let hosts = facade.maintenance();
-            (hosts.knows(id), hosts.is_out(id))
+        let (known, out) = self.decisions.decide(|balancer, _| {
+            let hosts = balancer.maintenance();
+            (hosts.is_known(id), hosts.is_in_maintenance(id))
         });
         if known && online == out {
             let state = match online {
@@ -129,7 +129,7 @@
     /// Sets a host's maintenance state here and in the decisions, without writing the file.
     pub fn apply_maintenance(&self, host: &str, state: MaintenanceState) {
         self.maintenance.borrow_mut().set(host, state, self.decisions.clock.now());
-        self.decisions.decide(|facade, now| state.apply(facade, now, server_id(host)));
+        self.decisions.decide(|balancer, now| state.apply(balancer, now, server_id(host)));
         match state {
             MaintenanceState::OutOfService => info!(%host, "host taken out of service"),
             MaintenanceState::ReturnedAt(_) => info!(%host, "host returned to service"),
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -67,13 +67,13 @@
     assert_eq!((hello.version, hello.name.as_str(), hello.held), (1, "n1", 23));
     assert_eq!(hello.config["limits"]["sockets"], 200);
     assert_eq!(hello.discovery, "127.0.0.1:7100".parse().ok());
-    assert_eq!((hello.list.seq, hello.list.whole), (41, true));
-    let health: Vec<Health> = hello.list.hosts.iter().map(|host| host.health).collect();
+    assert_eq!((hello.list.version, hello.list.complete), (41, true));
+    let health: Vec<Health> = hello.list.endpoints.iter().map(|host| host.health).collect();
     assert_eq!(health, [Health::Up, Health::Draining, Health::Removed]);
-    let host = &hello.list.hosts[0];
-    assert_eq!((host.host.as_str(), host.dial), ("s-1", "127.0.0.1:7001".parse().ok()));
-    assert_eq!((host.site.as_str(), host.block, host.share), ("a", 3, 1.5));
-    assert_eq!(host.born_ms, 1_764_748_800_123);
+    let host = &hello.list.endpoints[0];
+    assert_eq!((host.name.as_str(), host.address), ("s-1", "127.0.0.1:7001".parse().ok()));
+    assert_eq!((host.zone.as_str(), host.cell, host.weight), ("a", 3, 1.5));
+    assert_eq!(host.started_ms, 1_764_748_800_123);
     let hosts = [
         ("s-1".to_owned(), MaintenanceState::OutOfService),
         ("s-2".to_owned(), MaintenanceState::ReturnedAt(1_764_748_800_000_007)),
