--- a/crates/alderstile-node/src/admin/server.rs
+++ b/crates/alderstile-node/src/admin/server.rs
@@ -23,7 +23,7 @@
 
 use crate::admin::service::Operators;
 use crate::config::CALLERS;
-use crate::control::replicated_config::{Control, Proposed};
+use crate::control::replicated_config::{ConfigReplica, ProposalResult};
 
 /// Who has finished no call after this long goes: a caller waits no longer than 1 s.
 const CALL: Duration = Duration::from_secs(2);
@@ -154,17 +154,17 @@
 }
 
 /// Agreed settings as they are, or a proposal.
-async fn settings(control: &Control, expect: Option<u64>, body: &[u8]) -> Response<Full<Bytes>> {
+async fn settings(control: &ConfigReplica, expect: Option<u64>, body: &[u8]) -> Response<Full<Bytes>> {
     let Some(expect) = expect else {
-        return match serde_json::to_string(&control.show()) {
+        return match serde_json::to_string(&control.status()) {
             Ok(text) => say(StatusCode::OK, text),
             Err(error) => say(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
         };
     };
     match control.propose(expect, body).await {
-        Proposed::Agreed(version) => say(StatusCode::OK, format!("{version}\n")),
-        Proposed::Refused(why) => say(StatusCode::CONFLICT, format!("{why}\n")),
-        Proposed::Open => say(StatusCode::ACCEPTED, "no word so far\n"),
+        ProposalResult::Committed(version) => say(StatusCode::OK, format!("{version}\n")),
+        ProposalResult::Rejected(why) => say(StatusCode::CONFLICT, format!("{why}\n")),
+        ProposalResult::Pending => say(StatusCode::ACCEPTED, "no word so far\n"),
     }
 }
 
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -10,7 +10,7 @@
 use crate::admin::metrics::Gauges;
 use crate::config::Current;
 use crate::control::membership::Cluster;
-use crate::control::replicated_config::Control;
+use crate::control::replicated_config::ConfigReplica;
 use crate::decisions::Decisions;
 use crate::discovery::endpoint_list::server_id;
 use crate::lifecycle::process::Process;
@@ -24,7 +24,7 @@
     process: Rc<Process>,
     kept: RefCell<Kept>,
     cluster: RefCell<Option<Rc<Cluster>>>,
-    control: RefCell<Option<Rc<Control>>>,
+    control: RefCell<Option<Rc<ConfigReplica>>>,
 }
 
 impl Operators {
@@ -61,12 +61,12 @@
     }
 
     /// This node goes by settings that are agreed from now on.
-    pub fn agree(&self, control: Rc<Control>) {
+    pub fn agree(&self, control: Rc<ConfigReplica>) {
         self.control.replace(Some(control));
     }
 
     /// This node's part in agreed settings, where it has one.
-    pub fn control(&self) -> Option<Rc<Control>> {
+    pub fn control(&self) -> Option<Rc<ConfigReplica>> {
         self.control.borrow().clone()
     }
 
@@ -84,7 +84,7 @@
             subset: self.decisions.assigned_host_counts(),
             members: self.cluster().map(|cluster| cluster.stats()),
         });
-        let agreed = self.control().map(|control| control.figures()).unwrap_or_default();
+        let agreed = self.control().map(|control| control.metrics()).unwrap_or_default();
         self.clients.figures(gauges) + &agreed
     }
 
--- a/crates/alderstile-node/src/control/replicated_config/client.rs
+++ b/crates/alderstile-node/src/control/replicated_config/client.rs
@@ -1,4 +1,4 @@
-//! The operator's end of agreed settings: calls to a running node.
+//! Calls of the operators' commands to a running node: show the replicated configuration, and propose another one.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,59 +6,81 @@
 
 use thiserror::Error;
 
+use super::status::ReplicationStatus;
 use crate::admin::client;
-use crate::control::replicated_config::Shown;
 
 /// A node answers an operator within two seconds.
-const ANSWER: Duration = Duration::from_secs(3);
-/// A proposal of which nothing was heard is put up again so often: it is the same one.
-const AGAIN: usize = 5;
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// A proposal of which nothing is heard is sent this often: the same document is the same proposal.
+const MAX_PROPOSAL_ATTEMPTS: usize = 5;
 
-/// Why a call came to nothing.
+/// Why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The document is turned down, and changes nothing.
+    /// The document is rejected, and changes nothing.
     #[error("{0}")]
-    Refused(String),
+    Rejected(String),
     /// Nothing was heard of the proposal.
     #[error("no word from a leader: it may still be agreed on; look at `alderstile settings show`")]
-    Open,
+    Pending,
     /// The node can't be called.
     #[error("{0}: {1}")]
     Io(SocketAddr, io::Error),
 }
 
-/// What a node says of agreed settings.
-pub fn show(admin: SocketAddr) -> Result<Shown, CallError> {
+/// The status of a node's replica.
+///
+/// # Errors
+/// The node can't be called, or its answer can't be read.
+pub fn status(admin: SocketAddr) -> Result<ReplicationStatus, CallError> {
     let text = client::get(admin, "/settings").map_err(|error| CallError::Io(admin, error))?;
     serde_json::from_str(&text).map_err(|error| CallError::Io(admin, error.into()))
 }
 
-/// Proposes a document as the version after `expect`; returns its version.
-pub fn propose(admin: SocketAddr, expect: u64, document: &[u8]) -> Result<u64, CallError> {
-    for _ in 0..AGAIN {
-        let (status, body) = post(admin, &format!("/settings/after/{expect}"), document)
-            .map_err(|error| CallError::Io(admin, error))?;
-        match status {
-            200 => {
-                let version = body.trim().parse();
-                return version.map_err(|_| CallError::Io(admin, io::ErrorKind::InvalidData.into()));
-            }
-            202 => {}
-            409 | 413 => return Err(CallError::Refused(body.trim().to_owned())),
+/// Proposes a document as the version after `expected_version`; returns its version.
+///
+/// # Errors
+/// The document is rejected, nothing is heard of it, or the node can't be called.
+pub fn propose(admin: SocketAddr, expected_version: u64, document: &[u8]) -> Result<u64, CallError> {
+    let path = format!("/settings/after/{expected_version}");
+    for _ in 0..MAX_PROPOSAL_ATTEMPTS {
+        let answer = post(admin, &path, document).map_err(|error| CallError::Io(admin, error))?;
+        if let Some(version) = answer.version(admin)? {
+            return Ok(version);
+        }
+    }
+    Err(CallError::Pending)
+}
+
+/// An answer to a POST.
+struct Answer {
+    status: u16,
+    body: String,
+}
+
+impl Answer {
+    /// The version that was committed; none while the proposal is pending.
+    fn version(&self, admin: SocketAddr) -> Result<Option<u64>, CallError> {
+        let body = self.body.trim();
+        match self.status {
+            200 => match body.parse() {
+                Ok(version) => Ok(Some(version)),
+                Err(_) => Err(CallError::Io(admin, io::ErrorKind::InvalidData.into())),
+            },
+            202 => Ok(None),
+            409 | 413 => Err(CallError::Rejected(body.to_owned())),
             404 => {
                 let what = "the node goes by its own file (no [control] in its cluster's file)";
-                return Err(CallError::Io(admin, io::Error::other(what)));
+                Err(CallError::Io(admin, io::Error::other(what)))
             }
-            status => return Err(CallError::Io(admin, io::Error::other(format!("answered {status}")))),
+            status => Err(CallError::Io(admin, io::Error::other(format!("answered {status}")))),
         }
     }
-    Err(CallError::Open)
 }
 
-fn post(admin: SocketAddr, path: &str, body: &[u8]) -> io::Result<(u16, String)> {
-    let mut stream = TcpStream::connect_timeout(&admin, ANSWER)?;
-    stream.set_read_timeout(Some(ANSWER))?;
+fn post(admin: SocketAddr, path: &str, body: &[u8]) -> io::Result<Answer> {
+    let mut stream = TcpStream::connect_timeout(&admin, ANSWER_TIMEOUT)?;
+    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
     let length = body.len();
     write!(
         stream,
@@ -69,5 +91,5 @@
     stream.read_to_string(&mut text)?;
     let (head, body) = text.split_once("\r\n\r\n").ok_or(io::ErrorKind::InvalidData)?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    Ok((status.ok_or(io::ErrorKind::InvalidData)?, body.to_owned()))
+    Ok(Answer { status: status.ok_or(io::ErrorKind::InvalidData)?, body: body.to_owned() })
 }
--- a/crates/alderstile-node/src/control/replicated_config/document.rs
+++ b/crates/alderstile-node/src/control/replicated_config/document.rs
@@ -1,4 +1,4 @@
-//! The document that a cluster agrees on: settings of all nodes alike, and hosts out by hand at all of them.
+//! The replicated document: the settings that all nodes share, and the hosts that are out at all of them.
 
 use std::collections::BTreeSet;
 
@@ -8,96 +8,112 @@
 
 use crate::config::{Config, ConfigError};
 
-/// Keys of the settings that are each node's own.
-const OWN: [&str; 2] = ["my_zone", "index"];
-/// The most hosts that are out by hand.
+/// Keys of the settings that belong to each node's own file.
+const NODE_SETTINGS: [&str; 2] = ["my_zone", "index"];
+/// Where the limit of attempts stands in a configuration's file.
+const MAX_ATTEMPTS_POINTER: &str = "/settings/allowed/max_attempts";
+/// The most hosts that are out: bounds the document.
 const MAX_HOSTS: usize = 1_000;
 /// The longest name of a host, bytes.
-const MAX_HOST: usize = 200;
+const MAX_HOST_NAME: usize = 200;
 
-/// Why a document can't be agreed on.
+/// Why a document can't be used.
 #[derive(Debug, Error)]
 pub enum DocumentError {
     /// It is not JSON, or a key is unknown, missing or of another kind.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// A key has a value that can't be used.
-    #[error("the key {0}: {1}")]
-    Key(String, String),
+    /// It holds a setting of each node's own.
+    #[error("the key settings.{0}: each node's own, stays in its file")]
+    NodeSetting(&'static str),
+    /// Too many hosts are out.
+    #[error("the key hosts_out: at most {MAX_HOSTS} hosts are wanted")]
+    TooManyHosts,
+    /// The name of a host is empty or too long.
+    #[error("the key hosts_out: {0:?}: names of 1 to {MAX_HOST_NAME} bytes are wanted")]
+    HostName(String),
     /// The settings can't be used.
     #[error("{0}")]
     Config(#[from] ConfigError),
 }
 
-/// What all nodes of a cluster go by.
+/// The configuration that all nodes of a cluster share. Its keys are those of the operators' documents.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Document {
-    /// The settings, as in the configuration's file, but for each node's own keys.
+pub struct ConfigDocument {
+    /// The settings, as in a configuration's file, but for [each node's own](NODE_SETTINGS).
     pub settings: Map<String, Value>,
-    /// Hosts that nothing new goes to, whatever discovery lists.
+    /// Hosts that nothing new is sent to, whatever discovery lists.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub hosts_out: BTreeSet<String>,
 }
 
-impl Document {
-    /// Reads a document and checks what can be checked without a node.
+impl ConfigDocument {
+    /// Reads a document, and checks what can be checked without a node.
+    ///
+    /// # Errors
+    /// It is in no known form, holds a node's own setting, or its hosts are out of bounds.
     pub fn parse(bytes: &[u8]) -> Result<Self, DocumentError> {
-        let document: Document = serde_json::from_slice(bytes)?;
-        if let Some(key) = OWN.into_iter().find(|key| document.settings.contains_key(*key)) {
-            let what = "each node's own, stays in its file".to_owned();
-            return Err(DocumentError::Key(format!("settings.{key}"), what));
+        let document: ConfigDocument = serde_json::from_slice(bytes)?;
+        if let Some(key) = NODE_SETTINGS.into_iter().find(|key| document.settings.contains_key(*key)) {
+            return Err(DocumentError::NodeSetting(key));
         }
         if document.hosts_out.len() > MAX_HOSTS {
-            return Err(DocumentError::Key(
-                "hosts_out".to_owned(),
-                format!("at most {MAX_HOSTS} hosts are wanted"),
-            ));
+            return Err(DocumentError::TooManyHosts);
         }
-        if let Some(host) = document.hosts_out.iter().find(|host| host.is_empty() || host.len() > MAX_HOST) {
-            let what = format!("{host:?}: names of 1 to {MAX_HOST} bytes are wanted");
-            return Err(DocumentError::Key("hosts_out".to_owned(), what));
+        let unusable = |host: &&String| host.is_empty() || host.len() > MAX_HOST_NAME;
+        match document.hosts_out.iter().find(unusable) {
+            Some(host) => Err(DocumentError::HostName(host.clone())),
+            None => Ok(document),
         }
-        Ok(document)
     }
 
     /// A node's file with these settings in place of its own.
-    pub fn over(&self, file: &Value) -> Value {
+    pub fn overlay(&self, file: &Value) -> Value {
         let mut file = file.clone();
         if let Some(fields) = file.as_object_mut() {
             let before = fields.remove("settings").unwrap_or_default();
             let mut settings = self.settings.clone();
-            let own = OWN.into_iter().filter_map(|key| Some((key.to_owned(), before.get(key)?.clone())));
+            let own =
+                NODE_SETTINGS.into_iter().filter_map(|key| Some((key.to_owned(), before.get(key)?.clone())));
             settings.extend(own);
             fields.insert("settings".to_owned(), Value::Object(settings));
         }
         file
     }
 
-    /// Whether a node that serves by this configuration can go by the document: by the same code as a file at SIGHUP.
-    pub fn check(&self, config: &Config) -> Result<(), DocumentError> {
-        self.config(config).map(|_| ())
+    /// Checks that a node with this configuration can follow the document, by the code that reads a file at SIGHUP.
+    ///
+    /// # Errors
+    /// The settings can't be used with the rest of the node's file.
+    pub fn validate(&self, config: &Config) -> Result<(), DocumentError> {
+        self.config_for(config).map(|_| ())
     }
 
-    /// The configuration of a node that goes by the document from now on.
-    pub fn config(&self, config: &Config) -> Result<Config, DocumentError> {
-        Ok(config.renewed(self.over(&config.told))?.0)
+    /// The configuration of a node that follows the document.
+    ///
+    /// # Errors
+    /// The settings can't be used with the rest of the node's file.
+    pub fn config_for(&self, config: &Config) -> Result<Config, DocumentError> {
+        Ok(config.renewed(self.overlay(&config.told))?.0)
     }
 
-    /// The configuration of a node that has heard of the document before it counts: attempts are limited by the lower number of both.
-    pub fn waiting(&self, config: &Config) -> Result<Option<Config>, DocumentError> {
-        let place = ["allowed", "max_attempts"];
-        let of = |value: &Value| place.iter().try_fold(value.clone(), |value, key| value.get(key).cloned());
-        let new = of(&Value::Object(self.settings.clone())).and_then(|most| most.as_u64());
-        let mut told = config.told.clone();
-        let old = told.get("settings").and_then(of).and_then(|most| most.as_u64());
-        if let (Some(new), Some(old)) = (new, old)
-            && new < old
-            && let Some(most) = told.pointer_mut("/settings/allowed/max_attempts")
-        {
-            *most = new.into();
-            return Ok(Some(config.renewed(told)?.0));
+    /// The configuration of a node until the document is active, where that is another one: attempts are limited by the lower number
+    /// of the two, whichever version the other nodes follow.
+    ///
+    /// # Errors
+    /// The settings can't be used with the rest of the node's file.
+    pub fn interim_config(&self, config: &Config) -> Result<Option<Config>, DocumentError> {
+        let max_attempts = |file: &Value| file.pointer(MAX_ATTEMPTS_POINTER).and_then(Value::as_u64);
+        let new = self.settings.get("allowed").and_then(|allowed| allowed.get("max_attempts"));
+        let (Some(new), Some(old)) = (new.and_then(Value::as_u64), max_attempts(&config.told)) else {
+            return Ok(None);
+        };
+        let mut file = config.told.clone();
+        match file.pointer_mut(MAX_ATTEMPTS_POINTER) {
+            Some(limit) if new < old => *limit = new.into(),
+            _ => return Ok(None),
         }
-        Ok(None)
+        Ok(Some(config.renewed(file)?.0))
     }
 }
--- /dev/null
+++ b/crates/alderstile-node/src/control/replicated_config/status.rs
@@ -0,0 +1,109 @@
+//! What operators see of the replicated configuration: status and metrics. The names are the admin interface's.
+
+use std::fmt::Write;
+use std::net::SocketAddr;
+
+use alderstile_cluster::replicated_config::{LeaseState, Role};
+use serde::{Deserialize, Serialize};
+use serde_json::Value;
+
+use super::ConfigReplica;
+
+/// The status of a node's replica.
+#[derive(Clone, Debug, Default, Serialize, Deserialize)]
+pub struct ReplicationStatus {
+    /// The active version; 0 before there is one.
+    #[serde(rename = "in_force")]
+    pub active_version: u64,
+    /// The lease on it: `counts`, `between`, `cut off` or `unheard`, as [`lease_state_name`] maps them.
+    #[serde(rename = "standing")]
+    pub lease_state: String,
+    /// The latest version that is known to be committed.
+    #[serde(rename = "known")]
+    pub committed_version: u64,
+    /// It becomes active after this, milliseconds.
+    #[serde(rename = "waits_ms")]
+    pub activates_in_ms: u64,
+    /// How long ago it is known to have been the latest, milliseconds.
+    #[serde(rename = "age_ms")]
+    pub news_age_ms: Option<u64>,
+    /// `leader`, `follower`, `candidate` or `learner`; none at a node that is no voter.
+    #[serde(rename = "voter")]
+    pub role: Option<String>,
+    /// The voter that leads, as far as a voter knows.
+    pub leader: Option<SocketAddr>,
+    /// Why this node doesn't follow the active version.
+    #[serde(rename = "refused")]
+    pub rejection: Option<String>,
+    /// Digest of the active document.
+    pub digest: String,
+    /// The active document.
+    pub document: Value,
+}
+
+/// The admin interface's name for the state of a lease.
+pub fn lease_state_name(state: LeaseState) -> &'static str {
+    match state {
+        LeaseState::NeverHeard => "unheard",
+        LeaseState::Valid => "counts",
+        LeaseState::Superseded => "between",
+        LeaseState::Expired => "cut off",
+    }
+}
+
+/// The admin interface's name for a voter's role.
+pub fn role_name(role: Role) -> &'static str {
+    match role {
+        Role::Learner => "learner",
+        Role::Follower => "follower",
+        Role::PreCandidate | Role::Candidate => "candidate",
+        Role::Leader => "leader",
+    }
+}
+
+impl ConfigReplica {
+    /// The status for operators.
+    pub fn status(&self) -> ReplicationStatus {
+        let (core, now) = (self.core.borrow(), self.now());
+        let (active_version, document) = core.active();
+        let (committed_version, activates_in) = core.committed();
+        ReplicationStatus {
+            active_version,
+            lease_state: lease_state_name(core.lease_state(now)).to_owned(),
+            committed_version,
+            activates_in_ms: activates_in.0 / 1_000,
+            news_age_ms: core.news_age(now).map(|age| age.0 / 1_000),
+            role: core.role().map(|role| role_name(role).to_owned()),
+            leader: core.leader().and_then(|leader| self.config.settings.voter(leader)),
+            rejection: self.applied.rejection(),
+            digest: format!("{:016x}", alderstile_cluster::digest(document)),
+            document: serde_json::from_slice(document).unwrap_or_default(),
+        }
+    }
+
+    /// The metrics, as text.
+    pub fn metrics(&self) -> String {
+        let (core, now) = (self.core.borrow(), self.now());
+        let mut text = String::new();
+        let mut line = |name: &str, value: u64, kind: char| {
+            // Writing to a string cannot fail.
+            let _ = writeln!(text, "router.agreed_{name}:{value}|{kind}");
+        };
+        line("version", core.active().0, 'g');
+        line("known", core.committed().0, 'g');
+        line("cut_off", u64::from(core.lease_state(now) == LeaseState::Expired), 'g');
+        line("refused", u64::from(self.applied.rejection().is_some()), 'g');
+        line("age_ms", core.news_age(now).map_or(0, |age| age.0 / 1_000), 'g');
+        line("told", core.subscriber_count() as u64, 'g');
+        let traffic = core.traffic();
+        line("sent", traffic.sent, 'c');
+        line("sent_bytes", traffic.sent_bytes, 'c');
+        line("taken", traffic.received, 'c');
+        line("taken_bytes", traffic.received_bytes, 'c');
+        line("foreign", traffic.foreign, 'c');
+        line("damaged", traffic.malformed, 'c');
+        line("newer", traffic.newer_format, 'c');
+        line("contrary", traffic.conflicting, 'c');
+        text
+    }
+}
--- a/crates/alderstile-node/src/control/replicated_config/store.rs
+++ b/crates/alderstile-node/src/control/replicated_config/store.rs
@@ -1,8 +1,7 @@
-//! A voter's memory on disk: on it before anything that rests on it is said.
-
+//! A voter's hard state on disk, with the document of its entry.
 //!
-//! One value, replaced whole: written beside, synced, put in its place, and the folder synced. Of an embedded store nothing else would
-//! be used.
+//! One value, replaced whole: written beside, synced, renamed into its place, and the folder synced. An embedded store would have no
+//! other use here.
 
 use std::fs::{File, TryLockError};
 use std::io::{self, Write};
@@ -14,124 +13,160 @@
 
 use crate::admin::maintenance_store;
 
-/// The form of the value; another one is not read.
+/// The format of the file; another one is not read.
 const FORMAT: u8 = 1;
-/// Its numbers, and the digest of all of them and the document.
-const LENGTH: usize = 1 + 8 + 8 + 1 + 8 * 3 + 4 + 8;
+/// Offsets of the fields, bytes: numbers are little-endian, the document follows the last one.
+const VOTERS_AT: usize = 1;
+const TERM_AT: usize = 9;
+const VOTE_AT: usize = 17;
+const ENTRY_TERM_AT: usize = 18;
+const VERSION_AT: usize = 26;
+const DIGEST_AT: usize = 34;
+const LENGTH_AT: usize = 42;
+const DOCUMENT_AT: usize = 46;
+/// The digest of all bytes before it, at the end.
+const CHECKSUM_BYTES: usize = 8;
+/// Stands for a vote that was not given.
+const NO_VOTE: u8 = u8::MAX;
 
-/// Why a memory can't be had or kept.
+/// Why a store can't be opened or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// Another process of this node has it.
     #[error("another process has it")]
-    Taken,
+    Locked,
     /// It is of a voter in another list of voters.
-    #[error("{0}: it is of another list of voters")]
-    OtherVoters(String),
-    /// The disk.
-    #[error("{0}: {1}")]
-    Disk(String, String),
+    #[error("{}: it is of another list of voters", .0.display())]
+    VoterListMismatch(PathBuf),
+    /// The disk failed.
+    #[error("{}: {source}", .path.display())]
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// What happened.
+        source: io::Error,
+    },
 }
 
+/// A hard state and the document of its entry.
+pub type StoredState = (HardState, Vec<u8>);
+
 /// The store of one voter.
-pub struct Store {
+pub struct VoterStore {
     path: PathBuf,
-    voters: u64,
-    /// Held for as long as the process has the store.
+    voters_digest: u64,
+    /// Locked for as long as the process has the store.
     _lock: File,
 }
 
-/// What was found on disk.
-pub type Found = Option<(HardState, Vec<u8>)>;
-
-impl Store {
-    /// Where the voter of that name keeps its memory.
+impl VoterStore {
+    /// The file of the voter with that name.
     pub fn path(dir: &Path, name: &str) -> PathBuf {
         maintenance_store::file(dir, name, "voter")
     }
 
-    /// Opens a voter's store, and reads what it holds: nothing where it is new or was damaged. What is damaged is set aside, never
-    /// believed.
-    pub fn open(path: &Path, voters: u64) -> Result<(Self, Found), StoreError> {
-        let lock = path.with_extension("voter-lock");
-        let lock = File::create(&lock).map_err(|error| disk(&lock, error))?;
-        match lock.try_lock() {
-            Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(StoreError::Taken),
-            Err(TryLockError::Error(error)) => return Err(disk(path, error)),
-        }
-        let store = Store { path: path.to_owned(), voters, _lock: lock };
+    /// Opens a voter's store, and reads what it holds: nothing where it is new or damaged. A damaged file is set aside.
+    ///
+    /// # Errors
+    /// Another process has it, it is of another list of voters, or the disk failed.
+    pub fn open(path: &Path, voters_digest: u64) -> Result<(Self, Option<StoredState>), StoreError> {
+        let store = VoterStore { path: path.to_owned(), voters_digest, _lock: lock(path)? };
         let bytes = match std::fs::read(path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok((store, None)),
-            Err(error) => return Err(disk(path, error)),
+            Err(error) => return Err(io_error(path, error)),
         };
-        match parse(&bytes) {
-            Some((of, memory, document)) if of == voters => Ok((store, Some((memory, document)))),
-            Some(_) => Err(StoreError::OtherVoters(path.display().to_string())),
+        match decode(&bytes) {
+            Some((of, stored)) if of == voters_digest => Ok((store, Some(stored))),
+            Some(_) => Err(StoreError::VoterListMismatch(path.to_owned())),
             None => {
                 let aside = path.with_extension("damaged");
-                warn!("agreed: {}: damaged, not believed; set aside as {}", path.display(), aside.display());
-                std::fs::rename(path, &aside).map_err(|error| disk(path, error))?;
+                warn!(path = %path.display(), aside = %aside.display(), "voter store damaged; set aside");
+                std::fs::rename(path, &aside).map_err(|error| io_error(path, error))?;
                 Ok((store, None))
             }
         }
     }
 
-    /// Puts a memory on disk, and waits until it is there.
-    pub fn save(&self, memory: &HardState, document: &[u8]) -> Result<(), StoreError> {
-        let value = text(self.voters, memory, document);
+    /// Puts a hard state on disk, and waits until it is synced.
+    ///
+    /// # Errors
+    /// The disk failed; what was stored before stays.
+    pub fn save(&self, hard_state: &HardState, document: &[u8]) -> Result<(), StoreError> {
+        let value = encode(self.voters_digest, hard_state, document);
+        self.replace(&value).map_err(|error| io_error(&self.path, error))
+    }
+
+    fn replace(&self, value: &[u8]) -> io::Result<()> {
         let new = self.path.with_extension("voter-new");
-        let written = || {
-            let mut file = File::create(&new)?;
-            file.write_all(&value)?;
-            file.sync_all()?;
-            std::fs::rename(&new, &self.path)?;
-            // The new name too has to be there after a loss of power.
-            self.path.parent().map_or(Ok(()), |dir| File::open(dir)?.sync_all())
-        };
-        written().map_err(|error| disk(&self.path, error))
+        let mut file = File::create(&new)?;
+        file.write_all(value)?;
+        file.sync_all()?;
+        std::fs::rename(&new, &self.path)?;
+        // The new name too has to be there after a loss of power.
+        self.path.parent().map_or(Ok(()), |dir| File::open(dir)?.sync_all())
     }
 }
 
-fn disk(path: &Path, error: io::Error) -> StoreError {
-    StoreError::Disk(path.display().to_string(), error.to_string())
+/// Locks the store: two processes of one node must not both vote.
+fn lock(path: &Path) -> Result<File, StoreError> {
+    let lock_path = path.with_extension("voter-lock");
+    let lock = File::create(&lock_path).map_err(|error| io_error(&lock_path, error))?;
+    match lock.try_lock() {
+        Ok(()) => Ok(lock),
+        Err(TryLockError::WouldBlock) => Err(StoreError::Locked),
+        Err(TryLockError::Error(error)) => Err(io_error(path, error)),
+    }
+}
+
+fn io_error(path: &Path, source: io::Error) -> StoreError {
+    StoreError::Io { path: path.to_owned(), source }
 }
 
-fn text(voters: u64, memory: &HardState, document: &[u8]) -> Vec<u8> {
+fn encode(voters_digest: u64, hard_state: &HardState, document: &[u8]) -> Vec<u8> {
+    let HardState { term, vote, entry } = hard_state;
     let mut bytes = vec![FORMAT];
-    let HardState { term, vote, entry } = memory;
-    bytes.extend(voters.to_le_bytes());
+    bytes.extend(voters_digest.to_le_bytes());
     bytes.extend(term.to_le_bytes());
-    bytes.push(vote.unwrap_or(u8::MAX));
+    bytes.push(vote.unwrap_or(NO_VOTE));
     for number in [entry.position.term, entry.position.version, entry.digest] {
         bytes.extend(number.to_le_bytes());
     }
     bytes.extend(entry.length.to_le_bytes());
     bytes.extend(document);
-    let digest = alderstile_cluster::digest(&bytes);
-    bytes.extend(digest.to_le_bytes());
+    let checksum = alderstile_cluster::digest(&bytes);
+    bytes.extend(checksum.to_le_bytes());
     bytes
 }
 
-/// Reads a value; none where it is cut short, damaged or of another form.
-pub fn parse(bytes: &[u8]) -> Option<(u64, HardState, Vec<u8>)> {
-    if bytes.len() < LENGTH || bytes.len() > LENGTH + MAX_DOCUMENT || bytes[0] != FORMAT {
+/// Reads a file: the digest of the voters' list and the state; none where it is cut short, damaged or in another format.
+pub fn decode(bytes: &[u8]) -> Option<(u64, StoredState)> {
+    let least = DOCUMENT_AT + CHECKSUM_BYTES;
+    if bytes.len() < least || bytes.len() > least + MAX_DOCUMENT || bytes[0] != FORMAT {
         return None;
     }
-    let (said, digest) = bytes.split_last_chunk::<8>()?;
-    if alderstile_cluster::digest(said) != u64::from_le_bytes(*digest) {
+    let (checked, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
+    if alderstile_cluster::digest(checked) != u64::from_le_bytes(*checksum) {
         return None;
     }
-    let number = |at: usize| {
-        said.get(at..at + 8).and_then(|bytes| bytes.try_into().ok()).map(u64::from_le_bytes).unwrap_or(0)
+    let entry = VersionHeader {
+        position: LogPosition {
+            term: u64_at(checked, ENTRY_TERM_AT)?,
+            version: u64_at(checked, VERSION_AT)?,
+        },
+        digest: u64_at(checked, DIGEST_AT)?,
+        length: u32::from_le_bytes(checked.get(LENGTH_AT..DOCUMENT_AT)?.try_into().ok()?),
     };
-    let (voters, term, vote) = (number(1), number(9), said[17]);
-    let position = LogPosition { term: number(18), version: number(26) };
-    let length = u32::from_le_bytes(said.get(42..46)?.try_into().ok()?);
-    let document = said.get(46..)?.to_vec();
-    let entry = VersionHeader { position, digest: number(34), length };
-    let whole = document.len() == length as usize && alderstile_cluster::digest(&document) == entry.digest;
-    let vote = (vote != u8::MAX).then_some(vote);
-    whole.then_some((voters, HardState { term, vote, entry }, document))
+    let document = checked.get(DOCUMENT_AT..)?.to_vec();
+    if document.len() != entry.length as usize || alderstile_cluster::digest(&document) != entry.digest {
+        return None;
+    }
+    let vote = Some(checked[VOTE_AT]).filter(|vote| *vote != NO_VOTE);
+    let hard_state = HardState { term: u64_at(checked, TERM_AT)?, vote, entry };
+    Some((u64_at(checked, VOTERS_AT)?, (hard_state, document)))
+}
+
+fn u64_at(bytes: &[u8], at: usize) -> Option<u64> {
+    let number = bytes.get(at..)?.first_chunk::<8>()?;
+    Some(u64::from_le_bytes(*number))
 }
--- a/crates/alderstile-node/src/lifecycle/reload.rs
+++ b/crates/alderstile-node/src/lifecycle/reload.rs
@@ -14,7 +14,7 @@
 /// discovery counted for the start: from here on the file's word stands, or a reload could never change it.
 pub fn reload(node: &Node, path: Option<&Path>, env: impl Fn(&str) -> Option<String>) {
     let over = |file| match node.operators.control() {
-        Some(control) => control.over(file),
+        Some(control) => control.overlay_file(file),
         None => file,
     };
     match Config::read(path, env).and_then(|file| node.config().renewed(over(file))) {
@@ -44,7 +44,7 @@
         Ok(config) => {
             cluster.renew_keys(&config);
             if let (Some(control), Some(config)) = (node.operators.control(), &config.control) {
-                control.renew_keys(config);
+                control.set_keys(config);
             }
             info!("reload: the cluster's keys are taken; all else of its file waits for the next start");
         }
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -12,10 +12,10 @@
 use alderstile_node::control::host_assignment;
 use alderstile_node::control::membership::Cluster;
 use alderstile_node::control::peer_gossip::{PeerPath, Peers};
-use alderstile_node::control::replicated_config::Control;
+use alderstile_node::control::replicated_config::ConfigReplica;
 use alderstile_node::control::replicated_config::client::{self as replicated_config_client, CallError};
-use alderstile_node::control::replicated_config::document::Document;
-use alderstile_node::control::replicated_config::store::Store;
+use alderstile_node::control::replicated_config::document::ConfigDocument;
+use alderstile_node::control::replicated_config::store::VoterStore;
 use alderstile_node::discovery::watch;
 use alderstile_node::lifecycle::{connection_handover, reload, shutdown, upgrade};
 use alderstile_node::node::Node;
@@ -174,7 +174,7 @@
 ) -> ExitCode {
     let faulty = |what: String| (2, what);
     let call =
-        |error: CallError| (if matches!(error, CallError::Refused(_)) { 2 } else { 1 }, error.to_string());
+        |error: CallError| (if matches!(error, CallError::Rejected(_)) { 2 } else { 1 }, error.to_string());
     let admin = || match admin {
         Some(admin) => Ok(admin),
         None => {
@@ -184,16 +184,16 @@
     };
     let done = match what {
         Agreement::Show => admin().and_then(|admin| {
-            let shown = replicated_config_client::show(admin).map_err(call)?;
+            let shown = replicated_config_client::status(admin).map_err(call)?;
             serde_json::to_string_pretty(&shown).map_err(|error| (1, error.to_string()))
         }),
         Agreement::Propose { file, expect } => admin().and_then(|admin| {
             let shown = file.display();
             let document = std::fs::read(&file).map_err(|error| faulty(format!("{shown}: {error}")))?;
-            Document::parse(&document).map_err(|error| faulty(format!("{shown}: {error}")))?;
+            ConfigDocument::parse(&document).map_err(|error| faulty(format!("{shown}: {error}")))?;
             let expect = match expect {
                 Some(expect) => expect,
-                None => replicated_config_client::show(admin).map_err(call)?.known,
+                None => replicated_config_client::status(admin).map_err(call)?.committed_version,
             };
             let version = replicated_config_client::propose(admin, expect, &document).map_err(|error| {
                 let (code, error) = call(error);
@@ -223,11 +223,11 @@
     let (Some(_), Some(dir)) = (control.settings.me, &control.state_dir) else {
         return Err(format!("{}: this node is none of control.voters", control.listen));
     };
-    let path = Store::path(dir, &name);
+    let path = VoterStore::path(dir, &name);
     if path.exists() {
         return Err(format!("{}: is there already, and stays as it is", path.display()));
     }
-    let opened = Store::open(&path, control.settings.voters_digest());
+    let opened = VoterStore::open(&path, control.settings.voters_digest());
     let begun = opened.and_then(|(store, _)| store.save(&HardState::genesis(), &[]));
     begun.map_err(|error| error.to_string())?;
     Ok(format!("{}: begun", path.display()))
@@ -311,12 +311,12 @@
             );
             node.operators.join(member.clone());
             if let Some(control) = &cluster.control {
-                let control = Rc::new(Control::new(control, &node));
+                let control = Rc::new(ConfigReplica::new(control, &node));
                 node.operators.agree(control.clone());
                 let member = member.clone();
                 spawn_local(async move {
                     if let Err(error) = control.run(member).await {
-                        error!("agreed: {error}; this node goes by what it has");
+                        error!(%error, "configuration replication stopped; the configuration in force stays");
                     }
                 });
             }
--- a/crates/alderstile-node/tests/agreed.rs
+++ b/crates/alderstile-node/tests/agreed.rs
@@ -6,9 +6,9 @@
 
 use alderstile_cluster::replicated_config::{HardState, LogPosition, VersionHeader};
 use alderstile_node::config::{ClusterConfig, Config};
-use alderstile_node::control::replicated_config::Shown;
-use alderstile_node::control::replicated_config::document::Document;
-use alderstile_node::control::replicated_config::store::{Store, StoreError, parse};
+use alderstile_node::control::replicated_config::ReplicationStatus;
+use alderstile_node::control::replicated_config::document::ConfigDocument;
+use alderstile_node::control::replicated_config::store::{StoreError, VoterStore, decode};
 use alderstile_node::discovery::endpoint_list::server_id;
 use alderstile_node::lifecycle::reload::reload;
 use proptest::prelude::*;
@@ -62,7 +62,7 @@
     }
 
     fn store(&self, n: u8) -> PathBuf {
-        Store::path(&self.dir, &format!("n{n}"))
+        VoterStore::path(&self.dir, &format!("n{n}"))
     }
 
     /// Writes a node's cluster's file, with this key.
@@ -119,7 +119,7 @@
         assert!(Command::new("kill").args([signal, &pid]).status().expect("sent").success());
     }
 
-    fn show(&self, n: u8) -> Option<Shown> {
+    fn show(&self, n: u8) -> Option<ReplicationStatus> {
         let out = self.call(n, &["settings", "show"]);
         serde_json::from_slice(&out.stdout).ok()
     }
@@ -156,10 +156,10 @@
     }
 
     /// Waits until these nodes are as wanted.
-    fn until(&self, nodes: &[u8], what: &str, wanted: impl Fn(&Shown) -> bool) {
+    fn until(&self, nodes: &[u8], what: &str, wanted: impl Fn(&ReplicationStatus) -> bool) {
         let began = Instant::now();
         while !nodes.iter().all(|n| self.show(*n).is_some_and(|shown| wanted(&shown))) {
-            let shown: Vec<Option<Shown>> = nodes.iter().map(|n| self.show(*n)).collect();
+            let shown: Vec<Option<ReplicationStatus>> = nodes.iter().map(|n| self.show(*n)).collect();
             assert!(began.elapsed() < Duration::from_secs(60), "{what}: {shown:#?}");
             std::thread::sleep(Duration::from_millis(30));
         }
@@ -167,14 +167,14 @@
 
     fn counts(&self, nodes: &[u8], version: u64) {
         self.until(nodes, &format!("version {version}"), |shown| {
-            shown.in_force == version && shown.standing == "counts" && shown.refused.is_none()
+            shown.active_version == version && shown.lease_state == "counts" && shown.rejection.is_none()
         });
     }
 
     fn leader(&self) -> u8 {
         let began = Instant::now();
         loop {
-            let voter = |n: &u8| self.show(*n).is_some_and(|shown| shown.voter.as_deref() == Some("leader"));
+            let voter = |n: &u8| self.show(*n).is_some_and(|shown| shown.role.as_deref() == Some("leader"));
             if let Some(leader) = (1..=self.voters).find(voter) {
                 return leader;
             }
@@ -231,7 +231,7 @@
     }
     let (code, said) = fleet.propose(5, &with_attempts(4), Some(0));
     assert!(code == Some(2) && said.contains("version 1 is agreed, not 0"), "{code:?} {said}");
-    assert!(all.iter().all(|n| fleet.show(*n).is_some_and(|shown| shown.known == 1)));
+    assert!(all.iter().all(|n| fleet.show(*n).is_some_and(|shown| shown.committed_version == 1)));
 }
 
 #[test]
@@ -245,15 +245,15 @@
     fleet.counts(&rest, 2);
     fleet.start(leader);
     fleet.counts(&[leader], 2);
-    assert!(fleet.log(leader).contains("remembers term"), "{}", fleet.log(leader));
+    assert!(fleet.log(leader).contains("voter hard state restored"), "{}", fleet.log(leader));
     // Two of three are gone: nothing changes, and the others go on as they are.
     fleet.kill(1);
     fleet.kill(2);
-    fleet.until(&[3, 4, 5], "cut off", |shown| shown.standing == "cut off" && shown.in_force == 2);
+    fleet.until(&[3, 4, 5], "cut off", |shown| shown.lease_state == "cut off" && shown.active_version == 2);
     let (code, said) = fleet.propose(4, &with_attempts(5), None);
     assert!(code == Some(1) && said.contains("no word from a leader"), "{code:?} {said}");
     fleet.start(1);
-    fleet.until(&[3, 4, 5, 1], "back", |shown| shown.standing == "counts" && shown.in_force >= 2);
+    fleet.until(&[3, 4, 5, 1], "back", |shown| shown.lease_state == "counts" && shown.active_version >= 2);
 }
 
 #[test]
@@ -284,14 +284,14 @@
         fleet.key(n, OTHER_KEY);
         fleet.signal(n, "-HUP");
     }
-    fleet.until(&[4, 5, 7], "cut off", |shown| shown.standing == "cut off");
+    fleet.until(&[4, 5, 7], "cut off", |shown| shown.lease_state == "cut off");
     assert_eq!(fleet.agree(6, &with_attempts(4)), 2);
     fleet.counts(&[1, 2, 3, 6], 2);
     let (code, said) = fleet.propose(7, &with_attempts(5), None);
     assert!(code == Some(1), "{code:?} {said}");
-    assert!(
-        [4, 5, 7].iter().all(|n| fleet.show(*n).is_some_and(|shown| (shown.in_force, shown.known) == (1, 1)))
-    );
+    assert!([4, 5, 7].iter().all(|n| {
+        fleet.show(*n).is_some_and(|shown| (shown.active_version, shown.committed_version) == (1, 1))
+    }));
     for n in [4, 5, 7] {
         fleet.key(n, KEY);
         fleet.signal(n, "-HUP");
@@ -309,20 +309,20 @@
     fleet.kill(2);
     std::fs::remove_file(fleet.store(1)).expect("taken away");
     fleet.start(1);
-    fleet.until(&[1], "a learner", |shown| shown.voter.as_deref() == Some("learner"));
+    fleet.until(&[1], "a learner", |shown| shown.role.as_deref() == Some("learner"));
     std::thread::sleep(Duration::from_millis(1_500));
-    assert_eq!(fleet.show(1).and_then(|shown| shown.voter).as_deref(), Some("learner"));
-    assert!(fleet.log(1).contains("has no memory"), "{}", fleet.log(1));
+    assert_eq!(fleet.show(1).and_then(|shown| shown.role).as_deref(), Some("learner"));
+    assert!(fleet.log(1).contains("voter hard state missing"), "{}", fleet.log(1));
     fleet.start(2);
     fleet.counts(&[1, 2, 3, 4], 1);
-    fleet.until(&[1], "a voter", |shown| shown.voter.as_deref().is_some_and(|voter| voter != "learner"));
+    fleet.until(&[1], "a voter", |shown| shown.role.as_deref().is_some_and(|voter| voter != "learner"));
     // Cut short, it is set aside and asked for again.
     fleet.kill(3);
     let whole = std::fs::read(fleet.store(3)).expect("read");
     std::fs::write(fleet.store(3), &whole[..whole.len() / 3]).expect("written");
     fleet.start(3);
     fleet.counts(&[3], 1);
-    fleet.until(&[3], "a voter", |shown| shown.voter.as_deref().is_some_and(|voter| voter != "learner"));
+    fleet.until(&[3], "a voter", |shown| shown.role.as_deref().is_some_and(|voter| voter != "learner"));
     assert!(fleet.store(3).with_extension("damaged").exists());
     assert_eq!(fleet.agree(4, &with_attempts(4)), 2);
     fleet.counts(&[1, 2, 3, 4], 2);
@@ -350,26 +350,26 @@
     };
     let show = |admin: &str| {
         let admin = admin.parse().expect("an address");
-        alderstile_node::control::replicated_config::client::show(admin).ok()
+        alderstile_node::control::replicated_config::client::status(admin).ok()
     };
-    let until = |admin: &str, what: &str, wanted: &dyn Fn(&Shown) -> bool| {
+    let until = |admin: &str, what: &str, wanted: &dyn Fn(&ReplicationStatus) -> bool| {
         let began = Instant::now();
         while !show(admin).is_some_and(|shown| wanted(&shown)) {
             assert!(began.elapsed() < Duration::from_secs(60), "{what}: {:?}", show(admin));
             std::thread::sleep(Duration::from_millis(30));
         }
     };
-    let counts = |shown: &Shown| shown.in_force == 1 && shown.standing == "counts";
+    let counts = |shown: &ReplicationStatus| shown.active_version == 1 && shown.lease_state == "counts";
     let (first, second) = (fleet.at(1, 19_004), fleet.at(1, 19_005));
     let mut old = begin(&first);
-    until(&first, "a voter", &|shown| counts(shown) && shown.voter.is_some());
+    until(&first, "a voter", &|shown| counts(shown) && shown.role.is_some());
     let _new = begin(&second);
-    until(&second, "without a vote", &|shown| counts(shown) && shown.voter.is_none());
+    until(&second, "without a vote", &|shown| counts(shown) && shown.role.is_none());
     let pid = old.0.id().to_string();
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("sent").success());
     assert!(old.0.wait().expect("ended").success());
     until(&second, "a voter", &|shown| {
-        counts(shown) && shown.voter.as_deref().is_some_and(|voter| voter != "learner")
+        counts(shown) && shown.role.as_deref().is_some_and(|voter| voter != "learner")
     });
     std::fs::remove_dir_all(&shared).expect("taken away");
 }
@@ -392,7 +392,7 @@
         });
         assert_eq!(agreed(&control, &both).await, 1);
         // Agreed and not in force yet: fewer attempts and a host out count at once.
-        assert_eq!((control.show().in_force, most(), out("s-1")), (0, 2, true));
+        assert_eq!((control.status().active_version, most(), out("s-1")), (0, 2, true));
         in_force(&control, 1).await;
         assert_eq!((most(), out("s-1"), out("s-2")), (2, true, false));
         assert!(setup.node.operators.figures().contains("router.hosts_down:1|g"));
@@ -402,7 +402,7 @@
             document["hosts_out"] = json!(["s-2"]);
         });
         assert_eq!(agreed(&control, &wider).await, 2);
-        assert_eq!(control.show().in_force, 1);
+        assert_eq!(control.status().active_version, 1);
         assert_eq!((most(), out("s-1"), out("s-2")), (2, true, true), "both are out until it counts");
         in_force(&control, 2).await;
         assert_eq!((most(), out("s-1"), out("s-2")), (5, false, true));
@@ -492,8 +492,8 @@
 fn open(path: &Path) -> Option<(HardState, Vec<u8>)> {
     let began = Instant::now();
     loop {
-        match Store::open(path, 7) {
-            Err(StoreError::Taken) if began.elapsed() < Duration::from_secs(20) => {}
+        match VoterStore::open(path, 7) {
+            Err(StoreError::Locked) if began.elapsed() < Duration::from_secs(20) => {}
             opened => return opened.expect("opened").1,
         }
     }
@@ -502,31 +502,31 @@
 #[test]
 fn a_memory_is_read_as_it_was_saved_and_belongs_to_one_process_and_one_list_of_voters() {
     let dir = folder("store");
-    let path = Store::path(&dir, "n/1");
+    let path = VoterStore::path(&dir, "n/1");
     assert_eq!(open(&path), None);
-    let (store, _) = Store::open(&path, 7).expect("opened");
-    assert!(matches!(Store::open(&path, 7), Err(StoreError::Taken)));
+    let (store, _) = VoterStore::open(&path, 7).expect("opened");
+    assert!(matches!(VoterStore::open(&path, 7), Err(StoreError::Locked)));
     for version in 1..20 {
         store.save(&memory(version, &[b'a'; 9_000]), &[b'a'; 9_000]).expect("saved");
     }
     drop(store);
     assert_eq!(open(&path), Some((memory(19, &[b'a'; 9_000]), vec![b'a'; 9_000])));
     let other = loop {
-        match Store::open(&path, 8) {
-            Err(StoreError::Taken) => {}
+        match VoterStore::open(&path, 8) {
+            Err(StoreError::Locked) => {}
             opened => break opened.err(),
         }
     };
-    assert!(matches!(other, Some(StoreError::OtherVoters(_))), "{other:?}");
+    assert!(matches!(other, Some(StoreError::VoterListMismatch(_))), "{other:?}");
     std::fs::remove_dir_all(&dir).expect("taken away");
 }
 
 #[test]
 fn a_store_that_is_cut_short_or_damaged_at_any_byte_is_not_believed() {
     let dir = folder("damage");
-    let path = Store::path(&dir, "n1");
+    let path = VoterStore::path(&dir, "n1");
     let document = b"a document";
-    let (store, _) = Store::open(&path, 7).expect("opened");
+    let (store, _) = VoterStore::open(&path, 7).expect("opened");
     store.save(&memory(3, document), document).expect("saved");
     drop(store);
     let whole = std::fs::read(&path).expect("read");
@@ -546,12 +546,12 @@
 #[test]
 fn a_memory_that_can_t_be_put_on_disk_is_said_to_be_so_and_the_one_before_stays() {
     let dir = folder("full");
-    let path = Store::path(&dir, "n1");
-    let (store, _) = Store::open(&path, 7).expect("opened");
+    let path = VoterStore::path(&dir, "n1");
+    let (store, _) = VoterStore::open(&path, 7).expect("opened");
     store.save(&memory(1, b"one"), b"one").expect("saved");
     // Nothing can be written beside it.
     std::fs::create_dir(path.with_extension("voter-new")).expect("a folder in its place");
-    assert!(matches!(store.save(&memory(2, b"two"), b"two"), Err(StoreError::Disk(..))));
+    assert!(matches!(store.save(&memory(2, b"two"), b"two"), Err(StoreError::Io { .. })));
     drop(store);
     assert_eq!(open(&path), Some((memory(1, b"one"), b"one".to_vec())));
     std::fs::remove_dir_all(&dir).expect("taken away");
@@ -565,10 +565,10 @@
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
         text in "[{}a-z\":,0-9\\[\\] ]{0,60}",
     ) {
-        prop_assert_eq!(parse(&bytes), None);
+        prop_assert_eq!(decode(&bytes), None);
         let file = Config::of_file(config("127.0.0.1:9000", "127.0.0.1:8500"), |_| None).expect("fine");
-        for document in [Document::parse(&bytes), Document::parse(text.as_bytes())].into_iter().flatten() {
-            prop_assert!(document.check(&file).is_err());
+        for document in [ConfigDocument::parse(&bytes), ConfigDocument::parse(text.as_bytes())].into_iter().flatten() {
+            prop_assert!(document.validate(&file).is_err());
         }
     }
 }
--- a/crates/alderstile-node/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-node/tests/replicated_config_fixtures.rs
@@ -3,11 +3,12 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use alderstile_cluster::replicated_config::{HardState, LogPosition, VersionHeader};
+use alderstile_cluster::replicated_config::{HardState, LeaseState, LogPosition, Role, VersionHeader};
 use alderstile_node::admin::server;
-use alderstile_node::control::replicated_config::Shown;
-use alderstile_node::control::replicated_config::document::Document;
-use alderstile_node::control::replicated_config::store::Store;
+use alderstile_node::control::replicated_config::ReplicationStatus;
+use alderstile_node::control::replicated_config::document::ConfigDocument;
+use alderstile_node::control::replicated_config::status::{lease_state_name, role_name};
+use alderstile_node::control::replicated_config::store::VoterStore;
 use alderstile_node::proxy::listener;
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
@@ -23,7 +24,7 @@
 /// A document with hosts out, as voters store it.
 fn stored_document() -> Vec<u8> {
     let document = document(|document| document["hosts_out"] = json!(["s-1", "s-2"]));
-    let document = Document::parse(document.to_string().as_bytes()).expect("a document");
+    let document = ConfigDocument::parse(document.to_string().as_bytes()).expect("a document");
     serde_json::to_vec(&document).expect("JSON")
 }
 
@@ -42,10 +43,10 @@
 #[test]
 fn a_store_of_the_version_before_is_read_and_written_as_the_same_bytes() {
     let dir = folder("store-fixture");
-    let path = Store::path(&dir, "n/1");
+    let path = VoterStore::path(&dir, "n/1");
     assert_eq!(path.file_name().and_then(|name| name.to_str()), Some("alderstile-n%2F1.voter"));
     std::fs::copy(fixture("voter_store.bin"), &path).expect("copied");
-    let (store, found) = Store::open(&path, VOTERS).expect("opened");
+    let (store, found) = VoterStore::open(&path, VOTERS).expect("opened");
     let document = stored_document();
     assert_eq!(found, Some((stored_state(&document), document.clone())));
     std::fs::remove_file(&path).expect("taken away");
@@ -56,16 +57,16 @@
 }
 
 /// What a voter answers that has been told everything.
-fn shown() -> Shown {
-    Shown {
-        in_force: 8,
-        standing: "cut off".to_owned(),
-        known: 9,
-        waits_ms: 1_250,
-        age_ms: Some(321),
-        voter: Some("follower".to_owned()),
+fn shown() -> ReplicationStatus {
+    ReplicationStatus {
+        active_version: 8,
+        lease_state: "cut off".to_owned(),
+        committed_version: 9,
+        activates_in_ms: 1_250,
+        news_age_ms: Some(321),
+        role: Some("follower".to_owned()),
         leader: Some("10.0.0.2:7950".parse().expect("an address")),
-        refused: Some("the key x: faulty".to_owned()),
+        rejection: Some("the key x: faulty".to_owned()),
         digest: "00112233445566ff".to_owned(),
         document: json!({"settings": {"a": 1}}),
     }
@@ -73,14 +74,24 @@
 
 #[test]
 fn the_admin_interface_s_answers_keep_their_keys() {
-    for (name, shown) in [("settings_full.json", shown()), ("settings_empty.json", Shown::default())] {
+    for (name, shown) in
+        [("settings_full.json", shown()), ("settings_empty.json", ReplicationStatus::default())]
+    {
         let text = std::fs::read_to_string(fixture(name)).expect("read");
         assert_eq!(serde_json::to_string(&shown).expect("JSON"), text, "{name}");
-        let read: Shown = serde_json::from_str(&text).expect("readable");
+        let read: ReplicationStatus = serde_json::from_str(&text).expect("readable");
         assert_eq!(serde_json::to_string(&read).expect("JSON"), text, "{name}");
     }
 }
 
+#[test]
+fn states_and_roles_keep_the_admin_interface_s_names() {
+    let states = [LeaseState::NeverHeard, LeaseState::Valid, LeaseState::Superseded, LeaseState::Expired];
+    assert_eq!(states.map(lease_state_name), ["unheard", "counts", "between", "cut off"]);
+    let roles = [Role::Learner, Role::Follower, Role::PreCandidate, Role::Candidate, Role::Leader];
+    assert_eq!(roles.map(role_name), ["learner", "follower", "candidate", "candidate", "leader"]);
+}
+
 async fn call(to: std::net::SocketAddr, method: &str, path: &str, body: &str) -> (String, String) {
     let mut peer = Peer::connect(to).await;
     let length = body.len();
@@ -115,7 +126,7 @@
 async fn answers() -> Vec<(&'static str, String)> {
     let host = Host::new("s-1").await;
     let (setup, _watch, control, dir) = alone(89, &[&host]).await;
-    let before = serde_json::to_string(&control.show()).expect("JSON");
+    let before = serde_json::to_string(&control.status()).expect("JSON");
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let to = listener.local_addr().expect("bound");
     spawn_local(server::run(setup.node.operators.clone(), listener));
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -7,8 +7,8 @@
 use alderstile_cluster::replicated_config::HardState;
 use alderstile_node::config::ClusterConfig;
 use alderstile_node::control::membership::Cluster;
-use alderstile_node::control::replicated_config::store::Store;
-use alderstile_node::control::replicated_config::{Control, Proposed};
+use alderstile_node::control::replicated_config::store::VoterStore;
+use alderstile_node::control::replicated_config::{ConfigReplica, ProposalResult};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
@@ -33,7 +33,7 @@
 }
 
 /// A node that is the only voter, in this process.
-pub async fn alone(net: u8, hosts: &[&Host]) -> (Setup, Peer, Rc<Control>, PathBuf) {
+pub async fn alone(net: u8, hosts: &[&Host]) -> (Setup, Peer, Rc<ConfigReplica>, PathBuf) {
     let (setup, watch) = serving(hosts).await;
     let dir = folder(&format!("alone-{net}"));
     let text = format!(
@@ -44,31 +44,33 @@
     );
     let cluster = ClusterConfig::parse("c.toml", &text).expect("fine");
     let control = cluster.control.as_ref().expect("a table");
-    let store = Store::path(&dir, &setup.node.config().name);
-    let (begun, _) = Store::open(&store, control.settings.voters_digest()).expect("opened");
+    let store = VoterStore::path(&dir, &setup.node.config().name);
+    let (begun, _) = VoterStore::open(&store, control.settings.voters_digest()).expect("opened");
     begun.save(&HardState::genesis(), &[]).expect("saved");
     drop(begun);
     let member = Rc::new(Cluster::new(&setup.node.config(), &cluster, None).expect("a member"));
     setup.node.operators.join(member.clone());
-    let control = Rc::new(Control::new(control, &setup.node));
+    let control = Rc::new(ConfigReplica::new(control, &setup.node));
     setup.node.operators.agree(control.clone());
     assert!(!setup.node.operators.ready(), "not before it knows which version counts");
     spawn_local(control.clone().run(member));
     (setup, watch, control, dir)
 }
 
-pub async fn agreed(control: &Control, document: &Value) -> u64 {
+pub async fn agreed(control: &ConfigReplica, document: &Value) -> u64 {
     loop {
-        let expect = control.show().known;
-        if let Proposed::Agreed(version) = control.propose(expect, document.to_string().as_bytes()).await {
+        let expect = control.status().committed_version;
+        if let ProposalResult::Committed(version) =
+            control.propose(expect, document.to_string().as_bytes()).await
+        {
             return version;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
-pub async fn in_force(control: &Control, version: u64) {
-    while control.show().in_force < version {
+pub async fn in_force(control: &ConfigReplica, version: u64) {
+    while control.status().active_version < version {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
