--- a/crates/alderstile-drill/src/main.rs
+++ b/crates/alderstile-sim-adapter/src/main.rs
@@ -3,8 +3,8 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use alderstile_drill::host::{Host, HostError};
-use alderstile_drill::wire::{self, Header};
+use alderstile_sim_adapter::host::{Host, HostError};
+use alderstile_sim_adapter::wire::{self, Header};
 use log::{error, info};
 
 fn main() -> ExitCode {
--- a/crates/alderstile-drill/tests/codec.rs
+++ b/crates/alderstile-sim-adapter/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Frames built here, read and answered by the adapter.
 
-use alderstile_drill::host::{Host, HostError};
-use alderstile_drill::wire::{Body, HEADER_LEN, Header, Records, Reply, WireError};
+use alderstile_sim_adapter::host::{Host, HostError};
+use alderstile_sim_adapter::wire::{Body, HEADER_LEN, Header, Records, Reply, WireError};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
