--- a/crates/alderstile-node/src/config/mod.rs
+++ b/crates/alderstile-node/src/config/mod.rs
@@ -408,7 +408,7 @@
     Ok(())
 }
 
-/// On sockets the list comes to those who watch it, whatever brings it on the drill.
+/// On sockets the list comes to those who watch it, whatever brings it in the simulator.
 fn on_sockets(mut settings: BalancerSettings) -> BalancerSettings {
     let pushed = !std::mem::replace(&mut settings.must_subscribe, true);
     if pushed {
--- a/crates/alderstile-sim-adapter/src/lib.rs
+++ b/crates/alderstile-sim-adapter/src/lib.rs
@@ -1,6 +1,6 @@
-//! Hosts many instances of the alderstile decisions behind the drill wire.
+//! The simulator's adapter: runs many instances of the alderstile decisions behind the simulator's wire.
 //!
-//! [`wire`] reads batches and writes replies, [`host`] keeps the instances. Neither decides anything.
+//! [`wire`] reads batches and writes replies, [`instances`] keeps the instances. Neither decides anything.
 
-pub mod host;
+pub mod instances;
 pub mod wire;
--- a/crates/alderstile-sim-adapter/src/main.rs
+++ b/crates/alderstile-sim-adapter/src/main.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
 
-use alderstile_sim_adapter::host::{Host, HostError};
+use alderstile_sim_adapter::instances::{AdapterError, Instances};
 use alderstile_sim_adapter::wire::{self, Header};
 use log::{error, info};
 
@@ -18,19 +18,19 @@
     }
 }
 
-fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
-    let mut host = Host::default();
+fn run(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut instances = Instances::default();
     let mut body = Vec::new();
     let mut batches = 0u64;
     while let Some(head) = read_header(&mut input)? {
         let header = Header::parse(&head)?;
         body.clear();
-        // Read piece by piece: the stated length alone must not make us allocate.
+        // Read piece by piece: the stated length alone must not cost memory.
         let got = input.by_ref().take(header.body_len()).read_to_end(&mut body)?;
         if (got as u64) < header.body_len() {
-            return Err(HostError::CutOff { batch: header.batch, offset: wire::HEADER_LEN + got });
+            return Err(AdapterError::CutOff { batch: header.batch, offset: wire::HEADER_LEN + got });
         }
-        output.write_all(host.batch(&header, &body)?)?;
+        output.write_all(instances.handle_batch(&header, &body)?)?;
         output.flush()?;
         batches += 1;
     }
@@ -39,12 +39,12 @@
 }
 
 /// The bytes of the next header, or none at the end of input.
-fn read_header(input: &mut impl Read) -> Result<Option<[u8; wire::HEADER_LEN]>, HostError> {
+fn read_header(input: &mut impl Read) -> Result<Option<[u8; wire::HEADER_LEN]>, AdapterError> {
     let mut head = Vec::with_capacity(wire::HEADER_LEN);
     input.by_ref().take(wire::HEADER_LEN as u64).read_to_end(&mut head)?;
     match <[u8; wire::HEADER_LEN]>::try_from(head.as_slice()) {
         Ok(head) => Ok(Some(head)),
         Err(_) if head.is_empty() => Ok(None),
-        Err(_) => Err(HostError::HeaderCutOff { got: head.len() }),
+        Err(_) => Err(AdapterError::HeaderCutOff { got: head.len() }),
     }
 }
--- a/crates/alderstile-sim-adapter/tests/codec.rs
+++ b/crates/alderstile-sim-adapter/tests/codec.rs
@@ -1,7 +1,7 @@
 //! Frames built here, read and answered by the adapter.
 
-use alderstile_sim_adapter::host::{Host, HostError};
-use alderstile_sim_adapter::wire::{Body, HEADER_LEN, Header, Records, Reply, WireError};
+use alderstile_sim_adapter::instances::{AdapterError, Instances};
+use alderstile_sim_adapter::wire::{HEADER_LEN, Header, RecordBody, Records, Reply, WireError};
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -70,7 +70,7 @@
     )
 }
 
-fn parse(frame: &[u8]) -> Result<Vec<(u16, Body)>, WireError> {
+fn parse(frame: &[u8]) -> Result<Vec<(u16, RecordBody)>, WireError> {
     let head: [u8; HEADER_LEN] = frame[..HEADER_LEN].try_into().expect("a whole header");
     let mut records = Records::new(Header::parse(&head)?, &frame[HEADER_LEN..]);
     let mut all = Vec::new();
@@ -82,15 +82,15 @@
 
 fn only_event(record: Vec<u8>) -> Event {
     match parse(&frame(1, &[record])).expect("a sound frame").pop() {
-        Some((3, Body::Event(event))) => event,
+        Some((3, RecordBody::Event(event))) => event,
         other => panic!("{other:?}"),
     }
 }
 
-fn answer(host: &mut Host, frame: &[u8]) -> Result<Vec<u8>, HostError> {
+fn answer(instances: &mut Instances, frame: &[u8]) -> Result<Vec<u8>, AdapterError> {
     let head: [u8; HEADER_LEN] = frame[..HEADER_LEN].try_into().expect("a whole header");
     let header = Header::parse(&head)?;
-    host.batch(&header, &frame[HEADER_LEN..]).map(<[u8]>::to_vec)
+    instances.handle_batch(&header, &frame[HEADER_LEN..]).map(<[u8]>::to_vec)
 }
 
 const ID: ServerId = ServerId(0x0a12_4a07_1f93);
@@ -195,18 +195,18 @@
 
 #[test]
 fn a_batch_is_answered_and_instances_share_nothing() {
-    let mut host = Host::default();
+    let mut instances = Instances::default();
     let start = |i| [launch(i, SETTINGS), list(i, 1, &[entry(1)]), req(i, 1)];
-    let alone = answer(&mut Host::default(), &frame(1, &start(3))).expect("an answer");
+    let alone = answer(&mut Instances::default(), &frame(1, &start(3))).expect("an answer");
     let both: Vec<Vec<u8>> = start(3).into_iter().chain(start(4)).collect();
-    let together = answer(&mut host, &frame(1, &both)).expect("an answer");
+    let together = answer(&mut instances, &frame(1, &both)).expect("an answer");
     assert_eq!(alone[12..], together[12..alone.len()]);
     let again = [record(7, 3, &[]), launch(3, SETTINGS), list(3, 2, &[]), req(3, 2)];
-    let reply = answer(&mut host, &frame(2, &again)).expect("stop and start in one batch");
+    let reply = answer(&mut instances, &frame(2, &again)).expect("stop and start in one batch");
     assert_eq!(reply[..4], 2u32.to_le_bytes());
-    let unknown = answer(&mut host, &frame(3, &[req(9, 1)])).expect("an instance that never started");
+    let unknown = answer(&mut instances, &frame(3, &[req(9, 1)])).expect("an instance that never started");
     assert_eq!(unknown.len(), 12);
-    assert_eq!(answer(&mut host, &frame(4, &[])).expect("an empty batch").len(), 12);
+    assert_eq!(answer(&mut instances, &frame(4, &[])).expect("an empty batch").len(), 12);
 }
 
 #[test]
@@ -271,7 +271,7 @@
 }
 
 fn run(input: &[u8]) -> std::process::Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_alderstile-drill"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_alderstile-sim-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
