--- a/crates/alderstile-node/src/control/replicated_config.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -23,8 +23,12 @@
 use crate::config::{ControlConfig, CutOff};
 use crate::control::configured_node::ConfiguredNode;
 use crate::control::membership::Cluster;
-use crate::control::replicated_config_document::Document;
-use crate::control::replicated_config_store::{Store, StoreError};
+use crate::control::replicated_config::document::Document;
+use crate::control::replicated_config::store::{Store, StoreError};
+
+pub mod client;
+pub mod document;
+pub mod store;
 
 /// The tag of the fact by which a member tells on which port it hears of versions.
 const PORT: u8 = b'c';
@@ -367,7 +371,7 @@
 
     /// Other keys count from now on.
     pub fn renew_keys(&self, config: &ControlConfig) {
-        self.core.borrow_mut().set_seal(config.seal.clone());
+        self.core.borrow_mut().set_codec(config.codec.clone());
     }
 
     /// Tells when this node is cut off, and when it is not any more.
@@ -493,7 +497,7 @@
     config: &ControlConfig,
     node: &Weak<dyn ConfiguredNode>,
     me: Option<u8>,
-    found: crate::control::replicated_config_store::Found,
+    found: crate::control::replicated_config::store::Found,
     now: Micros,
 ) -> ReplicatedConfig {
     let node = node.clone();
@@ -504,7 +508,7 @@
     };
     let set = ReplicationSettings { me, ..config.settings.clone() };
     // Never the same at two starts: what an earlier process was told must not count for this one.
-    ReplicatedConfig::new(set, config.seal.clone(), found, Box::new(check), seed(), now)
+    ReplicatedConfig::new(set, config.codec.clone(), found, Box::new(check), seed(), now)
 }
 
 fn shown(role: Role) -> &'static str {
