--- a/crates/alderstile-node/src/admin/server.rs
+++ b/crates/alderstile-node/src/admin/server.rs
@@ -24,7 +24,7 @@
 
 use crate::admin::service::AdminService;
 use crate::config::CALLERS;
-use crate::control::replicated_config::{Control, Proposed};
+use crate::control::replicated_config::{ConfigReplica, ProposalResult};
 
 /// A call that is not finished by then is dropped: callers wait no longer than 1 s for their answer.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
@@ -156,11 +156,11 @@
         Route::Metrics => respond(StatusCode::OK, admin.metrics_text()),
         Route::Members => members(admin),
         Route::ReplicatedConfig => match admin.replicated_config() {
-            Some(control) => json(&control.show()),
+            Some(replica) => json(&replica.status()),
             None => not_found(),
         },
         Route::Proposal(previous_version) => match admin.replicated_config() {
-            Some(control) => propose(&control, previous_version, &body).await,
+            Some(replica) => propose(&replica, previous_version, &body).await,
             None => not_found(),
         },
         Route::HostMaintenance { host, online } => maintain(admin, &host, online).await,
@@ -183,11 +183,11 @@
     }
 }
 
-async fn propose(control: &Control, previous_version: u64, document: &[u8]) -> Response<Full<Bytes>> {
-    match control.propose(previous_version, document).await {
-        Proposed::Agreed(version) => respond(StatusCode::OK, format!("{version}\n")),
-        Proposed::Refused(reason) => respond(StatusCode::CONFLICT, format!("{reason}\n")),
-        Proposed::Open => respond(StatusCode::ACCEPTED, "no word so far\n"),
+async fn propose(replica: &ConfigReplica, previous_version: u64, document: &[u8]) -> Response<Full<Bytes>> {
+    match replica.propose(previous_version, document).await {
+        ProposalResult::Committed(version) => respond(StatusCode::OK, format!("{version}\n")),
+        ProposalResult::Rejected(reason) => respond(StatusCode::CONFLICT, format!("{reason}\n")),
+        ProposalResult::Pending => respond(StatusCode::ACCEPTED, "no word so far\n"),
     }
 }
 
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -10,7 +10,7 @@
 use crate::admin::metrics::{Gauges, SubsetGauges};
 use crate::config::Current;
 use crate::control::membership::Cluster;
-use crate::control::replicated_config::Control;
+use crate::control::replicated_config::ConfigReplica;
 use crate::decisions::Decisions;
 use crate::discovery::endpoint_list::server_id;
 use crate::lifecycle::process::Process;
@@ -24,7 +24,7 @@
     process: Rc<Process>,
     maintenance: RefCell<MaintenanceStore>,
     membership: RefCell<Option<Rc<Cluster>>>,
-    replicated_config: RefCell<Option<Rc<Control>>>,
+    replicated_config: RefCell<Option<Rc<ConfigReplica>>>,
 }
 
 impl AdminService {
@@ -55,7 +55,7 @@
 
     /// Whether new clients may be sent to this process.
     pub fn is_ready(&self) -> bool {
-        let config_known = self.replicated_config().is_none_or(|control| control.ready());
+        let config_known = self.replicated_config().is_none_or(|replica| replica.ready());
         config_known
             && self.decisions.can_serve()
             && self.process.listens().is_some()
@@ -73,12 +73,12 @@
     }
 
     /// Makes this node follow the cluster's replicated configuration.
-    pub fn set_replicated_config(&self, control: Rc<Control>) {
-        self.replicated_config.replace(Some(control));
+    pub fn set_replicated_config(&self, replica: Rc<ConfigReplica>) {
+        self.replicated_config.replace(Some(replica));
     }
 
     /// The replicated configuration, where this node follows one.
-    pub fn replicated_config(&self) -> Option<Rc<Control>> {
+    pub fn replicated_config(&self) -> Option<Rc<ConfigReplica>> {
         self.replicated_config.borrow().clone()
     }
 
@@ -96,7 +96,7 @@
             subset: self.decisions.assigned_host_counts().map(|(used, added)| SubsetGauges { used, added }),
             members: self.membership().map(|membership| membership.stats()),
         });
-        let replicated_config = self.replicated_config().map(|control| control.figures()).unwrap_or_default();
+        let replicated_config = self.replicated_config().map(|replica| replica.metrics()).unwrap_or_default();
         self.clients.figures(gauges) + &replicated_config
     }
 
