--- a/crates/alderstile-cluster/src/subsetting.rs
+++ b/crates/alderstile-cluster/src/subsetting.rs
@@ -33,24 +33,24 @@
 
 /// How subsets are chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rule {
+pub struct SubsettingParams {
     /// Hosts that a node uses, at least.
-    pub size: usize,
+    pub hosts_per_node: usize,
     /// Nodes that use a host, at least.
-    pub users: usize,
+    pub nodes_per_host: usize,
     /// Hosts of the own zone first.
-    pub zones: bool,
+    pub prefer_own_zone: bool,
 }
 
-impl Default for Rule {
+impl Default for SubsettingParams {
     fn default() -> Self {
-        Rule { size: 20, users: 4, zones: false }
+        SubsettingParams { hosts_per_node: 20, nodes_per_host: 4, prefer_own_zone: false }
     }
 }
 
 /// A host as the list has it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Host {
+pub struct SubsetHost {
     /// Its id.
     pub id: ServerId,
     /// Its size beside others; what is no positive number counts as one.
@@ -58,12 +58,12 @@
     /// Its zone.
     pub zone: u16,
     /// Hosts that may fail together.
-    pub group: u16,
+    pub failure_group: u16,
 }
 
 /// A node as the members have it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Node {
+pub struct SubsetNode {
     /// Its name.
     pub name: Box<str>,
     /// Its zone.
@@ -72,8 +72,8 @@
     pub traffic: f64,
 }
 
-/// Shares of a node's traffic by host.
-pub type Shares = BTreeMap<ServerId, f64>;
+/// TrafficShares of a node's traffic by host.
+pub type TrafficShares = BTreeMap<ServerId, f64>;
 
 /// A positive number within bounds.
 fn bounded(weight: f64) -> f64 {
@@ -81,7 +81,7 @@
 }
 
 /// A draw for a pair: the lowest goes first, and a heavier host is first as much more often (exponential draws).
-fn draw(node: u64, host: &Host) -> f64 {
+fn draw(node: u64, host: &SubsetHost) -> f64 {
     // The finalizer of MurmurHash3: each bit of the pair reaches each bit of the draw.
     let mixed = node ^ host.id.0.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 33).wrapping_mul(0xff51_afd7_ed55_8ccd);
@@ -92,31 +92,32 @@
 
 /// All hosts in the order in which a node would use them: by its draws, but no failure group with more than twice its part of a
 /// subset before all others have had theirs, and the own zone first where that is asked for.
-pub fn order(rule: Rule, node: &Node, hosts: &[Host]) -> Vec<ServerId> {
+pub fn preference_order(rule: SubsettingParams, node: &SubsetNode, hosts: &[SubsetHost]) -> Vec<ServerId> {
     let name = hashed(&node.name);
-    let mut drawn: Vec<(f64, &Host)> = hosts.iter().map(|host| (draw(name, host), host)).collect();
+    let mut drawn: Vec<(f64, &SubsetHost)> = hosts.iter().map(|host| (draw(name, host), host)).collect();
     drawn.sort_by(|(a, x), (b, y)| a.total_cmp(b).then(x.id.cmp(&y.id)));
     let mut room: BTreeMap<u16, f64> = BTreeMap::new();
     let weights: f64 = hosts.iter().map(|host| bounded(host.weight)).sum();
     for host in hosts {
-        *room.entry(host.group).or_default() += CROWD * rule.size as f64 * bounded(host.weight) / weights;
+        *room.entry(host.failure_group).or_default() +=
+            CROWD * rule.hosts_per_node as f64 * bounded(host.weight) / weights;
     }
     let (mut near, mut far, mut crowd) = (Vec::new(), Vec::new(), Vec::new());
     for (_, host) in drawn {
         // At least one of each group has room.
-        let room = room.entry(host.group).or_default();
+        let room = room.entry(host.failure_group).or_default();
         *room -= 1.0;
         if *room <= -1.0 {
             crowd.push(host.id);
-        } else if !rule.zones || host.zone == node.zone {
+        } else if !rule.prefer_own_zone || host.zone == node.zone {
             near.push(host.id);
         } else {
             far.push(host.id);
         }
     }
     // Most from the own zone, some from others, the rest of the own, the rest of the others.
-    let abroad = ((rule.size as f64 * ABROAD).ceil() as usize).min(far.len());
-    let home = rule.size.saturating_sub(abroad).min(near.len());
+    let abroad = ((rule.hosts_per_node as f64 * ABROAD).ceil() as usize).min(far.len());
+    let home = rule.hosts_per_node.saturating_sub(abroad).min(near.len());
     let (rest, far_rest) = (near.split_off(home), far.split_off(abroad));
     [near, far, rest, far_rest, crowd].concat()
 }
@@ -128,16 +129,16 @@
 
 /// The whole table: each node's shares, which sum to one; `nodes` and `hosts` in any order, the answer in the order of `nodes`.
 /// Who is named twice counts once. Nothing where there are no hosts.
-pub fn table(rule: Rule, nodes: &[Node], hosts: &[Host]) -> Vec<Shares> {
-    let hosts: BTreeMap<ServerId, Host> = hosts.iter().map(|host| (host.id, *host)).collect();
-    let hosts: Vec<Host> = hosts.into_values().collect();
-    let by_name: BTreeMap<&str, &Node> = nodes.iter().map(|node| (&*node.name, node)).collect();
+pub fn share_table(rule: SubsettingParams, nodes: &[SubsetNode], hosts: &[SubsetHost]) -> Vec<TrafficShares> {
+    let hosts: BTreeMap<ServerId, SubsetHost> = hosts.iter().map(|host| (host.id, *host)).collect();
+    let hosts: Vec<SubsetHost> = hosts.into_values().collect();
+    let by_name: BTreeMap<&str, &SubsetNode> = nodes.iter().map(|node| (&*node.name, node)).collect();
     let place: BTreeMap<ServerId, usize> = hosts.iter().enumerate().map(|(h, host)| (host.id, h)).collect();
-    let sorted: Vec<&Node> = by_name.values().copied().collect();
-    let size = rule.size.max(1);
+    let sorted: Vec<&SubsetNode> = by_name.values().copied().collect();
+    let size = rule.hosts_per_node.max(1);
     let mut uses: Vec<BTreeMap<usize, f64>> = Vec::with_capacity(sorted.len());
     for node in &sorted {
-        let order = order(rule, node, &hosts);
+        let order = preference_order(rule, node, &hosts);
         let first = order.iter().take(size).enumerate();
         uses.push(first.filter_map(|(rank, id)| Some((*place.get(id)?, faded(rank, size)))).collect());
     }
@@ -146,7 +147,7 @@
     for (h, host) in hosts.iter().enumerate() {
         let mut draws: Vec<(f64, usize)> =
             names.iter().enumerate().map(|(n, name)| (draw(*name, host), n)).collect();
-        let users = rule.users.min(draws.len());
+        let users = rule.nodes_per_host.min(draws.len());
         if users < draws.len() && users > 0 {
             draws.select_nth_unstable_by(users - 1, |a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         }
@@ -158,25 +159,35 @@
         }
     }
     let shares = scaled(rule, &sorted, &hosts, &uses);
-    let found: BTreeMap<&str, Shares> = sorted.iter().map(|node| &*node.name).zip(shares).collect();
+    let found: BTreeMap<&str, TrafficShares> = sorted.iter().map(|node| &*node.name).zip(shares).collect();
     nodes.iter().map(|node| found.get(&*node.name).cloned().unwrap_or_default()).collect()
 }
 
 /// One node's row of the table. It counts itself, whoever else names it.
-pub fn row(rule: Rule, me: &Node, others: &[Node], hosts: &[Host]) -> Shares {
+pub fn node_shares(
+    rule: SubsettingParams,
+    me: &SubsetNode,
+    others: &[SubsetNode],
+    hosts: &[SubsetHost],
+) -> TrafficShares {
     let mut nodes = vec![me.clone()];
     nodes.extend(others.iter().filter(|other| other.name != me.name).cloned());
-    table(rule, &nodes, hosts).swap_remove(0)
+    share_table(rule, &nodes, hosts).swap_remove(0)
 }
 
 /// Scales the table until hosts have their dues and nodes their traffic.
-fn scaled(rule: Rule, nodes: &[&Node], hosts: &[Host], uses: &[BTreeMap<usize, f64>]) -> Vec<Shares> {
+fn scaled(
+    rule: SubsettingParams,
+    nodes: &[&SubsetNode],
+    hosts: &[SubsetHost],
+    uses: &[BTreeMap<usize, f64>],
+) -> Vec<TrafficShares> {
     let traffic: Vec<f64> = nodes.iter().map(|node| bounded(node.traffic)).collect();
     let whole: f64 = traffic.iter().sum();
     let weights: f64 = hosts.iter().map(|host| bounded(host.weight)).sum();
     let due: Vec<f64> = hosts.iter().map(|host| bounded(host.weight) / weights * whole).collect();
     let begun = |n: usize, h: usize| {
-        let far = rule.zones && hosts[h].zone != nodes[n].zone;
+        let far = rule.prefer_own_zone && hosts[h].zone != nodes[n].zone;
         bounded(hosts[h].weight) * if far { FAR } else { 1.0 }
     };
     let mut rows: Vec<Vec<(usize, f64)>> = uses
@@ -206,11 +217,20 @@
 
 /// What one node's list says of a host while subsets are on.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Place {
+pub enum HostUse {
     /// New work may go there, for this part of the node's traffic.
-    Used(f64),
+    Assigned(f64),
     /// What stands there stays; new work goes elsewhere.
-    Aside,
+    Cordoned,
+}
+
+/// How many hosts a subset has.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct SubsetCounts {
+    /// Hosts in use.
+    pub in_use: usize,
+    /// Those of them that were added in place of others that can't be reached.
+    pub added: usize,
 }
 
 /// One node's subset: its row of the table, and what it adds where it can't reach its hosts.
@@ -222,43 +242,43 @@
 /// and a half by node and host: nodes that lost the same hosts at once give up what they took one after the other. What stands
 /// on a host that is given up stays there.
 #[derive(Debug)]
-pub struct Subset {
-    rule: Rule,
-    me: Node,
+pub struct NodeSubset {
+    rule: SubsettingParams,
+    me: SubsetNode,
     hold: Micros,
-    shares: Shares,
+    shares: TrafficShares,
     order: Vec<ServerId>,
     /// Hosts beyond the table's, and when each was last needed.
     added: BTreeMap<ServerId, Micros>,
 }
 
-impl Subset {
+impl NodeSubset {
     /// A node that knows of no hosts yet.
-    pub fn new(rule: Rule, me: Node, hold: Micros) -> Self {
-        let (shares, order, added) = (Shares::new(), Vec::new(), BTreeMap::new());
-        Subset { rule, me, hold, shares, order, added }
+    pub fn new(rule: SubsettingParams, me: SubsetNode, hold: Micros) -> Self {
+        let (shares, order, added) = (TrafficShares::new(), Vec::new(), BTreeMap::new());
+        NodeSubset { rule, me, hold, shares, order, added }
     }
 
     /// Takes in who the other nodes are and which hosts may be sent new work.
-    pub fn learn(&mut self, others: &[Node], hosts: &[Host]) {
-        self.learn_row(row(self.rule, &self.me, others, hosts), hosts);
+    pub fn update(&mut self, others: &[SubsetNode], hosts: &[SubsetHost]) {
+        self.update_shares(node_shares(self.rule, &self.me, others, hosts), hosts);
     }
 
     /// The same, with the node's row of the table from elsewhere.
-    pub fn learn_row(&mut self, shares: Shares, hosts: &[Host]) {
+    pub fn update_shares(&mut self, shares: TrafficShares, hosts: &[SubsetHost]) {
         self.shares = shares;
-        self.order = order(self.rule, &self.me, hosts);
+        self.order = preference_order(self.rule, &self.me, hosts);
         self.added.retain(|id, _| self.order.contains(id));
     }
 
     /// How this node treats each host that may be sent new work, given those that it can't reach now and those that are to be sent
     /// no more than their due.
-    pub fn places(
+    pub fn host_uses(
         &mut self,
         now: Micros,
         unreached: &BTreeSet<ServerId>,
         bound: &BTreeSet<ServerId>,
-    ) -> BTreeMap<ServerId, Place> {
+    ) -> BTreeMap<ServerId, HostUse> {
         let away: Vec<f64> =
             self.shares.iter().filter(|(id, _)| unreached.contains(id)).map(|(_, share)| *share).collect();
         let lost: f64 = away.iter().sum();
@@ -270,7 +290,7 @@
         }
         let name = hashed(&self.me.name);
         let held = |id: &ServerId| {
-            let host = Host { id: *id, weight: 1.0, zone: 0, group: 0 };
+            let host = SubsetHost { id: *id, weight: 1.0, zone: 0, failure_group: 0 };
             self.hold.scale(0.5 + (-draw(name, &host)).exp())
         };
         let keeps = |id: &ServerId, at: &Micros| now <= *at + held(id) && !self.shares.contains_key(id);
@@ -278,15 +298,15 @@
         let mean = 1.0 / self.shares.len().max(1) as f64;
         let each = if missing > 0 { lost / missing as f64 } else { mean };
         let place = |id: &ServerId| match self.shares.get(id) {
-            Some(share) => Place::Used(*share),
-            None if self.added.contains_key(id) => Place::Used(each),
-            None => Place::Aside,
+            Some(share) => HostUse::Assigned(*share),
+            None if self.added.contains_key(id) => HostUse::Assigned(each),
+            None => HostUse::Cordoned,
         };
         self.order.iter().map(|id| (*id, place(id))).collect()
     }
 
-    /// Hosts in use, and those of them that were added.
-    pub fn counts(&self) -> (usize, usize) {
-        (self.shares.len() + self.added.len(), self.added.len())
+    /// How many hosts the subset has.
+    pub fn counts(&self) -> SubsetCounts {
+        SubsetCounts { in_use: self.shares.len() + self.added.len(), added: self.added.len() }
     }
 }
--- a/crates/alderstile-cluster/tests/subsetting.rs
+++ b/crates/alderstile-cluster/tests/subsetting.rs
@@ -3,27 +3,30 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use alderstile::types::{Micros, ServerId};
-use alderstile_cluster::subsetting::{Host, Node, Place, Rule, Shares, Subset, order, table};
+use alderstile_cluster::subsetting::{
+    HostUse, NodeSubset, SubsetHost, SubsetNode, SubsettingParams, TrafficShares, preference_order,
+    share_table,
+};
 use proptest::prelude::*;
 
-fn nodes(count: usize) -> Vec<Node> {
-    let node = |n: usize| Node { name: format!("edge-{n}").into(), zone: (n % 3) as u16, traffic: 1.0 };
+fn nodes(count: usize) -> Vec<SubsetNode> {
+    let node = |n: usize| SubsetNode { name: format!("edge-{n}").into(), zone: (n % 3) as u16, traffic: 1.0 };
     (0..count).map(node).collect()
 }
 
 /// Weights 1 to 4, three zones, failure groups of five.
-fn hosts(count: usize) -> Vec<Host> {
-    let host = |h: usize| Host {
+fn hosts(count: usize) -> Vec<SubsetHost> {
+    let host = |h: usize| SubsetHost {
         id: ServerId(h as u64 * 0x1_0001 + 77),
         weight: 1.0 + (h * 7 % 4) as f64,
         zone: (h % 3) as u16,
-        group: (h / 5) as u16,
+        failure_group: (h / 5) as u16,
     };
     (0..count).map(host).collect()
 }
 
 /// What each host gets of all nodes' traffic.
-fn sums(nodes: &[Node], table: &[Shares]) -> BTreeMap<ServerId, f64> {
+fn sums(nodes: &[SubsetNode], table: &[TrafficShares]) -> BTreeMap<ServerId, f64> {
     let mut sums = BTreeMap::new();
     for (node, shares) in nodes.iter().zip(table) {
         shares.iter().for_each(|(id, share)| *sums.entry(*id).or_insert(0.0) += share * node.traffic);
@@ -32,18 +35,19 @@
 }
 
 /// The busiest host over its due.
-fn busiest(nodes: &[Node], hosts: &[Host], table: &[Shares]) -> f64 {
+fn busiest(nodes: &[SubsetNode], hosts: &[SubsetHost], table: &[TrafficShares]) -> f64 {
     let (weights, whole): (f64, f64) =
         (hosts.iter().map(|host| host.weight).sum(), nodes.iter().map(|node| node.traffic).sum());
     let sums = sums(nodes, table);
-    let over = |host: &Host| sums.get(&host.id).copied().unwrap_or(0.0) * weights / (host.weight * whole);
+    let over =
+        |host: &SubsetHost| sums.get(&host.id).copied().unwrap_or(0.0) * weights / (host.weight * whole);
     hosts.iter().map(over).fold(0.0, f64::max)
 }
 
 /// What nodes that are in both tables move, in nodes' traffic.
-fn moved(before: (&[Node], &[Shares]), after: (&[Node], &[Shares])) -> f64 {
-    let after: BTreeMap<&str, &Shares> = after.0.iter().map(|node| &*node.name).zip(after.1).collect();
-    let of = |shares: &Shares, id: &ServerId| shares.get(id).copied().unwrap_or(0.0);
+fn moved(before: (&[SubsetNode], &[TrafficShares]), after: (&[SubsetNode], &[TrafficShares])) -> f64 {
+    let after: BTreeMap<&str, &TrafficShares> = after.0.iter().map(|node| &*node.name).zip(after.1).collect();
+    let of = |shares: &TrafficShares, id: &ServerId| shares.get(id).copied().unwrap_or(0.0);
     let mut moved = 0.0;
     for (node, old) in before.0.iter().zip(before.1) {
         let Some(new) = after.get(&*node.name) else { continue };
@@ -55,23 +59,24 @@
 
 /// What a newcomer's own hosts have too much must go elsewhere, or what a host is due must come to it: the least that any way moves
 /// whose hosts all have their dues before and after.
-fn least_for_node(row: &Shares, hosts: &[Host]) -> f64 {
+fn least_for_node(row: &TrafficShares, hosts: &[SubsetHost]) -> f64 {
     let weights: f64 = hosts.iter().map(|host| host.weight).sum();
-    let over = |host: &Host| (row.get(&host.id).copied().unwrap_or(0.0) - host.weight / weights).max(0.0);
+    let over =
+        |host: &SubsetHost| (row.get(&host.id).copied().unwrap_or(0.0) - host.weight / weights).max(0.0);
     hosts.iter().map(over).sum()
 }
 
 #[test]
 fn every_host_has_its_due_and_newcomers_move_little() {
     // As asked for: the busiest at most 1.05 of its due, at most 1.5 times the least moved, nobody unserved.
-    let rule = Rule::default();
+    let rule = SubsettingParams::default();
     let mut worst = (0.0f64, 0.0f64, 0.0f64);
     for n in [1, 2, 3, 7, 15, 30, 100, 300] {
         for h in [6, 12, 30, 60, 90] {
             let (nodes, hosts) = (nodes(n + 1), hosts(h + 1));
-            let few = table(rule, &nodes[..n], &hosts[..h]);
-            let more_nodes = table(rule, &nodes, &hosts[..h]);
-            let more_hosts = table(rule, &nodes[..n], &hosts);
+            let few = share_table(rule, &nodes[..n], &hosts[..h]);
+            let more_nodes = share_table(rule, &nodes, &hosts[..h]);
+            let more_hosts = share_table(rule, &nodes[..n], &hosts);
             let over = busiest(&nodes[..n], &hosts[..h], &few);
             assert!(
                 few.iter()
@@ -98,13 +103,13 @@
 
 #[test]
 fn half_the_nodes_gone_leaves_no_host_alone() {
-    let (rule, nodes, hosts) = (Rule::default(), nodes(300), hosts(90));
+    let (rule, nodes, hosts) = (SubsettingParams::default(), nodes(300), hosts(90));
     for (what, left) in [
         ("every other", nodes.iter().step_by(2).cloned().collect::<Vec<_>>()),
         ("a zone gone", nodes.iter().filter(|node| node.zone != 1).cloned().collect()),
         ("three left", nodes[40..43].to_vec()),
     ] {
-        let table = table(rule, &left, &hosts);
+        let table = share_table(rule, &left, &hosts);
         assert!(busiest(&left, &hosts, &table) < 1.05, "{what}");
         assert!(hosts.iter().all(|host| table.iter().any(|row| row.contains_key(&host.id))), "{what}");
     }
@@ -114,11 +119,12 @@
 fn nodes_with_more_traffic_take_more_of_the_rest() {
     let (mut nodes, hosts) = (nodes(60), hosts(30));
     nodes.iter_mut().step_by(6).for_each(|node| node.traffic = 5.0);
-    let told = table(Rule::default(), &nodes, &hosts);
+    let told = share_table(SubsettingParams::default(), &nodes, &hosts);
     assert!(busiest(&nodes, &hosts, &told) < 1.02);
     // Where nobody tells, the sum is off by what chance makes of it.
-    let even: Vec<Node> = nodes.iter().map(|node| Node { traffic: 1.0, ..node.clone() }).collect();
-    assert!(busiest(&nodes, &hosts, &table(Rule::default(), &even, &hosts)) < 1.25);
+    let even: Vec<SubsetNode> =
+        nodes.iter().map(|node| SubsetNode { traffic: 1.0, ..node.clone() }).collect();
+    assert!(busiest(&nodes, &hosts, &share_table(SubsettingParams::default(), &even, &hosts)) < 1.25);
 }
 
 #[test]
@@ -128,16 +134,16 @@
     let mut rows = Vec::new();
     for (n, node) in nodes.iter().enumerate() {
         let lacks = |i: usize, salt: usize| (i * 7919 + n * 104_729 + salt).is_multiple_of(10);
-        let seen: Vec<Node> = nodes
+        let seen: Vec<SubsetNode> = nodes
             .iter()
             .enumerate()
             .filter(|(i, _)| *i == n || !lacks(*i, 1))
             .map(|(_, node)| node.clone())
             .collect();
-        let listed: Vec<Host> =
+        let listed: Vec<SubsetHost> =
             hosts.iter().enumerate().filter(|(i, _)| !lacks(*i, 5)).map(|(_, h)| *h).collect();
         let place = seen.iter().position(|other| other.name == node.name).expect("itself");
-        rows.push(table(Rule::default(), &seen, &listed).swap_remove(place));
+        rows.push(share_table(SubsettingParams::default(), &seen, &listed).swap_remove(place));
     }
     let over = busiest(&nodes, &hosts, &rows);
     println!("views that lack a tenth of both: busiest {over:.3}");
@@ -146,20 +152,22 @@
 
 #[test]
 fn a_zone_that_has_enough_serves_its_own() {
-    let rule = Rule { zones: true, ..Rule::default() };
-    let at_home = |nodes: &[Node], hosts: &[Host]| {
+    let rule = SubsettingParams { prefer_own_zone: true, ..SubsettingParams::default() };
+    let at_home = |nodes: &[SubsetNode], hosts: &[SubsetHost]| {
         let zone: BTreeMap<ServerId, u16> = hosts.iter().map(|host| (host.id, host.zone)).collect();
-        let table = table(rule, nodes, hosts);
+        let table = share_table(rule, nodes, hosts);
         assert!(busiest(nodes, hosts, &table) < 1.05);
-        let home = |(node, row): (&Node, &Shares)| {
+        let home = |(node, row): (&SubsetNode, &TrafficShares)| {
             row.iter().filter(|(id, _)| zone[id] == node.zone).map(|(_, share)| share).sum::<f64>()
         };
         nodes.iter().zip(&table).map(home).sum::<f64>() / nodes.len() as f64
     };
-    let even: Vec<Host> = hosts(90).into_iter().map(|host| Host { weight: 1.0, ..host }).collect();
+    let even: Vec<SubsetHost> =
+        hosts(90).into_iter().map(|host| SubsetHost { weight: 1.0, ..host }).collect();
     assert!(at_home(&nodes(90), &even) > 0.9);
     // Half of zone 0's hosts are gone: what it has goes to its own nodes, the rest abroad, and all hosts have their dues.
-    let short: Vec<Host> = even.iter().filter(|host| host.zone != 0 || host.id.0 % 2 == 0).copied().collect();
+    let short: Vec<SubsetHost> =
+        even.iter().filter(|host| host.zone != 0 || host.id.0 % 2 == 0).copied().collect();
     let home = at_home(&nodes(90), &short);
     assert!((0.7..0.95).contains(&home), "{home}");
 }
@@ -167,13 +175,20 @@
 #[test]
 fn a_subset_is_spread_over_failure_groups() {
     // Three groups of thirty, subsets of six: two of each at most four times out of five, never all from one.
-    let hosts: Vec<Host> =
-        hosts(90).into_iter().enumerate().map(|(i, host)| Host { group: i as u16 / 30, ..host }).collect();
-    let rule = Rule { size: 6, ..Rule::default() };
-    let group: BTreeMap<ServerId, u16> = hosts.iter().map(|host| (host.id, host.group)).collect();
+    let hosts: Vec<SubsetHost> = hosts(90)
+        .into_iter()
+        .enumerate()
+        .map(|(i, host)| SubsetHost { failure_group: i as u16 / 30, ..host })
+        .collect();
+    let rule = SubsettingParams { hosts_per_node: 6, ..SubsettingParams::default() };
+    let failure_group: BTreeMap<ServerId, u16> =
+        hosts.iter().map(|host| (host.id, host.failure_group)).collect();
     for node in nodes(200) {
         let mut counts = [0; 3];
-        order(rule, &node, &hosts).iter().take(6).for_each(|id| counts[usize::from(group[id])] += 1);
+        preference_order(rule, &node, &hosts)
+            .iter()
+            .take(6)
+            .for_each(|id| counts[usize::from(failure_group[id])] += 1);
         assert!(
             counts.iter().all(|count| *count <= 5) && counts.iter().filter(|count| **count > 0).count() > 1,
             "{counts:?}"
@@ -188,37 +203,38 @@
 #[test]
 fn a_node_that_cannot_reach_its_hosts_takes_others_and_gives_them_up_later() {
     let (nodes, hosts) = (nodes(30), hosts(60));
-    let rule = Rule { size: 8, ..Rule::default() };
-    let mut subset = Subset::new(rule, nodes[4].clone(), micros(30.0));
-    subset.learn(&nodes, &hosts);
-    let used = |places: &BTreeMap<ServerId, Place>| -> BTreeSet<ServerId> {
-        places.iter().filter(|(_, place)| matches!(place, Place::Used(_))).map(|(id, _)| *id).collect()
+    let rule = SubsettingParams { hosts_per_node: 8, ..SubsettingParams::default() };
+    let mut subset = NodeSubset::new(rule, nodes[4].clone(), micros(30.0));
+    subset.update(&nodes, &hosts);
+    let used = |places: &BTreeMap<ServerId, HostUse>| -> BTreeSet<ServerId> {
+        places.iter().filter(|(_, place)| matches!(place, HostUse::Assigned(_))).map(|(id, _)| *id).collect()
     };
-    let own = used(&subset.places(micros(1.0), &BTreeSet::new(), &BTreeSet::new()));
+    let own = used(&subset.host_uses(micros(1.0), &BTreeSet::new(), &BTreeSet::new()));
     assert!((8..20).contains(&own.len()), "{}", own.len());
     // A few are out of reach: the others do.
     let few: BTreeSet<ServerId> = own.iter().take(3).copied().collect();
-    assert_eq!(used(&subset.places(micros(1.5), &few, &BTreeSet::new())), own);
+    assert_eq!(used(&subset.host_uses(micros(1.5), &few, &BTreeSet::new())), own);
     // A cold host gets its due and no more, whoever else can't be reached.
     let cold: BTreeSet<ServerId> =
         hosts.iter().map(|host| host.id).filter(|id| !own.contains(id)).take(9).collect();
     // All of its own hosts are out of reach: as many others take their parts.
-    let now = subset.places(micros(2.0), &own, &cold);
+    let now = subset.host_uses(micros(2.0), &own, &cold);
     let added: BTreeSet<ServerId> = used(&now).difference(&own).copied().collect();
     assert_eq!(added.len(), own.len());
     assert!(added.is_disjoint(&cold));
-    let part: f64 = added.iter().map(|id| if let Place::Used(part) = now[id] { part } else { 0.0 }).sum();
+    let part: f64 =
+        added.iter().map(|id| if let HostUse::Assigned(part) = now[id] { part } else { 0.0 }).sum();
     assert!((part - 1.0).abs() < 1e-9, "{part}");
     // They are back: nothing changes at once, and not all in one moment later.
     let sizes: Vec<usize> = (3..60)
-        .map(|s| used(&subset.places(micros(f64::from(s)), &BTreeSet::new(), &BTreeSet::new())).len())
+        .map(|s| used(&subset.host_uses(micros(f64::from(s)), &BTreeSet::new(), &BTreeSet::new())).len())
         .collect();
     assert_eq!(sizes[..13], [2 * own.len(); 13]);
     assert_eq!(*sizes.last().expect("sizes"), own.len());
     assert!(sizes.windows(2).all(|two| two[0] - two[1] <= added.len() / 2), "{sizes:?}");
     // Nothing at all can be reached: what is known stays in use, and the list is all that there is.
     let all: BTreeSet<ServerId> = hosts.iter().map(|host| host.id).collect();
-    assert!(used(&subset.places(micros(70.0), &all, &cold)).is_superset(&own));
+    assert!(used(&subset.host_uses(micros(70.0), &all, &cold)).is_superset(&own));
 }
 
 proptest! {
@@ -230,14 +246,14 @@
         users in prop_oneof![Just(0usize), 1usize..9, Just(usize::MAX)],
         zones: bool,
     ) {
-        let rule = Rule { size, users, zones };
-        let hosts: Vec<Host> = weights.iter().enumerate().map(|(i, weight)| {
-            Host { id: ServerId(i as u64 / 2), weight: *weight, zone: i as u16 % 3, group: u16::MAX }
+        let rule = SubsettingParams { hosts_per_node: size, nodes_per_host: users, prefer_own_zone: zones };
+        let hosts: Vec<SubsetHost> = weights.iter().enumerate().map(|(i, weight)| {
+            SubsetHost { id: ServerId(i as u64 / 2), weight: *weight, zone: i as u16 % 3, failure_group: u16::MAX }
         }).collect();
-        let nodes: Vec<Node> = traffic.iter().enumerate().map(|(i, traffic)| {
-            Node { name: format!("{}", i / 2).into(), zone: i as u16 % 4, traffic: *traffic }
+        let nodes: Vec<SubsetNode> = traffic.iter().enumerate().map(|(i, traffic)| {
+            SubsetNode { name: format!("{}", i / 2).into(), zone: i as u16 % 4, traffic: *traffic }
         }).collect();
-        for row in table(rule, &nodes, &hosts) {
+        for row in share_table(rule, &nodes, &hosts) {
             let sum: f64 = row.values().sum();
             prop_assert!(row.values().all(|share| (0.0..=1.0 + 1e-9).contains(share)), "{row:?}");
             prop_assert!(if hosts.is_empty() { row.is_empty() } else { (sum - 1.0).abs() < 1e-6 }, "{row:?}");
@@ -250,9 +266,9 @@
         let (mut other_nodes, mut other_hosts) = (nodes.clone(), hosts.clone());
         other_nodes.rotate_left(seed % 12);
         other_hosts.rotate_left(seed % 40);
-        let rule = Rule { size: 5, ..Rule::default() };
-        let mut turned = table(rule, &other_nodes, &other_hosts);
+        let rule = SubsettingParams { hosts_per_node: 5, ..SubsettingParams::default() };
+        let mut turned = share_table(rule, &other_nodes, &other_hosts);
         turned.rotate_right(seed % 12);
-        prop_assert_eq!(table(rule, &nodes, &hosts), turned);
+        prop_assert_eq!(share_table(rule, &nodes, &hosts), turned);
     }
 }
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -4,16 +4,21 @@
 use std::path::PathBuf;
 
 use alderstile::types::{Endpoint, EndpointListKind, EndpointState, Micros, ServerId};
-use alderstile_cluster::host_assignment::{Choices, Parts, level, traffic};
-use alderstile_cluster::subsetting::{Host, Node, Place, Rule, Subset, order, table};
+use alderstile_cluster::host_assignment::{
+    HostAssignment, HostAssignmentConfig, traffic_level, traffic_of_level,
+};
+use alderstile_cluster::subsetting::{
+    HostUse, NodeSubset, SubsetCounts, SubsetHost, SubsetNode, SubsettingParams, preference_order,
+    share_table,
+};
 
 fn fixture(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/subsetting").join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-fn nodes(count: usize) -> Vec<Node> {
-    let node = |n: usize| Node {
+fn nodes(count: usize) -> Vec<SubsetNode> {
+    let node = |n: usize| SubsetNode {
         name: format!("edge-{n}").into(),
         zone: (n % 3) as u16,
         traffic: 0.5 + (n * 5 % 7) as f64,
@@ -21,16 +26,20 @@
     (0..count).map(node).collect()
 }
 
-fn hosts(count: usize) -> Vec<Host> {
-    let host = |h: usize| Host {
+fn hosts(count: usize) -> Vec<SubsetHost> {
+    let host = |h: usize| SubsetHost {
         id: ServerId(h as u64 * 0x1_0001 + 77),
         weight: 1.0 + (h * 7 % 4) as f64,
         zone: (h % 3) as u16,
-        group: (h / 5) as u16,
+        failure_group: (h / 5) as u16,
     };
     (0..count).map(host).collect()
 }
 
+fn counts(subset: SubsetCounts) -> (usize, usize) {
+    (subset.in_use, subset.added)
+}
+
 fn digest(text: &str) -> String {
     format!("{:016x}", alderstile_cluster::digest(text.as_bytes()))
 }
@@ -40,13 +49,16 @@
     let mut lines = String::new();
     for (nodes_count, hosts_count) in [(1, 6), (3, 30), (20, 30), (60, 90), (7, 1)] {
         for (size, users, zones) in [(20, 4, false), (6, 2, true), (0, 0, false), (8, 3, true)] {
-            let rule = Rule { size, users, zones };
+            let rule =
+                SubsettingParams { hosts_per_node: size, nodes_per_host: users, prefer_own_zone: zones };
             let (nodes, hosts) = (nodes(nodes_count), hosts(hosts_count));
             let mut shares = String::new();
-            for (row, node) in table(rule, &nodes, &hosts).iter().zip(&nodes) {
+            for (row, node) in share_table(rule, &nodes, &hosts).iter().zip(&nodes) {
                 row.iter().for_each(|(id, share)| shares += &format!("{} {share:.9} ", id.0));
-                shares +=
-                    &format!("{:?}\n", order(rule, node, &hosts).iter().map(|id| id.0).collect::<Vec<_>>());
+                shares += &format!(
+                    "{:?}\n",
+                    preference_order(rule, node, &hosts).iter().map(|id| id.0).collect::<Vec<_>>()
+                );
             }
             lines += &format!("{nodes_count} {hosts_count} {size} {users} {zones} {}\n", digest(&shares));
         }
@@ -57,9 +69,9 @@
 #[test]
 fn a_subset_is_widened_and_narrowed_as_by_the_version_before() {
     let (nodes, hosts) = (nodes(30), hosts(60));
-    let rule = Rule { size: 8, ..Rule::default() };
-    let mut subset = Subset::new(rule, nodes[4].clone(), Micros::from_millis(30_000));
-    subset.learn(&nodes, &hosts);
+    let rule = SubsettingParams { hosts_per_node: 8, ..SubsettingParams::default() };
+    let mut subset = NodeSubset::new(rule, nodes[4].clone(), Micros::from_millis(30_000));
+    subset.update(&nodes, &hosts);
     let cold: BTreeSet<ServerId> = hosts.iter().take(5).map(|host| host.id).collect();
     let mut away = BTreeSet::new();
     let mut lines = String::new();
@@ -70,33 +82,33 @@
             14 => away.clear(),
             _ => {}
         }
-        let places = subset.places(Micros::from_millis(second * 1_000), &away, &cold);
+        let places = subset.host_uses(Micros::from_millis(second * 1_000), &away, &cold);
         let text: Vec<String> = places
             .iter()
             .map(|(id, place)| match place {
-                Place::Used(share) => format!("{} {share:.9}", id.0),
-                Place::Aside => format!("{} -", id.0),
+                HostUse::Assigned(share) => format!("{} {share:.9}", id.0),
+                HostUse::Cordoned => format!("{} -", id.0),
             })
             .collect();
-        lines += &format!("{second} {:?} {}\n", subset.counts(), digest(&text.join(" ")));
+        lines += &format!("{second} {:?} {}\n", counts(subset.counts()), digest(&text.join(" ")));
     }
     assert_eq!(lines, fixture("widening.txt"));
 }
 
 #[test]
 fn assigned_hosts_are_those_of_the_version_before() {
-    let parts = Parts {
-        subsets: Some(Rule { size: 6, users: 2, zones: true }),
-        hold: Micros::from_millis(20_000),
-        cold: Micros::from_millis(5_000),
+    let parts = HostAssignmentConfig {
+        subsetting: Some(SubsettingParams { hosts_per_node: 6, nodes_per_host: 2, prefer_own_zone: true }),
+        added_host_retention: Micros::from_millis(20_000),
+        warm_up: Micros::from_millis(5_000),
     };
     let mut nodes = nodes(12);
     let me = nodes.swap_remove(3);
-    let mut assigned = Choices::new(parts, me, true);
-    let entry = |host: &Host| Endpoint {
+    let mut assigned = HostAssignment::new(parts, me, true);
+    let entry = |host: &SubsetHost| Endpoint {
         id: host.id,
         zone: host.zone,
-        cell: host.group,
+        cell: host.failure_group,
         weight: host.weight,
         state: EndpointState::Ready,
         ..Endpoint::default()
@@ -122,19 +134,20 @@
         match second {
             1 => {
                 lines +=
-                    &format!("full {}\n", shown(assigned.lay_over(EndpointListKind::Full, listed.clone())))
+                    &format!("full {}\n", shown(assigned.apply_list(EndpointListKind::Full, listed.clone())))
             }
             5 => {
                 nodes.iter_mut().step_by(2).for_each(|node| node.traffic = 0.0);
-                assigned.members(nodes.clone());
+                assigned.set_nodes(nodes.clone());
             }
             9 => {
                 let gone = Endpoint { state: EndpointState::Gone, ..listed[4] };
                 let cold = Endpoint { started: Some(now), ..listed[7] };
                 let changes = vec![gone, cold];
-                lines += &format!("change {}\n", shown(assigned.lay_over(EndpointListKind::Delta, changes)));
+                lines +=
+                    &format!("change {}\n", shown(assigned.apply_list(EndpointListKind::Delta, changes)));
             }
-            20 => assigned.members(nodes[..5].to_vec()),
+            20 => assigned.set_nodes(nodes[..5].to_vec()),
             _ => {}
         }
         let away: BTreeSet<ServerId> = if (30..33).contains(&second) {
@@ -142,10 +155,10 @@
         } else {
             BTreeSet::new()
         };
-        let told = assigned.tell(now, (second * second) as usize);
-        let starved = assigned.starved();
+        let told = assigned.traffic_report(now, (second * second) as usize);
+        let starved = assigned.has_no_ready_host();
         let changed = shown(assigned.refresh(now, &away));
-        lines += &format!("{second} {told:?} {starved} {:?} {changed}\n", assigned.counts());
+        lines += &format!("{second} {told:?} {starved} {:?} {changed}\n", assigned.counts().map(counts));
     }
     assert_eq!(lines, fixture("assignment.txt"));
 }
@@ -153,9 +166,9 @@
 #[test]
 fn traffic_levels_are_those_of_the_version_before() {
     let counts = [0, 1, 2, 3, 10, 99, 1_000, 65_535, 1_999_999];
-    let levels: Vec<u8> = counts.map(level).to_vec();
+    let levels: Vec<u8> = counts.map(traffic_level).to_vec();
     let lines: String =
-        levels.iter().map(|&level| format!("{level} {:.9}\n", traffic(Some(&[level])))).collect();
+        levels.iter().map(|&level| format!("{level} {:.9}\n", traffic_of_level(Some(&[level])))).collect();
     assert_eq!(lines, fixture("levels.txt"));
-    assert!(traffic(None) == 0.0 && traffic(Some(&[1, 2])) == 0.0);
+    assert!(traffic_of_level(None) == 0.0 && traffic_of_level(Some(&[1, 2])) == 0.0);
 }
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/fleet.rs
@@ -6,9 +6,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use alderstile::types::*;
-use alderstile_cluster::host_assignment::{self, Choices, Parts, TRAFFIC};
+use alderstile_cluster::host_assignment::{
+    HostAssignment, HostAssignmentConfig, TRAFFIC_METADATA_TAG, traffic_of_level,
+};
 use alderstile_cluster::membership::Peer;
-use alderstile_cluster::subsetting::{self, Rule, Shares};
+use alderstile_cluster::subsetting::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, share_table};
 use rand::RngExt;
 
 use super::choosers::{Choice, Chooser, Way};
@@ -180,7 +182,7 @@
 /// A node as clients and hosts see it.
 pub(super) struct Side {
     pub(super) chooser: Option<Chooser>,
-    pub(super) choices: Choices,
+    pub(super) choices: HostAssignment,
     pub(super) life: u64,
     pub(super) ready: bool,
     /// The last process was told to stop.
@@ -196,7 +198,7 @@
 
 /// All of them.
 pub(super) struct Fleet {
-    parts: Parts,
+    parts: HostAssignmentConfig,
     tables: Tables,
     pub(super) way: Way,
     pub(super) settings: BalancerSettings,
@@ -228,13 +230,16 @@
     /// The parties of a plan; none where it has no hosts or no clients.
     pub(super) fn new(plan: &Plan, choice: &Choice) -> Self {
         let has = |part| choice.parts.contains(&part) || plan.choices.on.contains(&part);
-        let rule =
-            Rule { size: plan.choices.size, users: plan.choices.users, zones: plan.choices.zones_first };
+        let rule = SubsettingParams {
+            hosts_per_node: plan.choices.size,
+            nodes_per_host: plan.choices.users,
+            prefer_own_zone: plan.choices.zones_first,
+        };
         let subsets = (choice.way == Way::Module && has(On::Subsets)).then_some(rule);
-        let parts = Parts {
-            subsets,
-            hold: Micros(micros(plan.choices.hold_s)),
-            cold: Micros(micros(plan.hosts.cold_s)),
+        let parts = HostAssignmentConfig {
+            subsetting: subsets,
+            added_host_retention: Micros(micros(plan.choices.hold_s)),
+            warm_up: Micros(micros(plan.hosts.cold_s)),
         };
         let on = plan.hosts.count > 0 && !plan.clients.is_empty();
         let settings = settings(plan);
@@ -261,7 +266,7 @@
         };
         let side = |node| Side {
             chooser: None,
-            choices: Choices::new(parts, peer(plan, node), true),
+            choices: HostAssignment::new(parts, peer(plan, node), true),
             life: 0,
             ready: false,
             stopped: false,
@@ -324,9 +329,9 @@
 }
 
 /// A node as others know it.
-fn peer(plan: &Plan, node: usize) -> subsetting::Node {
+fn peer(plan: &Plan, node: usize) -> SubsetNode {
     let zone = (node % plan.zones.len()) as u16;
-    subsetting::Node { name: format!("n{node}").into(), zone, traffic: 0.0 }
+    SubsetNode { name: format!("n{node}").into(), zone, traffic: 0.0 }
 }
 
 /// Tables of shares that were worked out of late: emulated nodes with the same view share them.
@@ -335,9 +340,9 @@
 
 /// For whom a table is, and each node's row of it.
 struct Table {
-    nodes: Vec<subsetting::Node>,
-    hosts: Vec<subsetting::Host>,
-    rows: BTreeMap<Box<str>, Shares>,
+    nodes: Vec<SubsetNode>,
+    hosts: Vec<SubsetHost>,
+    rows: BTreeMap<Box<str>, TrafficShares>,
 }
 
 impl Tables {
@@ -346,19 +351,20 @@
 
     fn row(
         &mut self,
-        rule: Rule,
-        me: &subsetting::Node,
-        others: &[subsetting::Node],
-        hosts: &[subsetting::Host],
-    ) -> Shares {
+        rule: SubsettingParams,
+        me: &SubsetNode,
+        others: &[SubsetNode],
+        hosts: &[SubsetHost],
+    ) -> TrafficShares {
         let mut nodes = others.to_vec();
         nodes.push(me.clone());
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
         if let Some(known) = self.0.iter().find(|table| table.nodes == nodes && table.hosts == hosts) {
             return known.rows.get(&me.name).cloned().unwrap_or_default();
         }
-        let rows = subsetting::table(rule, &nodes, hosts);
-        let rows: BTreeMap<Box<str>, Shares> = nodes.iter().map(|node| node.name.clone()).zip(rows).collect();
+        let rows = share_table(rule, &nodes, hosts);
+        let rows: BTreeMap<Box<str>, TrafficShares> =
+            nodes.iter().map(|node| node.name.clone()).zip(rows).collect();
         let row = rows.get(&me.name).cloned().unwrap_or_default();
         self.0.push_front(Table { nodes, hosts: hosts.to_vec(), rows });
         self.0.truncate(Self::KEPT);
@@ -465,7 +471,7 @@
         let settings = BalancerSettings { node_index: index, zone, ..self.fleet.settings.clone() };
         let mut out = Vec::new();
         let chooser = Chooser::new(self.fleet.way, &settings, seed, now, &mut out);
-        let choices = Choices::new(self.fleet.parts, peer(self.plan, node), true);
+        let choices = HostAssignment::new(self.fleet.parts, peer(self.plan, node), true);
         let side = &mut self.fleet.sides[node];
         side.life += 1;
         (side.chooser, side.ready, side.stopped) = (Some(chooser), false, false);
@@ -473,7 +479,7 @@
         side.told.fill(EndpointState::Ready);
         let life = side.life;
         out.into_iter().for_each(|action| self.carry_out(node, action));
-        if self.fleet.sides[node].choices.on() {
+        if self.fleet.sides[node].choices.is_enabled() {
             let first = self.rng.random_range(0..SHARES_EVERY);
             self.step(self.now + first, Step::Shares { node, life });
         }
@@ -518,15 +524,15 @@
         let now = self.local(node);
         let held = self.fleet.sides[node].clients.len();
         if let Some(members) = &mut self.nodes[node].members
-            && let Some(level) = self.fleet.sides[node].choices.tell(now, held)
+            && let Some(level) = self.fleet.sides[node].choices.traffic_report(now, held)
         {
             // A byte always fits.
-            let _ = members.set_metadata(TRAFFIC, &level);
+            let _ = members.set_metadata(TRAFFIC_METADATA_TAG, &level);
         }
         let Fleet { sides, tables, .. } = &mut self.fleet;
         let Side { chooser: Some(chooser), choices, .. } = &mut sides[node] else { return };
-        choices.members(others);
-        let changed = choices.refresh_by(now, &chooser.unreached(), |rule, me, others, hosts| {
+        choices.set_nodes(others);
+        let changed = choices.refresh_with(now, &chooser.unreached(), |rule, me, others, hosts| {
             tables.row(rule, me, others, hosts)
         });
         if !changed.is_empty() {
@@ -535,7 +541,7 @@
     }
 
     /// The other nodes as this one sees them: all that there are, where nobody tells.
-    fn others(&self, node: usize) -> Vec<subsetting::Node> {
+    fn others(&self, node: usize) -> Vec<SubsetNode> {
         let Some(members) = &self.nodes[node].members else {
             return (0..self.plan.nodes)
                 .filter(|other| *other != node)
@@ -544,10 +550,10 @@
         };
         let lives = members.peers().filter(|member| member.state.is_live());
         let zone = |name: &str| self.plan.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
-        let node = |member: &Peer| subsetting::Node {
+        let node = |member: &Peer| SubsetNode {
             name: member.record.name.clone(),
             zone: zone(&member.record.zone),
-            traffic: host_assignment::traffic(member.record.metadata_value(TRAFFIC)),
+            traffic: traffic_of_level(member.record.metadata_value(TRAFFIC_METADATA_TAG)),
         };
         lives.map(node).collect()
     }
--- a/crates/alderstile-lab/src/emulated/supply.rs
+++ b/crates/alderstile-lab/src/emulated/supply.rs
@@ -85,9 +85,9 @@
             }
         }
         let kind = if which.is_some() { EndpointListKind::Delta } else { EndpointListKind::Full };
-        let entries = self.fleet.sides[node].choices.lay_over(kind, entries);
+        let entries = self.fleet.sides[node].choices.apply_list(kind, entries);
         self.decide(node, Event::EndpointList(kind, entries));
-        if self.fleet.sides[node].choices.starved() {
+        if self.fleet.sides[node].choices.has_no_ready_host() {
             self.shares(node);
         }
         let side = &mut self.fleet.sides[node];
--- a/crates/alderstile-node/src/admin/metrics.rs
+++ b/crates/alderstile-node/src/admin/metrics.rs
@@ -5,6 +5,7 @@
 use std::fmt::Write;
 
 use alderstile_cluster::membership::MembershipStats;
+use alderstile_cluster::subsetting::SubsetCounts;
 
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +49,7 @@
     /// Listed hosts that the node avoids now, by hand or by choice.
     pub hosts_down: usize,
     /// Hosts in use and those added for others, where nodes share hosts out.
-    pub subset: Option<(usize, usize)>,
+    pub subset: Option<SubsetCounts>,
     /// The members of the cluster, where the node is one.
     pub members: Option<MembershipStats>,
 }
@@ -89,9 +90,9 @@
         line("inflight", gauges.inflight as u64, 'g');
         line("hosts_listed", gauges.hosts_listed as u64, 'g');
         line("hosts_down", gauges.hosts_down as u64, 'g');
-        if let Some((used, added)) = gauges.subset {
-            line("subset_used", used as u64, 'g');
-            line("subset_added", added as u64, 'g');
+        if let Some(subset) = gauges.subset {
+            line("subset_used", subset.in_use as u64, 'g');
+            line("subset_added", subset.added as u64, 'g');
         }
         if let Some(members) = gauges.members {
             line("members_alive", members.alive as u64, 'g');
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -9,8 +9,8 @@
 use alderstile::types::{
     BalancerSettings, Endpoint, EndpointListKind, EndpointState, Micros, RequestId, ServerId, WeightMeaning,
 };
-use alderstile_cluster::host_assignment::Choices;
-use alderstile_cluster::subsetting::Node as Peer;
+use alderstile_cluster::host_assignment::HostAssignment;
+use alderstile_cluster::subsetting::{SubsetCounts, SubsetNode};
 use tokio::sync::Notify;
 use tokio::time::Instant;
 use tracing::{info, warn};
@@ -45,7 +45,7 @@
     discovery: Cell<SocketAddr>,
     balancer: RefCell<Balancer>,
     /// The hosts' assignment to the cluster's nodes; none where the cluster's file says nothing of it.
-    host_assignment: RefCell<Option<Choices>>,
+    host_assignment: RefCell<Option<HostAssignment>>,
     endpoints: RefCell<EndpointTable>,
     lease: RefCell<Lease>,
     /// What [`Decisions::run`] sleeps until, and what wakes it earlier.
@@ -126,9 +126,9 @@
         self.decide(|balancer, now| match &mut *host_assignment {
             None => balancer.on_endpoint_list(now, kind, entries),
             Some(assignment) => {
-                let entries = assignment.lay_over(kind, entries);
+                let entries = assignment.apply_list(kind, entries);
                 balancer.on_endpoint_list(now, kind, entries);
-                if assignment.starved() {
+                if assignment.has_no_ready_host() {
                     let changed = assignment.refresh(now, &balancer.ejected_servers());
                     balancer.on_endpoint_list(now, EndpointListKind::Delta, changed);
                 }
@@ -159,7 +159,7 @@
 
     /// Assigns hosts to this node from now on, in the list known and in every later one. `make` is told whether weights are
     /// sizes.
-    pub fn enable_host_assignment(&self, config: &Config, make: impl FnOnce(bool) -> Choices) {
+    pub fn enable_host_assignment(&self, config: &Config, make: impl FnOnce(bool) -> HostAssignment) {
         self.host_assignment
             .replace(Some(make(config.settings.weight_meaning == WeightMeaning::NominalCapacity)));
         self.apply_config(config);
@@ -167,10 +167,14 @@
     }
 
     /// Brings the assignment up to date with the other nodes and with the hosts that this one can't reach.
-    pub fn update_host_assignment(&self, others: Vec<Peer>, update: impl FnOnce(&mut Choices, Micros)) {
+    pub fn update_host_assignment(
+        &self,
+        others: Vec<SubsetNode>,
+        update: impl FnOnce(&mut HostAssignment, Micros),
+    ) {
         let mut host_assignment = self.host_assignment.borrow_mut();
         let Some(assignment) = &mut *host_assignment else { return };
-        assignment.members(others);
+        assignment.set_nodes(others);
         self.decide(|balancer, now| {
             update(assignment, now);
             let changed = assignment.refresh(now, &balancer.ejected_servers());
@@ -181,8 +185,8 @@
     }
 
     /// How many hosts this node uses, and how many of them were added in place of others; none without an assignment.
-    pub fn assigned_host_counts(&self) -> Option<(usize, usize)> {
-        self.host_assignment.borrow().as_ref().and_then(Choices::counts)
+    pub fn assigned_host_counts(&self) -> Option<SubsetCounts> {
+        self.host_assignment.borrow().as_ref().and_then(HostAssignment::counts)
     }
 
     /// Renews the lease on the endpoint list: nothing was missed until now. Hosts that were withheld get new work again.
