--- /dev/null
+++ b/src/policy/retry.rs
@@ -0,0 +1,146 @@
+//! Attempts of a request: when one is sent, what its end leads to, and when another one may follow.
+
+use crate::types::{Action, DedupScope, Idempotency, Micros, Outcome, Request, RequestId};
+
+use super::Policy;
+use super::connection::{Connection, ConnectionState, FirstRun};
+use super::server::ServerIndex;
+
+impl Policy {
+    /// A client's request: it is owed one final answer.
+    pub(super) fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
+        self.count_admitted_request(now);
+        let connection = self.new_connection(now, request);
+        self.attempt(now, connection, actions);
+    }
+
+    /// Sends a request to a server, or answers it at once where that cannot be.
+    pub(super) fn attempt(&mut self, now: Micros, connection: Connection, actions: &mut Vec<Action>) {
+        let allowed = self.may_attempt(now, &connection);
+        let Some(index) = allowed.then(|| self.choose(now, &connection)).flatten() else {
+            return self.give_up(&connection, actions);
+        };
+        if self.needs_probe(now, index, &connection) {
+            return self.wait_for_probe(index, connection, actions);
+        }
+        self.count_retry(now, &connection);
+        let timeout = self.attempt_timeout(now, &connection);
+        let server = self.servers[index].endpoint.id;
+        actions.push(Action::Forward(connection.request.id, server, timeout));
+        self.start_attempt(now, index, Connection { has_attempt_timeout: timeout.is_some(), ..connection });
+    }
+
+    /// Whether the client's time, the number of attempts and the retry budget allow one more attempt. What
+    /// looks expired may not be, where clocks differ.
+    fn may_attempt(&self, now: Micros, connection: &Connection) -> bool {
+        let in_time = now < connection.deadline + self.settings.deadline_tolerance;
+        let attempts_left = (connection.attempted_servers.len() as u32) < self.settings.max_attempts;
+        in_time && attempts_left && (connection.attempted_servers.is_empty() || self.budget_allows_retry(now))
+    }
+
+    /// Records an attempt that goes out to a server.
+    pub(super) fn start_attempt(&mut self, now: Micros, index: ServerIndex, mut connection: Connection) {
+        let server = &mut self.servers[index];
+        connection.state = ConnectionState::Attempting(index);
+        connection.sent = now;
+        connection.server_started = server.started;
+        connection.attempted_servers.push(index);
+        server.last_attempt_at = now;
+        server.slow_start.spend_one();
+        self.add_to_load(&connection);
+        self.connections.insert(connection.request.id, connection);
+    }
+
+    /// Whether the attempt in flight may still be sent, now that its transport is up. Its server may have
+    /// started to drain, gone or started anew since the attempt was decided, or may drop repeats no more.
+    pub fn may_still_send(&self, now: Micros, id: RequestId) -> bool {
+        let Some(connection) = self.connections.get(&id) else { return false };
+        let ConnectionState::Attempting(index) = connection.state else { return false };
+        self.is_available(now, index)
+            && self.servers[index].started == connection.server_started
+            && self.may_repeat_at(now, index, connection)
+    }
+
+    /// Whether what an earlier attempt may have done lets a request go to a server now: an idempotent request
+    /// always, another one only where servers drop repeats of it, and while they do.
+    pub(super) fn may_repeat_at(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
+        let Some(FirstRun { server, sent }) = connection.first_run else { return true };
+        let (first, next) = (&self.servers[server].endpoint, &self.servers[index].endpoint);
+        self.binding_classes(connection).all(|class| match class.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NotIdempotent => false,
+            Idempotency::Deduplicated(_) if now >= sent + class.dedup_window => false,
+            Idempotency::Deduplicated(DedupScope::All) => true,
+            Idempotency::Deduplicated(DedupScope::Zone) => first.zone == next.zone,
+            Idempotency::Deduplicated(DedupScope::Cell) => first.cell == next.cell,
+        })
+    }
+
+    /// An attempt became a connection, after `latency`.
+    pub(super) fn on_established(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        latency: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        let ConnectionState::Attempting(index) = connection.state else { return };
+        connection.state = ConnectionState::Open(index);
+        connection.mark_possible_run(index);
+        let request = connection.request;
+        self.learn_typical_load(&request, request.expected_load);
+        self.record_success(now, index);
+        let excess_ms = self.setups.on_success(latency);
+        if !self.settings.servers_report_delay {
+            self.on_setup_excess(now, index, excess_ms, actions);
+        }
+    }
+
+    /// An attempt ended, or the connection that it had become. `closed` means that the request has its final
+    /// answer.
+    pub(super) fn on_ended(
+        &mut self,
+        now: Micros,
+        id: RequestId,
+        outcome: Outcome,
+        closed: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(mut connection) = self.connections.remove(&id) else { return };
+        self.remove_from_load(&connection);
+        self.turnover.ended += u32::from(outcome == Outcome::Ok && connection.state.is_open());
+        if let Some(index) = connection.state.server() {
+            self.record_failure(now, index, &connection, outcome, actions);
+            self.record_timeout(now, &connection, outcome);
+            if outcome.may_have_run() {
+                connection.mark_possible_run(index);
+            }
+        }
+        if !closed && !connection.state.is_migrating() {
+            connection.state = ConnectionState::Waiting;
+            self.retry_or_give_up(now, connection, outcome, actions);
+        }
+    }
+
+    fn retry_or_give_up(
+        &mut self,
+        now: Micros,
+        connection: Connection,
+        outcome: Outcome,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.client_has_given_up(&connection, outcome) || !self.spend_retry_token(outcome) {
+            return self.give_up(&connection, actions);
+        }
+        self.attempt(now, connection, actions);
+    }
+
+    /// Whether an end shows that the client's time is over, whatever was told of it: clocks differ, and the
+    /// attempt had all of that time.
+    fn client_has_given_up(&self, connection: &Connection, outcome: Outcome) -> bool {
+        let out_of_time = matches!(outcome, Outcome::Timeout | Outcome::NeverSent);
+        let clocks_differ = self.settings.deadline_tolerance > Micros(0);
+        out_of_time && !connection.has_attempt_timeout && clocks_differ
+    }
+}
