--- a/crates/alderstile-node/src/admin/metrics.rs
+++ b/crates/alderstile-node/src/admin/metrics.rs
@@ -5,6 +5,7 @@
 use std::fmt::Write;
 
 use alderstile_cluster::membership::MembershipStats;
+use alderstile_cluster::subsetting::SubsetCounts;
 
 /// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,15 +39,6 @@
     pub configs_rejected: u64,
 }
 
-/// Hosts of this node's subset.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct SubsetGauges {
-    /// Hosts in use.
-    pub used: usize,
-    /// Those of them that stand in for hosts which can't be reached.
-    pub added: usize,
-}
-
 /// What holds at the moment of asking.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
@@ -57,7 +49,7 @@
     /// Listed hosts that get nothing new now, out of service or by decision.
     pub hosts_down: usize,
     /// Where each node uses a subset of the hosts.
-    pub subset: Option<SubsetGauges>,
+    pub subset: Option<SubsetCounts>,
     /// The members of the cluster, where the node is one.
     pub members: Option<MembershipStats>,
 }
@@ -95,7 +87,7 @@
         text.gauge("hosts_listed", gauges.hosts_listed as u64);
         text.gauge("hosts_down", gauges.hosts_down as u64);
         if let Some(subset) = gauges.subset {
-            text.gauge("subset_used", subset.used as u64);
+            text.gauge("subset_used", subset.in_use as u64);
             text.gauge("subset_added", subset.added as u64);
         }
         if let Some(members) = gauges.members {
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -7,7 +7,7 @@
 use tracing::info;
 
 use crate::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
-use crate::admin::metrics::{Gauges, SubsetGauges};
+use crate::admin::metrics::Gauges;
 use crate::config::Current;
 use crate::control::membership::Cluster;
 use crate::control::replicated_config::ConfigReplica;
@@ -93,7 +93,7 @@
             inflight: self.clients.inflight(),
             hosts_listed: balancer.maintenance().listed_count(),
             hosts_down: balancer.unavailable_servers(now),
-            subset: self.decisions.assigned_host_counts().map(|(used, added)| SubsetGauges { used, added }),
+            subset: self.decisions.assigned_host_counts(),
             members: self.membership().map(|membership| membership.stats()),
         });
         let replicated_config = self.replicated_config().map(|replica| replica.metrics()).unwrap_or_default();
