--- a/crates/alderstile-node/src/admin/server.rs
+++ b/crates/alderstile-node/src/admin/server.rs
@@ -178,7 +178,7 @@
 /// Without a cluster there is no such path.
 fn members(admin: &AdminService) -> Response<Full<Bytes>> {
     match admin.membership() {
-        Some(membership) => json(&membership.view()),
+        Some(membership) => json(&membership.status()),
         None => not_found(),
     }
 }
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -9,7 +9,7 @@
 use crate::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
 use crate::admin::metrics::Gauges;
 use crate::config::Current;
-use crate::control::membership::Cluster;
+use crate::control::membership::ClusterMembership;
 use crate::control::replicated_config::ConfigReplica;
 use crate::decisions::Decisions;
 use crate::discovery::endpoint_list::server_id;
@@ -23,7 +23,7 @@
     clients: Rc<Clients>,
     process: Rc<Process>,
     maintenance: RefCell<MaintenanceStore>,
-    membership: RefCell<Option<Rc<Cluster>>>,
+    membership: RefCell<Option<Rc<ClusterMembership>>>,
     replicated_config: RefCell<Option<Rc<ConfigReplica>>>,
 }
 
@@ -63,12 +63,12 @@
     }
 
     /// Makes this node a member of a cluster.
-    pub fn set_membership(&self, membership: Rc<Cluster>) {
+    pub fn set_membership(&self, membership: Rc<ClusterMembership>) {
         self.membership.replace(Some(membership));
     }
 
     /// This node's membership in its cluster, where it has one.
-    pub fn membership(&self) -> Option<Rc<Cluster>> {
+    pub fn membership(&self) -> Option<Rc<ClusterMembership>> {
         self.membership.borrow().clone()
     }
 
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -1,4 +1,4 @@
-//! Keeps this node's part of the hosts in step with the members, and tells them what comes to this node.
+//! Keeps this node's subset of the hosts up to date with the members, and tells them this node's traffic.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,14 +10,14 @@
 use tracing::info;
 
 use crate::config::{Config, Subsets};
-use crate::control::membership::Cluster;
+use crate::control::membership::ClusterMembership;
 use crate::node::Node;
 
-/// How often members, hosts and what this node can't reach are looked at.
-const EVERY: Duration = Duration::from_secs(1);
+/// How often the assignment is computed anew from the members, the hosts and what this node can't reach.
+const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Lays subsets over the list from now on.
-pub fn begin(node: &Node, subsets: &Subsets) {
+/// Limits this node to its subset of the hosts from now on.
+pub fn enable(node: &Node, subsets: &Subsets) {
     let config = node.config();
     let me = SubsetNode { name: config.name.as_str().into(), zone: config.settings.zone, traffic: 0.0 };
     let params = SubsettingParams {
@@ -36,33 +36,36 @@
 }
 
 /// Follows the members for as long as the node runs.
-pub async fn run(node: Rc<Node>, cluster: Rc<Cluster>) {
-    let mut before = None;
+pub async fn run(node: Rc<Node>, membership: Rc<ClusterMembership>) {
+    let mut logged_counts = None;
     loop {
-        let config = node.config();
-        node.decisions.update_host_assignment(others(&cluster, &config), |assignment, now| {
+        let peers = live_peers(&membership, &node.config());
+        node.decisions.update_host_assignment(peers, |assignment, now| {
             if let Some(level) = assignment.traffic_report(now, node.clients.held()) {
-                cluster.set_metadata(TRAFFIC_METADATA_TAG, &level);
+                membership.set_metadata(TRAFFIC_METADATA_TAG, &level);
             }
         });
         let counts = node.decisions.assigned_host_counts();
-        if counts != before {
+        if counts != logged_counts {
             if let Some(SubsetCounts { in_use, added }) = counts.filter(|counts| counts.in_use > 0) {
-                info!("subset: {in_use} hosts in use, {added} of them for others that can't be reached");
+                info!(in_use, added, "host subset changed");
             }
-            before = counts;
+            logged_counts = counts;
         }
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(UPDATE_INTERVAL).await;
     }
 }
 
-/// The other members that live, as the view has them.
-fn others(cluster: &Cluster, config: &Config) -> Vec<SubsetNode> {
-    let zone =
-        |name: &str| config.zones.iter().position(|zone| zone == name).and_then(|i| u16::try_from(i).ok());
-    cluster.living(|record| SubsetNode {
+/// The other live members, in the form that subsetting takes.
+fn live_peers(membership: &ClusterMembership, config: &Config) -> Vec<SubsetNode> {
+    membership.map_live_peers(|record| SubsetNode {
         name: record.name.clone(),
-        zone: zone(&record.zone).unwrap_or(u16::MAX),
+        // A zone that the settings do not name is none of theirs.
+        zone: zone_number(&config.zones, &record.zone).unwrap_or(u16::MAX),
         traffic: traffic_of_level(record.metadata_value(TRAFFIC_METADATA_TAG)),
     })
 }
+
+fn zone_number(zones: &[String], name: &str) -> Option<u16> {
+    zones.iter().position(|zone| zone == name).and_then(|number| u16::try_from(number).ok())
+}
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -1,4 +1,4 @@
-//! This node among the members of its cluster: the socket, the clock and the log of a core that has none of them.
+//! This node's membership in its cluster: the socket, the clock and the log of the core, which has none of them.
 
 use std::cell::RefCell;
 use std::io;
@@ -10,6 +10,7 @@
 use alderstile_cluster::authentication::MAX_DATAGRAM_BYTES;
 use alderstile_cluster::membership::{
     InstanceId, MemberRecord, MemberState, Membership, MembershipChange, MembershipEffect, MembershipStats,
+    RecordError,
 };
 use serde::Serialize;
 use serde_json::Value;
@@ -21,22 +22,25 @@
 use crate::config::{ClusterConfig, Config};
 use crate::lifecycle::upgrade_state::MemberWord;
 
-/// Where another process has the address, it is tried again this often.
-const TRY_AGAIN: Duration = Duration::from_millis(20);
-/// How long receiving pauses after an error: it does not go away by asking at once.
-const PAUSE: Duration = Duration::from_millis(5);
-/// Telling the others that this member leaves takes one turn of the runtime.
-const LEAVE: Duration = Duration::from_millis(100);
-/// A process that takes over goes on with words and numbers this far above those of the process before, which goes on
-/// saying some meanwhile.
-const AHEAD: u64 = 1 << 32;
-/// Addresses of members that a process that takes over is told.
-const TOLD: usize = 64;
+/// While the other process of this node has the address, binding is retried this often.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Pause after a failed receive: should errors go on, they must not take the whole core.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Sending that this member leaves takes one turn of the runtime.
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
+/// A process that takes over starts its incarnation and sequence numbers this far above those of its predecessor, which
+/// goes on using some meanwhile.
+const TAKEOVER_GAP: u64 = 1 << 32;
+/// The most addresses of other members that are handed over to a successor.
+const MAX_HANDED_OVER_PEERS: usize = 64;
 
-/// A member as operators see it.
+/// Keys of the settings that differ by node.
+const SETTINGS_OF_ONE_NODE: [&str; 2] = ["my_zone", "index"];
+
+/// The status of one member. The names of the JSON are the operators' words.
 #[derive(Clone, Debug, Serialize)]
-pub struct Shown {
-    /// Its name.
+pub struct MemberStatus {
+    /// Its node's name.
     pub name: String,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
@@ -44,277 +48,309 @@
     pub zone: String,
     /// Where others reach it.
     pub address: SocketAddr,
-    /// Its process.
-    pub session: String,
-    /// Its last word about itself.
+    /// Its instance: another one after each restart.
+    #[serde(rename = "session")]
+    pub instance: String,
+    /// Its latest incarnation.
     pub incarnation: u64,
-    /// Of the settings that it goes by.
-    pub settings: String,
-    /// For how long it has been seen so, milliseconds.
-    pub for_ms: u64,
+    /// Digest of the settings that it goes by.
+    #[serde(rename = "settings")]
+    pub config_digest: String,
+    /// For how long it has had its state, milliseconds.
+    #[serde(rename = "for_ms")]
+    pub state_age_ms: u64,
     /// It is this member.
-    pub me: bool,
+    #[serde(rename = "me")]
+    pub is_local: bool,
 }
 
-/// All members as operators see them.
+/// The status of all members of the cluster, as this one sees them.
 #[derive(Clone, Debug, Serialize)]
-pub struct View {
+pub struct MembershipStatus {
     /// The cluster's name.
     pub cluster: String,
-    /// How far this member trusts itself: 0 wholly.
-    pub health: u32,
-    /// Names that two living processes claim.
-    pub claimed: Vec<String>,
+    /// Lifeguard's local health multiplier: 0 is best.
+    #[serde(rename = "health")]
+    pub local_health: u32,
+    /// Names that two live processes claim.
+    #[serde(rename = "claimed")]
+    pub name_conflicts: Vec<String>,
     /// All members that are remembered, by name.
-    pub members: Vec<Shown>,
+    pub members: Vec<MemberStatus>,
 }
 
-/// This node as a member.
-pub struct Cluster {
-    name: String,
+/// This node as a member of a cluster.
+pub struct ClusterMembership {
+    cluster_name: String,
     listen: SocketAddr,
     members: RefCell<Membership>,
-    began: Instant,
-    let_go: Notify,
-    leaving: Notify,
+    started_at: Instant,
+    release_socket: Notify,
+    leave: Notify,
     left: Notify,
 }
 
-impl Cluster {
-    /// A member that knows its seeds at most, or goes on in place of the process before.
+impl ClusterMembership {
+    /// A member that knows its seeds at most, or that goes on in place of its predecessor.
+    ///
+    /// # Errors
+    ///
+    /// This node's name or zone does not fit into a member's record.
     pub fn new(
         config: &Config,
         cluster: &ClusterConfig,
-        before: Option<&MemberWord>,
-    ) -> Result<Self, String> {
-        let zone = config.zones.get(usize::from(config.settings.zone)).cloned().unwrap_or_default();
+        predecessor: Option<&MemberWord>,
+    ) -> Result<Self, RecordError> {
         let mut seeds = cluster.seeds.clone();
-        let mut session =
-            std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), config.seed).max(1);
-        let (mut incarnation, mut counter) = (1, 0);
-        if let Some(before) = before {
-            session = before.session;
-            (incarnation, counter) =
-                (before.incarnation.saturating_add(AHEAD), before.counter.saturating_add(AHEAD));
-            seeds.extend(&before.known);
+        let mut instance = new_instance(config.seed);
+        let (mut incarnation, mut sequence) = (1, 0);
+        if let Some(predecessor) = predecessor {
+            instance = predecessor.session;
+            incarnation = predecessor.incarnation.saturating_add(TAKEOVER_GAP);
+            sequence = predecessor.counter.saturating_add(TAKEOVER_GAP);
+            seeds.extend(&predecessor.known);
         }
-        let me = MemberRecord {
-            instance: InstanceId(session),
-            incarnation,
-            name: config.name.as_str().into(),
-            zone: zone.into(),
-            address: cluster.advertise,
-            config_digest: digest(config),
-            metadata: [].into(),
-        };
-        me.validate().map_err(|unfit| unfit.to_string())?;
+        let local = local_record(config, cluster, instance, incarnation);
+        local.validate()?;
         // Two processes of one member draw differently.
-        let seed = config.seed ^ session ^ counter;
-        let members = Membership::new(cluster.settings, cluster.codec.clone(), me, seeds, seed, Micros(0));
-        let members = RefCell::new(members.resuming_after(counter));
-        let (name, listen, began) = (cluster.name.clone(), cluster.listen, Instant::now());
-        Ok(Cluster {
-            name,
-            listen,
-            members,
-            began,
-            let_go: Notify::new(),
-            leaving: Notify::new(),
+        let seed = config.seed ^ instance ^ sequence;
+        let members = Membership::new(cluster.settings, cluster.codec.clone(), local, seeds, seed, Micros(0));
+        Ok(ClusterMembership {
+            cluster_name: cluster.name.clone(),
+            listen: cluster.listen,
+            members: RefCell::new(members.resuming_after(sequence)),
+            started_at: Instant::now(),
+            release_socket: Notify::new(),
+            leave: Notify::new(),
             left: Notify::new(),
         })
     }
 
     fn now(&self) -> Micros {
-        Micros(u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX))
+        Micros(u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Opens the socket. Where the process before still has it, `waits` tells whether it is waited for.
-    pub async fn bind(&self, waits: impl Fn() -> bool) -> io::Result<UdpSocket> {
+    /// Binds the socket. While another process has the address, it is retried for as long as `retry` says so.
+    ///
+    /// # Errors
+    ///
+    /// The socket can't be bound.
+    pub async fn bind(&self, retry: impl Fn() -> bool) -> io::Result<UdpSocket> {
         loop {
             match UdpSocket::bind(self.listen).await {
-                Err(error) if error.kind() == io::ErrorKind::AddrInUse && waits() => {
-                    tokio::time::sleep(TRY_AGAIN).await;
+                Err(error) if error.kind() == io::ErrorKind::AddrInUse && retry() => {
+                    tokio::time::sleep(BIND_RETRY_DELAY).await;
                 }
                 done => return done,
             }
         }
     }
 
-    /// Takes part until it lets go.
+    /// Takes part until the socket is released.
     pub async fn run(self: Rc<Self>, socket: UdpSocket) {
-        info!("members: {} listens at {}", self.name, self.listen);
+        info!(cluster = %self.cluster_name, listen = %self.listen, "membership started");
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.began + Duration::from_micros(self.members.borrow().next_timeout().0);
+            let due = self.started_at + Duration::from_micros(self.members.borrow().next_timeout().0);
             tokio::select! {
                 received = socket.recv_from(&mut data) => match received {
                     Ok((length, from)) => {
-                        let out = self.members.borrow_mut().handle_datagram(self.now(), from, &data[..length]);
-                        self.act(&socket, out);
+                        let effects = self.members.borrow_mut().handle_datagram(self.now(), from, &data[..length]);
+                        self.apply(&socket, effects);
                     }
                     // A member that is down refused what was sent to it; should errors go on, they must not take the core.
                     Err(error) => {
-                        debug!("members: {error}");
-                        tokio::time::sleep(PAUSE).await;
+                        debug!(%error, "membership receive failed");
+                        tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                     }
                 },
                 () = tokio::time::sleep_until(due.into()) => {
-                    let out = self.members.borrow_mut().handle_timeout(self.now());
-                    self.act(&socket, out);
+                    let effects = self.members.borrow_mut().handle_timeout(self.now());
+                    self.apply(&socket, effects);
                 }
-                () = self.leaving.notified() => {
-                    let out = self.members.borrow_mut().leave(self.now());
-                    self.act(&socket, out);
+                () = self.leave.notified() => {
+                    let effects = self.members.borrow_mut().leave(self.now());
+                    self.apply(&socket, effects);
                     self.left.notify_one();
                 }
-                () = self.let_go.notified() => return,
+                () = self.release_socket.notified() => return,
             }
         }
     }
 
-    fn act(&self, socket: &UdpSocket, out: Vec<MembershipEffect>) {
-        for out in out {
-            match out {
+    fn apply(&self, socket: &UdpSocket, effects: Vec<MembershipEffect>) {
+        for effect in effects {
+            match effect {
                 // Lost where the system has no room for it, as on the way.
                 MembershipEffect::Send { to, datagram } => {
                     if let Err(error) = socket.try_send_to(&datagram, to) {
-                        debug!("members: datagram to {to} lost: {error}");
+                        debug!(%to, %error, "membership datagram lost");
                     }
                 }
-                MembershipEffect::Changed(change) => self.tell(&change),
+                MembershipEffect::Changed(change) => self.log(&change),
             }
         }
     }
 
-    fn tell(&self, change: &MembershipChange) {
-        let members = self.members.borrow();
-        let named = |session: &InstanceId| {
-            let member = members.peer(*session);
-            member.map_or_else(
-                || session.to_string(),
-                |member| format!("{} ({})", member.record.name, member.record.address),
-            )
-        };
+    fn log(&self, change: &MembershipChange) {
         match change {
-            MembershipChange::Joined(session) => info!("members: {} joined", named(session)),
-            MembershipChange::Suspected(session) => info!("members: {} does not answer", named(session)),
-            MembershipChange::Recovered(session) => info!("members: {} lives", named(session)),
-            MembershipChange::Died(session) => warn!("members: {} is held dead", named(session)),
-            MembershipChange::Left(session) => info!("members: {} has left", named(session)),
-            MembershipChange::Replaced(session) => {
-                info!("members: another process is in place of {}", named(session))
+            MembershipChange::Joined(instance) => info!(member = %self.describe(*instance), "member joined"),
+            MembershipChange::Suspected(instance) => {
+                info!(member = %self.describe(*instance), "member suspected: no answer to probes")
             }
-            MembershipChange::NameConflict(name) => {
-                let living = members.peers().filter(|m| m.record.name == *name && m.state.is_live());
-                let at: Vec<String> = living.map(|member| member.record.address.to_string()).collect();
-                warn!("members: two processes claim the name {name}, at {}", at.join(" and "));
+            MembershipChange::Recovered(instance) => {
+                info!(member = %self.describe(*instance), "member alive again")
             }
-            MembershipChange::NameConflictResolved(name) => {
-                info!("members: the name {name} is claimed by one process")
+            MembershipChange::Died(instance) => warn!(member = %self.describe(*instance), "member dead"),
+            MembershipChange::Left(instance) => info!(member = %self.describe(*instance), "member left"),
+            MembershipChange::Replaced(instance) => {
+                info!(member = %self.describe(*instance), "member replaced by another process")
             }
-            MembershipChange::Refuted => {
-                info!("members: others held this one dead or silent; told that it lives")
+            MembershipChange::NameConflict(name) => {
+                let addresses = self.live_addresses_of(name).join(",");
+                warn!(%name, %addresses, "member name claimed by two processes")
             }
+            MembershipChange::NameConflictResolved(name) => info!(%name, "member name conflict resolved"),
+            MembershipChange::Refuted => info!("suspicion of this member refuted"),
             MembershipChange::Stalled(span) => {
-                warn!("members: this process stood still for {:.1} s", span.as_secs_f64())
+                warn!(stalled_s = %format_args!("{:.1}", span.as_secs_f64()), "process stalled")
             }
         }
     }
 
-    /// Other settings count from now on.
-    pub fn renew(&self, config: &Config) {
-        self.members.borrow_mut().set_digest(digest(config));
+    /// A member's name and address, or its instance where no more is known.
+    fn describe(&self, instance: InstanceId) -> String {
+        match self.members.borrow().peer(instance) {
+            Some(member) => format!("{} ({})", member.record.name, member.record.address),
+            None => instance.to_string(),
+        }
     }
 
-    /// Other keys count from now on.
-    pub fn renew_keys(&self, cluster: &ClusterConfig) {
+    fn live_addresses_of(&self, name: &str) -> Vec<String> {
+        let members = self.members.borrow();
+        let live = members.peers().filter(|member| *member.record.name == *name && member.state.is_live());
+        live.map(|member| member.record.address.to_string()).collect()
+    }
+
+    /// Tells the others the digest of another configuration.
+    pub fn config_changed(&self, config: &Config) {
+        self.members.borrow_mut().set_digest(settings_digest(config));
+    }
+
+    /// Authenticates datagrams by other keys from now on.
+    pub fn set_keys(&self, cluster: &ClusterConfig) {
         self.members.borrow_mut().set_codec(cluster.codec.clone());
     }
 
-    /// Sets a fact of this member.
+    /// Sets a piece of this member's metadata, which the others learn by gossip.
     pub fn set_metadata(&self, tag: u8, bytes: &[u8]) {
         if let Err(error) = self.members.borrow_mut().set_metadata(tag, bytes) {
-            warn!("members: {error}");
+            warn!(tag, %error, "member metadata not set");
         }
     }
 
-    /// The other members that live or may live.
-    pub fn living<T>(&self, each: impl Fn(&MemberRecord) -> T) -> Vec<T> {
+    /// A value for each of the other members that is alive or suspected.
+    pub fn map_live_peers<T>(&self, each: impl Fn(&MemberRecord) -> T) -> Vec<T> {
         let members = self.members.borrow();
         members.peers().filter(|member| member.state.is_live()).map(|member| each(&member.record)).collect()
     }
 
-    /// This member's name, and where others reach it.
-    pub fn me(&self) -> (String, SocketAddr) {
-        let members = self.members.borrow();
-        (members.local().name.to_string(), members.local().address)
+    /// This member's name.
+    pub fn local_name(&self) -> String {
+        self.members.borrow().local().name.to_string()
     }
 
-    /// Lets go of the socket: the other process of this node goes on as the same member.
-    pub fn let_go(&self) {
-        self.let_go.notify_one();
+    /// Where others reach this member.
+    pub fn local_address(&self) -> SocketAddr {
+        self.members.borrow().local().address
     }
 
-    /// Tells others that this member goes.
+    /// Releases the socket: the other process of this node goes on as the same member.
+    pub fn release_socket(&self) {
+        self.release_socket.notify_one();
+    }
+
+    /// Tells the others that this member leaves, and waits until that is sent.
     pub async fn leave(&self) {
-        self.leaving.notify_one();
-        // Where it never had its socket nobody is told.
-        if timeout(LEAVE, self.left.notified()).await.is_err() {
-            debug!("members: nobody was told that this one leaves");
+        self.leave.notify_one();
+        // A member that never had its socket can tell nobody.
+        if timeout(LEAVE_TIMEOUT, self.left.notified()).await.is_err() {
+            debug!("leave of this member not sent");
         }
     }
 
-    /// What the process that takes over is to know.
-    pub fn word(&self) -> MemberWord {
+    /// What the process that takes over needs to go on as the same member.
+    pub fn handover_state(&self) -> MemberWord {
         let members = self.members.borrow();
-        let living = members.peers().filter(|member| member.state == MemberState::Alive);
+        let alive = members.peers().filter(|member| member.state == MemberState::Alive);
         MemberWord {
             session: members.local().instance.0,
             incarnation: members.local().incarnation,
             counter: members.last_sequence(),
-            known: living.map(|member| member.record.address).take(TOLD).collect(),
+            known: alive.map(|member| member.record.address).take(MAX_HANDED_OVER_PEERS).collect(),
         }
     }
 
-    /// Members by state, and what was sent and came.
+    /// Members by state, and datagrams sent and received.
     pub fn stats(&self) -> MembershipStats {
         self.members.borrow().stats()
     }
 
-    /// All members, as operators see them.
-    pub fn view(&self) -> View {
+    /// The status of all members, sorted by name.
+    pub fn status(&self) -> MembershipStatus {
         let members = self.members.borrow();
         let now = self.now();
-        let shown = |record: &MemberRecord, state: MemberState, since: Micros, me| Shown {
-            name: record.name.to_string(),
-            state: state.to_string(),
-            zone: record.zone.to_string(),
-            address: record.address,
-            session: record.instance.to_string(),
-            incarnation: record.incarnation,
-            settings: format!("{:016x}", record.config_digest),
-            for_ms: (now - since).0 / 1_000,
-            me,
-        };
-        let others = members.peers().map(|member| shown(&member.record, member.state, member.since, false));
-        let mut all: Vec<Shown> =
-            others.chain([shown(members.local(), MemberState::Alive, Micros(0), true)]).collect();
-        all.sort_by(|a, b| (&a.name, &a.state, &a.session).cmp(&(&b.name, &b.state, &b.session)));
-        View {
-            cluster: self.name.clone(),
-            health: members.local_health(),
-            claimed: members.name_conflicts().iter().map(|name| name.to_string()).collect(),
+        let peers = members.peers().map(|peer| member_status(&peer.record, peer.state, now - peer.since));
+        let mut all: Vec<MemberStatus> = peers.collect();
+        let local = member_status(members.local(), MemberState::Alive, now);
+        all.push(MemberStatus { is_local: true, ..local });
+        all.sort_by(|a, b| (&a.name, &a.state, &a.instance).cmp(&(&b.name, &b.state, &b.instance)));
+        MembershipStatus {
+            cluster: self.cluster_name.clone(),
+            local_health: members.local_health(),
+            name_conflicts: members.name_conflicts().iter().map(|name| name.to_string()).collect(),
             members: all,
         }
     }
 }
 
-/// Of the settings that all nodes have alike.
-fn digest(config: &Config) -> u64 {
+fn member_status(record: &MemberRecord, state: MemberState, state_age: Micros) -> MemberStatus {
+    MemberStatus {
+        name: record.name.to_string(),
+        state: state.to_string(),
+        zone: record.zone.to_string(),
+        address: record.address,
+        instance: record.instance.to_string(),
+        incarnation: record.incarnation,
+        config_digest: format!("{:016x}", record.config_digest),
+        state_age_ms: state_age.0 / 1_000,
+        is_local: false,
+    }
+}
+
+/// A number for a new instance, never 0.
+fn new_instance(seed: u64) -> u64 {
+    std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), seed).max(1)
+}
+
+fn local_record(config: &Config, cluster: &ClusterConfig, instance: u64, incarnation: u64) -> MemberRecord {
+    let zone = config.zones.get(usize::from(config.settings.zone)).cloned().unwrap_or_default();
+    MemberRecord {
+        instance: InstanceId(instance),
+        incarnation,
+        name: config.name.as_str().into(),
+        zone: zone.into(),
+        address: cluster.advertise,
+        config_digest: settings_digest(config),
+        metadata: [].into(),
+    }
+}
+
+/// Digest of the settings that all nodes have alike.
+fn settings_digest(config: &Config) -> u64 {
     let mut settings = config.told.get("settings").cloned().unwrap_or_default();
     if let Some(fields) = settings.as_object_mut() {
-        // What differs by node.
-        for own in ["my_zone", "index"] {
+        for own in SETTINGS_OF_ONE_NODE {
             fields.remove(own);
         }
     }
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes: datagrams, late or lost at any time.
+//! Gossip between the decisions of nodes: datagrams, lost or late at any time.
 
 use std::cell::RefCell;
 use std::io;
@@ -11,105 +11,112 @@
 
 use crate::node::Node;
 
-/// The longest message; a longer one is against the protocol.
+/// The longest message of the protocol, bytes.
 pub const MAX_MESSAGE: usize = 256;
 
-/// How long receiving pauses after an error.
-const PAUSE: Duration = Duration::from_millis(5);
+/// Pause after a failed receive: should errors go on, they must not take the whole core.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Where another process has the address, it is tried again this often.
-const TRY_AGAIN: Duration = Duration::from_millis(20);
+/// While the other process of this node has the address, binding is retried this often.
+const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The way to the other nodes as this process has it: one of two processes of a node at a time.
+/// The gossip channel of this process. Of two processes of a node one has the socket at a time.
 #[derive(Default)]
-pub struct PeerPath(RefCell<Option<Rc<Peers>>>);
+pub struct GossipChannel(RefCell<Option<Rc<GossipSocket>>>);
 
-impl PeerPath {
-    /// Sends a message to all nodes, where this process has the way.
-    pub fn tell(&self, data: &[u8]) {
-        self.0.borrow().iter().for_each(|peers| peers.tell(data));
+impl GossipChannel {
+    /// Sends a message to all nodes, where this process has the socket.
+    pub fn broadcast(&self, message: &[u8]) {
+        if let Some(socket) = self.0.borrow().as_ref() {
+            socket.broadcast(message);
+        }
     }
 
-    /// Listens from now on, and lets go where the other process is to have the way.
-    pub async fn run(self: Rc<Self>, node: Rc<Node>, peers: Rc<Peers>) {
-        self.0.replace(Some(peers.clone()));
+    /// Receives until the other process is to have the socket.
+    pub async fn run(self: Rc<Self>, node: Rc<Node>, socket: Rc<GossipSocket>) {
+        self.0.replace(Some(socket.clone()));
         tokio::select! {
-            () = peers.run(node.clone()) => {}
+            () = socket.receive(node.clone()) => {}
             () = node.process.left.notified() => {}
         }
         self.0.replace(None);
     }
 
-    /// The same as soon as the process before lets go.
-    pub async fn run_after(self: Rc<Self>, node: Rc<Node>) {
+    /// Does the same as soon as the process before this one releases the socket.
+    pub async fn run_after_predecessor(self: Rc<Self>, node: Rc<Node>) {
         loop {
-            match Peers::bind(&node).await {
+            match GossipSocket::bind(&node).await {
                 Ok(None) => return,
-                Ok(Some(peers)) => return self.run(node, peers).await,
+                Ok(Some(socket)) => return self.run(node, socket).await,
                 Err(error) if error.kind() == io::ErrorKind::AddrInUse && node.process.linked().is_some() => {
-                    tokio::time::sleep(TRY_AGAIN).await;
+                    tokio::time::sleep(BIND_RETRY_DELAY).await;
                 }
                 Err(error) => {
-                    return warn!("peer_listen: {error}; serving without the other nodes' messages");
+                    return warn!(%error, "gossip socket not bound, serving without gossip");
                 }
             }
         }
     }
 }
 
-/// A way to the other nodes.
-pub struct Peers {
+/// The socket on which this node gossips.
+pub struct GossipSocket {
     socket: UdpSocket,
-    all: SocketAddr,
+    /// Reaches all nodes at once.
+    broadcast_address: SocketAddr,
 }
 
-impl Peers {
-    /// Listens where the configuration says; none where nodes may not talk.
+impl GossipSocket {
+    /// Binds the socket of the configuration; none where nodes may not gossip.
+    ///
+    /// # Errors
+    ///
+    /// The socket can't be bound.
     pub async fn bind(node: &Node) -> io::Result<Option<Rc<Self>>> {
-        let (Some(listen), Some(all)) = (node.config().peer_listen, node.config().peers_all) else {
+        let config = node.config();
+        let (Some(listen), Some(broadcast_address)) = (config.peer_listen, config.peers_all) else {
             return Ok(None);
         };
-        if !node.config().settings.gossip_allowed {
+        if !config.settings.gossip_allowed {
             return Ok(None);
         }
         let socket = UdpSocket::bind(listen).await?;
-        // Until the runtime has looked once, a send without waiting finds no room.
+        // Until the runtime has polled it once, a send without waiting would block.
         socket.writable().await?;
-        Ok(Some(Rc::new(Peers { socket, all })))
+        Ok(Some(Rc::new(GossipSocket { socket, broadcast_address })))
     }
 
     /// Sends a message to all nodes; it is lost where the system has no room for it.
-    pub fn tell(&self, data: &[u8]) {
-        if data.len() > MAX_MESSAGE {
-            warn!("message of {} bytes not sent", data.len());
-        } else if let Err(error) = self.socket.try_send_to(data, self.all) {
-            debug!("message lost: {error}");
+    pub fn broadcast(&self, message: &[u8]) {
+        if message.len() > MAX_MESSAGE {
+            warn!(bytes = message.len(), "gossip message too long, not sent");
+        } else if let Err(error) = self.socket.try_send_to(message, self.broadcast_address) {
+            debug!(%error, "gossip message lost");
         }
     }
 
-    /// Hands messages of known nodes to the decisions.
-    pub async fn run(self: Rc<Self>, node: Rc<Node>) {
-        let mut data = [0; MAX_MESSAGE + 1];
+    /// Hands messages of configured nodes to the decisions, for as long as it runs.
+    pub async fn receive(self: Rc<Self>, node: Rc<Node>) {
+        let mut buffer = [0; MAX_MESSAGE + 1];
         loop {
-            match self.socket.recv_from(&mut data).await {
-                Ok((len, from)) => {
-                    let number = node.config().peers.iter().position(|peer| *peer == from);
-                    match number.and_then(|number| u32::try_from(number).ok()) {
-                        Some(number) if len <= MAX_MESSAGE => {
-                            node.decisions.decide(|balancer, now| {
-                                balancer.on_peer_message(now, number, data[..len].to_vec())
-                            });
-                        }
-                        _ => debug!("message of {len} bytes from {from} ignored"),
-                    }
-                }
-                // A message that a node on its way down refused comes back as an error; the next one is fine. Should
-                // errors go on, they must not take the whole core.
+            match self.socket.recv_from(&mut buffer).await {
+                Ok((length, from)) => deliver(&node, from, &buffer[..length]),
+                // A node that is down refused what was sent to it; the next receive is fine.
                 Err(error) => {
-                    debug!("peers: {error}");
-                    tokio::time::sleep(PAUSE).await;
+                    debug!(%error, "gossip receive failed");
+                    tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                 }
             }
         }
     }
 }
+
+fn deliver(node: &Node, from: SocketAddr, message: &[u8]) {
+    let index = node.config().peers.iter().position(|peer| *peer == from);
+    match index.and_then(|index| u32::try_from(index).ok()) {
+        Some(index) if message.len() <= MAX_MESSAGE => {
+            node.decisions.decide(|balancer, now| balancer.on_peer_message(now, index, message.to_vec()));
+        }
+        _ => debug!(bytes = message.len(), %from, "gossip message ignored"),
+    }
+}
--- a/crates/alderstile-node/src/control/replicated_config/client.rs
+++ b/crates/alderstile-node/src/control/replicated_config/client.rs
@@ -1,16 +1,13 @@
 //! Calls of the operators' commands to a running node: show the replicated configuration, and propose another one.
 
-use std::io::{self, Read, Write};
-use std::net::{SocketAddr, TcpStream};
-use std::time::Duration;
+use std::io;
+use std::net::SocketAddr;
 
 use thiserror::Error;
 
 use super::status::ReplicationStatus;
 use crate::admin::client;
 
-/// A node answers an operator within two seconds.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
 /// A proposal of which nothing is heard is sent this often: the same document is the same proposal.
 const MAX_PROPOSAL_ATTEMPTS: usize = 5;
 
@@ -33,7 +30,8 @@
 /// # Errors
 /// The node can't be called, or its answer can't be read.
 pub fn status(admin: SocketAddr) -> Result<ReplicationStatus, CallError> {
-    let text = client::get(admin, "/settings").map_err(|error| CallError::Io(admin, error))?;
+    let text =
+        client::get(admin, "/settings").map_err(|error| CallError::Io(admin, io::Error::other(error)))?;
     serde_json::from_str(&text).map_err(|error| CallError::Io(admin, error.into()))
 }
 
@@ -44,52 +42,28 @@
 pub fn propose(admin: SocketAddr, expected_version: u64, document: &[u8]) -> Result<u64, CallError> {
     let path = format!("/settings/after/{expected_version}");
     for _ in 0..MAX_PROPOSAL_ATTEMPTS {
-        let answer = post(admin, &path, document).map_err(|error| CallError::Io(admin, error))?;
-        if let Some(version) = answer.version(admin)? {
+        let answer = client::post(admin, &path, document).map_err(|error| CallError::Io(admin, error))?;
+        if let Some(version) = committed_version(admin, &answer)? {
             return Ok(version);
         }
     }
     Err(CallError::Pending)
 }
 
-/// An answer to a POST.
-struct Answer {
-    status: u16,
-    body: String,
-}
-
-impl Answer {
-    /// The version that was committed; none while the proposal is pending.
-    fn version(&self, admin: SocketAddr) -> Result<Option<u64>, CallError> {
-        let body = self.body.trim();
-        match self.status {
-            200 => match body.parse() {
-                Ok(version) => Ok(Some(version)),
-                Err(_) => Err(CallError::Io(admin, io::ErrorKind::InvalidData.into())),
-            },
-            202 => Ok(None),
-            409 | 413 => Err(CallError::Rejected(body.to_owned())),
-            404 => {
-                let what = "the node goes by its own file (no [control] in its cluster's file)";
-                Err(CallError::Io(admin, io::Error::other(what)))
-            }
-            status => Err(CallError::Io(admin, io::Error::other(format!("answered {status}")))),
+/// The version that was committed; none while the proposal is pending.
+fn committed_version(admin: SocketAddr, answer: &client::Answer) -> Result<Option<u64>, CallError> {
+    let body = answer.body.trim();
+    match answer.status {
+        200 => match body.parse() {
+            Ok(version) => Ok(Some(version)),
+            Err(_) => Err(CallError::Io(admin, io::ErrorKind::InvalidData.into())),
+        },
+        202 => Ok(None),
+        409 | 413 => Err(CallError::Rejected(body.to_owned())),
+        404 => {
+            let what = "the node goes by its own file (no [control] in its cluster's file)";
+            Err(CallError::Io(admin, io::Error::other(what)))
         }
+        status => Err(CallError::Io(admin, io::Error::other(format!("answered {status}")))),
     }
 }
-
-fn post(admin: SocketAddr, path: &str, body: &[u8]) -> io::Result<Answer> {
-    let mut stream = TcpStream::connect_timeout(&admin, ANSWER_TIMEOUT)?;
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
-    let length = body.len();
-    write!(
-        stream,
-        "POST {path} HTTP/1.1\r\nHost: {admin}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n"
-    )?;
-    stream.write_all(body)?;
-    let mut text = String::new();
-    stream.read_to_string(&mut text)?;
-    let (head, body) = text.split_once("\r\n\r\n").ok_or(io::ErrorKind::InvalidData)?;
-    let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    Ok(Answer { status: status.ok_or(io::ErrorKind::InvalidData)?, body: body.to_owned() })
-}
--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::config::{ControlConfig, CutOff};
 use crate::control::configured_node::ConfiguredNode;
-use crate::control::membership::Cluster;
+use crate::control::membership::ClusterMembership;
 
 mod apply;
 pub mod client;
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     /// The store is of another list of voters, or the address can't be bound.
-    pub async fn run(self: Rc<Self>, cluster: Rc<Cluster>) -> Result<(), ReplicaError> {
+    pub async fn run(self: Rc<Self>, cluster: Rc<ClusterMembership>) -> Result<(), ReplicaError> {
         loop {
             let votes = self.open_store()?;
             let bound_before = self.bound_address();
@@ -185,7 +185,13 @@
     }
 
     /// Passes datagrams and time to the core, until the store is to be tried again.
-    async fn serve(&self, socket: &UdpSocket, port: u16, cluster: &Cluster, until: Option<Instant>) {
+    async fn serve(
+        &self,
+        socket: &UdpSocket,
+        port: u16,
+        cluster: &ClusterMembership,
+        until: Option<Instant>,
+    ) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         let mut members_due = self.started_at;
         loop {
@@ -226,9 +232,9 @@
     }
 
     /// Brings the order of the members that are no voters up to date: the same at all that see the same members.
-    fn update_members(&self, cluster: &Cluster, port: u16) {
+    fn update_members(&self, cluster: &ClusterMembership, port: u16) {
         let voters = &self.config.settings.voters;
-        let others = cluster.living(|record| {
+        let others = cluster.map_live_peers(|record| {
             let port = record.metadata_value(PORT_METADATA_KEY)?;
             let port = port.try_into().ok().map(u16::from_le_bytes)?;
             let address = SocketAddr::new(record.address.ip(), port);
@@ -236,7 +242,7 @@
         });
         let mut members: Vec<(u64, SocketAddr)> = others.into_iter().flatten().collect();
         let votes = self.core.borrow().role().is_some();
-        let (name, address) = cluster.me();
+        let (name, address) = (cluster.local_name(), cluster.local_address());
         let me = SocketAddr::new(address.ip(), port);
         if !votes && !voters.contains(&me) {
             members.push((alderstile_cluster::hashed(&name), me));
--- a/crates/alderstile-node/src/lifecycle/reload.rs
+++ b/crates/alderstile-node/src/lifecycle/reload.rs
@@ -42,7 +42,7 @@
     let Some((path, cluster)) = path.zip(node.admin.membership()) else { return };
     match ClusterConfig::load(path) {
         Ok(config) => {
-            cluster.renew_keys(&config);
+            cluster.set_keys(&config);
             if let (Some(control), Some(config)) = (node.admin.replicated_config(), &config.control) {
                 control.set_keys(config);
             }
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -55,7 +55,7 @@
         }
         node.process.leave();
         node.process.left.notify_one();
-        node.admin.membership().iter().for_each(|cluster| cluster.let_go());
+        node.admin.membership().iter().for_each(|cluster| cluster.release_socket());
         node.process.linked().iter().for_each(|link| link.tell_closed());
         // A successor that is told to leave first has nobody to pass them on to: the one that serves takes none back.
         if node.process.linked().is_some_and(|link| link.successor) {
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -10,8 +10,8 @@
 use alderstile_node::admin::{client, server};
 use alderstile_node::config::{ClusterConfig, Config};
 use alderstile_node::control::host_assignment;
-use alderstile_node::control::membership::Cluster;
-use alderstile_node::control::peer_gossip::{PeerPath, Peers};
+use alderstile_node::control::membership::ClusterMembership;
+use alderstile_node::control::peer_gossip::{GossipChannel, GossipSocket};
 use alderstile_node::control::replicated_config::ConfigReplica;
 use alderstile_node::control::replicated_config::client::{self as replicated_config_client, CallError};
 use alderstile_node::control::replicated_config::document::ConfigDocument;
@@ -160,7 +160,7 @@
     if json {
         println!("{text}");
     } else {
-        print!("{}", client::table(&text).map_err(|error| format!("{admin}: {error}"))?);
+        print!("{}", client::members_table(&text).map_err(|error| format!("{admin}: {error}"))?);
     }
     Ok(())
 }
@@ -307,7 +307,8 @@
         if let Some(cluster) = &cluster {
             let before = predecessor.as_ref().and_then(|before| before.handshake.member.as_ref());
             let member = Rc::new(
-                Cluster::new(&node.config(), cluster, before).map_err(|what| format!("cluster: {what}"))?,
+                ClusterMembership::new(&node.config(), cluster, before)
+                    .map_err(|error| format!("cluster: {error}"))?,
             );
             node.admin.set_membership(member.clone());
             if let Some(control) = &cluster.control {
@@ -321,7 +322,7 @@
                 });
             }
             if let Some(subsets) = &cluster.subsets {
-                host_assignment::begin(&node, subsets);
+                host_assignment::enable(&node, subsets);
                 spawn_local(host_assignment::run(node.clone(), member.clone()));
             }
             if predecessor.is_none() {
@@ -344,21 +345,21 @@
                 listener::bind(address).map_err(|error| format!("admin_addr {address}: {error}"))?;
             spawn_local(server::run(node.admin.clone(), listener));
         }
-        let path_to_peers = Rc::new(PeerPath::default());
+        let gossip = Rc::new(GossipChannel::default());
         let accepting = match predecessor {
             None => {
                 let listener = listen(&node)?;
                 if let Some(peers) =
-                    Peers::bind(&node).await.map_err(|error| format!("peer_listen: {error}"))?
+                    GossipSocket::bind(&node).await.map_err(|error| format!("peer_listen: {error}"))?
                 {
-                    spawn_local(path_to_peers.clone().run(node.clone(), peers));
+                    spawn_local(gossip.clone().run(node.clone(), peers));
                 }
                 spawn_local(upgrade::offer(node.clone()));
                 spawn_local(listener::run(node.clone(), listener))
             }
             Some(before) => {
                 node.take_over(&before.handshake);
-                spawn_local(path_to_peers.clone().run_after(node.clone()));
+                spawn_local(gossip.clone().run_after_predecessor(node.clone()));
                 let ended = upgrade::follow(&node, before);
                 let follower = node.clone();
                 spawn_local(async move {
@@ -369,7 +370,7 @@
             }
         };
         spawn_local(watch::run(node.decisions.clone()));
-        spawn_local(node.clone().run(move |data| path_to_peers.tell(data)));
+        spawn_local(node.clone().run(move |data| gossip.broadcast(data)));
         let reloaded = || {
             reload::reload(&node, path, env);
             reload::reload_keys(&node, cluster_path);
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -51,7 +51,7 @@
         self.decisions.apply_config(&config);
         // Agreed settings have versions of their own: told by the members too, each change would be 510 rumors.
         if self.admin.replicated_config().is_none() {
-            self.admin.membership().iter().for_each(|cluster| cluster.renew(&config));
+            self.admin.membership().iter().for_each(|cluster| cluster.config_changed(&config));
         }
         let discovery = config.discovery;
         self.config.set(config);
@@ -85,7 +85,7 @@
             hosts: self.admin.maintained_hosts().into_iter().collect(),
             ids: self.clients.known_ids(),
             held: self.clients.held(),
-            member: self.admin.membership().map(|cluster| cluster.word()),
+            member: self.admin.membership().map(|cluster| cluster.handover_state()),
             spent: spent.map(|parts| {
                 parts
                     .iter()
--- a/crates/alderstile-node/tests/peers.rs
+++ b/crates/alderstile-node/tests/peers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use alderstile_node::config::Config;
-use alderstile_node::control::peer_gossip::{MAX_MESSAGE, Peers};
+use alderstile_node::control::peer_gossip::{GossipSocket, MAX_MESSAGE};
 use alderstile_node::node::Node;
 use tokio::task::spawn_local;
 
@@ -22,10 +22,10 @@
         value["peers_all"] = all.local_addr().expect("bound").to_string().into();
         value["peers"] = serde_json::json!([all.local_addr().expect("bound").to_string()]);
         let node = Rc::new(Node::new(Config::parse(value).expect("fine")));
-        let peers = Peers::bind(&node).await.expect("bound").expect("nodes may talk");
-        spawn_local(peers.clone().run(node.clone()));
-        peers.tell(&[7; MAX_MESSAGE + 1]);
-        peers.tell(b"hello");
+        let peers = GossipSocket::bind(&node).await.expect("bound").expect("nodes may talk");
+        spawn_local(peers.clone().receive(node.clone()));
+        peers.broadcast(&[7; MAX_MESSAGE + 1]);
+        peers.broadcast(b"hello");
         let mut data = [0; 1_000];
         let (len, from) = all.recv_from(&mut data).await.expect("a message");
         assert_eq!(&data[..len], b"hello", "the one that is too long was not sent");
@@ -33,7 +33,7 @@
             all.send_to(rubbish, from).await.expect("sent");
         }
         // The node still sends, and its decisions still answer.
-        peers.tell(b"again");
+        peers.broadcast(b"again");
         let (len, _) = all.recv_from(&mut data).await.expect("a message");
         assert_eq!(&data[..len], b"again");
         assert!(node.decisions.decide(|balancer, _| balancer.poll_timeout()).is_some());
@@ -48,6 +48,6 @@
         value["peers_all"] = "127.0.0.1:9".into();
         value["settings"]["allowed"]["may_tell"] = false.into();
         let node = Node::new(Config::parse(value).expect("fine"));
-        assert!(Peers::bind(&node).await.expect("nothing to bind").is_none());
+        assert!(GossipSocket::bind(&node).await.expect("nothing to bind").is_none());
     });
 }
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -6,7 +6,7 @@
 
 use alderstile_cluster::replicated_config::HardState;
 use alderstile_node::config::ClusterConfig;
-use alderstile_node::control::membership::Cluster;
+use alderstile_node::control::membership::ClusterMembership;
 use alderstile_node::control::replicated_config::store::VoterStore;
 use alderstile_node::control::replicated_config::{ConfigReplica, ProposalResult};
 use serde_json::{Value, json};
@@ -48,7 +48,7 @@
     let (begun, _) = VoterStore::open(&store, control.settings.voters_digest()).expect("opened");
     begun.save(&HardState::genesis(), &[]).expect("saved");
     drop(begun);
-    let member = Rc::new(Cluster::new(&setup.node.config(), &cluster, None).expect("a member"));
+    let member = Rc::new(ClusterMembership::new(&setup.node.config(), &cluster, None).expect("a member"));
     setup.node.admin.set_membership(member.clone());
     let control = Rc::new(ConfigReplica::new(control, &setup.node));
     setup.node.admin.set_replicated_config(control.clone());
