--- /dev/null
+++ b/crates/alderstile-cluster/src/subsetting/share_table.rs
@@ -0,0 +1,95 @@
+//! The table of shares: all nodes by all hosts.
+
+use std::collections::BTreeMap;
+
+use alderstile::types::ServerId;
+
+use super::proportional_fitting::fitted_shares;
+use super::rendezvous::{preference_order, rendezvous_rank};
+use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares};
+use crate::hashed;
+
+/// A node's row before it is fitted: how strongly it prefers each host that it uses, by the host's place.
+pub(super) type Preferences = BTreeMap<usize, f64>;
+
+/// The whole table: each node's shares, in the order of `nodes`; `nodes` and `hosts` may come in any order. Who is named twice
+/// counts once. Nothing where there are no hosts.
+pub fn share_table(
+    params: SubsettingParams,
+    nodes: &[SubsetNode],
+    hosts: &[SubsetHost],
+) -> Vec<TrafficShares> {
+    let by_id: BTreeMap<ServerId, SubsetHost> = hosts.iter().map(|host| (host.id, *host)).collect();
+    let hosts: Vec<SubsetHost> = by_id.into_values().collect();
+    let by_name: BTreeMap<&str, &SubsetNode> = nodes.iter().map(|node| (&*node.name, node)).collect();
+    let distinct_nodes: Vec<&SubsetNode> = by_name.values().copied().collect();
+    let mut preferences = node_preferences(params, &distinct_nodes, &hosts);
+    add_host_preferences(params, &distinct_nodes, &hosts, &mut preferences);
+    let shares = fitted_shares(params, &distinct_nodes, &hosts, &preferences);
+    let by_name: BTreeMap<&str, TrafficShares> = by_name.into_keys().zip(shares).collect();
+    nodes.iter().map(|node| by_name.get(&*node.name).cloned().unwrap_or_default()).collect()
+}
+
+/// One node's row of the table. It counts itself, whoever else names it.
+pub fn node_shares(
+    params: SubsettingParams,
+    node: &SubsetNode,
+    others: &[SubsetNode],
+    hosts: &[SubsetHost],
+) -> TrafficShares {
+    let mut nodes = vec![node.clone()];
+    nodes.extend(others.iter().filter(|other| other.name != node.name).cloned());
+    share_table(params, &nodes, hosts).swap_remove(0)
+}
+
+/// Each node uses the hosts that it prefers.
+fn node_preferences(
+    params: SubsettingParams,
+    nodes: &[&SubsetNode],
+    hosts: &[SubsetHost],
+) -> Vec<Preferences> {
+    let place: BTreeMap<ServerId, usize> =
+        hosts.iter().enumerate().map(|(place, host)| (host.id, place)).collect();
+    let size = params.hosts_per_node.max(1);
+    let preferences_of = |node: &&SubsetNode| {
+        let order = preference_order(params, node, hosts);
+        let used = order.iter().take(size).enumerate();
+        used.filter_map(|(rank, id)| Some((*place.get(id)?, preference(rank, size)))).collect()
+    };
+    nodes.iter().map(preferences_of).collect()
+}
+
+/// Each host is used by the nodes that prefer it most: none is left out, whatever the nodes prefer.
+fn add_host_preferences(
+    params: SubsettingParams,
+    nodes: &[&SubsetNode],
+    hosts: &[SubsetHost],
+    preferences: &mut [Preferences],
+) {
+    let node_hashes: Vec<u64> = nodes.iter().map(|node| hashed(&node.name)).collect();
+    let users = params.nodes_per_host.min(nodes.len());
+    for (place, host) in hosts.iter().enumerate() {
+        for (rank, node) in first_nodes(host, &node_hashes, users).into_iter().enumerate() {
+            let known = preferences[node].entry(place).or_default();
+            *known = known.max(preference(rank, users));
+        }
+    }
+}
+
+/// The places of so many nodes that prefer a host most, the first one first.
+fn first_nodes(host: &SubsetHost, node_hashes: &[u64], count: usize) -> Vec<usize> {
+    let ranks = node_hashes.iter().enumerate().map(|(node, hash)| (rendezvous_rank(*hash, host), node));
+    let mut ranks: Vec<(f64, usize)> = ranks.collect();
+    let by_rank = |a: &(f64, usize), b: &(f64, usize)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
+    if count < ranks.len() && count > 0 {
+        ranks.select_nth_unstable_by(count - 1, by_rank);
+    }
+    ranks.truncate(count);
+    ranks.sort_by(by_rank);
+    ranks.into_iter().map(|(_, node)| node).collect()
+}
+
+/// What a place in an order counts: the last hardly anything, so that who comes or goes there moves little traffic.
+fn preference(rank: usize, of: usize) -> f64 {
+    (of - rank) as f64 / of as f64
+}
