--- a/crates/alderstile-cluster/tests/replicated_config_cost.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_cost.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-#[ignore = "minutes: the table of docs/agreed.md"]
+#[ignore = "minutes: the table of docs/replicated-config.md"]
 fn what_fleets_take_and_cost() {
     for (count, loss) in
         [(30, 0.0), (100, 0.0), (300, 0.0), (510, 0.0), (510, 0.01), (510, 0.05), (1_000, 0.0)]
