--- a/crates/alderstile-node/src/control/replicated_config/store.rs
+++ b/crates/alderstile-node/src/control/replicated_config/store.rs
@@ -11,7 +11,7 @@
 use thiserror::Error;
 use tracing::warn;
 
-use crate::admin::maintenance_store;
+use crate::state_file;
 
 /// The format of the file; another one is not read.
 const FORMAT: u8 = 1;
@@ -62,7 +62,7 @@
 impl VoterStore {
     /// The file of the voter with that name.
     pub fn path(dir: &Path, name: &str) -> PathBuf {
-        maintenance_store::file(dir, name, "voter")
+        state_file::path(dir, name, "voter")
     }
 
     /// Opens a voter's store, and reads what it holds: nothing where it is new or damaged. A damaged file is set aside.
