--- a/crates/alderstile-cluster/tests/membership_datagrams.rs
+++ b/crates/alderstile-cluster/tests/membership_datagrams.rs
@@ -14,7 +14,7 @@
 use support::members::{KEY, address, codec, member, member_with, pass, period, record, state};
 
 #[test]
-fn foreign_damaged_replayed_old_and_newer_datagrams_change_nothing_and_are_counted() {
+fn rejected_datagrams_change_nothing_and_are_counted() {
     let mut one = member(1, &[2]);
     let ping = |to: u64, counter, codec: &DatagramCodec| {
         let header =
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn each_number_is_taken_once_in_any_order() {
+fn each_sequence_number_is_accepted_once_in_any_order() {
     let mut one = member(1, &[2]);
     // Whether a datagram with that number is taken in.
     let mut take = |counter: u64| {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn two_keys_are_believed_while_one_takes_the_others_place() {
+fn two_keys_are_accepted_while_one_replaces_the_other() {
     let (old, new) = (KEY.to_vec(), b"the key that comes next".to_vec());
     let codecs = [vec![old.clone()], vec![old.clone(), new.clone()], vec![new.clone(), old], vec![new]];
     for pair in codecs.windows(2) {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn what_a_member_sends_in_a_period_is_bounded_whatever_comes() {
+fn datagrams_sent_in_a_period_are_bounded_whatever_comes() {
     let mut one = member(1, &[2]);
     let mut sent = 0;
     for counter in 1..5_000 {
@@ -130,7 +130,7 @@
         })
 }
 
-fn any_rumor() -> impl Strategy<Value = MemberUpdate> {
+fn any_update() -> impl Strategy<Value = MemberUpdate> {
     let few = || 1..6u64;
     prop_oneof![
         any_record().prop_map(MemberUpdate::Alive),
@@ -157,9 +157,9 @@
     })]
 
     #[test]
-    fn what_is_written_is_read(record in any_record(), rumors in prop::collection::vec(any_rumor(), 0..6)) {
+    fn each_datagram_decodes_to_what_was_encoded(record in any_record(), updates in prop::collection::vec(any_update(), 0..6)) {
         let header = DatagramHeader { sender: record.instance, receiver: InstanceId(5), sequence: 3 };
-        for body in [
+        for message in [
             Message::Ping { nonce: 1, record: record.clone() },
             Message::Ack { nonce: 2 },
             Message::PingRequest { nonce: 3, target: InstanceId(9), address: record.address },
@@ -168,16 +168,16 @@
             Message::SyncRequest { after: InstanceId(8), record: record.clone() },
             Message::SyncPage { last: true, members: vec![(MemberState::Suspect, record.clone())] },
         ] {
-            let refs: Vec<&MemberUpdate> = rumors.iter().collect();
-            let (bytes, written) = codec().encode(header, &body, &refs);
+            let refs: Vec<&MemberUpdate> = updates.iter().collect();
+            let (bytes, written) = codec().encode(header, &message, &refs);
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let read = codec().decode(&bytes).expect("read");
-            prop_assert_eq!((read.header, &read.message, &read.updates[..]), (header, &body, &rumors[..written]));
+            prop_assert_eq!((read.header, &read.message, &read.updates[..]), (header, &message, &updates[..written]));
         }
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..1_400)) {
+    fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1_400)) {
         let mut one = member(1, &[2]);
         prop_assert_eq!(one.handle_datagram(Micros(0), address(2), &bytes), []);
         // The same from a broken member that has the key.
@@ -187,15 +187,15 @@
 
     /// Whatever members with the key say: no panic, no more than is allowed is sent, the sums hold.
     #[test]
-    fn no_word_of_a_member_breaks_the_sums(
-        words in prop::collection::vec((any_rumor(), any::<u64>(), 0..3_000u64), 1..60),
+    fn no_update_breaks_the_member_counts(
+        words in prop::collection::vec((any_update(), any::<u64>(), 0..3_000u64), 1..60),
     ) {
         let mut one = member(1, &[2, 3, 4]);
         let mut now = Micros(0);
-        for (counter, (rumor, nonce, late)) in words.into_iter().enumerate() {
+        for (counter, (update, nonce, late)) in words.into_iter().enumerate() {
             now = now + Micros::from_millis(late);
             let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: counter as u64 + 1 };
-            let (bytes, _) = codec().encode(header, &Message::Nack { nonce }, &[&rumor]);
+            let (bytes, _) = codec().encode(header, &Message::Nack { nonce }, &[&update]);
             one.handle_datagram(now, address(2), &bytes);
             one.handle_timeout(now);
             let living = one.peers().filter(|member| member.state.is_live()).count();
--- a/crates/alderstile-cluster/tests/membership_failure_detection.rs
+++ b/crates/alderstile-cluster/tests/membership_failure_detection.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn who_dies_is_suspected_first_and_dead_in_its_time_and_who_leaves_has_left() {
+fn a_death_is_suspected_first_and_leaving_is_no_death() {
     let mut members = vec![member(1, &[2, 3, 4]), member(2, &[1, 3, 4]), member(3, &[1, 2, 4])];
     let mut now = Micros(0);
     // Number 4 never was: it is silent from the start.
@@ -38,20 +38,19 @@
     assert_eq!(members[0].live_count(), 2);
 }
 
-/// Tells a member something in the name of number 3, which never was.
-fn told(member: &mut Membership, counter: u64, rumor: &MemberUpdate) {
-    let header =
-        DatagramHeader { sender: InstanceId(3_000), receiver: member.local().instance, sequence: counter };
-    let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[rumor]);
+/// Sends a member an update in the name of number 3, which never was.
+fn send_update(member: &mut Membership, sequence: u64, update: &MemberUpdate) {
+    let header = DatagramHeader { sender: InstanceId(3_000), receiver: member.local().instance, sequence };
+    let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[update]);
     member.handle_datagram(Micros(0), address(3), &bytes);
 }
 
 #[test]
-fn two_that_hold_each_other_dead_need_one_ping_and_its_answer_to_see_each_other() {
-    // Who heard in an answer that it is held dead said otherwise to six others, and to whom it heard it from a round later.
+fn two_members_that_hold_each_other_dead_recover_with_one_ping_and_its_ack() {
+    // A member that hears in an ack that it is held dead refutes that to the sender at once.
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3])];
     for (i, other) in [(0, 2_000), (1, 1_000)] {
-        told(&mut members[i], 1, &MemberUpdate::Dead { instance: InstanceId(other), incarnation: 1 });
+        send_update(&mut members[i], 1, &MemberUpdate::Dead { instance: InstanceId(other), incarnation: 1 });
     }
     let mut now = Micros(0);
     let changes = loop {
@@ -69,24 +68,24 @@
 }
 
 #[test]
-fn one_that_is_held_dead_and_says_that_it_is_here_hears_of_it() {
+fn a_member_held_dead_that_identifies_itself_hears_of_it() {
     let mut one = member(1, &[2, 3]);
-    told(&mut one, 1, &MemberUpdate::Dead { instance: InstanceId(2_000), incarnation: 1 });
+    send_update(&mut one, 1, &MemberUpdate::Dead { instance: InstanceId(2_000), incarnation: 1 });
     let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: 1 };
     let here = codec().encode(header, &Message::Identify { record: record(2) }, &[]).0;
     let out = one.handle_datagram(Micros(0), address(2), &here);
     let [MembershipEffect::Send { to, datagram: bytes }] = &out[..] else { panic!("{out:?}") };
-    let rumors = codec().decode(bytes).expect("a datagram").updates;
+    let updates = codec().decode(bytes).expect("a datagram").updates;
     assert_eq!(*to, address(2));
-    assert_eq!(rumors, [MemberUpdate::Dead { instance: InstanceId(2_000), incarnation: 1 }]);
+    assert_eq!(updates, [MemberUpdate::Dead { instance: InstanceId(2_000), incarnation: 1 }]);
 }
 
 #[test]
-fn each_that_is_held_dead_is_asked_in_turn_while_few_are_left() {
+fn each_dead_member_is_probed_in_turn_while_few_are_left() {
     let mut one = member(1, &[2, 3, 4, 5, 6]);
     for n in [2, 4, 5, 6, 3] {
         // The last word is the end of who says it.
-        told(&mut one, n, &MemberUpdate::Dead { instance: InstanceId(n * 1_000), incarnation: 1 });
+        send_update(&mut one, n, &MemberUpdate::Dead { instance: InstanceId(n * 1_000), incarnation: 1 });
     }
     assert_eq!(one.live_count(), 1);
     let mut now = Micros(0);
@@ -108,8 +107,8 @@
 }
 
 #[test]
-fn who_joins_when_all_are_at_the_end_of_a_round_is_pinged_at_all_times() {
-    // All put it into the few periods that were left, and so did each later round: nobody pinged it in the others.
+fn a_member_that_joins_at_the_end_of_a_round_is_pinged_evenly() {
+    // If all put it into what is left of the round, nobody pings it in the other periods, round after round.
     let known: Vec<u64> = (1..=40).collect();
     let mut members: Vec<Membership> = known.iter().map(|n| member(*n, &known)).collect();
     let mut now = Micros(0);
@@ -143,7 +142,7 @@
 }
 
 #[test]
-fn a_member_that_stood_still_longer_than_every_time_out_holds_nobody_dead_for_it() {
+fn a_stalled_process_declares_nobody_dead() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3]), member(3, &[1, 2])];
     let mut now = Micros(0);
     pass(&mut members, &mut now, Micros::from_millis(3_000));
@@ -170,7 +169,7 @@
 }
 
 #[test]
-fn a_member_whose_seeds_are_down_goes_on_asking_ever_less_often() {
+fn contacts_of_missing_seeds_back_off() {
     let mut lonely = vec![member(3, &[])];
     let mut now = Micros(0);
     pass(&mut lonely, &mut now, Micros::from_millis(60_000));
--- a/crates/alderstile-cluster/tests/membership_identity.rs
+++ b/crates/alderstile-cluster/tests/membership_identity.rs
@@ -11,7 +11,7 @@
 use support::members::{address, codec, member, pass, period, record, state};
 
 #[test]
-fn one_that_returns_under_its_name_replaces_the_one_before() {
+fn a_restarted_member_replaces_its_earlier_instance() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3])];
     // Number 3 returns as another process at the same address; the others still hold the old one alive.
     let again = MemberRecord { instance: InstanceId(33), ..record(3) };
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn two_that_claim_one_name_are_told_and_neither_is_believed_over_the_other() {
+fn a_name_conflict_is_reported_and_neither_member_is_believed_over_the_other() {
     let mut members = vec![member(1, &[2]), member(2, &[1])];
     let other = MemberRecord { name: "n2".into(), ..record(5) };
     members.push(Membership::new(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn facts_and_digests_reach_the_others_and_do_not_outgrow_their_room() {
+fn metadata_and_digests_reach_the_others_within_their_bounds() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3]), member(3, &[1, 2])];
     members[0].set_metadata(4, b"cold").expect("it fits");
     members[0].set_digest(99);
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn a_word_above_all_others_leaves_a_member_nothing_to_say_and_running() {
-    // Found on rereading: the next own word overflowed, a panic where overflows are checked.
+fn the_highest_incarnation_does_not_overflow() {
+    // The next incarnation would overflow: a panic where overflows are checked.
     let mut one = member(1, &[2]);
     let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: 1 };
     let top = MemberUpdate::Suspect {
--- a/crates/alderstile-cluster/tests/membership_model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -1,5 +1,5 @@
-//! Members against a model that knows who runs and who can reach whom: whatever happens, a while later all who run and reach
-//! each other see just each other alive.
+//! Membership against a model that knows who runs and who can reach whom: whatever happens, a while later all members that run
+//! and reach each other see just each other alive.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -241,26 +241,26 @@
 }
 
 #[test]
-fn one_that_had_just_begun_and_one_more_find_each_other_behind_a_split() {
-    // Neither knew the other yet: each asked a seed every tenth period at most, alone ever less often, and one by chance.
+fn a_newcomer_and_another_member_find_each_other_in_a_partition() {
+    // Neither knows the other: only their seeds tell them.
     play(&[Step::Kill(3), Step::Start(3), Step::Pass(5_361), Step::Split(these(&[1, 3])), Step::Settle]);
 }
 
 #[test]
-fn two_that_had_all_just_begun_find_each_other_behind_a_split() {
+fn two_newcomers_find_each_other_in_a_partition() {
     for two in [[0, 2], [0, 4], [1, 2], [1, 3], [3, 4]] {
         play(&[Step::Pass(1_225), Step::Split(these(&two)), Step::Settle]);
     }
 }
 
 #[test]
-fn one_that_is_alone_sees_it_though_two_others_are_killed_too() {
+fn a_member_cut_off_alone_sees_it_though_two_others_die_too() {
     play(&[Step::Pass(1_225), Step::Kill(3), Step::Split(these(&[1])), Step::Kill(2), Step::Settle]);
 }
 
 #[test]
-fn one_that_is_alone_for_the_second_time_sees_it_though_it_hardly_trusts_itself() {
-    // Its periods were as long as its probes.
+fn a_member_cut_off_again_sees_it_with_bad_local_health() {
+    // Bad local health must not stretch its periods.
     let alone = Step::Split(these(&[3]));
     play(&[
         Step::Pass(40_000),
@@ -274,8 +274,8 @@
 }
 
 #[test]
-fn one_that_was_alone_and_one_of_the_others_find_each_other_when_the_split_moves() {
-    // Both hold the other dead: whom a member asked of the dead was left to chance, once in a period as long as its probes.
+fn members_find_each_other_when_the_partition_moves() {
+    // Both hold the other dead: each dead member has to be probed in turn.
     play(&[
         Step::Split(these(&[2, 4])),
         Step::Pass(5_964),
--- a/crates/alderstile-cluster/tests/subsetting.rs
+++ b/crates/alderstile-cluster/tests/subsetting.rs
@@ -1,4 +1,4 @@
-//! Sums of subsets: dues, churn, views that differ, and bad input.
+//! Subsetting: hosts' dues, churn, differing views, widening, and bad input.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn half_the_nodes_gone_leaves_no_host_alone() {
+fn no_host_is_without_a_node_when_half_the_nodes_are_gone() {
     let (rule, nodes, hosts) = (SubsettingParams::default(), nodes(300), hosts(90));
     for (what, left) in [
         ("every other", nodes.iter().step_by(2).cloned().collect::<Vec<_>>()),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn views_that_differ_cost_a_bounded_part() {
+fn differing_views_unbalance_hosts_within_a_bound() {
     // Each node has its own view: it lacks a tenth of the nodes and a tenth of the hosts, others in each view.
     let (nodes, hosts) = (nodes(120), hosts(60));
     let mut rows = Vec::new();
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_zone_that_has_enough_serves_its_own() {
+fn a_zone_with_enough_hosts_serves_its_own_nodes() {
     let rule = SubsettingParams { prefer_own_zone: true, ..SubsettingParams::default() };
     let at_home = |nodes: &[SubsetNode], hosts: &[SubsetHost]| {
         let zone: BTreeMap<ServerId, u16> = hosts.iter().map(|host| (host.id, host.zone)).collect();
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_node_that_cannot_reach_its_hosts_takes_others_and_gives_them_up_later() {
+fn a_subset_is_widened_while_hosts_are_unreachable_and_narrowed_gradually() {
     let (nodes, hosts) = (nodes(30), hosts(60));
     let rule = SubsettingParams { hosts_per_node: 8, ..SubsettingParams::default() };
     let mut subset = NodeSubset::new(rule, nodes[4].clone(), micros(30.0));
@@ -239,7 +239,7 @@
 
 proptest! {
     #[test]
-    fn whatever_comes_in_shares_are_shares(
+    fn shares_sum_to_one_whatever_comes_in(
         weights in prop::collection::vec(prop_oneof![any::<f64>(), Just(0.0), Just(f64::NAN), Just(1e300), 0.5..4.0], 0..40),
         traffic in prop::collection::vec(prop_oneof![any::<f64>(), 0.5..4.0], 0..40),
         size in prop_oneof![Just(0usize), 1usize..50, Just(usize::MAX)],
@@ -261,7 +261,7 @@
     }
 
     #[test]
-    fn the_order_in_which_things_are_named_does_not_matter(seed in 0usize..1_000) {
+    fn shares_do_not_depend_on_the_order_of_nodes_and_hosts(seed in 0usize..1_000) {
         let (nodes, hosts) = (nodes(12), hosts(40));
         let (mut other_nodes, mut other_hosts) = (nodes.clone(), hosts.clone());
         other_nodes.rotate_left(seed % 12);
