--- a/crates/alderstile-node/tests/replicated_config_fixtures.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -14,8 +14,8 @@
 use tokio::task::spawn_local;
 
 mod support;
-use support::replicated_config::*;
-use support::*;
+use support::replicated_config::{alone, document, folder, in_force};
+use support::{Host, Peer, run};
 
 fn fixture(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests/fixtures/replicated_config", name].iter().collect()
--- /dev/null
+++ b/crates/alderstile-node/tests/support/fleet.rs
@@ -0,0 +1,197 @@
+//! A fleet of real processes whose configuration is replicated, each on loopback addresses of its own.
+
+use std::path::PathBuf;
+use std::process::{Child, Command, Output, Stdio};
+use std::time::{Duration, Instant};
+
+use alderstile_node::control::replicated_config::ReplicationStatus;
+use alderstile_node::control::replicated_config::store::VoterStore;
+use serde_json::Value;
+
+use super::config;
+use super::replicated_config::{KEY, folder};
+
+/// Several nodes' processes on loopback addresses of their own, the first of them voters.
+pub struct Fleet {
+    pub dir: PathBuf,
+    pub net: u8,
+    pub voters: u8,
+    pub running: Vec<Option<Child>>,
+}
+
+impl Fleet {
+    pub fn new(net: u8, count: u8, voters: u8) -> Self {
+        let dir = folder(&format!("fleet-{net}"));
+        let mut fleet = Fleet { dir, net, voters, running: (0..count).map(|_| None).collect() };
+        for n in 1..=count {
+            let mut file = config(&fleet.at(n, 19_000), "127.0.0.1:1");
+            (file["name"], file["admin_addr"]) = (format!("n{n}").into(), fleet.at(n, 19_001).into());
+            std::fs::write(fleet.file(n, "json"), file.to_string()).expect("written");
+            fleet.key(n, KEY);
+            if n <= voters {
+                let out = fleet.call(n, &["settings", "init"]);
+                assert!(out.status.success(), "{out:?}");
+                let again = fleet.call(n, &["settings", "init"]);
+                assert_eq!(again.status.code(), Some(2), "it never takes a memory's place");
+            }
+            fleet.start(n);
+        }
+        fleet
+    }
+
+    pub fn at(&self, n: u8, port: u16) -> String {
+        format!("127.0.{}.{n}:{port}", self.net)
+    }
+
+    pub fn file(&self, n: u8, kind: &str) -> PathBuf {
+        self.dir.join(format!("{n}.{kind}"))
+    }
+
+    pub fn store(&self, n: u8) -> PathBuf {
+        VoterStore::path(&self.dir, &format!("n{n}"))
+    }
+
+    /// Writes a node's cluster's file, with this key.
+    pub fn key(&self, n: u8, key: &str) {
+        let voters: Vec<String> = (1..=self.voters).map(|n| format!("\"{}\"", self.at(n, 19_003))).collect();
+        let text = format!(
+            "name = \"edge\"\nlisten = \"{}\"\nseeds = [\"{}\", \"{}\"]\nkeys = [\"{key}\"]\nperiod_ms = 200\n\
+             [control]\nlisten = \"{}\"\nvoters = [{}]\nstate_dir = \"{}\"\nheartbeat_ms = 150\nlease_s = 0.9\n",
+            self.at(n, 19_002),
+            self.at(1, 19_002),
+            self.at(2, 19_002),
+            self.at(n, 19_003),
+            voters.join(", "),
+            self.dir.display()
+        );
+        std::fs::write(self.file(n, "toml"), text).expect("written");
+    }
+
+    pub fn call(&self, n: u8, args: &[&str]) -> Output {
+        let mut program = Command::new(env!("CARGO_BIN_EXE_alderstile"));
+        program
+            .args(args)
+            .arg("--config")
+            .arg(self.file(n, "json"))
+            .arg("--cluster")
+            .arg(self.file(n, "toml"));
+        program.output().expect("run")
+    }
+
+    pub fn start(&mut self, n: u8) {
+        let log =
+            std::fs::File::options().create(true).append(true).open(self.file(n, "log")).expect("a log");
+        let mut program = Command::new(env!("CARGO_BIN_EXE_alderstile"));
+        program
+            .arg("serve")
+            .arg("--config")
+            .arg(self.file(n, "json"))
+            .arg("--cluster")
+            .arg(self.file(n, "toml"));
+        let child =
+            program.env_remove("RUST_LOG").stderr(log).stdout(Stdio::null()).spawn().expect("started");
+        self.running[usize::from(n) - 1] = Some(child);
+    }
+
+    pub fn kill(&mut self, n: u8) {
+        if let Some(mut child) = self.running[usize::from(n) - 1].take() {
+            child.kill().expect("killed");
+            child.wait().expect("ended");
+        }
+    }
+
+    pub fn signal(&self, n: u8, signal: &str) {
+        let pid = self.running[usize::from(n) - 1].as_ref().expect("up").id().to_string();
+        assert!(Command::new("kill").args([signal, &pid]).status().expect("sent").success());
+    }
+
+    pub fn show(&self, n: u8) -> Option<ReplicationStatus> {
+        let out = self.call(n, &["settings", "show"]);
+        serde_json::from_slice(&out.stdout).ok()
+    }
+
+    /// Proposes a document at a node; what the command said, and how it ended.
+    pub fn propose(&self, n: u8, document: &Value, expect: Option<u64>) -> (Option<i32>, String) {
+        let path = self.dir.join("proposal.json");
+        std::fs::write(&path, document.to_string()).expect("written");
+        let mut args = vec!["settings".to_owned(), "propose".to_owned(), path.display().to_string()];
+        if let Some(expect) = expect {
+            args.extend(["--expect".to_owned(), expect.to_string()]);
+        }
+        let args: Vec<&str> = args.iter().map(String::as_str).collect();
+        let out = self.call(n, &args);
+        let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
+        (out.status.code(), text)
+    }
+
+    /// Proposes until it is agreed on: a leader may have to be elected, or the version before to count, first.
+    pub fn agree(&self, n: u8, document: &Value) -> u64 {
+        let began = Instant::now();
+        loop {
+            let (code, said) = self.propose(n, document, None);
+            if code == Some(0) {
+                return said
+                    .trim()
+                    .strip_prefix("version ")
+                    .and_then(|text| text.parse().ok())
+                    .expect("a version");
+            }
+            assert!(began.elapsed() < Duration::from_secs(60), "{said}");
+            std::thread::sleep(Duration::from_millis(100));
+        }
+    }
+
+    /// Waits until these nodes are as wanted.
+    pub fn until(&self, nodes: &[u8], what: &str, wanted: impl Fn(&ReplicationStatus) -> bool) {
+        let began = Instant::now();
+        while !nodes.iter().all(|n| self.show(*n).is_some_and(|shown| wanted(&shown))) {
+            let shown: Vec<Option<ReplicationStatus>> = nodes.iter().map(|n| self.show(*n)).collect();
+            assert!(began.elapsed() < Duration::from_secs(60), "{what}: {shown:#?}");
+            std::thread::sleep(Duration::from_millis(30));
+        }
+    }
+
+    pub fn counts(&self, nodes: &[u8], version: u64) {
+        self.until(nodes, &format!("version {version}"), |shown| {
+            shown.active_version == version && shown.lease_state == "counts" && shown.rejection.is_none()
+        });
+    }
+
+    pub fn leader(&self) -> u8 {
+        let began = Instant::now();
+        loop {
+            let voter = |n: &u8| self.show(*n).is_some_and(|shown| shown.role.as_deref() == Some("leader"));
+            if let Some(leader) = (1..=self.voters).find(voter) {
+                return leader;
+            }
+            assert!(began.elapsed() < Duration::from_secs(60), "no leader");
+            std::thread::sleep(Duration::from_millis(50));
+        }
+    }
+
+    pub fn log(&self, n: u8) -> String {
+        std::fs::read_to_string(self.file(n, "log")).unwrap_or_default()
+    }
+}
+
+/// A process that ends with its owner.
+pub struct Ended(pub Child);
+
+impl Drop for Ended {
+    fn drop(&mut self) {
+        self.0.kill().unwrap_or_default();
+        let _ = self.0.wait();
+    }
+}
+
+impl Drop for Fleet {
+    fn drop(&mut self) {
+        for child in self.running.iter_mut().flatten() {
+            child.kill().unwrap_or_default();
+            let _ = child.wait();
+        }
+        if !std::thread::panicking() {
+            std::fs::remove_dir_all(&self.dir).unwrap_or_default();
+        }
+    }
+}
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -18,6 +18,7 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
+pub mod fleet;
 pub mod processes;
 pub mod replicated_config;
 
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -74,3 +74,8 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
+
+/// A document with this limit of attempts.
+pub fn with_attempts(most: u64) -> Value {
+    document(|document| document["settings"]["allowed"]["max_attempts"] = most.into())
+}
