--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -8,7 +8,7 @@
 
 use crate::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
 use crate::admin::metrics::Gauges;
-use crate::config::Current;
+use crate::config::ActiveConfig;
 use crate::control::membership::ClusterMembership;
 use crate::control::replicated_config::ConfigReplica;
 use crate::decisions::Decisions;
@@ -18,7 +18,7 @@
 
 /// The admin interface of one node, and the parts of the node that it asks.
 pub struct AdminService {
-    config: Rc<Current>,
+    config: Rc<ActiveConfig>,
     decisions: Rc<Decisions>,
     clients: Rc<Clients>,
     process: Rc<Process>,
@@ -30,7 +30,7 @@
 impl AdminService {
     /// Loads the maintenance file that an earlier process left, and tells the decisions what it says.
     pub fn new(
-        config: Rc<Current>,
+        config: Rc<ActiveConfig>,
         decisions: Rc<Decisions>,
         clients: Rc<Clients>,
         process: Rc<Process>,
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster's file (TOML): who the other members are, and what this one goes by.
+//! The cluster's file (TOML): the other members, the keys, host subsets and the replicated configuration.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,28 +10,61 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// No subset is meant to have more hosts, and no host more nodes that it is sure of.
-const MOST_HOSTS: usize = 10_000;
-/// A lease lasts so many heartbeats at least: one, the patience for the teller, and one lost word.
-const LEASE_BEATS: f64 = 5.0;
-/// An hour.
-const LONGEST_HOLD_S: f64 = 3_600.0;
+/// No subset is meant to have more hosts, and no host more nodes.
+const MAX_SUBSET_SIZE: usize = 10_000;
+/// The shortest lease, in heartbeats: one, the patience with the teller, and one lost message.
+const MIN_LEASE_HEARTBEATS: f64 = 5.0;
+/// The longest hold and the longest lease, seconds.
+const MAX_HOLD_S: f64 = 3_600.0;
+/// Default protocol period, milliseconds.
+const DEFAULT_PERIOD_MS: u64 = 1_000;
+/// One key, or two while one replaces the other.
+const MAX_KEYS: usize = 2;
 
 /// Why a cluster's file can't be used.
 #[derive(Debug, Error)]
-pub enum ClusterError {
+pub enum ClusterConfigError {
     /// It can't be read.
-    #[error("{0}: {1}")]
-    File(String, std::io::Error),
+    #[error("{path}: {error}")]
+    File {
+        /// The file.
+        path: String,
+        /// Why.
+        error: std::io::Error,
+    },
     /// It is not TOML, or a key is unknown, missing or of another kind.
-    #[error("{0}: {1}")]
-    Toml(String, toml::de::Error),
+    #[error("{path}: {error}")]
+    Toml {
+        /// The file.
+        path: String,
+        /// Why.
+        error: toml::de::Error,
+    },
     /// A key has a value that can't be used.
-    #[error("{0}: the key {1}: {2}")]
-    Key(String, String, String),
+    #[error("{path}: the key {key}: {fault}")]
+    Key {
+        /// The file.
+        path: String,
+        /// The key.
+        key: String,
+        /// What is wrong with its value.
+        fault: String,
+    },
 }
 
-/// The file's form.
+/// A key with a value that can't be used.
+struct InvalidKey {
+    key: String,
+    fault: String,
+}
+
+impl InvalidKey {
+    fn new(key: impl Into<String>, fault: impl Into<String>) -> Self {
+        InvalidKey { key: key.into(), fault: fault.into() }
+    }
+}
+
+/// The file as it is written: its keys are the operators' words.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -58,33 +91,7 @@
     lease_s: Option<f64>,
     drift: Option<f64>,
     fanout: Option<usize>,
-    cut_off: Option<CutOff>,
-}
-
-/// What a node does that has not heard for the lease's time which version is the latest.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
-#[serde(rename_all = "kebab-case")]
-pub enum CutOff {
-    /// It goes on by what it has.
-    #[default]
-    GoOn,
-    /// It is not ready: takes no new clients.
-    Refuse,
-}
-
-/// Settings are agreed among the members.
-#[derive(Clone)]
-pub struct ControlConfig {
-    /// Where this node hears of versions, UDP.
-    pub listen: SocketAddr,
-    /// The cluster's name and keys, on every datagram.
-    pub codec: replicated_config::DatagramCodec,
-    /// What the core goes by.
-    pub settings: replicated_config::ReplicationSettings,
-    /// Where a voter keeps its memory.
-    pub state_dir: Option<PathBuf>,
-    /// What a node does that is cut off.
-    pub cut_off: CutOff,
+    cut_off: Option<IsolationPolicy>,
 }
 
 /// The table `[subsets]`.
@@ -103,20 +110,47 @@
     }
 }
 
-/// Each node uses a part of the hosts.
+/// What an isolated node does: one that has not heard for the lease's time which version is the latest.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
+pub enum IsolationPolicy {
+    /// It goes on with the configuration that it has.
+    #[default]
+    #[serde(rename = "go-on")]
+    KeepServing,
+    /// It is not ready: it admits no new clients.
+    #[serde(rename = "refuse")]
+    StopAdmitting,
+}
+
+/// The replicated configuration, as a node takes part in it.
+#[derive(Clone)]
+pub struct ReplicationConfig {
+    /// Where this node hears of versions, UDP.
+    pub listen: SocketAddr,
+    /// Encodes and authenticates the datagrams.
+    pub codec: replicated_config::DatagramCodec,
+    /// The settings of the core.
+    pub settings: replicated_config::ReplicationSettings,
+    /// Where a voter stores its state.
+    pub state_dir: Option<PathBuf>,
+    /// What this node does while it is isolated.
+    pub when_isolated: IsolationPolicy,
+}
+
+/// Each node uses a subset of the hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Subsets {
+pub struct SubsettingConfig {
     /// Hosts that a node uses.
-    pub size: usize,
+    pub hosts_per_node: usize,
     /// Nodes that use a host, at least.
-    pub users: usize,
+    pub nodes_per_host: usize,
     /// Hosts of the own zone first.
-    pub zones_first: bool,
+    pub prefer_own_zone: bool,
     /// How long a host that was added is kept after it was last needed.
-    pub hold: Micros,
+    pub added_host_retention: Micros,
 }
 
-/// What the cluster's file says.
+/// The configuration of a member of a cluster.
 #[derive(Clone)]
 pub struct ClusterConfig {
     /// The cluster's name.
@@ -125,157 +159,203 @@
     pub listen: SocketAddr,
     /// Where others are told to send them.
     pub advertise: SocketAddr,
-    /// Whom a member asks that knows nobody.
+    /// Members that are asked by one that knows nobody.
     pub seeds: Vec<SocketAddr>,
-    /// The cluster's name and keys, on every datagram.
+    /// Encodes and authenticates the datagrams.
     pub codec: DatagramCodec,
-    /// What the members go by.
+    /// The settings of the membership protocol.
     pub settings: MembershipConfig,
-    /// Each node uses a part of the hosts; all of them where this is not set.
-    pub subsets: Option<Subsets>,
-    /// Settings are agreed among the members; each node goes by its own file where this is not set.
-    pub control: Option<ControlConfig>,
+    /// Each node uses a subset of the hosts; all of them where this is not set.
+    pub subsetting: Option<SubsettingConfig>,
+    /// The configuration is replicated; each node goes by its own file where this is not set.
+    pub replication: Option<ReplicationConfig>,
 }
 
 impl ClusterConfig {
     /// Reads and checks a file.
-    pub fn load(path: &Path) -> Result<Self, ClusterError> {
+    ///
+    /// # Errors
+    ///
+    /// The file can't be read, is not TOML, or a key is at fault.
+    pub fn load(path: &Path) -> Result<Self, ClusterConfigError> {
         let shown = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| ClusterError::File(shown.clone(), error))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| ClusterConfigError::File { path: shown.clone(), error })?;
         Self::parse(&shown, &text)
     }
 
-    /// Checks a text.
-    pub fn parse(shown: &str, text: &str) -> Result<Self, ClusterError> {
-        let file: File = toml::from_str(text).map_err(|error| ClusterError::Toml(shown.to_owned(), error))?;
-        let bad = |key: &str, what: String| ClusterError::Key(shown.to_owned(), key.to_owned(), what);
+    /// Checks a text; `path` is what errors name.
+    ///
+    /// # Errors
+    ///
+    /// The text is not TOML, or a key is at fault.
+    pub fn parse(path: &str, text: &str) -> Result<Self, ClusterConfigError> {
+        let file: File = toml::from_str(text)
+            .map_err(|error| ClusterConfigError::Toml { path: path.to_owned(), error })?;
+        Self::from_file(file).map_err(|InvalidKey { key, fault }| ClusterConfigError::Key {
+            path: path.to_owned(),
+            key,
+            fault,
+        })
+    }
+
+    fn from_file(file: File) -> Result<Self, InvalidKey> {
         if file.name.is_empty() || file.name.len() > MAX_CLUSTER_NAME_BYTES {
-            return Err(bad("name", format!("1 to {MAX_CLUSTER_NAME_BYTES} bytes are wanted")));
-        }
-        let mut keys = Vec::new();
-        for (i, key) in file.keys.iter().enumerate() {
-            let key = hex::decode(key).ok().filter(|key| key.len() >= MIN_KEY_BYTES);
-            let wanted = || {
-                bad(
-                    &format!("keys[{i}]"),
-                    format!("at least {} hexadecimal digits are wanted", 2 * MIN_KEY_BYTES),
-                )
-            };
-            keys.push(key.ok_or_else(wanted)?);
-        }
-        if keys.is_empty() || keys.len() > 2 {
-            return Err(bad(
-                "keys",
-                "one key is wanted, or two while one takes the other's place".to_owned(),
-            ));
-        }
-        if file.listen.port() == 0 {
-            return Err(bad("listen", "a port is wanted that others can know".to_owned()));
+            return Err(InvalidKey::new("name", format!("1 to {MAX_CLUSTER_NAME_BYTES} bytes are wanted")));
         }
-        let period_ms = file.period_ms.unwrap_or(1_000);
-        if !(50..=60_000).contains(&period_ms) {
-            return Err(bad("period_ms", format!("{period_ms}: 50 to 60000 is wanted")));
-        }
-        let mut settings = MembershipConfig::with_period(Micros::from_millis(period_ms));
-        if let Some(suspicion) = file.suspicion {
-            if !(1.0..=100.0).contains(&suspicion) {
-                return Err(bad("suspicion", format!("{suspicion}: 1 to 100 is wanted")));
-            }
-            settings.suspicion_multiplier = suspicion;
-        }
-        let codec =
-            DatagramCodec::new(&file.name, &keys).map_err(|_| bad("keys", "can't be used".to_owned()))?;
+        let keys = parse_keys(&file.keys)?;
+        check_port("listen", file.listen)?;
+        let settings = parse_membership(&file)?;
+        let codec = DatagramCodec::new(&file.name, &keys).map_err(|_| unusable_keys())?;
         let advertise = file.advertise.unwrap_or(file.listen);
-        if advertise.ip().is_unspecified() || advertise.port() == 0 {
-            return Err(bad("advertise", format!("{advertise}: an address is wanted that others can reach")));
+        if !is_reachable(advertise) {
+            return Err(unreachable_address("advertise", advertise));
         }
-        let subsets = match file.subsets {
-            None => None,
-            Some(table) if !(1..=MOST_HOSTS).contains(&table.size) => {
-                return Err(bad("subsets.size", format!("{}: 1 to {MOST_HOSTS} is wanted", table.size)));
-            }
-            Some(table) if !(1..=MOST_HOSTS).contains(&table.users) => {
-                return Err(bad("subsets.users", format!("{}: 1 to {MOST_HOSTS} is wanted", table.users)));
-            }
-            Some(table) if !(table.hold_s >= 1.0 && table.hold_s <= LONGEST_HOLD_S) => {
-                let what = format!("{}: seconds from 1 to {LONGEST_HOLD_S} are wanted", table.hold_s);
-                return Err(bad("subsets.hold_s", what));
-            }
-            Some(SubsetsTable { size, users, zones_first, hold_s }) => {
-                Some(Subsets { size, users, zones_first, hold: Micros((hold_s * 1e6) as u64) })
-            }
-        };
-        let replication_codec = || {
-            replicated_config::DatagramCodec::new(&file.name, &keys)
-                .map_err(|_| bad("keys", "can't be used".to_owned()))
-        };
-        let control = match file.control {
-            None => None,
-            Some(table) => Some(control(table, replication_codec()?, bad)?),
-        };
+        let subsetting = file.subsets.map(parse_subsets).transpose()?;
+        let replication_codec = replicated_config::DatagramCodec::new(&file.name, &keys);
+        let replication_codec = replication_codec.map_err(|_| unusable_keys())?;
+        let replication = file.control.map(|table| parse_control(table, replication_codec)).transpose()?;
         Ok(ClusterConfig {
-            control,
-            subsets,
             name: file.name,
             listen: file.listen,
             advertise,
             seeds: file.seeds,
             codec,
             settings,
+            subsetting,
+            replication,
         })
     }
 }
 
-/// Checks the table `[control]`.
-fn control(
-    table: ControlTable,
-    codec: replicated_config::DatagramCodec,
-    bad: impl Fn(&str, String) -> ClusterError,
-) -> Result<ControlConfig, ClusterError> {
-    let ControlTable { listen, voters, state_dir, .. } = table;
-    let reachable = |address: &SocketAddr| !address.ip().is_unspecified() && address.port() != 0;
-    if listen.port() == 0 {
-        return Err(bad("control.listen", "a port is wanted that others can know".to_owned()));
+fn parse_keys(texts: &[String]) -> Result<Vec<Vec<u8>>, InvalidKey> {
+    let mut keys = Vec::new();
+    for (i, text) in texts.iter().enumerate() {
+        let key = hex::decode(text).ok().filter(|key| key.len() >= MIN_KEY_BYTES);
+        let digits = 2 * MIN_KEY_BYTES;
+        let invalid = || {
+            InvalidKey::new(format!("keys[{i}]"), format!("at least {digits} hexadecimal digits are wanted"))
+        };
+        keys.push(key.ok_or_else(invalid)?);
     }
-    if voters.is_empty() || voters.len() > replicated_config::MAX_VOTERS {
-        let what = format!("{}: 1 to {} are wanted", voters.len(), replicated_config::MAX_VOTERS);
-        return Err(bad("control.voters", what));
+    if keys.is_empty() || keys.len() > MAX_KEYS {
+        return Err(InvalidKey::new("keys", "one key is wanted, or two while one takes the other's place"));
     }
-    for (i, voter) in voters.iter().enumerate() {
-        if !reachable(voter) {
-            let what = format!("{voter}: an address is wanted that others can reach");
-            return Err(bad(&format!("control.voters[{i}]"), what));
-        }
-        if voters[..i].contains(voter) {
-            return Err(bad(&format!("control.voters[{i}]"), format!("{voter}: named twice")));
-        }
+    Ok(keys)
+}
+
+fn unusable_keys() -> InvalidKey {
+    InvalidKey::new("keys", "can't be used")
+}
+
+fn check_port(key: &str, address: SocketAddr) -> Result<(), InvalidKey> {
+    if address.port() == 0 {
+        return Err(InvalidKey::new(key, "a port is wanted that others can know"));
+    }
+    Ok(())
+}
+
+fn is_reachable(address: SocketAddr) -> bool {
+    !address.ip().is_unspecified() && address.port() != 0
+}
+
+fn unreachable_address(key: impl Into<String>, address: SocketAddr) -> InvalidKey {
+    InvalidKey::new(key, format!("{address}: an address is wanted that others can reach"))
+}
+
+fn parse_membership(file: &File) -> Result<MembershipConfig, InvalidKey> {
+    let period_ms = file.period_ms.unwrap_or(DEFAULT_PERIOD_MS);
+    if !(50..=60_000).contains(&period_ms) {
+        return Err(InvalidKey::new("period_ms", format!("{period_ms}: 50 to 60000 is wanted")));
     }
-    let me = voters.iter().position(|voter| *voter == listen).and_then(|me| u8::try_from(me).ok());
-    if me.is_some() && state_dir.is_none() {
-        return Err(bad("control.state_dir", "a voter wants a lasting place for its memory".to_owned()));
+    let mut settings = MembershipConfig::with_period(Micros::from_millis(period_ms));
+    settings.suspicion_multiplier = file.suspicion.unwrap_or(settings.suspicion_multiplier);
+    if !(1.0..=100.0).contains(&settings.suspicion_multiplier) {
+        let suspicion = settings.suspicion_multiplier;
+        return Err(InvalidKey::new("suspicion", format!("{suspicion}: 1 to 100 is wanted")));
     }
-    let mut settings = replicated_config::ReplicationSettings::new(voters, me);
-    if let Some(heartbeat) = table.heartbeat_ms {
-        if !(20..=10_000).contains(&heartbeat) {
-            return Err(bad("control.heartbeat_ms", format!("{heartbeat}: 20 to 10000 is wanted")));
+    Ok(settings)
+}
+
+fn parse_subsets(table: SubsetsTable) -> Result<SubsettingConfig, InvalidKey> {
+    for (key, value) in [("subsets.size", table.size), ("subsets.users", table.users)] {
+        if !(1..=MAX_SUBSET_SIZE).contains(&value) {
+            return Err(InvalidKey::new(key, format!("{value}: 1 to {MAX_SUBSET_SIZE} is wanted")));
         }
-        settings.heartbeat = Micros::from_millis(heartbeat);
     }
-    let least = settings.heartbeat.scale(LEASE_BEATS);
-    let lease = table.lease_s.unwrap_or(least.as_secs_f64());
-    if !(lease >= least.as_secs_f64() && lease <= LONGEST_HOLD_S) {
-        let what =
-            format!("{lease}: {} (five heartbeats) to {LONGEST_HOLD_S} s are wanted", least.as_secs_f64());
-        return Err(bad("control.lease_s", what));
+    if !(1.0..=MAX_HOLD_S).contains(&table.hold_s) {
+        let fault = format!("{}: seconds from 1 to {MAX_HOLD_S} are wanted", table.hold_s);
+        return Err(InvalidKey::new("subsets.hold_s", fault));
+    }
+    Ok(SubsettingConfig {
+        hosts_per_node: table.size,
+        nodes_per_host: table.users,
+        prefer_own_zone: table.zones_first,
+        added_host_retention: Micros((table.hold_s * 1e6) as u64),
+    })
+}
+
+fn parse_control(
+    table: ControlTable,
+    codec: replicated_config::DatagramCodec,
+) -> Result<ReplicationConfig, InvalidKey> {
+    check_port("control.listen", table.listen)?;
+    check_voters(&table.voters)?;
+    let position = table.voters.iter().position(|voter| *voter == table.listen);
+    let voter = position.and_then(|position| u8::try_from(position).ok());
+    if voter.is_some() && table.state_dir.is_none() {
+        return Err(InvalidKey::new("control.state_dir", "a voter wants a lasting place for its memory"));
+    }
+    let mut settings = replicated_config::ReplicationSettings::new(table.voters, voter);
+    if let Some(heartbeat_ms) = table.heartbeat_ms {
+        if !(20..=10_000).contains(&heartbeat_ms) {
+            let fault = format!("{heartbeat_ms}: 20 to 10000 is wanted");
+            return Err(InvalidKey::new("control.heartbeat_ms", fault));
+        }
+        settings.heartbeat = Micros::from_millis(heartbeat_ms);
     }
-    settings.lease = Micros((lease * 1e6) as u64);
+    settings.lease = parse_lease(table.lease_s, settings.heartbeat)?;
     settings.drift = table.drift.unwrap_or(settings.drift);
     if !(0.0..=0.1).contains(&settings.drift) {
-        return Err(bad("control.drift", format!("{}: 0 to 0.1 is wanted", settings.drift)));
+        return Err(InvalidKey::new("control.drift", format!("{}: 0 to 0.1 is wanted", settings.drift)));
     }
     settings.fanout = table.fanout.unwrap_or(settings.fanout);
     if !(2..=64).contains(&settings.fanout) {
-        return Err(bad("control.fanout", format!("{}: 2 to 64 is wanted", settings.fanout)));
+        return Err(InvalidKey::new("control.fanout", format!("{}: 2 to 64 is wanted", settings.fanout)));
+    }
+    Ok(ReplicationConfig {
+        listen: table.listen,
+        codec,
+        settings,
+        state_dir: table.state_dir,
+        when_isolated: table.cut_off.unwrap_or_default(),
+    })
+}
+
+fn check_voters(voters: &[SocketAddr]) -> Result<(), InvalidKey> {
+    let max = replicated_config::MAX_VOTERS;
+    if voters.is_empty() || voters.len() > max {
+        return Err(InvalidKey::new("control.voters", format!("{}: 1 to {max} are wanted", voters.len())));
+    }
+    for (i, voter) in voters.iter().enumerate() {
+        let key = format!("control.voters[{i}]");
+        if !is_reachable(*voter) {
+            return Err(unreachable_address(key, *voter));
+        }
+        if voters[..i].contains(voter) {
+            return Err(InvalidKey::new(key, format!("{voter}: named twice")));
+        }
+    }
+    Ok(())
+}
+
+/// The lease: the shortest one that the heartbeat allows where none is given.
+fn parse_lease(lease_s: Option<f64>, heartbeat: Micros) -> Result<Micros, InvalidKey> {
+    let min_s = heartbeat.scale(MIN_LEASE_HEARTBEATS).as_secs_f64();
+    let lease_s = lease_s.unwrap_or(min_s);
+    if !(min_s..=MAX_HOLD_S).contains(&lease_s) {
+        let fault = format!("{lease_s}: {min_s} (five heartbeats) to {MAX_HOLD_S} s are wanted");
+        return Err(InvalidKey::new("control.lease_s", fault));
     }
-    Ok(ControlConfig { listen, codec, settings, state_dir, cut_off: table.cut_off.unwrap_or_default() })
+    Ok(Micros((lease_s * 1e6) as u64))
 }
--- /dev/null
+++ b/crates/alderstile-node/src/config/successor.rs
@@ -0,0 +1,45 @@
+//! The configuration of a process that takes over from another one.
+
+use std::net::SocketAddr;
+use std::path::Path;
+
+use serde_json::Value;
+use tracing::warn;
+
+use super::{Config, ConfigError};
+use crate::lifecycle::upgrade_state::Handshake;
+
+impl Config {
+    /// The configuration of a successor: its own file, unless the predecessor would reject that at a reload. What the
+    /// predecessor has learned counts.
+    ///
+    /// # Errors
+    ///
+    /// The predecessor's configuration can't be used.
+    pub fn for_successor(
+        handshake: &Handshake,
+        path: Option<&Path>,
+        env: impl Fn(&str) -> Option<String>,
+    ) -> Result<Self, ConfigError> {
+        let in_force = Self::from_file_value(handshake.config.clone(), &env)?;
+        let own = Self::read(path, &env).and_then(|file| {
+            in_force.reloaded(file.clone())?;
+            Self::from_file_value(file, &env)
+        });
+        let mut config = own.unwrap_or_else(|error| {
+            warn!(%error, "configuration file rejected, the predecessor's stays in force");
+            in_force.clone()
+        });
+        // A new value in the file counts; otherwise the predecessor knows better than the environment of a start.
+        config.discovery = match (discovery_of(&in_force.source), discovery_of(&config.source)) {
+            (old, Some(new)) if old != Some(new) => new,
+            _ => handshake.discovery.unwrap_or(config.discovery),
+        };
+        config.cached_endpoints = handshake.list.clone();
+        Ok(config)
+    }
+}
+
+fn discovery_of(file: &Value) -> Option<SocketAddr> {
+    file.get("discovery").and_then(Value::as_str).and_then(|text| text.parse().ok())
+}
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -9,7 +9,7 @@
 use alderstile_cluster::subsetting::{SubsetCounts, SubsetNode, SubsettingParams};
 use tracing::info;
 
-use crate::config::{Config, Subsets};
+use crate::config::{Config, SubsettingConfig};
 use crate::control::membership::ClusterMembership;
 use crate::node::Node;
 
@@ -17,17 +17,17 @@
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Limits this node to its subset of the hosts from now on.
-pub fn enable(node: &Node, subsets: &Subsets) {
+pub fn enable(node: &Node, subsetting: &SubsettingConfig) {
     let config = node.config();
     let me = SubsetNode { name: config.name.as_str().into(), zone: config.settings.zone, traffic: 0.0 };
     let params = SubsettingParams {
-        hosts_per_node: subsets.size,
-        nodes_per_host: subsets.users,
-        prefer_own_zone: subsets.zones_first,
+        hosts_per_node: subsetting.hosts_per_node,
+        nodes_per_host: subsetting.nodes_per_host,
+        prefer_own_zone: subsetting.prefer_own_zone,
     };
     let assignment = HostAssignmentConfig {
         subsetting: Some(params),
-        added_host_retention: subsets.hold,
+        added_host_retention: subsetting.added_host_retention,
         warm_up: config.settings.warm_up,
     };
     node.decisions.enable_host_assignment(&config, |weights_are_capacities| {
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -348,7 +348,7 @@
 
 /// Digest of the settings that all nodes have alike.
 fn settings_digest(config: &Config) -> u64 {
-    let mut settings = config.told.get("settings").cloned().unwrap_or_default();
+    let mut settings = config.source.get("settings").cloned().unwrap_or_default();
     if let Some(fields) = settings.as_object_mut() {
         for own in SETTINGS_OF_ONE_NODE {
             fields.remove(own);
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -74,7 +74,7 @@
     /// The socket can't be bound.
     pub async fn bind(node: &Node) -> io::Result<Option<Rc<Self>>> {
         let config = node.config();
-        let (Some(listen), Some(broadcast_address)) = (config.peer_listen, config.peers_all) else {
+        let (Some(listen), Some(broadcast_address)) = (config.peer_listen, config.peer_broadcast) else {
             return Ok(None);
         };
         if !config.settings.gossip_allowed {
--- a/crates/alderstile-node/src/control/replicated_config/document.rs
+++ b/crates/alderstile-node/src/control/replicated_config/document.rs
@@ -95,7 +95,7 @@
     /// # Errors
     /// The settings can't be used with the rest of the node's file.
     pub fn config_for(&self, config: &Config) -> Result<Config, DocumentError> {
-        Ok(config.renewed(self.overlay(&config.told))?.0)
+        Ok(config.reloaded(self.overlay(&config.source))?.config)
     }
 
     /// The configuration of a node until the document is active, where that is another one: attempts are limited by the lower number
@@ -106,14 +106,14 @@
     pub fn interim_config(&self, config: &Config) -> Result<Option<Config>, DocumentError> {
         let max_attempts = |file: &Value| file.pointer(MAX_ATTEMPTS_POINTER).and_then(Value::as_u64);
         let new = self.settings.get("allowed").and_then(|allowed| allowed.get("max_attempts"));
-        let (Some(new), Some(old)) = (new.and_then(Value::as_u64), max_attempts(&config.told)) else {
+        let (Some(new), Some(old)) = (new.and_then(Value::as_u64), max_attempts(&config.source)) else {
             return Ok(None);
         };
-        let mut file = config.told.clone();
+        let mut file = config.source.clone();
         match file.pointer_mut(MAX_ATTEMPTS_POINTER) {
             Some(limit) if new < old => *limit = new.into(),
             _ => return Ok(None),
         }
-        Ok(Some(config.renewed(file)?.0))
+        Ok(Some(config.reloaded(file)?.config))
     }
 }
--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -21,7 +21,7 @@
 use tokio::sync::{Notify, oneshot};
 use tracing::{debug, error, info, warn};
 
-use crate::config::{ControlConfig, CutOff};
+use crate::config::{IsolationPolicy, ReplicationConfig};
 use crate::control::configured_node::ConfiguredNode;
 use crate::control::membership::ClusterMembership;
 
@@ -66,7 +66,7 @@
 
 /// This node's replica of the configuration.
 pub struct ConfigReplica {
-    config: ControlConfig,
+    config: ReplicationConfig,
     core: RefCell<ReplicatedConfig>,
     started_at: Instant,
     node: Weak<dyn ConfiguredNode>,
@@ -84,7 +84,7 @@
 
 impl ConfigReplica {
     /// A replica that has heard of no version.
-    pub fn new<N: ConfiguredNode + 'static>(config: &ControlConfig, node: &Rc<N>) -> Self {
+    pub fn new<N: ConfiguredNode + 'static>(config: &ReplicationConfig, node: &Rc<N>) -> Self {
         let node: Weak<N> = Rc::downgrade(node);
         let node: Weak<dyn ConfiguredNode> = node;
         ConfigReplica {
@@ -325,7 +325,7 @@
     }
 
     /// Uses other keys from now on.
-    pub fn set_keys(&self, config: &ControlConfig) {
+    pub fn set_keys(&self, config: &ReplicationConfig) {
         self.core.borrow_mut().set_codec(config.codec.clone());
     }
 
@@ -333,7 +333,7 @@
     /// file says so, while it is cut off.
     pub fn ready(&self) -> bool {
         let (core, now) = (self.core.borrow(), self.now());
-        let refuses = self.config.cut_off == CutOff::Refuse;
+        let refuses = self.config.when_isolated == IsolationPolicy::StopAdmitting;
         let lease = self.config.settings.lease;
         match core.lease_state(now) {
             LeaseState::Valid => true,
@@ -362,7 +362,7 @@
 }
 
 fn new_core(
-    config: &ControlConfig,
+    config: &ReplicationConfig,
     node: &Weak<dyn ConfiguredNode>,
     me: Option<u8>,
     stored: Option<StoredState>,
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -16,7 +16,7 @@
 use tracing::{info, warn};
 
 use crate::clock::Clock;
-use crate::config::{Config, Current};
+use crate::config::{ActiveConfig, Config};
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::endpoint_table::{EndpointTable, HostAddress};
 use crate::discovery::lease::Lease;
@@ -35,7 +35,7 @@
 
 /// The policy of a node, and the endpoint list that it decides by.
 pub struct Decisions {
-    config: Rc<Current>,
+    config: Rc<ActiveConfig>,
     /// The node's clock.
     pub clock: Clock,
     /// The policy wants a watch of the endpoint list.
@@ -56,7 +56,7 @@
 
 impl Decisions {
     /// A policy that knows nothing yet but its settings.
-    pub fn new(config: Rc<Current>) -> Self {
+    pub fn new(config: Rc<ActiveConfig>) -> Self {
         let (clock, initial) = (Clock::default(), config.get());
         let balancer = Balancer::with_shadow(
             initial.settings.clone(),
@@ -64,7 +64,7 @@
             initial.seed,
             clock.now(),
         );
-        let lease = Lease::new(clock.now(), initial.pushed);
+        let lease = Lease::new(clock.now(), initial.push_drain_grace);
         Decisions {
             config,
             clock,
@@ -101,7 +101,7 @@
             BalancerSettings { weight_meaning: weights, ..settings.clone() }
         };
         let (settings, shadow) = (adapted(&config.settings), config.shadow.as_ref().map(adapted));
-        self.lease.borrow_mut().set_push_grace(config.pushed);
+        self.lease.borrow_mut().set_push_grace(config.push_drain_grace);
         self.decide(|balancer, now| balancer.apply_settings(now, settings, shadow));
     }
 
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -32,7 +32,7 @@
 /// the other.
 pub async fn run(node: Rc<Node>, accepting: JoinHandle<()>) {
     info!("leaving: {} clients are served", node.clients.served());
-    let may_take = node.config().stop_within;
+    let may_take = node.config().shutdown_timeout;
     let now = Instant::now();
     let (last, end) = (now + may_take.saturating_sub(KEPT), now + may_take);
     if !node.process.shared() {
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
 
-use crate::config::Identity;
+use crate::config::NodeIdentity;
 use crate::discovery::endpoint_list::server_id;
 use crate::lifecycle::connection_handover;
 use crate::lifecycle::upgrade_channel::{Link, WORD, Word};
@@ -89,7 +89,7 @@
 }
 
 /// Looks for a process of this node that serves; none where there is none, or none that can be spoken with.
-pub async fn join(who: &Identity) -> Result<Option<Predecessor>, AlreadyTaken> {
+pub async fn join(who: &NodeIdentity) -> Result<Option<Predecessor>, AlreadyTaken> {
     let path = socket_path(&who.dir, &who.name);
     let stream = match UnixStream::connect(&path).await {
         Ok(stream) => stream,
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -218,7 +218,7 @@
 /// Begins a voter's memory; never in place of one that is there.
 fn init(path: Option<&Path>, cluster: Option<&Path>) -> Result<String, String> {
     let name = load(path)?.name;
-    let control = load_cluster(cluster)?.and_then(|cluster| cluster.control);
+    let control = load_cluster(cluster)?.and_then(|cluster| cluster.replication);
     let control = control.ok_or("the cluster's file has no [control]; name it with --cluster")?;
     let (Some(_), Some(dir)) = (control.settings.me, &control.state_dir) else {
         return Err(format!("{}: this node is none of control.voters", control.listen));
@@ -299,7 +299,7 @@
         };
         let config = match &predecessor {
             Some(before) => {
-                Config::taking_over(&before.handshake, path, env).map_err(|error| error.to_string())?
+                Config::for_successor(&before.handshake, path, env).map_err(|error| error.to_string())?
             }
             None => load(path)?,
         };
@@ -311,7 +311,7 @@
                     .map_err(|error| format!("cluster: {error}"))?,
             );
             node.admin.set_membership(member.clone());
-            if let Some(control) = &cluster.control {
+            if let Some(control) = &cluster.replication {
                 let control = Rc::new(ConfigReplica::new(control, &node));
                 node.admin.set_replicated_config(control.clone());
                 let member = member.clone();
@@ -321,7 +321,7 @@
                     }
                 });
             }
-            if let Some(subsets) = &cluster.subsets {
+            if let Some(subsets) = &cluster.subsetting {
                 host_assignment::enable(&node, subsets);
                 spawn_local(host_assignment::run(node.clone(), member.clone()));
             }
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -6,7 +6,7 @@
 
 use crate::admin::maintenance_store::MaintenanceState;
 use crate::admin::service::AdminService;
-use crate::config::{Config, Current};
+use crate::config::{ActiveConfig, Config};
 use crate::control::configured_node::ConfiguredNode;
 use crate::decisions::Decisions;
 use crate::discovery::endpoint_list::server_id;
@@ -17,7 +17,7 @@
 
 /// One node. A task is given the parts that it needs.
 pub struct Node {
-    config: Rc<Current>,
+    config: Rc<ActiveConfig>,
     /// The decisions and the list.
     pub decisions: Rc<Decisions>,
     /// The clients of this process.
@@ -31,8 +31,8 @@
 impl Node {
     /// A node that has just started, with the list it last had.
     pub fn new(config: Config) -> Self {
-        let known = config.known.clone();
-        let config = Rc::new(Current::new(config));
+        let known = config.cached_endpoints.clone();
+        let config = Rc::new(ActiveConfig::new(config));
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
         let admin = AdminService::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
@@ -78,7 +78,7 @@
         Handshake {
             version,
             name: self.config().name.clone(),
-            config: self.config().told.clone(),
+            config: self.config().source.clone(),
             discovery: Some(self.decisions.discovery()),
             list: self.decisions.complete_list(),
             lease_left: Some(self.decisions.lease_remaining().0),
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -9,7 +9,7 @@
 use tokio::sync::Notify;
 
 use crate::admin::metrics::{Counters, Gauges};
-use crate::config::Current;
+use crate::config::ActiveConfig;
 use crate::lifecycle::process::Process;
 use crate::proxy::backlog::Backlog;
 use crate::proxy::termination_reason::Reason;
@@ -84,7 +84,7 @@
 
 /// All clients of this process.
 pub struct Clients {
-    config: Rc<Current>,
+    config: Rc<ActiveConfig>,
     process: Rc<Process>,
     /// Connections that hold no request.
     pub backlog: Rc<Backlog>,
@@ -99,12 +99,12 @@
 
 impl Clients {
     /// No clients yet.
-    pub fn new(config: Rc<Current>, process: Rc<Process>) -> Self {
+    pub fn new(config: Rc<ActiveConfig>, process: Rc<Process>) -> Self {
         let told = config.get();
         let mut counters = Counters::default();
         counters.register_classes(&told.classes);
         Clients {
-            backlog: Backlog::new(told.sockets.saturating_sub(told.own_descriptors())),
+            backlog: Backlog::new(told.max_descriptors.saturating_sub(told.own_descriptors())),
             config,
             process,
             ids: Rc::default(),
@@ -120,7 +120,7 @@
     /// The number of a class that takes requests.
     pub fn class(&self, name: &[u8]) -> Option<u16> {
         let config = self.config.get();
-        let taken = |class: &String| class.as_bytes() == name && !config.gone.contains(class);
+        let taken = |class: &String| class.as_bytes() == name && !config.retired_classes.contains(class);
         config.classes.iter().position(taken).and_then(|class| u16::try_from(class).ok())
     }
 
@@ -210,7 +210,8 @@
     pub fn descriptor(&self, spare: usize) -> Option<Counted> {
         // Two processes of one node share its limit.
         let others = self.process.linked().map_or(0, |link| link.held.get());
-        (self.held() + others + spare < self.config.get().sockets).then(|| Counted::one_of(&self.descriptors))
+        (self.held() + others + spare < self.config.get().max_descriptors)
+            .then(|| Counted::one_of(&self.descriptors))
     }
 
     /// Descriptors held by this process, or kept for it.
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use alderstile_node::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
-use alderstile_node::config::{ClusterConfig, Config, CutOff};
+use alderstile_node::config::{ClusterConfig, Config, IsolationPolicy};
 use serde_json::Value;
 use tokio::io::AsyncReadExt;
 
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_configuration_with_every_key_has_its_values() {
-    let config = Config::of_file(every_key(), |_| None).expect("fine");
+    let config = Config::from_file_value(every_key(), |_| None).expect("fine");
     assert_eq!(config.name, "n/1");
     let address = |text: &str| text.parse::<SocketAddr>().expect("an address");
     assert_eq!(config.listen, address("127.0.0.1:9000"));
@@ -83,20 +83,20 @@
     assert_eq!(config.discovery, address("127.0.0.1:8500"));
     assert_eq!(config.peer_listen, Some(address("127.0.0.1:7946")));
     assert_eq!(config.peers, [address("127.0.0.1:7946"), address("127.0.0.1:7947")]);
-    assert_eq!(config.peers_all, Some(address("127.0.0.1:7940")));
-    assert_eq!((config.seed, config.sockets), (0x8c1f_30d2_7a5b_e964, 60));
+    assert_eq!(config.peer_broadcast, Some(address("127.0.0.1:7940")));
+    assert_eq!((config.seed, config.max_descriptors), (0x8c1f_30d2_7a5b_e964, 60));
     assert_eq!(config.classes, ["chat", "presence", "poll"]);
     assert_eq!(config.zones, ["a", "b"]);
-    assert_eq!((config.connect_timeout.as_millis(), config.stop_within.as_millis()), (240, 1_900));
-    assert_eq!(config.pushed.map(|grace| grace.0), Some(600_000));
+    assert_eq!((config.connect_timeout.as_millis(), config.shutdown_timeout.as_millis()), (240, 1_900));
+    assert_eq!(config.push_drain_grace.map(|grace| grace.0), Some(600_000));
     assert_eq!((config.settings.must_subscribe, config.settings.max_poll_interval.0), (true, 200_000));
     assert_eq!((config.settings.node_count, config.settings.group_load), (2, 2.5));
     let shadow = config.shadow.expect("on");
     assert_eq!((shadow.node_count, shadow.group_load), (50, 3.5));
     let mut told = every_key();
     let known = told.as_object_mut().and_then(|fields| fields.remove("known"));
-    assert_eq!(config.told, told);
-    assert_eq!(serde_json::to_value(&config.known).ok(), known, "the endpoint list's keys");
+    assert_eq!(config.source, told);
+    assert_eq!(serde_json::to_value(&config.cached_endpoints).ok(), known, "the endpoint list's keys");
 }
 
 #[test]
@@ -125,19 +125,19 @@
     assert_eq!((config.name.as_str(), config.listen.port(), config.advertise.port()), ("edge", 19946, 19947));
     assert_eq!(config.seeds.len(), 2);
     assert_eq!((config.settings.period.0, config.settings.suspicion_multiplier), (200_000, 3.5));
-    let subsets = config.subsets.expect("a table");
-    assert_eq!((subsets.size, subsets.users), (12, 3));
-    assert_eq!((subsets.zones_first, subsets.hold.0), (true, 12_500_000));
-    let control = config.control.expect("a table");
+    let subsets = config.subsetting.expect("a table");
+    assert_eq!((subsets.hosts_per_node, subsets.nodes_per_host), (12, 3));
+    assert_eq!((subsets.prefer_own_zone, subsets.added_host_retention.0), (true, 12_500_000));
+    let control = config.replication.expect("a table");
     assert_eq!((control.listen.port(), control.settings.voters.len()), (19950, 2));
     assert_eq!(control.settings.me, Some(0));
     assert_eq!(control.state_dir.as_deref(), Some(Path::new("/var/lib/alderstile")));
     assert_eq!((control.settings.heartbeat.0, control.settings.lease.0), (40_000, 750_000));
     assert_eq!((control.settings.drift, control.settings.fanout), (0.02, 5));
-    assert_eq!(control.cut_off, CutOff::Refuse);
+    assert_eq!(control.when_isolated, IsolationPolicy::StopAdmitting);
     let other = recorded("cluster.toml").replace("\"refuse\"", "\"go-on\"");
-    let other = ClusterConfig::parse("cluster.toml", &other).expect("fine").control.expect("a table");
-    assert_eq!(other.cut_off, CutOff::GoOn);
+    let other = ClusterConfig::parse("cluster.toml", &other).expect("fine").replication.expect("a table");
+    assert_eq!(other.when_isolated, IsolationPolicy::KeepServing);
 }
 
 // ---- the maintenance file ----
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -19,13 +19,13 @@
         {"host": "s-1", "dial": "127.0.0.1:9000", "site": "b", "class": "m2", "block": 3, "health": "draining",
          "share": 1.0, "born_ms": 7}]});
     let config = Config::parse(value).expect("fine");
-    assert_eq!((config.name.as_str(), config.sockets), ("n1", 200));
+    assert_eq!((config.name.as_str(), config.max_descriptors), ("n1", 200));
     assert_eq!(config.classes, ["chat", "presence"]);
     assert_eq!(config.zones, ["a", "b"]);
     assert_eq!(config.settings.classes.len(), 2);
-    assert_eq!(config.stop_within.as_millis(), 1_900, "the longest request and what the platform adds");
+    assert_eq!(config.shutdown_timeout.as_millis(), 1_900, "the longest request and what the platform adds");
     assert_eq!(config.settings.classes[1].message_latency_objective.map(|aim| aim.0), Some(150_000));
-    let entry = config.known.entries(&config.zones)[0];
+    let entry = config.cached_endpoints.entries(&config.zones)[0];
     assert_eq!((entry.zone, entry.cell, entry.started.map(|at| at.0)), (1, 3, Some(7_000)));
 }
 
@@ -79,7 +79,10 @@
         );
     }
     let config = Config::parse(value).expect("fine");
-    assert_eq!((config.sockets, config.peers.len(), config.known.endpoints.len()), (1_024, 0, 0));
+    assert_eq!(
+        (config.max_descriptors, config.peers.len(), config.cached_endpoints.endpoints.len()),
+        (1_024, 0, 0)
+    );
 }
 
 #[test]
@@ -169,16 +172,17 @@
         "TMPDIR" => Some("/of/its/own".to_owned()),
         _ => None,
     };
-    let off = Config::of_file(value.clone(), |name| env(name).filter(|_| name == "TMPDIR")).expect("fine");
+    let off =
+        Config::from_file_value(value.clone(), |name| env(name).filter(|_| name == "TMPDIR")).expect("fine");
     assert_eq!((off.admin_addr, off.state_dir), (None, None));
     value["admin_addr"] = "127.0.0.1:3".into();
-    let file = Config::of_file(value.clone(), |_| None).expect("fine");
+    let file = Config::from_file_value(value.clone(), |_| None).expect("fine");
     assert_eq!(file.admin_addr.map(|address| address.port()), Some(3));
-    let both = Config::of_file(value.clone(), env).expect("fine");
+    let both = Config::from_file_value(value.clone(), env).expect("fine");
     assert_eq!(both.admin_addr.map(|address| address.port()), Some(7));
     assert_eq!(both.state_dir.as_deref(), Some(Path::new("/of/its/own")));
     assert_eq!(
-        both.told["admin_addr"], "127.0.0.1:3",
+        both.source["admin_addr"], "127.0.0.1:3",
         "what the file told, for the next one to be held against"
     );
     value["admin_addr"] = "here".into();
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -610,11 +610,11 @@
         let (setup, mut watch) = serving(&[&host]).await;
         let (first, last) = (Discovery::new().await, Discovery::new().await);
         for discovery in [&first, &last] {
-            let mut told = setup.node.config().told.clone();
+            let mut told = setup.node.config().source.clone();
             told["discovery"] = json!(discovery.0.local_addr().expect("bound").to_string());
             // A watch is wanted in the same moment.
             setup.node.decisions.list_requested.notify_one();
-            setup.node.renew(Config::of_file(told, |_| None).expect("a fine configuration"));
+            setup.node.renew(Config::from_file_value(told, |_| None).expect("a fine configuration"));
         }
         assert_eq!(watch.line().await, None, "the old watch is dropped");
         let (line, mut call) = last.call().await;
@@ -669,7 +669,7 @@
         while setup.node.clients.inflight() < 4 {
             sleep(Duration::from_millis(1)).await;
         }
-        let (within, began) = (setup.node.config().stop_within, Instant::now());
+        let (within, began) = (setup.node.config().shutdown_timeout, Instant::now());
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         assert!(connecting.line().await.expect("an answer").starts_with("BUSY"));
         assert!(asked.line().await.expect("an answer").starts_with("BUSY"));
@@ -690,7 +690,7 @@
         let host = Host::new("s-1").await;
         let (setup, _watch) = serving_with(&[&host], quick).await;
         let (mut client, _server) = setup.up(1, &host).await;
-        let (within, began) = (setup.node.config().stop_within, Instant::now());
+        let (within, began) = (setup.node.config().shutdown_timeout, Instant::now());
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         assert_eq!(client.line().await.as_deref(), Some("MOVE"));
         leaving.await.expect("left");
@@ -733,7 +733,7 @@
             }
         })
         .await;
-        let (within, began) = (setup.node.config().stop_within, Instant::now());
+        let (within, began) = (setup.node.config().shutdown_timeout, Instant::now());
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         // They go on coming for 0.4 s; this test itself may be late, and then tells nothing.
         while began.elapsed() < Duration::from_millis(390) {
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -163,7 +163,7 @@
     const GIVEN_UP: u64 = 2_000;
     let mut value = config("127.0.0.1:1", "127.0.0.1:1");
     value["settings"]["balancers"] = json!(nodes);
-    let told = Config::of_file(value, |_| None).expect("a fine configuration");
+    let told = Config::from_file_value(value, |_| None).expect("a fine configuration");
     let mut fleet: Vec<Balancer> =
         (0..nodes).map(|node| Balancer::new(told.settings.clone(), u64::from(node), ms(0))).collect();
     // The first calls, spread over the start, are of no interest here: each has a watch by then.
@@ -464,10 +464,10 @@
         let host = Host::new("s-1").await;
         let (setup, _watch) = serving(&[&host]).await;
         let other = Discovery::new().await;
-        let mut told = setup.node.config().told.clone();
+        let mut told = setup.node.config().source.clone();
         told["discovery"] = json!(other.0.local_addr().expect("bound").to_string());
         let moved = Instant::now();
-        setup.node.renew(Config::of_file(told, |_| None).expect("a fine configuration"));
+        setup.node.renew(Config::from_file_value(told, |_| None).expect("a fine configuration"));
         sleep_until(moved + Duration::from_millis(3_500)).await;
         assert!(setup.node.decisions.lease_remaining() > Micros(0));
         sleep_until(moved + Duration::from_millis(4_100)).await;
@@ -484,7 +484,7 @@
         let handshake = setup.node.handshake(1);
         let left = setup.node.decisions.lease_remaining();
         assert!(left < ms(5_750) && left > Micros(0), "{left:?}");
-        let config = Config::of_file(setup.node.config().told.clone(), |_| None).expect("fine");
+        let config = Config::from_file_value(setup.node.config().source.clone(), |_| None).expect("fine");
         let next = Node::new(config);
         next.take_over(&handshake);
         assert!(next.decisions.lease_remaining() <= Micros(handshake.lease_left.expect("told")));
--- a/crates/alderstile-node/tests/node.rs
+++ b/crates/alderstile-node/tests/node.rs
@@ -224,7 +224,7 @@
     run(async {
         let setup = start(|config| config["settings"]["classes"][0]["give_up"] = json!(1000)).await;
         // With nobody to be moved it ends half-way.
-        let last = setup.node.config().stop_within / 2;
+        let last = setup.node.config().shutdown_timeout / 2;
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         sleep(last.saturating_sub(Duration::from_millis(30))).await;
         // Nothing else runs on this thread until the stop's time is over.
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::Stdio;
 
-use alderstile_node::config::Config;
+use alderstile_node::config::{Config, ReloadedConfig};
 use alderstile_node::discovery::endpoint_list::server_id;
 use alderstile_node::lifecycle::reload::reload;
 use alderstile_node::lifecycle::upgrade_state::Handshake;
@@ -199,7 +199,7 @@
 
 /// The file that a node was started by, to be changed.
 fn told(setup: &Setup) -> Value {
-    setup.node.config().told.clone()
+    setup.node.config().source.clone()
 }
 
 async fn answer(setup: &Setup, id: u64, class: &str) -> Option<String> {
@@ -237,7 +237,7 @@
         value["settings"]["classes"][1] = serde_json::json!({"name": "presence", "aim": 1, "worth": 1.0,
             "semantics": "fragile", "give_up": 9, "stream": true});
         reload(&setup.node, Some(&file("classes", &value)), |_| None);
-        assert_eq!(setup.node.config().gone.iter().collect::<Vec<_>>(), ["video"]);
+        assert_eq!(setup.node.config().retired_classes.iter().collect::<Vec<_>>(), ["video"]);
         assert_eq!(setup.node.config().classes, ["chat", "presence", "video"]);
     });
 }
@@ -364,15 +364,15 @@
 #[test]
 fn what_waits_for_the_next_start_is_named() {
     let value = config("127.0.0.1:9000", "127.0.0.1:8500");
-    let config = Config::of_file(value.clone(), |_| None).expect("fine");
+    let config = Config::from_file_value(value.clone(), |_| None).expect("fine");
     let mut new = value;
     new["limits"]["sockets"] = 300.into();
     new["listen"] = "127.0.0.1:9009".into();
     new["settings"]["my_zone"] = 1.into();
     new["settings"]["balancers"] = 7.into();
-    let (config, waiting) = config.renewed(new).expect("fine");
-    assert_eq!(waiting, ["listen", "limits", "settings.my_zone"]);
-    assert_eq!((config.sockets, config.settings.zone, config.settings.node_count), (200, 0, 7));
+    let ReloadedConfig { config, deferred_keys } = config.reloaded(new).expect("fine");
+    assert_eq!(deferred_keys, ["listen", "limits", "settings.my_zone"]);
+    assert_eq!((config.max_descriptors, config.settings.zone, config.settings.node_count), (200, 0, 7));
     assert_eq!(config.listen.port(), 9000);
 }
 
@@ -387,7 +387,7 @@
     // The environment's word is of the start before.
     let env = |name: &str| (name == "ROUTER_DISCOVERY").then(|| "127.0.0.1:8500".to_owned());
     let take = |name: &str, value: &Value| {
-        Config::taking_over(&handshake, Some(&file(name, value)), env).expect("a configuration")
+        Config::for_successor(&handshake, Some(&file(name, value)), env).expect("a configuration")
     };
     let same = take("same", &value);
     assert_eq!(same.discovery.port(), 8507, "the one that serves knows better");
@@ -419,15 +419,15 @@
             }).collect();
             value
         };
-        let mut config = Config::of_file(of(&files[0]), |_| None).expect("fine");
+        let mut config = Config::from_file_value(of(&files[0]), |_| None).expect("fine");
         for classes in &files {
-            let (next, _) = config.renewed(of(classes)).expect("fine");
+            let next = config.reloaded(of(classes)).expect("fine").config;
             prop_assert_eq!(&next.classes[..config.classes.len()], &config.classes[..]);
             prop_assert_eq!(next.settings.classes.len(), next.classes.len());
             for (name, class) in next.classes.iter().zip(&next.settings.classes) {
                 let number: u8 = name[1..].parse().expect("a number");
                 prop_assert_eq!(class.latency_objective.0, 1_000 + u64::from(number));
-                prop_assert_eq!(next.gone.contains(name), !classes.contains(&number));
+                prop_assert_eq!(next.retired_classes.contains(name), !classes.contains(&number));
             }
             config = next;
         }
--- a/crates/alderstile-node/tests/replicated_config_applied.rs
+++ b/crates/alderstile-node/tests/replicated_config_applied.rs
@@ -42,7 +42,7 @@
         assert_eq!((most(), out("s-1"), out("s-2")), (5, false, true));
         // The file at SIGHUP can't undo what is agreed; its other keys count.
         let path = dir.join("file.json");
-        let mut file = setup.node.config().told.clone();
+        let mut file = setup.node.config().source.clone();
         file["settings"]["allowed"]["max_attempts"] = 1.into();
         file["discovery"] = "127.0.0.1:9".into();
         std::fs::write(&path, file.to_string()).expect("written");
--- a/crates/alderstile-node/tests/replicated_config_store.rs
+++ b/crates/alderstile-node/tests/replicated_config_store.rs
@@ -102,7 +102,7 @@
         text in "[{}a-z\":,0-9\\[\\] ]{0,60}",
     ) {
         prop_assert_eq!(decode(&bytes), None);
-        let file = Config::of_file(config("127.0.0.1:9000", "127.0.0.1:8500"), |_| None).expect("fine");
+        let file = Config::from_file_value(config("127.0.0.1:9000", "127.0.0.1:8500"), |_| None).expect("fine");
         for document in [ConfigDocument::parse(&bytes), ConfigDocument::parse(text.as_bytes())].into_iter().flatten() {
             prop_assert!(document.validate(&file).is_err());
         }
--- a/crates/alderstile-node/tests/replicated_config_table.rs
+++ b/crates/alderstile-node/tests/replicated_config_table.rs
@@ -11,7 +11,7 @@
         "name = \"edge\"\nlisten = \"127.0.0.1:7946\"\nkeys = [\"{KEY}\"]\n[control]\nlisten = \"127.0.0.1:7950\"\n\
          voters = [\"127.0.0.2:7950\", \"127.0.0.3:7950\"]\n"
     );
-    let config = ClusterConfig::parse("c.toml", &fine).expect("fine").control.expect("a table");
+    let config = ClusterConfig::parse("c.toml", &fine).expect("fine").replication.expect("a table");
     assert_eq!((config.settings.me, config.settings.lease.0), (None, 2_500_000));
     for (from, to, key) in [
         ("127.0.0.1:7950", "127.0.0.1:0", "control.listen"),
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -191,7 +191,7 @@
     let at = discovery.0.local_addr().expect("bound").to_string();
     let mut value = config("127.0.0.1:0", &at);
     change(&mut value);
-    let node = Rc::new(Node::new(Config::of_file(value, |_| None).expect("a fine configuration")));
+    let node = Rc::new(Node::new(Config::from_file_value(value, |_| None).expect("a fine configuration")));
     let listener = listener::bind(node.config().listen).expect("a port");
     let address = listener.local_addr().expect("bound");
     spawn_local(watch::run(node.decisions.clone()));
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -43,7 +43,7 @@
         dir.display()
     );
     let cluster = ClusterConfig::parse("c.toml", &text).expect("fine");
-    let control = cluster.control.as_ref().expect("a table");
+    let control = cluster.replication.as_ref().expect("a table");
     let store = VoterStore::path(&dir, &setup.node.config().name);
     let (begun, _) = VoterStore::open(&store, control.settings.voters_digest()).expect("opened");
     begun.save(&HardState::genesis(), &[]).expect("saved");
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_node::config::Identity;
+use alderstile_node::config::NodeIdentity;
 use alderstile_node::lifecycle::upgrade;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{UnixDatagram, UnixListener, UnixStream};
@@ -321,7 +321,7 @@
 fn what_is_no_predecessor_is_passed_by() {
     run(async {
         let dir = folder("none");
-        let config = Identity { name: "n1".to_owned(), dir: dir.clone() };
+        let config = NodeIdentity { name: "n1".to_owned(), dir: dir.clone() };
         assert!(upgrade::join(&config).await.expect("alone").is_none(), "nobody there");
         let name =
             format!("alderstile-{:016x}.sock", alderstile_node::discovery::endpoint_list::server_id("n1").0);
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -128,7 +128,8 @@
 /// What the code makes of handed-over connections, given their datagrams.
 async fn received(names: &[&str]) -> Vec<Handover> {
     let node = Rc::new(Node::new(
-        Config::of_file(config("127.0.0.1:0", "127.0.0.1:1"), |_| None).expect("a fine configuration"),
+        Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+            .expect("a fine configuration"),
     ));
     let (to, from) = UnixDatagram::pair().expect("a pair");
     let connections = Rc::<RefCell<Vec<Handover>>>::default();
@@ -194,7 +195,8 @@
         handover::share_door(&to, &listener).await.expect("sent");
         assert_eq!(datagram(&from).await.as_bytes(), fixture("handover/door.json"));
         let node = Rc::new(Node::new(
-            Config::of_file(config("127.0.0.1:0", "127.0.0.1:1"), |_| None).expect("a fine configuration"),
+            Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+                .expect("a fine configuration"),
         ));
         send_datagram(&to, &fixture("handover/door.json"), &[listener.as_fd()]);
         let receiving = spawn_local(handover::receive(node.clone(), from, |_, _| panic!("no connection")));
