--- a/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
+++ b/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
@@ -1,14 +1,14 @@
-//! Any bytes, as they come and signed with the right key: read or refused, never more.
+//! Any bytes, as they come and signed with the right key: decoded or rejected, and no harm done.
 
 #![no_main]
 
 use alderstile::types::Micros;
-use alderstile_cluster::membership::{Membership, MemberRecord, DatagramCodec, InstanceId, MembershipConfig};
+use alderstile_cluster::membership::{DatagramCodec, InstanceId, MemberRecord, Membership, MembershipConfig};
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|bytes: &[u8]| {
     let codec = DatagramCodec::new("fuzz", &[b"a key that is long enough".to_vec()]).expect("a codec");
-    let me = MemberRecord {
+    let local = MemberRecord {
         instance: InstanceId(1),
         incarnation: 1,
         name: "n1".into(),
@@ -17,8 +17,8 @@
         config_digest: 0,
         metadata: [].into(),
     };
-    let settings = MembershipConfig::with_period(Micros::from_millis(1_000));
-    let mut members = Membership::new(settings, codec.clone(), me, Vec::new(), 1, Micros(0));
+    let config = MembershipConfig::with_period(Micros::from_millis(1_000));
+    let mut members = Membership::new(config, codec.clone(), local, Vec::new(), 1, Micros(0));
     let from = ([127, 0, 0, 2], 7_946).into();
     members.handle_datagram(Micros(1), from, bytes);
     members.handle_datagram(Micros(2), from, &codec.sign_payload(bytes));
--- a/crates/alderstile-cluster/src/membership/record.rs
+++ b/crates/alderstile-cluster/src/membership/record.rs
@@ -32,7 +32,7 @@
     #[error("a zone of at most {MAX_ZONE_BYTES} bytes is wanted")]
     ZoneLength,
     /// The metadata is too long.
-    #[error("facts of at most {MAX_METADATA_BYTES} bytes in all are wanted")]
+    #[error("metadata of at most {MAX_METADATA_BYTES} bytes in all are wanted")]
     MetadataLength,
 }
 
--- a/crates/alderstile-cluster/src/membership/self_update.rs
+++ b/crates/alderstile-cluster/src/membership/self_update.rs
@@ -13,7 +13,7 @@
 
 impl Membership {
     /// The configuration that this member runs with has this digest from now on.
-    pub fn set_digest(&mut self, digest: u64) {
+    pub fn set_config_digest(&mut self, digest: u64) {
         if self.local.config_digest != digest {
             self.local.config_digest = digest;
             self.announce_new_incarnation();
--- a/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
+++ b/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
@@ -113,7 +113,7 @@
 
     /// Holds a document, and lets go of the oldest ones that are not in use; returns its digest.
     pub fn hold(&mut self, document: Vec<u8>, in_use: &[u64]) -> u64 {
-        let digest = crate::digest(&document);
+        let digest = crate::content_digest(&document);
         self.order.retain(|other| *other != digest);
         self.order.push_back(digest);
         self.held.insert(digest, document);
@@ -203,6 +203,7 @@
             0 => Some(fetch.bytes),
             base => self.get(base).and_then(|old| apply_delta(old, &fetch.bytes)),
         };
-        document.filter(|document| document.len() <= MAX_DOCUMENT && crate::digest(document) == digest)
+        document
+            .filter(|document| document.len() <= MAX_DOCUMENT && crate::content_digest(document) == digest)
     }
 }
--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -37,7 +37,7 @@
 impl HardState {
     /// The state before anything was committed: version 0, an empty document.
     pub fn genesis() -> Self {
-        let entry = VersionHeader { digest: crate::digest(&[]), ..VersionHeader::default() };
+        let entry = VersionHeader { digest: crate::content_digest(&[]), ..VersionHeader::default() };
         HardState { term: 0, vote: None, entry }
     }
 }
--- a/crates/alderstile-cluster/src/replicated_config/settings.rs
+++ b/crates/alderstile-cluster/src/replicated_config/settings.rs
@@ -52,7 +52,7 @@
     /// Digest of the list of voters: nodes with different lists must not elect a leader together.
     pub fn voters_digest(&self) -> u64 {
         let list: Vec<String> = self.voters.iter().map(SocketAddr::to_string).collect();
-        crate::digest(list.join(",").as_bytes())
+        crate::content_digest(list.join(",").as_bytes())
     }
 
     /// The address of a voter.
--- a/crates/alderstile-cluster/src/subsetting/node_subset.rs
+++ b/crates/alderstile-cluster/src/subsetting/node_subset.rs
@@ -6,7 +6,7 @@
 
 use super::rendezvous::rendezvous_rank;
 use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, node_shares, preference_order};
-use crate::hashed;
+use crate::name_hash;
 
 /// A node that can't reach the hosts of more than this part of its traffic adds others. Below that the rest of its hosts do:
 /// what hosts lose that are down for all is in the list soon.
@@ -125,7 +125,7 @@
     }
 
     fn give_up_unneeded_hosts(&mut self, now: Micros) {
-        let node_hash = hashed(&self.node.name);
+        let node_hash = name_hash(&self.node.name);
         let retention = |id: &ServerId| {
             let host = SubsetHost { id: *id, weight: 1.0, zone: 0, failure_group: 0 };
             let drawn = (-rendezvous_rank(node_hash, &host)).exp();
--- a/crates/alderstile-cluster/src/subsetting/rendezvous.rs
+++ b/crates/alderstile-cluster/src/subsetting/rendezvous.rs
@@ -5,7 +5,7 @@
 use alderstile::types::ServerId;
 
 use super::{SubsetHost, SubsetNode, SubsettingParams, bounded_weight};
-use crate::hashed;
+use crate::name_hash;
 
 /// A failure group has this multiple of its part of a subset at most, rounded up, while others have room: its failure must not
 /// take most of a node's hosts.
@@ -49,7 +49,7 @@
 }
 
 fn by_rank<'a>(node: &SubsetNode, hosts: &'a [SubsetHost]) -> impl Iterator<Item = &'a SubsetHost> {
-    let node_hash = hashed(&node.name);
+    let node_hash = name_hash(&node.name);
     let mut ranked: Vec<(f64, &SubsetHost)> =
         hosts.iter().map(|host| (rendezvous_rank(node_hash, host), host)).collect();
     ranked.sort_by(|(a, x), (b, y)| a.total_cmp(b).then(x.id.cmp(&y.id)));
--- a/crates/alderstile-cluster/src/subsetting/share_table.rs
+++ b/crates/alderstile-cluster/src/subsetting/share_table.rs
@@ -7,7 +7,7 @@
 use super::proportional_fitting::fitted_shares;
 use super::rendezvous::{preference_order, rendezvous_rank};
 use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares};
-use crate::hashed;
+use crate::name_hash;
 
 /// A node's row before it is fitted: how strongly it prefers each host that it uses, by the host's place.
 pub(super) type Preferences = BTreeMap<usize, f64>;
@@ -66,7 +66,7 @@
     hosts: &[SubsetHost],
     preferences: &mut [Preferences],
 ) {
-    let node_hashes: Vec<u64> = nodes.iter().map(|node| hashed(&node.name)).collect();
+    let node_hashes: Vec<u64> = nodes.iter().map(|node| name_hash(&node.name)).collect();
     let users = params.nodes_per_host.min(nodes.len());
     for (place, host) in hosts.iter().enumerate() {
         for (rank, node) in first_nodes(host, &node_hashes, users).into_iter().enumerate() {
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -190,7 +190,7 @@
             MembershipEffect::Changed(change) => format!("{} {}", self.now.0, described(change)),
         };
         self.effects += 1;
-        self.digest = alderstile_cluster::digest(format!("{} {by} {text}", self.digest).as_bytes());
+        self.digest = alderstile_cluster::content_digest(format!("{} {by} {text}", self.digest).as_bytes());
     }
 
     /// Carries what is sent; every seventh datagram is lost, and those between the sides of a split.
@@ -252,7 +252,7 @@
     played.pass(2, None, &[]);
     played.members[9] = None;
     if let Some(member) = &mut played.members[0] {
-        member.set_digest(8);
+        member.set_config_digest(8);
         member.set_metadata(b't', &[42]).expect("it fits");
     }
     played.pass(400, None, &[1, 2]);
--- a/crates/alderstile-cluster/tests/membership_identity.rs
+++ b/crates/alderstile-cluster/tests/membership_identity.rs
@@ -64,7 +64,7 @@
 fn metadata_and_digests_reach_the_others_within_their_bounds() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3]), member(3, &[1, 2])];
     members[0].set_metadata(4, b"cold").expect("it fits");
-    members[0].set_digest(99);
+    members[0].set_config_digest(99);
     assert_eq!(members[0].set_metadata(5, &[0; MAX_METADATA_BYTES]), Err(RecordError::MetadataLength));
     let mut now = Micros(0);
     pass(&mut members, &mut now, Micros::from_millis(5_000));
@@ -90,7 +90,7 @@
     };
     let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[&top]);
     one.handle_datagram(Micros(0), address(2), &bytes);
-    one.set_digest(8);
+    one.set_config_digest(8);
     one.leave(Micros(1));
     assert_eq!(one.local().incarnation, u64::MAX);
 }
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -41,7 +41,7 @@
 }
 
 fn digest(text: &str) -> String {
-    format!("{:016x}", alderstile_cluster::digest(text.as_bytes()))
+    format!("{:016x}", alderstile_cluster::content_digest(text.as_bytes()))
 }
 
 #[test]
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -136,7 +136,7 @@
     fn record(&self, spec: &Spec, start: u64) -> MemberRecord {
         let text = format!("{} {} {} {start}", self.seed, spec.name, spec.address);
         MemberRecord {
-            instance: InstanceId(alderstile_cluster::digest(text.as_bytes()).max(1)),
+            instance: InstanceId(alderstile_cluster::content_digest(text.as_bytes()).max(1)),
             incarnation: 1,
             name: spec.name.as_str().into(),
             zone: spec.zone.as_str().into(),
@@ -371,7 +371,7 @@
             Order::Kill(node) => drop(self.nodes.borrow_mut().remove(&node)),
             Order::News { node, digest } => {
                 if let Some(running) = self.nodes.borrow().get(&node) {
-                    running.hollow.members.borrow_mut().set_digest(digest);
+                    running.hollow.members.borrow_mut().set_config_digest(digest);
                 }
             }
             Order::Watch { of, digest } => self.watched.borrow_mut().push((of, digest)),
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -223,7 +223,7 @@
 
     /// Other settings count from now on.
     pub fn renew(&self, config: &Config) {
-        self.members.borrow_mut().set_digest(digest(config));
+        self.members.borrow_mut().set_config_digest(digest(config));
     }
 
     /// Other keys count from now on.
@@ -318,5 +318,5 @@
             fields.remove(own);
         }
     }
-    alderstile_cluster::digest(Value::to_string(&settings).as_bytes())
+    alderstile_cluster::content_digest(Value::to_string(&settings).as_bytes())
 }
--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -232,14 +232,14 @@
             let port = record.metadata_value(PORT_METADATA_KEY)?;
             let port = port.try_into().ok().map(u16::from_le_bytes)?;
             let address = SocketAddr::new(record.address.ip(), port);
-            (!voters.contains(&address)).then(|| (alderstile_cluster::hashed(&record.name), address))
+            (!voters.contains(&address)).then(|| (alderstile_cluster::name_hash(&record.name), address))
         });
         let mut members: Vec<(u64, SocketAddr)> = others.into_iter().flatten().collect();
         let votes = self.core.borrow().role().is_some();
         let (name, address) = cluster.me();
         let me = SocketAddr::new(address.ip(), port);
         if !votes && !voters.contains(&me) {
-            members.push((alderstile_cluster::hashed(&name), me));
+            members.push((alderstile_cluster::name_hash(&name), me));
         }
         members.sort_unstable();
         let place = members.iter().position(|(_, address)| !votes && *address == me);
--- a/crates/alderstile-node/src/control/replicated_config/status.rs
+++ b/crates/alderstile-node/src/control/replicated_config/status.rs
@@ -76,7 +76,7 @@
             role: core.role().map(|role| role_name(role).to_owned()),
             leader: core.leader().and_then(|leader| self.config.settings.voter(leader)),
             rejection: self.applied.rejection(),
-            digest: format!("{:016x}", alderstile_cluster::digest(document)),
+            digest: format!("{:016x}", alderstile_cluster::content_digest(document)),
             document: serde_json::from_slice(document).unwrap_or_default(),
         }
     }
--- a/crates/alderstile-node/src/control/replicated_config/store.rs
+++ b/crates/alderstile-node/src/control/replicated_config/store.rs
@@ -134,7 +134,7 @@
     }
     bytes.extend(entry.length.to_le_bytes());
     bytes.extend(document);
-    let checksum = alderstile_cluster::digest(&bytes);
+    let checksum = alderstile_cluster::content_digest(&bytes);
     bytes.extend(checksum.to_le_bytes());
     bytes
 }
@@ -146,7 +146,7 @@
         return None;
     }
     let (checked, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
-    if alderstile_cluster::digest(checked) != u64::from_le_bytes(*checksum) {
+    if alderstile_cluster::content_digest(checked) != u64::from_le_bytes(*checksum) {
         return None;
     }
     let entry = VersionHeader {
@@ -158,7 +158,9 @@
         length: u32::from_le_bytes(checked.get(LENGTH_AT..DOCUMENT_AT)?.try_into().ok()?),
     };
     let document = checked.get(DOCUMENT_AT..)?.to_vec();
-    if document.len() != entry.length as usize || alderstile_cluster::digest(&document) != entry.digest {
+    if document.len() != entry.length as usize
+        || alderstile_cluster::content_digest(&document) != entry.digest
+    {
         return None;
     }
     let vote = Some(checked[VOTE_AT]).filter(|vote| *vote != NO_VOTE);
--- a/crates/alderstile-node/src/discovery/endpoint_list.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_list.rs
@@ -96,5 +96,5 @@
 
 /// The number of a host by its name: the same at all nodes and after every start, since a group's first host is chosen by it.
 pub fn server_id(host: &str) -> ServerId {
-    ServerId(alderstile_cluster::hashed(host))
+    ServerId(alderstile_cluster::name_hash(host))
 }
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -32,7 +32,7 @@
     let position = LogPosition { term: 4, version: 9 };
     let entry = VersionHeader {
         position,
-        digest: alderstile_cluster::digest(document),
+        digest: alderstile_cluster::content_digest(document),
         length: document.len() as u32,
     };
     HardState { term: 5, vote: Some(2), entry }
--- a/crates/alderstile-node/tests/replicated_config_store.rs
+++ b/crates/alderstile-node/tests/replicated_config_store.rs
@@ -18,7 +18,7 @@
     let position = LogPosition { term: 4, version };
     let entry = VersionHeader {
         position,
-        digest: alderstile_cluster::digest(document),
+        digest: alderstile_cluster::content_digest(document),
         length: document.len() as u32,
     };
     HardState { term: 5, vote: Some(2), entry }
