--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -11,7 +11,7 @@
 use crate::admin::metrics::{Counters, Gauges};
 use crate::config::Current;
 use crate::lifecycle::process::Process;
-use crate::proxy::backlog::Backlog;
+use crate::proxy::pending_clients::Backlog;
 use crate::proxy::termination_reason::Reason;
 
 /// Ids of ended requests that are still known: a repeated one comes within moments. At most 4 MB, at 4 KiB a line.
--- a/crates/alderstile-node/src/proxy/mod.rs
+++ b/crates/alderstile-node/src/proxy/mod.rs
@@ -1,10 +1,10 @@
 //! Serving clients: listening, the first line, connecting to a host and relaying lines.
 
-pub mod backlog;
 pub mod clients;
 pub mod line_buffer;
 pub mod line_stream;
 pub mod listener;
+pub mod pending_clients;
 pub mod protocol;
 pub mod relay;
 pub mod session;
