--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -47,7 +47,7 @@
     /// Whether clients may be sent here.
     pub fn ready(&self) -> bool {
         let heard = self.control().is_none_or(|control| control.ready());
-        heard && self.decisions.can_serve() && self.process.listens().is_some() && !self.process.is_leaving()
+        heard && self.decisions.can_serve() && self.process.listener().is_some() && !self.process.is_leaving()
     }
 
     /// This node is a member of a cluster from now on.
@@ -78,14 +78,14 @@
     /// The figures for operators, as text.
     pub fn figures(&self) -> String {
         let gauges = self.decisions.decide(|facade, now| Gauges {
-            inflight: self.clients.inflight(),
+            inflight: self.clients.in_flight(),
             hosts_listed: facade.maintenance().listed(),
             hosts_down: facade.avoided(now),
             subset: self.decisions.assigned_host_counts(),
             members: self.cluster().map(|cluster| cluster.counts()),
         });
         let agreed = self.control().map(|control| control.figures()).unwrap_or_default();
-        self.clients.figures(gauges) + &agreed
+        self.clients.render_metrics(gauges) + &agreed
     }
 
     /// Takes a host out by hand or puts it back. It is so in the decisions and on disk before this returns; false where
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -29,7 +29,7 @@
     loop {
         let config = node.config();
         node.decisions.update_host_assignment(others(&cluster, &config), |choices, now| {
-            if let Some(level) = choices.tell(now, node.clients.held()) {
+            if let Some(level) = choices.tell(now, node.clients.descriptors_in_use()) {
                 cluster.set_fact(TRAFFIC, &level);
             }
         });
--- a/crates/alderstile-node/src/lifecycle/connection_handover.rs
+++ b/crates/alderstile-node/src/lifecycle/connection_handover.rs
@@ -22,7 +22,7 @@
 use crate::config::Config;
 use crate::discovery::endpoint_list::server_id;
 use crate::node::Node;
-use crate::proxy::relay::Carried;
+use crate::proxy::relay::RelayState;
 
 /// The longest datagram: two buffers and a line, each of 4 KiB at most, with every byte written as a number.
 const MAX_DATAGRAM: usize = 64 << 10;
@@ -43,7 +43,7 @@
     /// Bytes of the host that have not gone on.
     pub from_host: Vec<u8>,
     /// What was seen of the lines that passed.
-    pub carried: Carried,
+    pub carried: RelayState,
     /// Attempts that it took.
     pub attempts: u32,
     /// Milliseconds that the attempt took that came up.
--- a/crates/alderstile-node/src/lifecycle/process.rs
+++ b/crates/alderstile-node/src/lifecycle/process.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub struct Process {
     /// No more clients are to be taken in.
-    pub door: Notify,
+    pub stop_accepting: Notify,
     /// The process before this one has ended.
     pub alone: Notify,
     /// The other process has what both would use: this one lets go of it.
@@ -28,12 +28,12 @@
 
 impl Process {
     /// Clients are taken in here from now on, or nowhere any more.
-    pub fn listen(&self, door: Option<Rc<TcpListener>>) {
+    pub fn set_listener(&self, door: Option<Rc<TcpListener>>) {
         self.door_held.replace(door);
     }
 
     /// Where clients are taken in.
-    pub fn listens(&self) -> Option<Rc<TcpListener>> {
+    pub fn listener(&self) -> Option<Rc<TcpListener>> {
         self.door_held.borrow().clone()
     }
 
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -31,7 +31,7 @@
 /// not come back: they are served as ever for the first half of the time that the stop may take, then go one after
 /// the other.
 pub async fn run(node: Rc<Node>, accepting: JoinHandle<()>) {
-    info!("leaving: {} clients are served", node.clients.served());
+    info!("leaving: {} clients are served", node.clients.established());
     let may_take = node.config().stop_within;
     let now = Instant::now();
     let (last, end) = (now + may_take.saturating_sub(KEPT), now + may_take);
@@ -48,7 +48,7 @@
     }
     if node.process.shared() {
         info!("leaving: another process serves here, clients are taken in no more");
-        node.process.door.notify_one();
+        node.process.stop_accepting.notify_one();
         // A successor that can't serve yet never comes to its door.
         while !accepting.is_finished() && Instant::now() < last {
             sleep(Duration::from_millis(1)).await;
@@ -65,25 +65,29 @@
             }
         }
     }
-    while node.clients.served() > 0 && Instant::now() < last {
+    while node.clients.established() > 0 && Instant::now() < last {
         let steps = (last - Instant::now()).as_millis() / LOOK.as_millis() + 1;
-        node.clients.move_some(node.clients.served().div_ceil(usize::try_from(steps).unwrap_or(usize::MAX)));
+        node.clients
+            .migrate_some(node.clients.established().div_ceil(usize::try_from(steps).unwrap_or(usize::MAX)));
         sleep(LOOK).await;
     }
     // Those that come up from now on are moved, or passed on, by their own sessions.
-    if node.clients.handover().is_none() {
-        node.clients.move_all();
+    if node.clients.handover_socket().is_none() {
+        node.clients.migrate_all();
     }
     if !node.process.shared() {
         sleep_until(now + COMING).await;
     }
     // The door is closed by who keeps it, in the step in which nobody waits there: whom the system has taken in is a
     // client, and is owed an answer.
-    node.process.door.notify_one();
+    node.process.stop_accepting.notify_one();
     drop(accepting.await);
-    while node.clients.descriptors() > 0 {
+    while node.clients.connection_descriptors() > 0 {
         if Instant::now() + LAST_MOMENT >= end {
-            warn!("left: {} descriptors are held beyond the stop's time", node.clients.descriptors());
+            warn!(
+                "left: {} descriptors are held beyond the stop's time",
+                node.clients.connection_descriptors()
+            );
             break;
         }
         sleep(LOOK).await;
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -208,7 +208,7 @@
 }
 
 async fn share_door(node: &Node) -> io::Result<()> {
-    let door = node.process.listens().ok_or(io::ErrorKind::NotConnected)?;
+    let door = node.process.listener().ok_or(io::ErrorKind::NotConnected)?;
     connection_handover::share_door(&connection_handover::sender(&node.config())?, &*door).await
 }
 
@@ -239,7 +239,7 @@
                     node.operators.stand(&host, stand);
                     link.say(Word::Done { number });
                 }
-                Word::Id(id) => node.clients.know_id(id.as_bytes()),
+                Word::Id(id) => node.clients.remember_id(id.as_bytes()),
                 Word::Closed => link.other_is_ready(false),
                 Word::Done { number } => link.done(number),
                 Word::Join { .. } | Word::Handshake(_) | Word::Taken => return Err(LinkError::Turn),
@@ -250,7 +250,7 @@
     let tell = async {
         let mut told = None;
         loop {
-            let held = node.clients.held();
+            let held = node.clients.descriptors_in_use();
             if told != Some(held) {
                 write(&mut writer, &Word::Held(held)).await?;
                 told = Some(held);
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -264,7 +264,7 @@
         // The other has sent it before it answered; this process may not have read it.
         sleep(CAN_SERVE).await;
     }
-    let listener = match node.process.take_shared_door().map(listener::shared) {
+    let listener = match node.process.take_shared_door().map(listener::from_shared) {
         Some(Ok(listener)) => {
             info!("{} takes clients in beside the process before", node.config().name);
             Ok(listener)
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -68,7 +68,7 @@
     /// Does what is due, for as long as the node runs; `tell` is given what all other nodes are to hear.
     pub async fn run(self: Rc<Self>, tell: impl Fn(&[u8])) {
         let clients = self.clients.clone();
-        self.decisions.clone().run(|id| clients.move_one(id), tell).await;
+        self.decisions.clone().run(|id| clients.migrate(id), tell).await;
     }
 
     /// What the process that takes over is to know.
@@ -84,7 +84,7 @@
             lease_left: Some(self.decisions.lease_remaining().0),
             hosts: self.operators.hosts().into_iter().collect(),
             ids: self.clients.known_ids(),
-            held: self.clients.held(),
+            held: self.clients.descriptors_in_use(),
             member: self.operators.cluster().map(|cluster| cluster.word()),
             spent: spent.map(|parts| {
                 parts
@@ -113,7 +113,7 @@
         let spent = handshake.spent.as_ref().map(|parts| parts.iter().map(part).collect());
         let late = Micros(WORD.as_micros() as u64);
         self.decisions.decide(|facade, now| facade.inherit(now, spent, late));
-        handshake.ids.iter().for_each(|id| self.clients.know_id(id.as_bytes()));
+        handshake.ids.iter().for_each(|id| self.clients.remember_id(id.as_bytes()));
         handshake.lease_left.iter().for_each(|left| self.decisions.inherit_lease(Micros(*left)));
         self.decisions.list_requested.notify_one();
     }
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -1,257 +1,159 @@
-//! The clients of this process: their ids, what they hold of its limits, and who is to be moved.
+//! The clients of this process, and what they use of its limits.
 
-use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::cell::RefCell;
 use std::rc::Rc;
 
 use alderstile::types::RequestId;
 use tokio::net::UnixDatagram;
-use tokio::sync::Notify;
 
+use super::count_guard::{CountGuard, UseCount};
+use super::migration::{EstablishedClient, EstablishedClients};
+use super::pending_clients::PendingClients;
+use super::request_ids::{OpenId, RequestIds};
+use super::termination_reason::TerminationReason;
 use crate::admin::metrics::{Counters, Gauges};
 use crate::config::Current;
 use crate::lifecycle::process::Process;
-use crate::proxy::pending_clients::Backlog;
-use crate::proxy::termination_reason::Reason;
-
-/// Ids of ended requests that are still known: a repeated one comes within moments. At most 4 MB, at 4 KiB a line.
-const ENDED_IDS: usize = 1024;
-
-/// Tells one relay that its client is to move.
-#[derive(Default)]
-pub struct Mover {
-    /// Wakes the relay.
-    pub notify: Notify,
-    /// Why, if not that the decisions want it.
-    why: Cell<Option<Reason>>,
-}
-
-impl Mover {
-    fn leave(&self, why: Reason) {
-        self.why.set(Some(why));
-        self.notify.notify_one();
-    }
-
-    /// Why the client is to move.
-    pub fn reason(&self) -> Reason {
-        self.why.get().unwrap_or(Reason::Moved)
-    }
-}
-
-/// Ids of requests: those that are open, and the last that have ended.
-#[derive(Default)]
-struct Ids {
-    taken: BTreeSet<Rc<[u8]>>,
-    ended: VecDeque<Rc<[u8]>>,
-}
-
-/// The id of an open request. It stays taken for a while when this ends.
-pub struct OpenId(Rc<RefCell<Ids>>, Rc<[u8]>);
-
-impl Ids {
-    /// An id stays known for a while.
-    fn end(&mut self, id: Rc<[u8]>) {
-        self.ended.push_back(id);
-        if self.ended.len() > ENDED_IDS
-            && let Some(oldest) = self.ended.pop_front()
-        {
-            self.taken.remove(&oldest);
-        }
-    }
-}
-
-impl Drop for OpenId {
-    fn drop(&mut self) {
-        self.0.borrow_mut().end(self.1.clone());
-    }
-}
-
-/// One of something, counted while this lives.
-pub struct Counted(Rc<Cell<usize>>);
-
-impl Counted {
-    fn one_of(count: &Rc<Cell<usize>>) -> Self {
-        count.set(count.get() + 1);
-        Counted(count.clone())
-    }
-}
-
-impl Drop for Counted {
-    fn drop(&mut self) {
-        self.0.set(self.0.get() - 1);
-    }
-}
 
 /// All clients of this process.
 pub struct Clients {
     config: Rc<Current>,
     process: Rc<Process>,
-    /// Connections that hold no request.
-    pub backlog: Rc<Backlog>,
-    ids: Rc<RefCell<Ids>>,
-    movers: RefCell<BTreeMap<RequestId, Rc<Mover>>>,
-    all_moved: Cell<Option<Reason>>,
-    handover: RefCell<Option<Rc<UnixDatagram>>>,
-    descriptors: Rc<Cell<usize>>,
-    inflight: Rc<Cell<usize>>,
+    /// Connections without a request.
+    pub pending: Rc<PendingClients>,
+    ids: RequestIds,
+    established: Rc<EstablishedClients>,
+    handover_socket: RefCell<Option<Rc<UnixDatagram>>>,
+    descriptors: UseCount,
+    in_flight: UseCount,
     counters: RefCell<Counters>,
 }
 
 impl Clients {
-    /// No clients yet.
+    /// A process without clients.
     pub fn new(config: Rc<Current>, process: Rc<Process>) -> Self {
-        let told = config.get();
+        let initial = config.get();
         let mut counters = Counters::default();
-        counters.classes(&told.classes);
+        counters.classes(&initial.classes);
         Clients {
-            backlog: Backlog::new(told.sockets.saturating_sub(told.own_descriptors())),
+            pending: PendingClients::new(initial.sockets.saturating_sub(initial.own_descriptors())),
             config,
             process,
-            ids: Rc::default(),
-            movers: RefCell::default(),
-            all_moved: Cell::default(),
-            handover: RefCell::default(),
-            descriptors: Rc::default(),
-            inflight: Rc::default(),
+            ids: RequestIds::default(),
+            established: Rc::default(),
+            handover_socket: RefCell::default(),
+            descriptors: UseCount::default(),
+            in_flight: UseCount::default(),
             counters: RefCell::new(counters),
         }
     }
 
-    /// The number of a class that takes requests.
+    /// The number of a class that accepts requests.
     pub fn class(&self, name: &[u8]) -> Option<u16> {
         let config = self.config.get();
-        let taken = |class: &String| class.as_bytes() == name && !config.gone.contains(class);
-        config.classes.iter().position(taken).and_then(|class| u16::try_from(class).ok())
+        let open = |class: &String| class.as_bytes() == name && !config.gone.contains(class);
+        config.classes.iter().position(open).and_then(|class| u16::try_from(class).ok())
     }
 
-    /// Takes a request's id; none where it is not new, as an id is with every connection. Guards also against one
-    /// that is open at another node: hosts turn it away, and once they have it is not put to them again and again.
-    pub fn open_id(&self, id: &[u8]) -> Option<OpenId> {
-        let id: Rc<[u8]> = id.into();
-        let new = self.ids.borrow_mut().taken.insert(id.clone());
-        new.then(|| {
-            self.process.linked().iter().for_each(|link| link.tell_id(&id));
-            OpenId(self.ids.clone(), id)
-        })
+    /// Claims a request's id; none where it is not new, as it is with every connection. Rejects also a request that is open
+    /// at another node and comes again and again: hosts that have it would count as failing.
+    pub fn claim_id(&self, id: &[u8]) -> Option<OpenId> {
+        let claimed = self.ids.claim(id)?;
+        self.process.linked().iter().for_each(|channel| channel.tell_id(id));
+        Some(claimed)
     }
 
-    /// The other process has taken a request with this id.
-    pub fn know_id(&self, id: &[u8]) {
-        let id: Rc<[u8]> = id.into();
-        let mut ids = self.ids.borrow_mut();
-        if ids.taken.insert(id.clone()) {
-            ids.end(id);
-        }
+    /// Remembers an id that the other process has claimed.
+    pub fn remember_id(&self, id: &[u8]) {
+        self.ids.remember(id);
     }
 
-    /// The id of a request that was taken by the process before.
-    pub fn passed_id(&self, id: &[u8]) -> OpenId {
-        let id: Rc<[u8]> = id.into();
-        self.ids.borrow_mut().taken.insert(id.clone());
-        OpenId(self.ids.clone(), id)
+    /// Claims the id of a request that the predecessor has handed over.
+    pub fn claim_handed_over_id(&self, id: &[u8]) -> OpenId {
+        self.ids.claim_handed_over(id)
     }
 
-    /// The node is about to stop: tells this many clients to move that have not been told.
-    pub fn move_some(&self, count: usize) {
-        self.leave_some(count, Reason::NodeLeaving);
+    /// Ids of requests that are open, or ended recently.
+    pub fn known_ids(&self) -> Vec<String> {
+        self.ids.known()
     }
 
-    fn leave_some(&self, count: usize, why: Reason) {
-        let movers = self.movers.borrow();
-        movers
-            .values()
-            .filter(|mover| mover.why.get().is_none())
-            .take(count)
-            .for_each(|mover| mover.leave(why));
+    /// Migrates up to this many clients that were not told to yet: the node shuts down.
+    pub fn migrate_some(&self, count: usize) {
+        self.established.migrate_some(count, TerminationReason::ShuttingDown);
     }
 
-    /// Tells all clients that are served to move, and from now on everyone who comes up.
-    pub fn move_all(&self) {
-        self.all_moved.set(Some(Reason::NodeLeaving));
-        self.move_some(usize::MAX);
+    /// Migrates all established clients, and from now on each that is established: the node shuts down.
+    pub fn migrate_all(&self) {
+        self.established.migrate_all(TerminationReason::ShuttingDown);
     }
 
-    /// Passes all connections on, and from now on each that comes up.
-    pub fn hand_over_all(&self, to: UnixDatagram) {
-        self.handover.replace(Some(Rc::new(to)));
-        self.all_moved.set(Some(Reason::HandedOver));
-        self.leave_some(usize::MAX, Reason::HandedOver);
+    /// Migrates a client as the policy wants.
+    pub fn migrate(&self, id: RequestId) {
+        self.established.migrate(id);
     }
 
-    /// The way to the process that goes on with connections.
-    pub fn handover(&self) -> Option<Rc<UnixDatagram>> {
-        self.handover.borrow().clone()
+    /// Hands all established connections over through this socket, and from now on each that is established.
+    pub fn hand_over_all(&self, to: UnixDatagram) {
+        self.handover_socket.replace(Some(Rc::new(to)));
+        self.established.migrate_all(TerminationReason::HandedOver);
     }
 
-    /// A client is served from now on and can be moved.
-    pub fn serve(&self, id: RequestId) -> Rc<Mover> {
-        let mover = Rc::new(Mover::default());
-        self.all_moved.get().into_iter().for_each(|why| mover.leave(why));
-        self.movers.borrow_mut().insert(id, mover.clone());
-        mover
+    /// The socket to the successor, while connections are handed over.
+    pub fn handover_socket(&self) -> Option<Rc<UnixDatagram>> {
+        self.handover_socket.borrow().clone()
     }
 
-    /// A client is no longer served.
-    pub fn unserve(&self, id: RequestId) {
-        self.movers.borrow_mut().remove(&id);
+    /// Adds an established client until the guard is dropped.
+    pub fn add_established(&self, id: RequestId) -> EstablishedClient {
+        self.established.add(id)
     }
 
-    /// Clients served now.
-    pub fn served(&self) -> usize {
-        self.movers.borrow().len()
+    /// The number of established clients.
+    pub fn established(&self) -> usize {
+        self.established.count()
     }
 
-    /// One more descriptor that is there already, passed on by the process before.
-    pub fn passed_descriptor(&self) -> Counted {
-        Counted::one_of(&self.descriptors)
+    /// Counts a descriptor that was handed over by the predecessor, whatever the limit.
+    pub fn count_handed_over_descriptor(&self) -> CountGuard {
+        self.descriptors.acquire()
     }
 
-    /// One more descriptor, unless fewer than `spare` more are left.
-    pub fn descriptor(&self, spare: usize) -> Option<Counted> {
+    /// Acquires a descriptor, unless fewer than `spare` more would be left.
+    pub fn acquire_descriptor(&self, spare: usize) -> Option<CountGuard> {
         // Two processes of one node share its limit.
-        let others = self.process.linked().map_or(0, |link| link.held.get());
-        (self.held() + others + spare < self.config.get().sockets).then(|| Counted::one_of(&self.descriptors))
+        let others = self.process.linked().map_or(0, |channel| channel.held.get());
+        let available = self.descriptors_in_use() + others + spare < self.config.get().sockets;
+        available.then(|| self.descriptors.acquire())
     }
 
-    /// Descriptors held by this process, or kept for it.
-    pub fn held(&self) -> usize {
+    /// Descriptors that this process uses, or that are reserved for it.
+    pub fn descriptors_in_use(&self) -> usize {
         self.descriptors.get() + self.config.get().own_descriptors()
     }
 
-    /// A request is taken from now on, until what is returned is dropped.
-    pub fn take(&self) -> Counted {
-        Counted::one_of(&self.inflight)
-    }
-
-    /// Counts something.
-    pub fn count(&self, what: impl FnOnce(&mut Counters)) {
-        what(&mut self.counters.borrow_mut());
-    }
-
-    /// Descriptors that connections hold now.
-    pub fn descriptors(&self) -> usize {
+    /// Descriptors of connections.
+    pub fn connection_descriptors(&self) -> usize {
         self.descriptors.get()
     }
 
-    /// The decisions want a client to move.
-    pub fn move_one(&self, id: RequestId) {
-        if let Some(mover) = self.movers.borrow().get(&id) {
-            mover.notify.notify_one();
-        }
+    /// Counts a request as in flight until the guard is dropped.
+    pub fn count_in_flight(&self) -> CountGuard {
+        self.in_flight.acquire()
     }
 
-    /// Ids that are open, or have ended not long ago.
-    pub fn known_ids(&self) -> Vec<String> {
-        self.ids.borrow().taken.iter().map(|id| String::from_utf8_lossy(id).into_owned()).collect()
+    /// Requests in flight: accepted and not ended.
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.get()
     }
 
-    /// Connections taken and not ended.
-    pub fn inflight(&self) -> usize {
-        self.inflight.get()
+    /// Changes the counters.
+    pub fn count(&self, update: impl FnOnce(&mut Counters)) {
+        update(&mut self.counters.borrow_mut());
     }
 
-    /// What was counted, as text, beside what holds now.
-    pub fn figures(&self, gauges: Gauges) -> String {
+    /// The counters and gauges, as text.
+    pub fn render_metrics(&self, gauges: Gauges) -> String {
         self.counters.borrow().render(gauges)
     }
 }
--- a/crates/alderstile-node/src/proxy/line_buffer.rs
+++ b/crates/alderstile-node/src/proxy/line_buffer.rs
@@ -1,122 +1,135 @@
-//! The bytes of one connection that have come and not yet gone on, kept as whole lines and the start of one.
+//! The bytes of one connection that were received and not yet forwarded: complete lines, and the start of one more.
+
+use thiserror::Error;
 
 /// The longest line, its end included.
 pub const MAX_LINE: usize = 4096;
-/// What a connection holds at first, and again whenever it is empty.
-const SMALL: usize = 256;
+/// What a buffer allocates first, and shrinks to whenever it is empty.
+const INITIAL_CAPACITY: usize = 256;
+const LINE_END: &[u8] = b"\r\n";
 
 /// A line is longer than [`MAX_LINE`].
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Overlong;
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("a line is longer than {MAX_LINE} bytes")]
+pub struct LineTooLong;
 
-/// A buffer that grows by doubling up to one line and is compacted in place.
+/// A buffer that grows by doubling up to one line, and is compacted in place.
 #[derive(Debug, Default)]
 pub struct LineBuffer {
     data: Vec<u8>,
-    /// What has gone on.
+    /// Where the bytes begin that are not forwarded.
     start: usize,
-    /// Where the last whole line ends.
-    whole: usize,
-    /// Where the bytes end that have come.
+    /// Where the last complete line ends.
+    complete_end: usize,
+    /// Where the received bytes end.
     end: usize,
 }
 
 impl LineBuffer {
-    /// Room for bytes to come; empty while whole lines take all of it and must go on first.
-    pub fn room(&mut self) -> Result<&mut [u8], Overlong> {
+    /// The space for bytes to receive; empty while complete lines take all of it and must be forwarded first.
+    ///
+    /// # Errors
+    ///
+    /// The buffer is full of one line that is not complete.
+    pub fn spare(&mut self) -> Result<&mut [u8], LineTooLong> {
         if self.end == self.data.len() {
-            if self.start > 0 {
-                self.data.copy_within(self.start..self.end, 0);
-                self.whole -= self.start;
-                self.end -= self.start;
-                self.start = 0;
-            }
+            self.compact();
             if self.end == self.data.len() && self.data.len() < MAX_LINE {
-                self.data.resize((self.data.len() * 2).clamp(SMALL, MAX_LINE), 0);
+                self.data.resize((self.data.len() * 2).clamp(INITIAL_CAPACITY, MAX_LINE), 0);
             }
-            if self.end == MAX_LINE && self.whole == 0 {
-                return Err(Overlong);
+            if self.end == MAX_LINE && self.complete_end == 0 {
+                return Err(LineTooLong);
             }
         }
         Ok(&mut self.data[self.end..])
     }
 
-    /// Whether to read on: there is room, or there is none for a line that reading on shows to be too long.
-    pub fn has_room(&self) -> bool {
-        self.held() < MAX_LINE || self.whole == self.start
+    fn compact(&mut self) {
+        if self.start > 0 {
+            self.data.copy_within(self.start..self.end, 0);
+            self.complete_end -= self.start;
+            self.end -= self.start;
+            self.start = 0;
+        }
     }
 
-    /// Takes in what was written to the room, and returns the lines that this made whole.
-    pub fn filled(&mut self, count: usize) -> &[u8] {
-        let (old, from) = (self.end, self.whole);
+    /// Whether to read on: there is space, or none for a line that reading on shows to be too long.
+    pub fn can_read(&self) -> bool {
+        self.buffered() < MAX_LINE || self.complete_end == self.start
+    }
+
+    /// Adds the bytes received into [`LineBuffer::spare`], and returns the lines that they complete.
+    pub fn commit(&mut self, count: usize) -> &[u8] {
+        let (old_end, old_complete) = (self.end, self.complete_end);
         self.end = (self.end + count).min(self.data.len());
-        // A line's end may lie across two arrivals: the last byte that was there is looked at again.
-        let look = old.saturating_sub(1).max(from);
-        if let Some(at) = self.data[look..self.end].windows(2).rposition(|pair| pair == b"\r\n") {
-            self.whole = look + at + 2;
+        // A line's end may be split between two reads: the last byte of the one before is searched again.
+        let search_from = old_end.saturating_sub(1).max(old_complete);
+        let received = &self.data[search_from..self.end];
+        if let Some(at) = received.windows(LINE_END.len()).rposition(|pair| pair == LINE_END) {
+            self.complete_end = search_from + at + LINE_END.len();
         }
-        &self.data[from..self.whole]
+        &self.data[old_complete..self.complete_end]
     }
 
-    /// The whole lines that have not gone on.
-    pub fn whole(&self) -> &[u8] {
-        &self.data[self.start..self.whole]
+    /// The complete lines that are not forwarded.
+    pub fn complete_lines(&self) -> &[u8] {
+        &self.data[self.start..self.complete_end]
     }
 
-    /// The first whole line, without its end.
-    pub fn line(&self) -> Option<&[u8]> {
-        let whole = self.whole();
-        whole.windows(2).position(|pair| pair == b"\r\n").map(|at| &whole[..at])
+    /// The first complete line, without its end.
+    pub fn first_line(&self) -> Option<&[u8]> {
+        let lines = self.complete_lines();
+        lines.windows(LINE_END.len()).position(|pair| pair == LINE_END).map(|at| &lines[..at])
     }
 
-    /// Bytes of whole lines have gone on.
+    /// Removes bytes of complete lines that were forwarded.
     pub fn consume(&mut self, count: usize) {
-        self.start += count.min(self.whole - self.start);
+        self.start += count.min(self.complete_end - self.start);
         if self.start == self.end {
-            (self.start, self.whole, self.end) = (0, 0, 0);
-            if self.data.len() > SMALL {
-                self.data.truncate(SMALL);
+            (self.start, self.complete_end, self.end) = (0, 0, 0);
+            if self.data.len() > INITIAL_CAPACITY {
+                self.data.truncate(INITIAL_CAPACITY);
                 self.data.shrink_to_fit();
             }
         }
     }
 
-    /// The first whole line has gone on, or was taken.
-    pub fn consume_line(&mut self) {
-        if let Some(len) = self.line().map(<[u8]>::len) {
-            self.consume(len + 2);
+    /// Removes the first complete line.
+    pub fn consume_first_line(&mut self) {
+        if let Some(length) = self.first_line().map(<[u8]>::len) {
+            self.consume(length + LINE_END.len());
         }
     }
 
-    /// All bytes held, whole lines or not.
+    /// All bytes that are not forwarded, complete lines or not.
     pub fn bytes(&self) -> &[u8] {
         &self.data[self.start..self.end]
     }
 
-    /// A buffer that holds these bytes; none where they are more than one may hold.
-    pub fn holding(bytes: &[u8]) -> Option<Self> {
+    /// A buffer with these bytes; none where they are more than one may contain.
+    pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let mut buffer = LineBuffer::default();
         let mut rest = bytes;
         while !rest.is_empty() {
-            let room = buffer.room().ok()?;
-            let count = room.len().min(rest.len());
-            room[..count].copy_from_slice(&rest[..count]);
-            rest = &rest[count..];
+            let spare = buffer.spare().ok()?;
+            let count = spare.len().min(rest.len());
             if count == 0 {
                 return None;
             }
-            buffer.filled(count);
+            spare[..count].copy_from_slice(&rest[..count]);
+            rest = &rest[count..];
+            buffer.commit(count);
         }
         Some(buffer)
     }
 
-    /// Bytes held, whole lines or not.
-    pub fn held(&self) -> usize {
+    /// The number of bytes that are not forwarded, complete lines or not.
+    pub fn buffered(&self) -> usize {
         self.end - self.start
     }
 
-    /// The memory it takes.
-    pub fn size(&self) -> usize {
+    /// The memory allocated, in bytes.
+    pub fn allocated(&self) -> usize {
         self.data.capacity()
     }
 }
--- a/crates/alderstile-node/src/proxy/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -1,137 +1,166 @@
-//! Takes connections in, as many as the limits allow.
+//! Listening for clients, and accepting as many as the limits allow.
 
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+use thiserror::Error;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
-use tokio::task::spawn_local;
-use tokio::time::Instant;
+use tokio::task::{spawn_local, yield_now};
+use tokio::time::{Instant, sleep};
 use tracing::warn;
 
+use super::count_guard::CountGuard;
+use super::session;
 use crate::config::Config;
 use crate::node::Node;
-use crate::proxy::clients::Counted;
-use crate::proxy::session;
 
-/// Connections that the system may hold for us: a mass reconnect comes within a moment.
+/// How many connections the system may queue: a mass reconnect comes within a moment.
 const ACCEPT_QUEUE: u32 = 4096;
-/// Accepting pauses this long after an error or at the limit: neither goes away by asking at once.
-const PAUSE: Duration = Duration::from_millis(20);
-/// How long a listener that is closed may wait for room: its clients wait as long.
-const CLOSING: Duration = Duration::from_millis(500);
+/// How long accepting pauses after an error or at the limit: neither goes away by an immediate retry.
+const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// How long a listener that is closed may wait for descriptors: its clients wait as long.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Listens on an address.
+///
+/// # Errors
+///
+/// The system does not allow it.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     listen(address, false)
 }
 
-/// Listens where clients connect; the next process of the node may do so beside this one.
+/// Listens for clients; the node's successor may do so beside this process.
+///
+/// # Errors
+///
+/// The system does not allow it.
 pub fn bind_clients(config: &Config) -> io::Result<TcpListener> {
     listen(config.listen, config.state_dir.is_some())
 }
 
-fn listen(address: SocketAddr, beside: bool) -> io::Result<TcpListener> {
+fn listen(address: SocketAddr, reuse_port: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A node that starts again takes its address back while old connections linger.
+    // A node that restarts gets its address back while old connections linger.
     socket.set_reuseaddr(true)?;
-    if beside {
+    if reuse_port {
         socket.set_reuseport(true)?;
     }
     socket.bind(address)?;
     socket.listen(ACCEPT_QUEUE)
 }
 
-/// Accepts until the node's door is closed, or it is dropped.
+/// The listener that the predecessor shares.
+///
+/// # Errors
+///
+/// The socket can't be used without blocking.
+pub fn from_shared(listener: std::net::TcpListener) -> io::Result<TcpListener> {
+    listener.set_nonblocking(true)?;
+    TcpListener::from_std(listener)
+}
+
+/// Accepts clients until the process is told to stop accepting, or this is dropped.
 pub async fn run(node: Rc<Node>, listener: TcpListener) {
     let listener = Rc::new(listener);
-    node.process.listen(Some(listener.clone()));
+    node.process.set_listener(Some(listener.clone()));
     tokio::select! {
-        () = accept(&node, &listener) => {}
-        () = node.process.door.notified() => {}
+        () = accept_clients(&node, &listener) => {}
+        () = node.process.stop_accepting.notified() => {}
     }
-    node.process.listen(None);
-    // Nobody else holds it now, but for a moment in which it is shared: the other process has it then.
+    node.process.set_listener(None);
+    // Nobody else has it now, but for a moment in which it is shared: the other process has it then.
     if let Ok(listener) = Rc::try_unwrap(listener) {
         close(&node, listener).await;
     }
 }
 
-/// The socket that the process before shares, as this process's own.
-pub fn shared(door: std::net::TcpListener) -> io::Result<TcpListener> {
-    door.set_nonblocking(true)?;
-    TcpListener::from_std(door)
-}
-
-/// Takes in what waits, and ends the listener in the very step in which nothing waits any more: where the other process
-/// has a socket of its own, what comes between is reset. The address is that one's from then on.
-async fn close(node: &Rc<Node>, listener: TcpListener) {
-    let until = Instant::now() + CLOSING;
-    let listener = match listener.into_std() {
-        Ok(listener) => listener,
-        Err(error) => return warn!("closing: {error}"),
-    };
-    while Instant::now() < until {
-        let taken = match node.clients.descriptor(0) {
-            Some(descriptor) => listener.accept().map(|(stream, _)| (stream, descriptor)),
-            None => {
-                node.clients.backlog.evict_oldest();
-                tokio::time::sleep(PAUSE).await;
-                continue;
-            }
+async fn accept_clients(node: &Rc<Node>, listener: &TcpListener) {
+    loop {
+        // Where no descriptor is left even for a rejection, clients wait in the system's queue until a pending one has gone.
+        let Some(descriptor) = node.clients.acquire_descriptor(0) else {
+            make_descriptor_available(node).await;
+            continue;
         };
-        match taken.and_then(|(stream, descriptor)| {
-            stream.set_nonblocking(true)?;
-            Ok((TcpStream::from_std(stream)?, descriptor))
-        }) {
-            Ok((stream, descriptor)) => serve(node, stream, descriptor),
-            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+        if !node.clients.pending.make_room() {
+            sleep(RETRY_PAUSE).await;
+            continue;
+        }
+        match listener.accept().await {
+            Ok((socket, _)) => {
+                spawn_session(node, socket, descriptor);
+                // Those that have sent something are served before the next is accepted.
+                yield_now().await;
+            }
             Err(error) => {
-                warn!("closing: {error}");
-                tokio::time::sleep(PAUSE).await;
+                warn!(%error, "accept failed");
+                node.clients.pending.evict_oldest();
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
-    warn!("closing: clients wait, and there is no room to take them in");
 }
 
-fn serve(node: &Rc<Node>, stream: TcpStream, descriptor: Counted) {
-    let (node, pending) = (node.clone(), node.clients.backlog.enter());
+async fn make_descriptor_available(node: &Node) {
+    if node.clients.pending.evict_oldest() {
+        // Its session is told of the eviction, looks once more for its line, and ends.
+        yield_now().await;
+        yield_now().await;
+    } else {
+        sleep(RETRY_PAUSE).await;
+    }
+}
+
+fn spawn_session(node: &Rc<Node>, socket: TcpStream, descriptor: CountGuard) {
+    let (node, slot) = (node.clone(), node.clients.pending.add());
     spawn_local(async move {
-        session::run(node, stream, pending).await;
+        session::run(node, socket, slot).await;
         drop(descriptor);
     });
 }
 
-async fn accept(node: &Rc<Node>, listener: &TcpListener) {
-    loop {
-        // Where no descriptor is left even for a refusal, clients wait in the system's queue until a pending one has gone.
-        let Some(descriptor) = node.clients.descriptor(0) else {
-            if node.clients.backlog.evict_oldest() {
-                // Its session hears of that, looks once more for its line, and ends.
-                tokio::task::yield_now().await;
-                tokio::task::yield_now().await;
-            } else {
-                tokio::time::sleep(PAUSE).await;
-            }
-            continue;
-        };
-        if !node.clients.backlog.has_place() {
-            tokio::time::sleep(PAUSE).await;
-            continue;
-        }
-        match listener.accept().await {
-            Ok((stream, _)) => {
-                serve(node, stream, descriptor);
-                // Those that have said something are heard before the next is taken in.
-                tokio::task::yield_now().await;
+/// Why a listener that is closed accepts no client now.
+#[derive(Debug, Error)]
+enum DrainError {
+    #[error("no descriptor is left")]
+    NoDescriptor,
+    #[error("{0}")]
+    Io(#[from] io::Error),
+}
+
+/// Accepts what is queued, and closes the listener in the very step in which the queue is empty: where the other process has
+/// a socket of its own, what comes between is reset. The address is the other process's from then on.
+async fn close(node: &Rc<Node>, listener: TcpListener) {
+    let deadline = Instant::now() + CLOSE_TIMEOUT;
+    let listener = match listener.into_std() {
+        Ok(listener) => listener,
+        Err(error) => return warn!(%error, "listener not drained"),
+    };
+    while Instant::now() < deadline {
+        match accept_queued(node, &listener) {
+            Ok((socket, descriptor)) => spawn_session(node, socket, descriptor),
+            Err(DrainError::Io(error)) if error.kind() == io::ErrorKind::WouldBlock => return,
+            Err(DrainError::NoDescriptor) => {
+                node.clients.pending.evict_oldest();
+                sleep(RETRY_PAUSE).await;
             }
-            Err(error) => {
-                warn!("accept: {error}");
-                node.clients.backlog.evict_oldest();
-                tokio::time::sleep(PAUSE).await;
+            Err(DrainError::Io(error)) => {
+                warn!(%error, "accept failed");
+                sleep(RETRY_PAUSE).await;
             }
         }
     }
+    warn!("listener closed with clients queued: no descriptors were left for them");
+}
+
+fn accept_queued(
+    node: &Node,
+    listener: &std::net::TcpListener,
+) -> Result<(TcpStream, CountGuard), DrainError> {
+    let descriptor = node.clients.acquire_descriptor(0).ok_or(DrainError::NoDescriptor)?;
+    let (socket, _) = listener.accept()?;
+    socket.set_nonblocking(true)?;
+    Ok((TcpStream::from_std(socket)?, descriptor))
 }
--- a/crates/alderstile-node/src/proxy/mod.rs
+++ b/crates/alderstile-node/src/proxy/mod.rs
@@ -1,11 +1,14 @@
 //! Serving clients: listening, the first line, connecting to a host and relaying lines.
 
 pub mod clients;
+pub mod count_guard;
 pub mod line_buffer;
 pub mod line_stream;
 pub mod listener;
+pub mod migration;
 pub mod pending_clients;
 pub mod protocol;
 pub mod relay;
+pub mod request_ids;
 pub mod session;
 pub mod termination_reason;
--- a/crates/alderstile-node/src/proxy/pending_clients.rs
+++ b/crates/alderstile-node/src/proxy/pending_clients.rs
@@ -1,7 +1,7 @@
-//! Connections that hold no request: those that have not said what they want, and those that are being turned away.
+//! Connections without a request: those that have not sent their first line, and those that are being rejected.
 //!
-//! Guards against hundreds that connect and say nothing: they have places of their own, few enough to leave room for
-//! clients and their hosts, and the oldest makes way for the next.
+//! They have slots of their own, few enough to leave descriptors for clients and their hosts when hundreds connect and send
+//! nothing. The oldest is evicted for the next.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,76 +11,87 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// One descriptor of this many may be held by pending connections: clients take theirs twice, once more for the host.
-const SHARE: usize = 8;
-/// A pending connection has this long at least: a usual client's line comes with its connection or right after it.
-pub const WELCOME: Duration = Duration::from_millis(20);
+/// One descriptor in this many may be a pending connection's: a client that is served takes two.
+const DESCRIPTORS_PER_SLOT: usize = 8;
+/// How long a pending connection is safe from eviction: a usual client's first line comes with its connection or right after.
+pub const MIN_PENDING_TIME: Duration = Duration::from_millis(20);
 
-/// The places for pending connections.
-pub struct Backlog {
-    places: usize,
-    next: Cell<u64>,
-    pending: RefCell<BTreeMap<u64, (Instant, Rc<Notify>)>>,
+struct PendingEntry {
+    since: Instant,
+    evicted: Rc<Notify>,
 }
 
-impl Backlog {
-    /// Places by the descriptors that the node may hold.
+/// The slots for pending connections.
+pub struct PendingClients {
+    capacity: usize,
+    next_number: Cell<u64>,
+    /// By their numbers, so the oldest first.
+    entries: RefCell<BTreeMap<u64, PendingEntry>>,
+}
+
+impl PendingClients {
+    /// As many slots as befits a node that may use so many descriptors.
     pub fn new(descriptors: usize) -> Rc<Self> {
-        let places = (descriptors / SHARE).max(1);
-        Rc::new(Backlog { places, next: Cell::default(), pending: RefCell::default() })
+        let capacity = (descriptors / DESCRIPTORS_PER_SLOT).max(1);
+        Rc::new(PendingClients { capacity, next_number: Cell::default(), entries: RefCell::default() })
     }
 
-    /// How many there are.
-    pub fn places(&self) -> usize {
-        self.places
+    /// How many slots there are.
+    pub fn capacity(&self) -> usize {
+        self.capacity
     }
 
-    /// Whether there is a place for one more; the oldest is evicted for that once it has had its time.
-    pub fn has_place(&self) -> bool {
-        if self.pending.borrow().len() < self.places {
+    /// Makes room for one more where need be, by evicting the oldest; returns whether there is a free slot.
+    pub fn make_room(&self) -> bool {
+        if self.has_free_slot() {
             return true;
         }
         self.evict_oldest();
-        self.pending.borrow().len() < self.places
+        self.has_free_slot()
+    }
+
+    fn has_free_slot(&self) -> bool {
+        self.entries.borrow().len() < self.capacity
     }
 
-    /// Evicts the oldest, if it has had its time; false if none has.
+    /// Evicts the oldest after [`MIN_PENDING_TIME`]; returns whether one was evicted.
     pub fn evict_oldest(&self) -> bool {
-        let mut pending = self.pending.borrow_mut();
-        match pending.first_entry() {
-            Some(oldest) if oldest.get().0.elapsed() >= WELCOME => {
-                oldest.remove().1.notify_one();
+        let mut entries = self.entries.borrow_mut();
+        match entries.first_entry() {
+            Some(oldest) if oldest.get().since.elapsed() >= MIN_PENDING_TIME => {
+                oldest.remove().evicted.notify_one();
                 true
             }
             _ => false,
         }
     }
 
-    /// Takes a connection in.
-    pub fn enter(self: &Rc<Self>) -> Pending {
-        let number = self.next.replace(self.next.get() + 1);
-        let out = Rc::new(Notify::new());
-        self.pending.borrow_mut().insert(number, (Instant::now(), out.clone()));
-        Pending { backlog: self.clone(), number, out }
+    /// Gives a new connection a slot.
+    pub fn add(self: &Rc<Self>) -> PendingSlot {
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let evicted = Rc::new(Notify::new());
+        let entry = PendingEntry { since: Instant::now(), evicted: evicted.clone() };
+        self.entries.borrow_mut().insert(number, entry);
+        PendingSlot { clients: self.clone(), number, evicted }
     }
 }
 
-/// A place, held while this lives.
-pub struct Pending {
-    backlog: Rc<Backlog>,
+/// A pending connection's slot, freed when this is dropped.
+pub struct PendingSlot {
+    clients: Rc<PendingClients>,
     number: u64,
-    out: Rc<Notify>,
+    evicted: Rc<Notify>,
 }
 
-impl Pending {
-    /// Waits until the place is wanted for another.
+impl PendingSlot {
+    /// Waits until the connection is evicted.
     pub async fn evicted(&self) {
-        self.out.notified().await;
+        self.evicted.notified().await;
     }
 }
 
-impl Drop for Pending {
+impl Drop for PendingSlot {
     fn drop(&mut self) {
-        self.backlog.pending.borrow_mut().remove(&self.number);
+        self.clients.entries.borrow_mut().remove(&self.number);
     }
 }
--- a/crates/alderstile-node/src/proxy/protocol.rs
+++ b/crates/alderstile-node/src/proxy/protocol.rs
@@ -1,4 +1,8 @@
-//! The lines that clients, the front and hosts speak. Pure: bytes in, words out.
+//! The lines that clients, the front and hosts send: bytes in, values out; pure.
+//!
+//! The variants of [`ClientLine`] and [`HostLine`] are named as the protocol's own words.
+
+use std::ops::Range;
 
 use winnow::Parser;
 use winnow::ascii::dec_uint;
@@ -6,50 +10,50 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::token::{rest, take_while};
 
-/// The longest wait that a client may name: 32 bits of milliseconds, 49 days; absurd figures are no deadline.
-const LONGEST_WAIT_MS: u64 = u32::MAX as u64;
+/// The longest wait that a client may name: 32 bits of milliseconds, 49 days. A line with more is malformed.
+const MAX_WAIT_MS: u64 = u32::MAX as u64;
 
 type Parsed<T> = Result<T, ErrMode<ContextError>>;
 
-/// What a client's side says first.
+/// The first line on a connection from a client or the front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientLine<'a> {
     /// The front asks whether this node can serve.
     Ping,
     /// A client asks for a host.
-    Open(Open<'a>),
+    Open(OpenRequest<'a>),
 }
 
-/// The first line of a client's connection.
+/// A client's request for a connection to a host: the line `OPEN id key name=value,...`.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Open<'a> {
+pub struct OpenRequest<'a> {
     /// The connection's id, new each time.
     pub id: &'a [u8],
     /// The flow's key.
-    pub key: &'a [u8],
-    /// `c`: the class by its name.
+    pub flow_key: &'a [u8],
+    /// The name of its class; on the wire `c`.
     pub class: &'a [u8],
-    /// `d`: how long the client waits, in milliseconds.
+    /// How long the client waits, in milliseconds; on the wire `d`.
     pub wait_ms: u64,
-    /// `g`: the client or its group.
+    /// The client or its group; on the wire `g`.
     pub group: Option<&'a [u8]>,
-    /// `at`: the host where the connection was open before the run.
-    pub at: Option<&'a [u8]>,
-    /// `h`: a guess at the load.
-    pub hint: Option<f64>,
-    /// Where the value of `d` stands in the line.
-    wait_at: std::ops::Range<usize>,
+    /// The host where the connection was open before this node's start; on the wire `at`.
+    pub previous_host: Option<&'a [u8]>,
+    /// An estimate of its load, in microseconds of work a second; on the wire `h`.
+    pub expected_load: Option<f64>,
+    /// Where the value of `wait_ms` is in the line.
+    wait_range: Range<usize>,
 }
 
-impl Open<'_> {
-    /// The line as it goes to a host: unchanged, but for the time that the node will wait.
-    pub fn for_host(&self, line: &[u8], wait_ms: u64) -> Vec<u8> {
-        let mut sent = Vec::with_capacity(line.len() + 2);
-        sent.extend_from_slice(&line[..self.wait_at.start]);
-        sent.extend_from_slice(wait_ms.to_string().as_bytes());
-        sent.extend_from_slice(&line[self.wait_at.end..]);
-        sent.extend_from_slice(b"\r\n");
-        sent
+impl OpenRequest<'_> {
+    /// The line that is forwarded to a host: this one with the time that the node will wait.
+    pub fn forwarded_line(&self, line: &[u8], wait_ms: u64) -> Vec<u8> {
+        let mut forwarded = Vec::with_capacity(line.len() + 2);
+        forwarded.extend_from_slice(&line[..self.wait_range.start]);
+        forwarded.extend_from_slice(wait_ms.to_string().as_bytes());
+        forwarded.extend_from_slice(&line[self.wait_range.end..]);
+        forwarded.extend_from_slice(b"\r\n");
+        forwarded
     }
 }
 
@@ -63,30 +67,39 @@
     (terminated(name, b'='), value).parse_next(input)
 }
 
-fn open<'a>(input: &mut &'a [u8]) -> Parsed<Open<'a>> {
+fn open<'a>(input: &mut &'a [u8]) -> Parsed<OpenRequest<'a>> {
     let line = *input;
-    let (id, key) = preceded(b"OPEN ", (terminated(word, b' '), terminated(word, b' '))).parse_next(input)?;
+    let (id, flow_key) =
+        preceded(b"OPEN ", (terminated(word, b' '), terminated(word, b' '))).parse_next(input)?;
     let pairs: Vec<(&[u8], &[u8])> = terminated(separated(1.., pair, b','), eof).parse_next(input)?;
-    let mut open = Open { id, key, ..Open::default() };
+    let mut request = OpenRequest { id, flow_key, ..OpenRequest::default() };
     let (mut class, mut wait) = (None, None);
     for (name, value) in pairs {
         match name {
             b"c" => class = Some(value),
             b"d" => wait = Some(value),
-            b"g" => open.group = Some(value),
-            b"at" => open.at = Some(value),
-            b"h" => open.hint = number(value),
+            b"g" => request.group = Some(value),
+            b"at" => request.previous_host = Some(value),
+            b"h" => request.expected_load = number(value),
             _ => {}
         }
     }
     let (Some(class), Some(wait)) = (class, wait) else { return Err(ErrMode::Cut(ContextError::new())) };
-    open.class = class;
-    let mut number = terminated(dec_uint::<_, u64, ContextError>, eof).verify(|ms| *ms <= LONGEST_WAIT_MS);
-    open.wait_ms = number.parse_next(&mut &*wait).map_err(ErrMode::Cut)?;
-    // `wait` is a part of `line`: its place is the distance between their first bytes.
-    let at = wait.as_ptr() as usize - line.as_ptr() as usize;
-    open.wait_at = at..at + wait.len();
-    Ok(open)
+    request.class = class;
+    request.wait_ms = wait_ms(wait)?;
+    request.wait_range = range_within(line, wait);
+    Ok(request)
+}
+
+fn wait_ms(value: &[u8]) -> Parsed<u64> {
+    let mut number = terminated(dec_uint::<_, u64, ContextError>, eof).verify(|ms| *ms <= MAX_WAIT_MS);
+    number.parse_next(&mut &*value).map_err(ErrMode::Cut)
+}
+
+/// Where a part of a line is in it.
+fn range_within(line: &[u8], part: &[u8]) -> Range<usize> {
+    let start = part.as_ptr() as usize - line.as_ptr() as usize;
+    start..start + part.len()
 }
 
 fn number(bytes: &[u8]) -> Option<f64> {
@@ -99,20 +112,20 @@
     alt((ping, open.map(ClientLine::Open))).parse(line).ok()
 }
 
-/// What a host says.
+/// A line of a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostLine {
-    /// The connection is up.
+    /// The connection is established.
     Up,
-    /// Served to its end.
+    /// The connection was served to its end.
     Bye,
-    /// The client is sent away.
+    /// The client is to migrate.
     Move,
-    /// An error; it may have run.
+    /// An error; the request may have run.
     Err,
-    /// Turned away; it never ran.
+    /// Rejected; the request never ran.
     Busy,
-    /// The load of the connection now, in microseconds of work a second.
+    /// A load report: the load of the connection now, in microseconds of work a second.
     Load(f64),
     /// Any other line: a message to the client.
     Other,
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -1,5 +1,6 @@
-//! Passes whole lines on between a client and its host, until one side ends or the client is moved.
+//! Forwards complete lines between a client and its host until one side ends or the client migrates.
 
+use std::io;
 use std::time::Duration;
 
 use alderstile::types::{RequestId, ServerId};
@@ -8,223 +9,292 @@
 use tokio::time::Instant;
 use tracing::debug;
 
+use super::line_stream::{LineStream, ReadError};
+use super::migration::MigrationSignal;
+use super::protocol::{HostLine, host_line};
+use super::termination_reason::TerminationReason;
 use crate::decisions::{Decisions, sleep_until};
-use crate::proxy::clients::Mover;
-use crate::proxy::line_stream::{Pulled, Side};
-use crate::proxy::protocol::{HostLine, host_line};
-use crate::proxy::termination_reason::Reason;
-
-/// A client whose lines have brought nothing back for this long is told to move: keep-alive does not see silence.
-/// Guards also against a host that stops right after an answer: that shows with the client's next line only, up to 2 s
-/// later, and 7 s after the last answer the client counts as lost.
-const SILENT: Duration = Duration::from_millis(4_000);
-/// How long the last lines may take to reach the other side: its end must be told within a second.
-const LAST_LINES: Duration = Duration::from_millis(500);
-/// A client that takes nothing for this long, while lines wait for it, is stuck.
-const STUCK: Duration = Duration::from_secs(10);
-
-/// How both sides are ended.
+
+/// How long a client's lines may stay without any answer before it migrates: keep-alive does not notice silence. Also for a
+/// host that stops right after an answer: that shows only with the client's next line, up to 2 s later, and 7 s after the
+/// last answer the client counts as lost.
+const HOST_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// How long the last lines may take to reach the client: it must be told of the end within a second.
+const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a client may receive nothing while lines wait for it.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// How the connections of both sides are closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ending {
+pub enum CloseMode {
     /// In an orderly way, after this last line to the client.
-    Both(&'static [u8]),
-    /// As a broken connection ends.
+    Orderly(&'static [u8]),
+    /// With a reset.
     Reset,
-    /// Not at all: another process goes on with both.
-    HandOver(Carried),
+    /// Not at all: the successor continues with both.
+    HandOver(RelayState),
+}
+
+/// The end of a relay.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RelayEnd {
+    /// Why it ended.
+    pub reason: TerminationReason,
+    /// How to close both connections.
+    pub close: CloseMode,
+}
+
+impl RelayEnd {
+    fn orderly(reason: TerminationReason) -> Self {
+        RelayEnd { reason, close: CloseMode::Orderly(b"") }
+    }
+
+    fn reset(reason: TerminationReason) -> Self {
+        RelayEnd { reason, close: CloseMode::Reset }
+    }
 }
 
-/// What was seen of the lines that passed, for the process that goes on with them.
+/// What was observed of the forwarded lines, for the process that continues with the connection. The names on the wire are
+/// those of the first version of the hand-over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Carried {
-    /// For how many milliseconds a line of the client has brought nothing back.
-    silent_ms: Option<u64>,
-    /// The host's last word, if it was one of parting: whether that was `BYE` or `MOVE`.
-    bye: Option<bool>,
-    /// The figure told last.
+pub struct RelayState {
+    /// For how many milliseconds a line of the client has had no answer.
+    #[serde(rename = "silent_ms")]
+    unanswered_ms: Option<u64>,
+    /// If the host's last line was a parting one: whether that was `BYE`, and not `MOVE`.
+    #[serde(rename = "bye")]
+    parted_with_bye: Option<bool>,
+    /// The last load report.
     pub load: Option<f64>,
 }
 
-/// What is watched of the lines that pass.
-struct Watch<'a> {
+/// Observes the lines that are forwarded.
+struct Monitor<'a> {
     decisions: &'a Decisions,
-    id: RequestId,
-    server: ServerId,
-    /// Since when a line of the client has brought nothing at all back.
-    silent_since: Option<Instant>,
-    /// The host's last word, if it was one of parting.
+    request: RequestId,
+    host: ServerId,
+    /// Since when a line of the client has had no answer.
+    unanswered_since: Option<Instant>,
+    /// The host's last line, if it was a parting one.
     parting: Option<HostLine>,
-    /// The figure told last.
+    /// The last load report.
     load: Option<f64>,
 }
 
-impl Watch<'_> {
-    fn carried(&self) -> Carried {
+impl Monitor<'_> {
+    fn state(&self) -> RelayState {
         let millis = |since: Instant| u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
-        Carried {
-            silent_ms: self.silent_since.map(millis),
-            bye: self.parting.map(|word| word == HostLine::Bye),
+        RelayState {
+            unanswered_ms: self.unanswered_since.map(millis),
+            parted_with_bye: self.parting.map(|line| line == HostLine::Bye),
             load: self.load,
         }
     }
 
-    fn client_lines(&mut self, lines: &[u8]) {
+    fn restore(&mut self, state: RelayState) {
+        let now = Instant::now();
+        let since = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
+        self.unanswered_since = state.unanswered_ms.map(since);
+        self.parting = state.parted_with_bye.map(|bye| if bye { HostLine::Bye } else { HostLine::Move });
+        self.load = state.load;
+    }
+
+    fn on_client_lines(&mut self, lines: &[u8]) {
         if !lines.is_empty() {
-            self.silent_since.get_or_insert_with(Instant::now);
+            self.unanswered_since.get_or_insert_with(Instant::now);
         }
     }
 
-    fn host_lines(&mut self, lines: &[u8]) {
+    fn on_host_lines(&mut self, lines: &[u8]) {
         for line in lines.split_inclusive(|byte| *byte == b'\n') {
-            let line = line.strip_suffix(b"\r\n").unwrap_or(line);
-            self.parting = None;
-            match host_line(line) {
-                HostLine::Load(load) => {
-                    self.load = Some(load);
-                    debug!("load number={} load={load}", self.id.0);
-                    self.decisions.decide(|facade, now| facade.report_load(now, self.id, self.server, load))
-                }
-                parting @ (HostLine::Bye | HostLine::Move) => self.parting = Some(parting),
-                HostLine::Up => {}
-                _ => self.silent_since = None,
+            self.on_host_line(line.strip_suffix(b"\r\n").unwrap_or(line));
+        }
+    }
+
+    fn on_host_line(&mut self, line: &[u8]) {
+        self.parting = None;
+        match host_line(line) {
+            HostLine::Load(load) => {
+                self.load = Some(load);
+                debug!(number = self.request.0, load, "load report received");
+                self.decisions
+                    .decide(|balancer, now| balancer.report_load(now, self.request, self.host, load));
             }
+            parting @ (HostLine::Bye | HostLine::Move) => self.parting = Some(parting),
+            HostLine::Up => {}
+            _ => self.unanswered_since = None,
         }
     }
 }
 
-/// Writes what waits on one side to the other; false if that connection is broken.
-fn push(from: &mut Side, to: &Side) -> bool {
-    while !from.buffer.whole().is_empty() {
-        match to.stream.try_write(from.buffer.whole()) {
+/// Writes complete lines of one side to the other, as many as it receives now.
+fn forward(from: &mut LineStream, to: &LineStream) -> io::Result<()> {
+    while !from.buffer.complete_lines().is_empty() {
+        match to.socket.try_write(from.buffer.complete_lines()) {
             Ok(count) => from.buffer.consume(count),
-            Err(error) => return error.kind() == std::io::ErrorKind::WouldBlock,
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => return Ok(()),
+            Err(error) => return Err(error),
         }
     }
-    true
+    Ok(())
 }
 
-/// Writes all that waits for the client; false if it does not take that soon.
-async fn push_last(host: &mut Side, client: &Side) -> bool {
-    let _late = tokio::time::timeout(LAST_LINES, async {
-        while push(host, client) && !host.buffer.whole().is_empty() {
-            if client.stream.writable().await.is_err() {
+/// Writes all complete lines of the host to the client; returns whether it received them in time.
+async fn flush_to_client(host: &mut LineStream, client: &LineStream) -> bool {
+    let _late = tokio::time::timeout(LAST_LINES_TIMEOUT, async {
+        while forward(host, client).is_ok() && !host.buffer.complete_lines().is_empty() {
+            if client.socket.writable().await.is_err() {
                 break;
             }
         }
     })
     .await;
-    host.buffer.whole().is_empty()
+    host.buffer.complete_lines().is_empty()
 }
 
-/// Sends the client away, between two lines: `MOVE` must not stand inside one that it has not taken whole.
-pub async fn send_away(host: &mut Side, client: &Side, reason: Reason) -> (Reason, Ending) {
-    if push_last(host, client).await {
-        (reason, Ending::Both(b"MOVE\r\n"))
+/// Tells the client to migrate, between two lines: `MOVE` must not come inside one that it has not received completely.
+pub async fn migrate_client(
+    host: &mut LineStream,
+    client: &LineStream,
+    reason: TerminationReason,
+) -> RelayEnd {
+    if flush_to_client(host, client).await {
+        RelayEnd { reason, close: CloseMode::Orderly(b"MOVE\r\n") }
     } else {
-        (Reason::ClientStuck, Ending::Reset)
+        RelayEnd::reset(TerminationReason::ClientStalled)
     }
 }
 
-fn interest(read: bool, write: bool) -> Option<Interest> {
-    match (read, write) {
-        (true, true) => Some(Interest::READABLE | Interest::WRITABLE),
-        (true, false) => Some(Interest::READABLE),
-        (false, true) => Some(Interest::WRITABLE),
-        (false, false) => None,
-    }
+/// Waits until a side can be read or written; for ever where neither is wanted.
+async fn ready(side: &LineStream, read: bool, write: bool) {
+    let interest = match (read, write) {
+        (true, true) => Interest::READABLE | Interest::WRITABLE,
+        (true, false) => Interest::READABLE,
+        (false, true) => Interest::WRITABLE,
+        (false, false) => return std::future::pending().await,
+    };
+    // A broken connection is ready too, and reports that when it is read.
+    drop(side.socket.ready(interest).await);
 }
 
-async fn ready(side: &Side, interest: Option<Interest>) {
-    match interest {
-        // A broken connection is ready too, and says so when it is read.
-        Some(interest) => drop(side.stream.ready(interest).await),
-        None => std::future::pending().await,
-    }
+/// A client and its host while lines are forwarded between them.
+pub struct Relay<'a> {
+    client: &'a mut LineStream,
+    host: &'a mut LineStream,
+    migration: &'a MigrationSignal,
+    monitor: Monitor<'a>,
+    /// Since when the client has received nothing while lines wait for it.
+    client_stalled_since: Option<Instant>,
 }
 
-/// Relays until one side ends; says why, and how the other is to be ended.
-pub async fn run(
-    decisions: &Decisions,
-    client: &mut Side,
-    host: &mut Side,
-    (id, server): (RequestId, ServerId),
-    mover: &Mover,
-    carried: Option<Carried>,
-) -> (Reason, Ending) {
-    let mut watch = Watch { decisions, id, server, silent_since: None, parting: None, load: None };
-    match carried {
-        None => {
-            watch.host_lines(host.buffer.whole());
-            watch.client_lines(client.buffer.whole());
+impl<'a> Relay<'a> {
+    /// A relay between a client and the host that serves its request. `state` is what the predecessor observed of a
+    /// connection that it handed over.
+    pub fn new(
+        decisions: &'a Decisions,
+        (request, server): (RequestId, ServerId),
+        client: &'a mut LineStream,
+        host: &'a mut LineStream,
+        migration: &'a MigrationSignal,
+        state: Option<RelayState>,
+    ) -> Self {
+        let mut monitor =
+            Monitor { decisions, request, host: server, unanswered_since: None, parting: None, load: None };
+        match state {
+            // The predecessor has observed the lines in the buffers.
+            Some(state) => monitor.restore(state),
+            None => {
+                monitor.on_host_lines(host.buffer.complete_lines());
+                monitor.on_client_lines(client.buffer.complete_lines());
+            }
         }
-        // The lines in the buffers were seen by the process before.
-        Some(Carried { silent_ms, bye, load }) => {
-            let now = Instant::now();
-            let since = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
-            watch.silent_since = silent_ms.map(since);
-            watch.parting = bye.map(|bye| if bye { HostLine::Bye } else { HostLine::Move });
-            watch.load = load;
+        Relay { client, host, migration, monitor, client_stalled_since: None }
+    }
+
+    /// Forwards lines until one side ends, or the client migrates.
+    pub async fn run(mut self) -> RelayEnd {
+        loop {
+            let buffered_before = self.host.buffer.buffered();
+            let from_client = self.client.read_available(|lines| self.monitor.on_client_lines(lines));
+            let from_host = self.host.read_available(|lines| self.monitor.on_host_lines(lines));
+            let to_host = forward(self.client, self.host);
+            let to_client = forward(self.host, self.client);
+            self.observe_stall(buffered_before);
+            if let Err(error) = from_host {
+                return self.end_of_host(error).await;
+            }
+            if let Err(error) = from_client {
+                return Self::end_of_client(error);
+            }
+            if to_host.is_err() {
+                return RelayEnd::reset(TerminationReason::HostReset);
+            }
+            if to_client.is_err() {
+                return RelayEnd::reset(TerminationReason::ClientReset);
+            }
+            // Also after bytes came: waiting lets the other tasks run, or one flood would take the core.
+            if let Some(end) = self.wait().await {
+                return end;
+            }
         }
     }
-    let mut stuck_since: Option<Instant> = None;
-    loop {
-        let held = host.buffer.held();
-        let from_client = client.pull(|lines| watch.client_lines(lines));
-        let from_host = host.pull(|lines| watch.host_lines(lines));
-        let (host_takes, client_takes) = (push(client, host), push(host, client));
-        if host.buffer.whole().is_empty() || host.buffer.held() < held {
-            stuck_since = None;
+
+    fn observe_stall(&mut self, buffered_before: usize) {
+        let buffer = &self.host.buffer;
+        if buffer.complete_lines().is_empty() || buffer.buffered() < buffered_before {
+            self.client_stalled_since = None;
         } else {
-            stuck_since.get_or_insert_with(Instant::now);
+            self.client_stalled_since.get_or_insert_with(Instant::now);
         }
-        match from_host {
-            Pulled::Some | Pulled::Nothing => {}
-            Pulled::Overlong => return (Reason::HostOverlong, Ending::Both(b"")),
-            ended => {
-                push_last(host, client).await;
-                return match (watch.parting, ended) {
-                    (Some(HostLine::Bye), _) => (Reason::Served, Ending::Both(b"")),
-                    (Some(HostLine::Move), _) => (Reason::HostMoved, Ending::Both(b"")),
-                    (_, Pulled::Ended) => (Reason::HostEnded, Ending::Both(b"")),
-                    _ => (Reason::HostReset, Ending::Reset),
-                };
-            }
-        }
-        match from_client {
-            Pulled::Some | Pulled::Nothing => {}
-            Pulled::Overlong => return (Reason::ClientOverlong, Ending::Both(b"")),
-            Pulled::Reset => return (Reason::ClientReset, Ending::Reset),
-            _ => return (Reason::ClientLeft, Ending::Both(b"")),
+    }
+
+    async fn end_of_host(self, error: ReadError) -> RelayEnd {
+        if matches!(error, ReadError::LineTooLong(_)) {
+            return RelayEnd::orderly(TerminationReason::HostLineTooLong);
         }
-        if !host_takes {
-            return (Reason::HostReset, Ending::Reset);
+        flush_to_client(self.host, self.client).await;
+        match (self.monitor.parting, error) {
+            (Some(HostLine::Bye), _) => RelayEnd::orderly(TerminationReason::Completed),
+            (Some(HostLine::Move), _) => RelayEnd::orderly(TerminationReason::HostMigrated),
+            (_, ReadError::Closed) => RelayEnd::orderly(TerminationReason::HostClosed),
+            _ => RelayEnd::reset(TerminationReason::HostReset),
         }
-        if !client_takes {
-            return (Reason::ClientReset, Ending::Reset);
+    }
+
+    fn end_of_client(error: ReadError) -> RelayEnd {
+        match error {
+            ReadError::LineTooLong(_) => RelayEnd::orderly(TerminationReason::ClientLineTooLong),
+            ReadError::Reset => RelayEnd::reset(TerminationReason::ClientReset),
+            ReadError::Closed => RelayEnd::orderly(TerminationReason::ClientClosed),
         }
-        // Also after bytes came: waiting gives the other tasks their turn, or one flood would take the core.
-        let client_interest = interest(client.buffer.has_room(), !host.buffer.whole().is_empty());
-        let host_interest = interest(host.buffer.has_room(), !client.buffer.whole().is_empty());
-        let silent_at = watch.silent_since.map(|since| since + SILENT);
-        let stuck_at = stuck_since.map(|since| since + STUCK);
-        let wake = [silent_at, stuck_at].into_iter().flatten().min();
+    }
+
+    /// Waits until there is something to do; returns the end if the relay ends meanwhile.
+    async fn wait(&mut self) -> Option<RelayEnd> {
+        let lines_for_client = !self.host.buffer.complete_lines().is_empty();
+        let lines_for_host = !self.client.buffer.complete_lines().is_empty();
+        let silent_at = self.monitor.unanswered_since.map(|since| since + HOST_SILENCE_TIMEOUT);
+        let stalled_at = self.client_stalled_since.map(|since| since + CLIENT_STALL_TIMEOUT);
         tokio::select! {
-            () = ready(client, client_interest) => {}
-            () = ready(host, host_interest) => {}
-            () = mover.notify.notified() => {
-                if mover.reason() == Reason::HandedOver {
-                    return (Reason::HandedOver, Ending::HandOver(watch.carried()));
+            () = ready(self.client, self.client.buffer.can_read(), lines_for_client) => None,
+            () = ready(self.host, self.host.buffer.can_read(), lines_for_host) => None,
+            () = self.migration.requested() => Some(self.migrate().await),
+            () = sleep_until([silent_at, stalled_at].into_iter().flatten().min()) => {
+                let passed = |at: Option<Instant>| at.is_some_and(|at| at <= Instant::now());
+                if passed(silent_at) {
+                    return Some(migrate_client(self.host, self.client, TerminationReason::HostSilent).await);
                 }
-                return send_away(host, client, mover.reason()).await;
+                passed(stalled_at).then(|| RelayEnd::reset(TerminationReason::ClientStalled))
             }
-            () = sleep_until(wake) => {
-                if silent_at.is_some_and(|at| at <= Instant::now()) {
-                    return send_away(host, client, Reason::HostSilent).await;
-                }
-                if stuck_at.is_some_and(|at| at <= Instant::now()) {
-                    return (Reason::ClientStuck, Ending::Reset);
-                }
+        }
+    }
+
+    async fn migrate(&mut self) -> RelayEnd {
+        match self.migration.reason() {
+            reason @ TerminationReason::HandedOver => {
+                RelayEnd { reason, close: CloseMode::HandOver(self.monitor.state()) }
             }
+            reason => migrate_client(self.host, self.client, reason).await,
         }
     }
 }
--- /dev/null
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -0,0 +1,183 @@
+//! One attempt: connecting to a host, sending it the request, and its answer.
+
+use std::io;
+use std::rc::Rc;
+
+use alderstile::types::Outcome;
+use thiserror::Error;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout_at};
+
+use super::Session;
+use crate::discovery::endpoint_table::HostAddress;
+use crate::proxy::line_stream::{self, LineStream, ReadError};
+use crate::proxy::protocol::{HostLine, host_line};
+
+/// What came of one attempt.
+pub(super) enum AttemptOutcome {
+    /// The host of this name serves the request.
+    Established(LineStream, Rc<str>),
+    /// The attempt failed.
+    Failed(Outcome),
+    /// The client's side ended.
+    ClientEnded(ReadError),
+}
+
+/// Why nobody waits for a step of an attempt any more.
+#[derive(Debug, Error)]
+pub(super) enum AbortCause {
+    /// The client's side ended.
+    #[error("client: {0}")]
+    Client(#[from] ReadError),
+    /// The time for the shutdown is nearly over.
+    #[error("the time for the shutdown is nearly over")]
+    LastCall,
+}
+
+/// Why an attempt was not established.
+#[derive(Debug, Error)]
+enum AttemptError {
+    #[error(transparent)]
+    Aborted(#[from] AbortCause),
+    #[error("failed: {0:?}")]
+    Failed(Outcome),
+}
+
+impl AttemptError {
+    /// The outcome, where `last_call` is that of an attempt which the shutdown ends.
+    fn outcome(self, last_call: Outcome) -> AttemptOutcome {
+        match self {
+            AttemptError::Failed(outcome) => AttemptOutcome::Failed(outcome),
+            AttemptError::Aborted(AbortCause::Client(error)) => AttemptOutcome::ClientEnded(error),
+            AttemptError::Aborted(AbortCause::LastCall) => AttemptOutcome::Failed(last_call),
+        }
+    }
+}
+
+impl Session<'_> {
+    /// Does a step of what a client waits for, unless it ends or the time for the shutdown is nearly over meanwhile. The
+    /// client is polled first: what has come from it in the same moment counts.
+    pub(super) async fn unless_aborted<T>(
+        &self,
+        client: &mut LineStream,
+        step: impl Future<Output = T>,
+    ) -> Result<T, AbortCause> {
+        tokio::pin!(step);
+        loop {
+            tokio::select! {
+                biased;
+                more = client.wait_for_bytes() => more?,
+                () = self.node.process.last_call() => return Err(AbortCause::LastCall),
+                done = &mut step => return Ok(done),
+            }
+        }
+    }
+
+    /// Makes one attempt. `may_send` answers whether the request may still be sent.
+    pub(super) async fn attempt(
+        &self,
+        client: &mut LineStream,
+        host: &HostAddress,
+        until: Instant,
+        may_send: impl Fn() -> bool,
+    ) -> AttemptOutcome {
+        let mut stream = match self.connect_and_send(client, host, until, may_send).await {
+            Ok(stream) => stream,
+            Err(error) => return error.outcome(Outcome::NotForwarded),
+        };
+        self.node.clients.count(|counters| counters.backend_calls += 1);
+        match self.read_answer(client, &mut stream, until).await {
+            Ok(()) => AttemptOutcome::Established(stream, host.name.clone()),
+            Err(error) => error.outcome(Outcome::Timeout),
+        }
+    }
+
+    async fn connect_and_send(
+        &self,
+        client: &mut LineStream,
+        host: &HostAddress,
+        until: Instant,
+        may_send: impl Fn() -> bool,
+    ) -> Result<LineStream, AttemptError> {
+        if !may_send() {
+            // No connection is made for what would not be sent on it.
+            return Err(AttemptError::Failed(Outcome::NotForwarded));
+        }
+        let stream = self.connect(client, host, until).await?;
+        self.send_request(client, &stream, until, may_send).await?;
+        Ok(stream)
+    }
+
+    async fn connect(
+        &self,
+        client: &mut LineStream,
+        host: &HostAddress,
+        until: Instant,
+    ) -> Result<LineStream, AttemptError> {
+        let connect_until = until.min(Instant::now() + self.node.config().connect_timeout);
+        let connected = timeout_at(connect_until, TcpStream::connect(host.address));
+        match self.unless_aborted(client, connected).await? {
+            Ok(Ok(socket)) => Ok(LineStream::new(socket)),
+            // Nothing was sent, and it says nothing about the host.
+            Ok(Err(error)) if line_stream::is_local_shortage(&error) => {
+                Err(AttemptError::Failed(Outcome::NotForwarded))
+            }
+            _ => Err(AttemptError::Failed(Outcome::ConnectFailed)),
+        }
+    }
+
+    async fn send_request(
+        &self,
+        client: &mut LineStream,
+        host: &LineStream,
+        until: Instant,
+        may_send: impl Fn() -> bool,
+    ) -> Result<(), AttemptError> {
+        let mut line = Vec::new();
+        let mut written = 0;
+        while written == 0 || written < line.len() {
+            if written == 0 {
+                // While the connection was made the client's time may have ended, or a list or an operator may have closed
+                // the host. It must be allowed at the first byte; the client itself was polled in this very step.
+                let left_ms = until.saturating_duration_since(Instant::now()).as_millis();
+                if left_ms == 0 || !may_send() {
+                    return Err(AttemptError::Failed(Outcome::NotForwarded));
+                }
+                line = self.request.forwarded_line(self.line, u64::try_from(left_ms).unwrap_or(u64::MAX));
+            }
+            match host.socket.try_write(&line[written..]) {
+                Ok(count) => written += count,
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    let writable = timeout_at(until, host.socket.writable());
+                    if !matches!(self.unless_aborted(client, writable).await?, Ok(Ok(()))) {
+                        return Err(AttemptError::Failed(Outcome::ConnectFailed));
+                    }
+                }
+                // Until the last byte is sent nothing can have run.
+                Err(_) => return Err(AttemptError::Failed(Outcome::ConnectFailed)),
+            }
+        }
+        Ok(())
+    }
+
+    async fn read_answer(
+        &self,
+        client: &mut LineStream,
+        host: &mut LineStream,
+        until: Instant,
+    ) -> Result<(), AttemptError> {
+        let line = timeout_at(until, host.wait_for_line());
+        let outcome = match self.unless_aborted(client, line).await? {
+            Err(_) => Outcome::Timeout,
+            Ok(Err(ReadError::LineTooLong(_))) => Outcome::Error,
+            Ok(Err(_)) => Outcome::Reset,
+            Ok(Ok(())) => match host_line(host.buffer.first_line().unwrap_or_default()) {
+                HostLine::Up => return Ok(()),
+                HostLine::Busy => Outcome::Rejected,
+                HostLine::Move => Outcome::Cancelled,
+                _ => Outcome::Error,
+            },
+        };
+        Err(AttemptError::Failed(outcome))
+    }
+}
--- /dev/null
+++ b/crates/alderstile-node/src/proxy/session/first_line.rs
@@ -0,0 +1,106 @@
+//! A connection's first line: health checks of the front are answered, a client's request is admitted or rejected.
+
+use std::time::Duration;
+
+use tokio::io::AsyncWriteExt;
+use tokio::time::timeout;
+use tracing::info;
+
+use crate::admin::metrics::Ended;
+use crate::node::Node;
+use crate::proxy::line_stream::{LineStream, ReadError};
+use crate::proxy::pending_clients::PendingSlot;
+use crate::proxy::protocol::{ClientLine, OpenRequest, client_line};
+use crate::proxy::request_ids::OpenId;
+use crate::proxy::termination_reason::TerminationReason;
+
+/// How long a client may take for its first line: it must be answered or closed within 3 s.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
+/// How many bytes of a rejected first line are logged: enough to tell what it was meant to be, and a flood does not fill the
+/// log.
+const MAX_LOGGED_BYTES: usize = 120;
+
+/// Reads the first line that is no health check, without its end.
+///
+/// # Errors
+///
+/// Why the connection ends without one.
+pub(super) async fn read(
+    node: &Node,
+    client: &mut LineStream,
+    slot: &PendingSlot,
+) -> Result<Vec<u8>, TerminationReason> {
+    tokio::select! {
+        biased;
+        line = timeout(FIRST_LINE_TIMEOUT, answer_health_checks(node, client)) => {
+            line.unwrap_or(Err(TerminationReason::ClientSilent))
+        }
+        () = async {
+            slot.evicted().await;
+            // As many come at once, its line may have come without having been read: the runtime polls for it once more
+            // before this continues.
+            tokio::task::yield_now().await;
+        } => Err(TerminationReason::ClientEvicted),
+        // It has asked for nothing, and the process can't wait for it.
+        () = node.process.last_call() => Err(TerminationReason::ShuttingDown),
+    }
+}
+
+async fn answer_health_checks(node: &Node, client: &mut LineStream) -> Result<Vec<u8>, TerminationReason> {
+    let mut checked = false;
+    loop {
+        client.wait_for_line().await.map_err(|error| match error {
+            ReadError::LineTooLong(_) => TerminationReason::ClientLineTooLong,
+            _ if checked => TerminationReason::HealthChecked,
+            ReadError::Reset => TerminationReason::ClientReset,
+            ReadError::Closed => TerminationReason::ClientClosed,
+        })?;
+        let line = client.buffer.first_line().unwrap_or_default().to_vec();
+        client.buffer.consume_first_line();
+        if client_line(&line) != Some(ClientLine::Ping) {
+            return Ok(line);
+        }
+        checked = true;
+        if !node.wanted() || client.socket.write_all(b"PONG\r\n").await.is_err() {
+            return Err(TerminationReason::HealthChecked);
+        }
+    }
+}
+
+/// A request that the node serves.
+pub(super) struct AdmittedRequest<'a> {
+    pub(super) request: OpenRequest<'a>,
+    pub(super) class: u16,
+    /// Keeps the id claimed while the request is open.
+    _id: OpenId,
+}
+
+/// Admits a request, so that what every host would reject is never held against a host.
+///
+/// # Errors
+///
+/// Why the request is rejected.
+pub(super) fn admit<'a>(node: &Node, line: &'a [u8]) -> Result<AdmittedRequest<'a>, TerminationReason> {
+    let Some(ClientLine::Open(request)) = client_line(line) else {
+        return Err(TerminationReason::ClientMalformed);
+    };
+    let class = node.clients.class(request.class).ok_or(TerminationReason::ClientUnknownClass)?;
+    let Some(id) = node.clients.claim_id(request.id) else {
+        node.clients.count(|counters| counters.ended(class, Ended::Failure));
+        return Err(TerminationReason::ClientDuplicateId);
+    };
+    Ok(AdmittedRequest { request, class, _id: id })
+}
+
+pub(super) fn log_rejected(reason: TerminationReason, line: &[u8]) {
+    let line = String::from_utf8_lossy(&line[..line.len().min(MAX_LOGGED_BYTES)]);
+    info!(code = %reason, ?line, "connection ended");
+}
+
+/// Ends the connection of a client that is never served; at once where its slot is needed.
+pub(super) async fn reject(client: LineStream, slot: PendingSlot) {
+    tokio::select! {
+        () = client.close_after(b"ERR\r\n") => {}
+        () = slot.evicted() => {}
+    }
+}
--- /dev/null
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -0,0 +1,208 @@
+//! One client's connection, from its first line to its end.
+
+mod attempt;
+mod first_line;
+mod handover;
+mod placement;
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use alderstile::facade::ConnectionRequest;
+use alderstile::types::{GroupId, Outcome, RequestId, ServerId};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+use tracing::{debug, info};
+
+pub use self::handover::resume;
+use self::placement::Placement;
+use super::count_guard::CountGuard;
+use super::line_stream::LineStream;
+use super::pending_clients::PendingSlot;
+use super::protocol::OpenRequest;
+use super::relay::{self, CloseMode, Relay, RelayEnd, RelayState};
+use super::termination_reason::TerminationReason;
+use crate::admin::metrics::Ended;
+use crate::clock::micros;
+use crate::discovery::endpoint_list::server_id;
+use crate::node::Node;
+
+/// The node stops waiting this long before the client does, so that its answer still reaches the client.
+const ANSWER_MARGIN: Duration = Duration::from_millis(10);
+/// The longest that the node waits, whatever the client asks for.
+const MAX_WAIT: Duration = Duration::from_secs(600);
+
+/// Serves one connection.
+pub async fn run(node: Rc<Node>, socket: TcpStream, slot: PendingSlot) {
+    let mut client = LineStream::new(socket);
+    let line = match first_line::read(&node, &mut client, &slot).await {
+        Ok(line) => line,
+        // The front checks many times a second.
+        Err(reason @ TerminationReason::HealthChecked) => return debug!(code = %reason, "connection ended"),
+        Err(reason) => {
+            info!(code = %reason, "connection ended");
+            if reason == TerminationReason::ClientLineTooLong {
+                first_line::reject(client, slot).await;
+            }
+            return;
+        }
+    };
+    let arrived = Instant::now();
+    match first_line::admit(&node, &line) {
+        Ok(admitted) => {
+            drop(slot);
+            let (request, class) = (admitted.request, admitted.class);
+            let session = Session { node, line: &line, request, class, arrived, attempts: 0, up_ms: 0 };
+            session.run(client).await;
+        }
+        Err(reason) => {
+            first_line::log_rejected(reason, &line);
+            first_line::reject(client, slot).await;
+        }
+    }
+}
+
+/// A client's request, and the client that waits for a host or is served by one.
+struct Session<'a> {
+    node: Rc<Node>,
+    /// The first line, without its end.
+    line: &'a [u8],
+    request: OpenRequest<'a>,
+    class: u16,
+    arrived: Instant,
+    attempts: u32,
+    /// How long the attempt took that was established, in milliseconds.
+    up_ms: u128,
+}
+
+/// An established connection to a host.
+struct EstablishedHost {
+    id: RequestId,
+    server: ServerId,
+    name: Rc<str>,
+    stream: LineStream,
+    _descriptor: CountGuard,
+}
+
+impl Session<'_> {
+    async fn run(mut self, mut client: LineStream) {
+        let in_flight = self.node.clients.count_in_flight();
+        let wait = Duration::from_millis(self.request.wait_ms).min(MAX_WAIT);
+        let deadline = self.arrived + wait.saturating_sub(ANSWER_MARGIN);
+        let placement = match self.request.previous_host {
+            Some(host) => {
+                let host = server_id(&String::from_utf8_lossy(host));
+                self.resume_at(&mut client, host, deadline).await
+            }
+            None => self.place(&mut client, deadline).await,
+        };
+        match placement {
+            Placement::Established(host) => {
+                self.count(Ended::Success);
+                self.serve(client, host, in_flight, None).await;
+            }
+            Placement::Answered { reason, line } => {
+                self.log_end(reason, "-");
+                let failed =
+                    matches!(reason, TerminationReason::Failed | TerminationReason::ClientLineTooLong);
+                self.count(if failed { Ended::Failure } else { Ended::Busy });
+                drop(in_flight);
+                client.close_after(&line).await;
+            }
+            Placement::ClientGone => self.log_end(TerminationReason::ClientCancelled, "-"),
+        }
+    }
+
+    fn count(&self, ended: Ended) {
+        self.node.clients.count(|counters| counters.ended(self.class, ended));
+    }
+
+    fn id(&self) -> String {
+        String::from_utf8_lossy(self.request.id).into_owned()
+    }
+
+    fn log_end(&self, reason: TerminationReason, host: &str) {
+        let (id, class) = (self.id(), String::from_utf8_lossy(self.request.class));
+        let (attempts, up_ms, ms) = (self.attempts, self.up_ms, self.arrived.elapsed().as_millis());
+        info!(code = %reason, %id, %class, %host, attempts, up_ms, ms, "connection ended");
+    }
+
+    /// The request as the policy takes it.
+    fn connection_request(&self, remaining: Duration) -> ConnectionRequest {
+        let group = self.request.group.map(group_number);
+        // Whether it counts as a group depends on the settings, and a shadow instance may have others.
+        ConnectionRequest {
+            class: self.class,
+            group: group.map(GroupId),
+            key: group,
+            expected_load: self.request.expected_load,
+            remaining: micros(remaining),
+        }
+    }
+
+    /// Forwards `UP` and everything after it until one side ends. `state` is what the predecessor observed of a connection
+    /// that it handed over.
+    async fn serve(
+        &self,
+        mut client: LineStream,
+        established: EstablishedHost,
+        in_flight: CountGuard,
+        state: Option<RelayState>,
+    ) {
+        let EstablishedHost { id, server, name, stream: mut host, _descriptor } = established;
+        let (attempts, up_ms) = (self.attempts, self.up_ms);
+        debug!(id = %self.id(), number = id.0, host = %name, attempts, up_ms, "connection established");
+        let registration = self.node.clients.add_established(id);
+        let decisions = &self.node.decisions;
+        let relay = Relay::new(decisions, (id, server), &mut client, &mut host, &registration.signal, state);
+        let mut end = relay.run().await;
+        if let CloseMode::HandOver(state) = end.close
+            && let Err(error) = self.hand_over(&client, &host, &name, state).await
+        {
+            debug!(id = %self.id(), %error, "connection not handed over");
+            end = relay::migrate_client(&mut host, &client, TerminationReason::ShuttingDown).await;
+        }
+        drop(registration);
+        self.report_end(id, server, end.reason);
+        self.log_end(end.reason, &name);
+        drop(in_flight);
+        close(client, host, end).await;
+    }
+
+    /// Reports to the policy how an established connection ended.
+    fn report_end(&self, id: RequestId, server: ServerId, reason: TerminationReason) {
+        use TerminationReason as Reason;
+        self.node.decisions.decide(|balancer, now| match reason {
+            Reason::ClientClosed
+            | Reason::ClientReset
+            | Reason::ClientLineTooLong
+            | Reason::ClientStalled => balancer.report_left(now, id),
+            Reason::Completed => balancer.report_ended(now, id, server, Outcome::Ok),
+            Reason::Migrated | Reason::ShuttingDown | Reason::HandedOver | Reason::HostMigrated => {
+                balancer.report_ended(now, id, server, Outcome::Cancelled);
+            }
+            _ => balancer.report_ended(now, id, server, Outcome::Reset),
+        });
+    }
+}
+
+async fn close(client: LineStream, host: LineStream, end: RelayEnd) {
+    match end.close {
+        CloseMode::Orderly(last_line) => {
+            drop(host);
+            client.close_after(last_line).await;
+        }
+        CloseMode::Reset => {
+            host.reset();
+            client.reset();
+        }
+        // The successor has both: closing these here ends nothing.
+        CloseMode::HandOver(_) => {}
+    }
+}
+
+/// A client's or group's number: ids are 16 hexadecimal digits; others are hashed.
+fn group_number(group: &[u8]) -> u64 {
+    let text = String::from_utf8_lossy(group);
+    u64::from_str_radix(&text, 16).unwrap_or_else(|_| server_id(&text).0)
+}
--- /dev/null
+++ b/crates/alderstile-node/src/proxy/session/placement.rs
@@ -0,0 +1,162 @@
+//! Placing a request: attempts at the hosts that the policy chooses, until one is established or the client is answered.
+
+use std::time::Duration;
+
+use alderstile::facade::Verdict;
+use alderstile::types::{Micros, Outcome, ServerId};
+use tokio::time::{Instant, sleep_until};
+use tracing::debug;
+
+use super::attempt::{AbortCause, AttemptOutcome};
+use super::{EstablishedHost, Session};
+use crate::clock::micros;
+use crate::proxy::line_stream::{LineStream, ReadError};
+use crate::proxy::termination_reason::TerminationReason;
+
+/// How often a connection that was open before this node's start is retried while its host can't be reached.
+const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(250);
+
+/// How the placement of a request ended.
+pub(super) enum Placement {
+    /// A host serves it.
+    Established(EstablishedHost),
+    /// The client gets this final answer.
+    Answered {
+        /// Why.
+        reason: TerminationReason,
+        /// The line to the client.
+        line: Vec<u8>,
+    },
+    /// Nobody waits for it any more.
+    ClientGone,
+}
+
+impl Placement {
+    fn answered(reason: TerminationReason, line: &str) -> Self {
+        Placement::Answered { reason, line: format!("{line}\r\n").into_bytes() }
+    }
+
+    fn rejected(retry_after: Option<Micros>) -> Self {
+        let reason = TerminationReason::Rejected;
+        match retry_after {
+            None => Placement::answered(reason, "BUSY"),
+            Some(wait) => Placement::answered(reason, &format!("BUSY {}", wait.0.div_ceil(1_000))),
+        }
+    }
+
+    fn failed() -> Self {
+        Placement::answered(TerminationReason::Failed, "FAILED")
+    }
+
+    fn at_capacity() -> Self {
+        Placement::answered(TerminationReason::NodeAtCapacity, "BUSY")
+    }
+
+    /// A client that sent what no host may be sent is still there, and is owed an answer.
+    fn client_ended(error: ReadError) -> Self {
+        match error {
+            ReadError::LineTooLong(_) => Placement::answered(TerminationReason::ClientLineTooLong, "ERR"),
+            _ => Placement::ClientGone,
+        }
+    }
+}
+
+impl Session<'_> {
+    /// Places the request as the policy decides.
+    pub(super) async fn place(&mut self, client: &mut LineStream, deadline: Instant) -> Placement {
+        // The host's connection needs a descriptor too. Clients that take all there are and stay must leave some: with only
+        // one left for those who come, a crowd that sends nothing would have that one by turns.
+        let clients = &self.node.clients;
+        let Some(descriptor) = clients.acquire_descriptor(clients.pending.capacity()) else {
+            return Placement::at_capacity();
+        };
+        let request = self.connection_request(deadline.saturating_duration_since(Instant::now()));
+        let (id, mut verdict) = self.node.decisions.decide(|balancer, now| balancer.pick(now, request));
+        loop {
+            let (server, attempt_timeout) = match verdict {
+                Verdict::Forward(server, attempt_timeout) => (server, attempt_timeout),
+                Verdict::Reject(retry_after) => return Placement::rejected(retry_after),
+                Verdict::Fail => return Placement::failed(),
+            };
+            self.attempts += 1;
+            let began = Instant::now();
+            let until = attempt_timeout
+                .map_or(deadline, |timeout| deadline.min(began + Duration::from_micros(timeout.0)));
+            let outcome = match self.node.decisions.host(server) {
+                None => AttemptOutcome::Failed(Outcome::ConnectFailed),
+                Some(host) => {
+                    let may_send = || self.node.decisions.may_send(id, server, host.address);
+                    self.attempt(client, &host, until, may_send).await
+                }
+            };
+            match outcome {
+                AttemptOutcome::Established(stream, name) => {
+                    let latency = began.elapsed();
+                    self.up_ms = latency.as_millis();
+                    let decisions = &self.node.decisions;
+                    decisions.decide(|balancer, now| balancer.report_up(now, id, micros(latency)));
+                    decisions.on_accepted(server, began);
+                    let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
+                    return Placement::Established(host);
+                }
+                AttemptOutcome::ClientEnded(error) => {
+                    self.node.decisions.decide(|balancer, now| balancer.report_left(now, id));
+                    return Placement::client_ended(error);
+                }
+                AttemptOutcome::Failed(outcome) => {
+                    self.log_failed_attempt(server, outcome, began);
+                    let decisions = &self.node.decisions;
+                    verdict =
+                        decisions.decide(|balancer, now| balancer.report_failed(now, id, server, outcome));
+                }
+            }
+        }
+    }
+
+    fn log_failed_attempt(&self, server: ServerId, outcome: Outcome, began: Instant) {
+        let (host, ms) = (self.node.decisions.host_name(server), began.elapsed().as_millis());
+        debug!(id = %self.id(), %host, ?outcome, ms, "attempt failed");
+    }
+
+    /// Returns a connection to the host where it was open before this node's start, whatever the list says of that host by
+    /// now.
+    pub(super) async fn resume_at(
+        &mut self,
+        client: &mut LineStream,
+        server: ServerId,
+        deadline: Instant,
+    ) -> Placement {
+        let Some(descriptor) = self.node.clients.acquire_descriptor(1) else {
+            return Placement::at_capacity();
+        };
+        loop {
+            self.attempts += 1;
+            let outcome = match self.node.decisions.host(server) {
+                None => AttemptOutcome::Failed(Outcome::ConnectFailed),
+                Some(host) => self.attempt(client, &host, deadline, || true).await,
+            };
+            match outcome {
+                AttemptOutcome::Established(stream, name) => {
+                    let request = self.connection_request(Duration::ZERO);
+                    let id = self.node.decisions.decide(|balancer, now| balancer.adopt(now, request, server));
+                    let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
+                    return Placement::Established(host);
+                }
+                AttemptOutcome::ClientEnded(error) => return Placement::client_ended(error),
+                // What never ran may be retried: the host may still be starting.
+                AttemptOutcome::Failed(outcome) if !outcome.may_have_run() => {
+                    let next = Instant::now() + RESUME_RETRY_INTERVAL;
+                    if next >= deadline {
+                        return Placement::failed();
+                    }
+                    match self.unless_aborted(client, sleep_until(next)).await {
+                        Ok(()) => {}
+                        Err(AbortCause::Client(error)) => return Placement::client_ended(error),
+                        Err(AbortCause::LastCall) => return Placement::failed(),
+                    }
+                }
+                AttemptOutcome::Failed(_) => return Placement::failed(),
+            }
+        }
+    }
+}
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -666,7 +666,7 @@
         let mut old = setup.open(4, "d=20000,at=s-9").await;
         let mut half = setup.client().await;
         half.send("OPEN 00").await;
-        while setup.node.clients.inflight() < 4 {
+        while setup.node.clients.in_flight() < 4 {
             sleep(Duration::from_millis(1)).await;
         }
         let (within, began) = (setup.node.config().stop_within, Instant::now());
@@ -715,7 +715,7 @@
         let mut server = host.accept().await;
         server.line().await.expect("the first line");
         // Between `UP` from the host and `UP` to the client it is told to move all the same.
-        setup.node.clients.move_all();
+        setup.node.clients.migrate_all();
         server.send("UP 01\r\n").await;
         assert_eq!(client.line().await.as_deref(), Some("UP 01"));
         assert_eq!(client.line().await.as_deref(), Some("MOVE"));
--- a/crates/alderstile-node/tests/line_buffer.rs
+++ b/crates/alderstile-node/tests/line_buffer.rs
@@ -1,14 +1,14 @@
 //! The buffer keeps every byte, in order, however the bytes are split.
 
-use alderstile_node::proxy::line_buffer::{LineBuffer, MAX_LINE, Overlong};
+use alderstile_node::proxy::line_buffer::{LineBuffer, LineTooLong, MAX_LINE};
 use proptest::prelude::*;
 
 /// Puts bytes in as far as there is room; returns how many.
-fn put(buffer: &mut LineBuffer, bytes: &[u8]) -> Result<usize, Overlong> {
-    let room = buffer.room()?;
+fn put(buffer: &mut LineBuffer, bytes: &[u8]) -> Result<usize, LineTooLong> {
+    let room = buffer.spare()?;
     let count = room.len().min(bytes.len());
     room[..count].copy_from_slice(&bytes[..count]);
-    buffer.filled(count);
+    buffer.commit(count);
     Ok(count)
 }
 
@@ -30,9 +30,9 @@
         for (offer, take) in steps.iter().cycle() {
             let end = (put_in + offer).min(sent.len());
             put_in += put(&mut buffer, &sent[put_in..end]).expect("no line is too long");
-            prop_assert!(buffer.size() <= MAX_LINE);
-            prop_assert_eq!(buffer.held(), put_in - taken.len());
-            let whole = buffer.whole();
+            prop_assert!(buffer.allocated() <= MAX_LINE);
+            prop_assert_eq!(buffer.buffered(), put_in - taken.len());
+            let whole = buffer.complete_lines();
             prop_assert!(whole.is_empty() || whole.ends_with(b"\n"), "only whole lines are shown");
             // The last bytes always go on, or a step of nothing but zeros would never end.
             let count = if put_in == sent.len() { whole.len() } else { whole.len().min(*take) };
@@ -43,7 +43,7 @@
             }
         }
         prop_assert_eq!(taken, sent);
-        prop_assert_eq!(buffer.held(), 0);
+        prop_assert_eq!(buffer.buffered(), 0);
     }
 
     #[test]
@@ -51,12 +51,12 @@
         let mut buffer = LineBuffer::default();
         let (mut told, mut rest) = (Vec::new(), sent.as_slice());
         while !rest.is_empty() {
-            let room = buffer.room().expect("no line is too long");
+            let room = buffer.spare().expect("no line is too long");
             let count = room.len().min(rest.len()).min(split);
             room[..count].copy_from_slice(&rest[..count]);
-            told.extend_from_slice(buffer.filled(count));
+            told.extend_from_slice(buffer.commit(count));
             rest = &rest[count..];
-            buffer.consume(buffer.whole().len());
+            buffer.consume(buffer.complete_lines().len());
         }
         prop_assert_eq!(told, sent);
     }
@@ -73,14 +73,14 @@
             put_in += result.unwrap_or_default();
         }
         assert_eq!(result.is_ok(), fits, "{len} bytes");
-        assert_eq!(buffer.line().is_some(), fits);
+        assert_eq!(buffer.first_line().is_some(), fits);
     }
 }
 
 #[test]
 fn an_idle_connection_takes_little_memory() {
     let mut buffer = LineBuffer::default();
-    assert_eq!(buffer.size(), 0);
+    assert_eq!(buffer.allocated(), 0);
     let mut line = vec![b'x'; 3_000];
     line.extend_from_slice(b"\r\n");
     let mut rest = line.as_slice();
@@ -88,20 +88,20 @@
         let count = put(&mut buffer, rest).expect("it fits");
         rest = &rest[count..];
     }
-    assert!(buffer.size() >= 3_000);
+    assert!(buffer.allocated() >= 3_000);
     buffer.consume(line.len());
-    assert!(buffer.size() <= 256, "{} bytes kept", buffer.size());
+    assert!(buffer.allocated() <= 256, "{} bytes kept", buffer.allocated());
 }
 
 #[test]
 fn full_of_whole_lines_it_has_no_room_but_is_not_too_long() {
     let mut buffer = LineBuffer::default();
     let line = [b"y".repeat(62), b"\r\n".to_vec()].concat();
-    while buffer.has_room() {
+    while buffer.can_read() {
         assert!(put(&mut buffer, &line).is_ok());
     }
-    assert_eq!(buffer.room().map(|room| room.len()), Ok(0));
-    buffer.consume_line();
-    assert!(buffer.has_room());
-    assert_eq!(buffer.room().map(|room| room.len()), Ok(64));
+    assert_eq!(buffer.spare().map(|room| room.len()), Ok(0));
+    buffer.consume_first_line();
+    assert!(buffer.can_read());
+    assert_eq!(buffer.spare().map(|room| room.len()), Ok(64));
 }
--- a/crates/alderstile-node/tests/node.rs
+++ b/crates/alderstile-node/tests/node.rs
@@ -252,12 +252,12 @@
         let (mut first, _first) = setup.up(1, &host).await;
         let (mut last, mut server) = setup.up(2, &host).await;
         setup.node.process.leave();
-        setup.node.clients.move_some(1);
+        setup.node.clients.migrate_some(1);
         assert_eq!(first.line().await.as_deref(), Some("MOVE"));
         last.send("M 1\r\n").await;
         assert_eq!(server.line().await.as_deref(), Some("M 1"));
         // One that has been told does not count again, whether or not it has gone.
-        setup.node.clients.move_some(1);
+        setup.node.clients.migrate_some(1);
         assert_eq!(last.line().await.as_deref(), Some("MOVE"));
     });
 }
@@ -270,7 +270,7 @@
         let mut client = setup.open(1, "d=20000").await;
         let mut server = host.accept().await;
         server.line().await.expect("the first line");
-        setup.node.clients.move_all();
+        setup.node.clients.migrate_all();
         server.send("UP 00ff\r\n").await;
         assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
         assert_eq!(client.line().await.as_deref(), Some("MOVE"));
@@ -407,9 +407,9 @@
         assert_eq!(again.line().await.as_deref(), Some("ERR"));
         // What is remembered is bounded: the oldest ids are forgotten.
         for id in 0..2_000_u64 {
-            assert!(setup.node.clients.open_id(&id.to_le_bytes()).is_some());
+            assert!(setup.node.clients.claim_id(&id.to_le_bytes()).is_some());
         }
-        assert!(setup.node.clients.open_id(b"0000000000000007").is_some());
+        assert!(setup.node.clients.claim_id(b"0000000000000007").is_some());
     });
 }
 
@@ -594,7 +594,7 @@
         // There is room again when one has gone.
         open.pop();
         // One is held for the client that comes next.
-        while setup.node.clients.descriptors() > 2 * open.len() + 1 {
+        while setup.node.clients.connection_descriptors() > 2 * open.len() + 1 {
             sleep(Duration::from_millis(5)).await;
         }
         setup.up(100, &host).await;
@@ -643,7 +643,7 @@
         sleep(Duration::from_millis(50)).await;
         // Its place is needed in the moment in which its line comes: the runtime has not looked for that yet.
         std::io::Write::write_all(&mut client, b"OPEN 7 7 c=chat,d=20000\r\n").expect("sent");
-        setup.node.clients.backlog.evict_oldest();
+        setup.node.clients.pending.evict_oldest();
         let mut server = timeout(Duration::from_secs(5), host.accept()).await.expect("it is served");
         assert!(server.line().await.is_some_and(|line| line.starts_with("OPEN 7 7 ")));
     });
--- a/crates/alderstile-node/tests/protocol.rs
+++ b/crates/alderstile-node/tests/protocol.rs
@@ -10,9 +10,12 @@
 #[test]
 fn a_first_line_is_read() {
     let Some(ClientLine::Open(open)) = client_line(OPEN) else { panic!("not read") };
-    assert_eq!((open.id, open.key), (&b"9b1f03aa5c7e2d41"[..], &b"7f3a9c21e0b4d655"[..]));
+    assert_eq!((open.id, open.flow_key), (&b"9b1f03aa5c7e2d41"[..], &b"7f3a9c21e0b4d655"[..]));
     assert_eq!((open.class, open.wait_ms), (&b"chat"[..], 2_000));
-    assert_eq!((open.group, open.at, open.hint), (Some(&b"5c0f6e1a2b3d4c59"[..]), None, None));
+    assert_eq!(
+        (open.group, open.previous_host, open.expected_load),
+        (Some(&b"5c0f6e1a2b3d4c59"[..]), None, None)
+    );
     assert_eq!(client_line(b"PING"), Some(ClientLine::Ping));
 }
 
@@ -21,13 +24,13 @@
     let line = b"OPEN a b x=,h=12.5,again=1,r=1,d=7,at=s-5be2a07c,c=p";
     let Some(ClientLine::Open(open)) = client_line(line) else { panic!("not read") };
     assert_eq!((open.class, open.wait_ms), (&b"p"[..], 7));
-    assert_eq!((open.at, open.hint), (Some(&b"s-5be2a07c"[..]), Some(12.5)));
+    assert_eq!((open.previous_host, open.expected_load), (Some(&b"s-5be2a07c"[..]), Some(12.5)));
 }
 
 #[test]
 fn a_host_is_sent_the_line_with_nothing_changed_but_the_time() {
     let Some(ClientLine::Open(open)) = client_line(OPEN) else { panic!("not read") };
-    let sent = open.for_host(OPEN, 987);
+    let sent = open.forwarded_line(OPEN, 987);
     let wanted = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=987,g=5c0f6e1a2b3d4c59\r\n";
     assert_eq!(sent, wanted);
 }
@@ -97,7 +100,7 @@
 #[test]
 fn the_on_call_page_explains_every_reason_code() {
     let page = include_str!("../../../docs/on-call.md");
-    for reason in alderstile_node::proxy::termination_reason::Reason::ALL {
+    for reason in alderstile_node::proxy::termination_reason::TerminationReason::ALL {
         assert!(page.contains(&format!("| `{reason}` |")), "{reason}");
     }
 }
