--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use alderstile::facade::Balancer;
+use alderstile::balancer::{Balancer, LogLine};
 use alderstile::shadow::Differences;
 use alderstile::types::{
     BalancerSettings, Endpoint, EndpointListKind, EndpointState, Micros, RequestId, ServerId, WeightMeaning,
@@ -58,8 +58,12 @@
     /// A policy that knows nothing yet but its settings.
     pub fn new(config: Rc<Current>) -> Self {
         let (clock, initial) = (Clock::default(), config.get());
-        let balancer =
-            Balancer::watched(initial.settings.clone(), initial.shadow.clone(), initial.seed, clock.now());
+        let balancer = Balancer::with_shadow(
+            initial.settings.clone(),
+            initial.shadow.clone(),
+            initial.seed,
+            clock.now(),
+        );
         let lease = Lease::new(clock.now(), initial.pushed);
         Decisions {
             config,
@@ -81,7 +85,7 @@
     pub fn decide<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
         let mut balancer = self.balancer.borrow_mut();
         let answer = call(&mut balancer, self.clock.now());
-        let due = balancer.next_due();
+        let due = balancer.poll_timeout();
         if due.is_some_and(|due| self.next_due.get().is_none_or(|planned| due < planned)) {
             self.wake.notify_one();
         }
@@ -98,13 +102,15 @@
         };
         let (settings, shadow) = (adapted(&config.settings), config.shadow.as_ref().map(adapted));
         self.lease.borrow_mut().set_push_grace(config.pushed);
-        self.decide(|balancer, now| balancer.renew(now, settings, shadow));
+        self.decide(|balancer, now| balancer.apply_settings(now, settings, shadow));
     }
 
     /// Gives the policy the list that the node knew before its start.
     pub fn start_with_cached_list(&self, list: &EndpointList) {
         self.endpoints.borrow_mut().apply(list);
-        self.decide(|balancer, now| balancer.report_list(now, EndpointListKind::Cached, self.entries(list)));
+        self.decide(|balancer, now| {
+            balancer.on_endpoint_list(now, EndpointListKind::Cached, self.entries(list))
+        });
     }
 
     /// Applies a list that discovery sent.
@@ -118,13 +124,13 @@
     pub fn report_list(&self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         let mut host_assignment = self.host_assignment.borrow_mut();
         self.decide(|balancer, now| match &mut *host_assignment {
-            None => balancer.report_list(now, kind, entries),
+            None => balancer.on_endpoint_list(now, kind, entries),
             Some(assignment) => {
                 let entries = assignment.lay_over(kind, entries);
-                balancer.report_list(now, kind, entries);
+                balancer.on_endpoint_list(now, kind, entries);
                 if assignment.starved() {
-                    let changed = assignment.refresh(now, &balancer.unreached());
-                    balancer.report_list(now, EndpointListKind::Delta, changed);
+                    let changed = assignment.refresh(now, &balancer.ejected_servers());
+                    balancer.on_endpoint_list(now, EndpointListKind::Delta, changed);
                 }
             }
         });
@@ -167,9 +173,9 @@
         assignment.members(others);
         self.decide(|balancer, now| {
             update(assignment, now);
-            let changed = assignment.refresh(now, &balancer.unreached());
+            let changed = assignment.refresh(now, &balancer.ejected_servers());
             if !changed.is_empty() {
-                balancer.report_list(now, EndpointListKind::Delta, changed);
+                balancer.on_endpoint_list(now, EndpointListKind::Delta, changed);
             }
         });
     }
@@ -232,13 +238,13 @@
         let mut entries = self.entries(&changes);
         entries.iter_mut().for_each(|entry| entry.state = EndpointState::Cordoned);
         // Not through the host assignment, which continues with what is listed.
-        self.decide(|balancer, now| balancer.report_list(now, EndpointListKind::Delta, entries));
+        self.decide(|balancer, now| balancer.on_endpoint_list(now, EndpointListKind::Delta, entries));
     }
 
     /// Whether a planned attempt may still be sent on the connection made for it.
     pub fn may_send(&self, id: RequestId, host: ServerId, address: SocketAddr) -> bool {
         let (listed, now) = (self.host(host).is_some_and(|host| host.address == address), self.clock.now());
-        listed && self.lease.borrow().allows(now, host) && self.balancer.borrow().may_go(now, id)
+        listed && self.lease.borrow().allows(now, host) && self.balancer.borrow().may_forward(now, id)
     }
 
     /// The address of discovery.
@@ -261,7 +267,7 @@
     /// Continues after a successor that was handed the retry budget has ended. What it spent is not known, so no retries are
     /// made until the budget's span has passed.
     pub fn continue_without_successor(&self) {
-        self.decide(|balancer, now| balancer.inherit(now, None, Micros(0)));
+        self.decide(|balancer, now| balancer.import_retry_budget(now, None, Micros(0)));
     }
 
     /// What the shadow instance would have done differently so far; none without one.
@@ -286,7 +292,7 @@
             self.do_due_work(&migrate, &broadcast);
             self.withhold_expired();
             let lease_due = self.lease.borrow().next_due(self.clock.now());
-            let due = self.decide(|balancer, _| balancer.next_due()).into_iter().chain(lease_due).min();
+            let due = self.decide(|balancer, _| balancer.poll_timeout()).into_iter().chain(lease_due).min();
             self.next_due.set(due);
             let due = due.map(|due| self.clock.instant(due).into());
             tokio::select! {
@@ -298,13 +304,13 @@
     }
 
     fn do_due_work(&self, migrate: &impl Fn(RequestId), broadcast: &impl Fn(&[u8])) {
-        let work = self.decide(|balancer, now| balancer.tick(now));
-        work.moves.into_iter().for_each(migrate);
-        if work.watch {
+        let work = self.decide(|balancer, now| balancer.handle_timeout(now));
+        work.migrations.into_iter().for_each(migrate);
+        if work.watch_endpoints {
             self.list_requested.notify_one();
         }
-        work.tell.iter().for_each(|message| broadcast(message));
-        for (host, line) in work.lines {
+        work.broadcasts.iter().for_each(|message| broadcast(message));
+        for LogLine { server: host, text: line } in work.log_lines {
             match host {
                 Some(host) => info!("host {}: {line}", self.host_name(host)),
                 None => info!("{line}"),
--- a/crates/alderstile-node/src/lifecycle/upgrade_state.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -41,7 +41,7 @@
     pub lease_remaining_us: Option<u64>,
     /// This node as a member of its cluster, where it is one.
     #[serde(default)]
-    pub member: Option<MemberState>,
+    pub member: Option<MemberIdentity>,
 }
 
 /// A bucket of the retry budget's window, with ages in place of times; on the wire an array in this order.
@@ -94,7 +94,7 @@
 
 /// What a process needs to continue as the same member of the cluster.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct MemberState {
+pub struct MemberIdentity {
     /// The member's session.
     pub session: u64,
     /// The incarnation of its last record about itself.
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -75,7 +75,7 @@
     /// The state that the successor needs. The retry budget is the successor's from here on: two processes of one node have
     /// one budget.
     pub fn hand_over_state(&self, version: u32) -> UpgradeState {
-        let budget = self.decisions.decide(|balancer, now| balancer.hand_over(now));
+        let budget = self.decisions.decide(|balancer, now| balancer.export_retry_budget(now));
         let config = self.config();
         UpgradeState {
             version,
@@ -104,7 +104,7 @@
         let budget = state.retry_budget.clone();
         let budget = budget.map(|buckets| buckets.into_iter().map(RetryBudgetBucket::from).collect());
         let late = micros(MESSAGE_TIMEOUT);
-        self.decisions.decide(|balancer, now| balancer.inherit(now, budget, late));
+        self.decisions.decide(|balancer, now| balancer.import_retry_budget(now, budget, late));
         state.request_ids.iter().for_each(|id| self.clients.remember_id(id.as_bytes()));
         state.lease_remaining_us.iter().for_each(|left| self.decisions.inherit_lease(Micros(*left)));
         self.decisions.list_requested.notify_one();
@@ -128,13 +128,13 @@
     }
 
     fn take_host_out(&self, host: &str) {
-        self.decisions.decide(|facade, now| facade.take_out(now, server_id(host)));
+        self.decisions.decide(|balancer, now| balancer.begin_maintenance(now, server_id(host)));
     }
 
     fn put_host_back(&self, host: &str) {
         let out_by_hand = (host.to_owned(), Stand::Out);
         if !self.operators.hosts().contains(&out_by_hand) {
-            self.decisions.decide(|facade, now| facade.put_back(now, server_id(host), now));
+            self.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
         }
     }
 }
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -118,7 +118,7 @@
                 self.load = Some(load);
                 debug!(number = self.request.0, load, "load report received");
                 self.decisions
-                    .decide(|balancer, now| balancer.report_load(now, self.request, self.host, load));
+                    .decide(|balancer, now| balancer.on_load_report(now, self.request, self.host, load));
             }
             parting @ (HostLine::Bye | HostLine::Move) => self.parting = Some(parting),
             HostLine::Up => {}
--- a/crates/alderstile-node/src/proxy/session/handover.rs
+++ b/crates/alderstile-node/src/proxy/session/handover.rs
@@ -98,8 +98,8 @@
     let session = Session { node: node.clone(), line, request, class, arrived, attempts, up_ms };
     let (request, server) = (session.connection_request(Duration::ZERO), server_id(&connection.host));
     let id = node.decisions.decide(|balancer, now| {
-        let id = balancer.adopt(now, request, server);
-        connection.relay_state.load.iter().for_each(|load| balancer.report_load(now, id, server, *load));
+        let id = balancer.adopt_connection(now, request, server);
+        connection.relay_state.load.iter().for_each(|load| balancer.on_load_report(now, id, server, *load));
         id
     });
     if let Some((other, number)) = node.process.other().zip(connection.ack_number) {
--- a/crates/alderstile-node/src/proxy/session/mod.rs
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile::facade::ConnectionRequest;
+use alderstile::balancer::ConnectionRequest;
 use alderstile::types::{GroupId, Outcome, RequestId, ServerId};
 use tokio::net::TcpStream;
 use tokio::time::Instant;
@@ -176,12 +176,12 @@
             Reason::ClientClosed
             | Reason::ClientReset
             | Reason::ClientLineTooLong
-            | Reason::ClientStalled => balancer.report_left(now, id),
-            Reason::Completed => balancer.report_ended(now, id, server, Outcome::Ok),
+            | Reason::ClientStalled => balancer.on_client_disconnected(now, id),
+            Reason::Completed => balancer.on_connection_ended(now, id, server, Outcome::Ok),
             Reason::Migrated | Reason::ShuttingDown | Reason::HandedOver | Reason::HostMigrated => {
-                balancer.report_ended(now, id, server, Outcome::Cancelled);
+                balancer.on_connection_ended(now, id, server, Outcome::Cancelled);
             }
-            _ => balancer.report_ended(now, id, server, Outcome::Reset),
+            _ => balancer.on_connection_ended(now, id, server, Outcome::Reset),
         });
     }
 }
--- a/crates/alderstile-node/src/proxy/session/placement.rs
+++ b/crates/alderstile-node/src/proxy/session/placement.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use alderstile::facade::Verdict;
+use alderstile::balancer::Verdict;
 use alderstile::types::{Micros, Outcome, ServerId};
 use tokio::time::{Instant, sleep_until};
 use tracing::debug;
@@ -71,7 +71,7 @@
             return Placement::at_capacity();
         };
         let request = self.connection_request(deadline.saturating_duration_since(Instant::now()));
-        let (id, mut verdict) = self.node.decisions.decide(|balancer, now| balancer.pick(now, request));
+        let (id, mut verdict) = self.node.decisions.decide(|balancer, now| balancer.place(now, request));
         loop {
             let (server, attempt_timeout) = match verdict {
                 Verdict::Forward(server, attempt_timeout) => (server, attempt_timeout),
@@ -94,20 +94,20 @@
                     let latency = began.elapsed();
                     self.up_ms = latency.as_millis();
                     let decisions = &self.node.decisions;
-                    decisions.decide(|balancer, now| balancer.report_up(now, id, micros(latency)));
+                    decisions.decide(|balancer, now| balancer.on_established(now, id, micros(latency)));
                     decisions.on_accepted(server, began);
                     let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
                     return Placement::Established(host);
                 }
                 AttemptOutcome::ClientEnded(error) => {
-                    self.node.decisions.decide(|balancer, now| balancer.report_left(now, id));
+                    self.node.decisions.decide(|balancer, now| balancer.on_client_disconnected(now, id));
                     return Placement::client_ended(error);
                 }
                 AttemptOutcome::Failed(outcome) => {
                     self.log_failed_attempt(server, outcome, began);
                     let decisions = &self.node.decisions;
-                    verdict =
-                        decisions.decide(|balancer, now| balancer.report_failed(now, id, server, outcome));
+                    verdict = decisions
+                        .decide(|balancer, now| balancer.on_attempt_failed(now, id, server, outcome));
                 }
             }
         }
@@ -138,7 +138,10 @@
             match outcome {
                 AttemptOutcome::Established(stream, name) => {
                     let request = self.connection_request(Duration::ZERO);
-                    let id = self.node.decisions.decide(|balancer, now| balancer.adopt(now, request, server));
+                    let id = self
+                        .node
+                        .decisions
+                        .decide(|balancer, now| balancer.adopt_connection(now, request, server));
                     let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
                     return Placement::Established(host);
                 }
--- /dev/null
+++ b/src/policy/log_limit.rs
@@ -0,0 +1,29 @@
+//! Bound on the log lines that the decisions write: a storm must not hide its own cause.
+
+use crate::types::{Action, ServerId};
+
+use super::Policy;
+
+/// Log lines in a period, at most.
+const LINES_PER_PERIOD: u32 = 4;
+
+/// Log lines that the current period may still write.
+pub(super) struct LogLimit {
+    lines_left: u32,
+}
+
+impl Default for LogLimit {
+    fn default() -> Self {
+        LogLimit { lines_left: LINES_PER_PERIOD }
+    }
+}
+
+impl Policy {
+    /// Logs a line about a server, or about none, while the period's bound allows it.
+    pub(super) fn log(&mut self, server: Option<ServerId>, line: String, actions: &mut Vec<Action>) {
+        if self.log_limit.lines_left > 0 {
+            self.log_limit.lines_left -= 1;
+            actions.push(Action::Log(server, line));
+        }
+    }
+}
--- /dev/null
+++ b/src/policy/rebalance.rs
@@ -0,0 +1,121 @@
+//! Rebalancing: once a period each server that holds too much sheds its excess.
+//!
+//! A server holds too much when it has been above the overload threshold for some periods, when its messages
+//! are late, or when it drains and the settings ask for its clients to be migrated. The connections that it
+//! sheds are chosen in [`migration`](super::migration).
+
+use crate::types::{Action, EndpointState, Micros};
+
+use super::Policy;
+use super::message_delay::{LATE_SHARE_OF_OBJECTIVE, MessageDelay};
+use super::server::ServerIndex;
+
+/// A server is overloaded above this multiple of the mean load.
+pub(super) const OVERLOAD_THRESHOLD: f64 = 1.1;
+/// Periods above the threshold before a server sheds: a load that swings by itself is back under it by then.
+const OVERLOADED_PERIODS: u32 = 3;
+/// The backlog of a late server is to be gone after this long.
+const BACKLOG_CLEAR_TIME: Micros = Micros::from_millis(1_000);
+/// The part of the load that a late server works off which counts as manageable, where a whole latency
+/// objective is missed.
+const CAPACITY_MARGIN: f64 = 0.7;
+/// Bounds of work asked over work done at a late server.
+const MIN_UTILIZATION: f64 = 0.5;
+const MAX_UTILIZATION: f64 = 10.0;
+
+/// Why a server holds too much.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum ExcessCause {
+    /// It has been above the overload threshold for some periods.
+    Overloaded,
+    /// Its messages are late.
+    Late,
+    /// It is to have no connections when it stops.
+    Draining,
+}
+
+/// What a server is to shed.
+pub(super) struct Excess {
+    /// In microseconds of work a second; of a draining server the number of its connections.
+    pub(super) load: f64,
+    pub(super) cause: ExcessCause,
+}
+
+impl Policy {
+    /// Lets each server that may hold too much shed its excess. `holds_few` says that this node holds next to
+    /// no connections.
+    pub(super) fn rebalance(&mut self, now: Micros, holds_few: bool, actions: &mut Vec<Action>) {
+        let mean_load = self.mean_load(now);
+        for index in 0..self.servers.len() {
+            let draining = self.servers[index].endpoint.state == EndpointState::Draining;
+            if self.is_available(now, index) || (draining && self.settings.migrate_from_draining) {
+                self.shed(now, index, mean_load, holds_few, actions);
+            }
+        }
+    }
+
+    /// Migrates connections away from a server that holds too much.
+    fn shed(
+        &mut self,
+        now: Micros,
+        index: ServerIndex,
+        mean_load: f64,
+        holds_few: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let excess = self.measure_excess(now, index, mean_load);
+        if excess.load <= 0.0 {
+            return;
+        }
+        let limit = self.draw_move_limit(now, excess.cause);
+        let candidates = self.migration_candidates(now, index, excess.cause);
+        let Some(load) = self.draw_load_to_shed(index, &excess, &candidates, holds_few) else { return };
+        let moves = limit.of(candidates.len());
+        self.migrate_closest(index, load, moves, candidates, actions);
+    }
+
+    /// Measures what a server holds too much, and counts its periods above the overload threshold.
+    fn measure_excess(&mut self, now: Micros, index: ServerIndex, mean_load: f64) -> Excess {
+        let draining = self.servers[index].draining;
+        let reactive = if draining {
+            self.servers[index].load.connections.len() as f64
+        } else {
+            self.measure_late_excess(now, index, mean_load)
+        };
+        let fair_load = mean_load * self.effective_weight(index);
+        let load = self.recorded_load(index);
+        let server = &mut self.servers[index];
+        let overloaded = load > OVERLOAD_THRESHOLD * fair_load;
+        server.overloaded_periods = if overloaded { server.overloaded_periods + 1 } else { 0 };
+        let proactive = if server.overloaded_periods >= OVERLOADED_PERIODS { load - fair_load } else { 0.0 };
+        let cause = match (draining, reactive > 0.0) {
+            (true, _) => ExcessCause::Draining,
+            (false, true) => ExcessCause::Late,
+            (false, false) => ExcessCause::Overloaded,
+        };
+        Excess { load: reactive.max(proactive), cause }
+    }
+
+    /// Measures what a late server has beyond what it manages, and what is to go for its backlog to clear in
+    /// time. Bounds the server to what it manages, unless it is stalled: that tells nothing of its capacity.
+    fn measure_late_excess(&mut self, now: Micros, index: ServerIndex, mean_load: f64) -> f64 {
+        let Some(late) = self.servers[index].delay.filter(|_| self.is_late(now, index)) else { return 0.0 };
+        let load = self.recorded_load(index);
+        let manageable_load = self.manageable_load(&late, load);
+        if !late.stalled {
+            self.bound_to_capacity(index, manageable_load, mean_load);
+        }
+        let backlog = late.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
+        (load - manageable_load * (1.0 - backlog)).clamp(0.0, load)
+    }
+
+    /// The part of its load that a late server manages. The growth of its delay tells how far it is over its
+    /// capacity; where it is a little late that is little, so only where a whole objective is missed the
+    /// whole margin is kept.
+    fn manageable_load(&self, late: &MessageDelay, load: f64) -> f64 {
+        let utilization = (1.0 + late.growth).clamp(MIN_UTILIZATION, MAX_UTILIZATION);
+        let late_threshold_s = self.late_threshold.as_secs_f64();
+        let urgency = (late.delay.as_secs_f64() * LATE_SHARE_OF_OBJECTIVE / late_threshold_s).min(1.0);
+        (1.0 - (1.0 - CAPACITY_MARGIN) * urgency) * load / utilization
+    }
+}
--- /dev/null
+++ b/src/policy/shadow.rs
@@ -0,0 +1,36 @@
+//! What a shadow instance needs to follow the one that decides. Nothing here decides anything.
+
+use crate::types::{Micros, Request, RequestId, ServerId};
+
+use super::Policy;
+use super::connection::ConnectionState;
+
+impl Policy {
+    /// Draws the same random numbers as the other instance from now on.
+    pub fn share_chance(&mut self, other: &Policy) {
+        self.rng = other.rng.clone();
+    }
+
+    /// A request that is held.
+    pub fn request(&self, id: RequestId) -> Option<Request> {
+        self.connections.get(&id).map(|connection| connection.request)
+    }
+
+    /// Whatever this instance chose: the request was forwarded to that server, or to none and is over.
+    pub fn follow(&mut self, now: Micros, request: Request, server: Option<ServerId>) {
+        let known = self.connections.remove(&request.id);
+        known.iter().for_each(|connection| self.remove_from_load(connection));
+        let Some(&index) = server.and_then(|server| self.index_by_id.get(&server)) else { return };
+        let mut connection = known.unwrap_or_else(|| self.new_connection(now, request));
+        if connection.state.is_attempting() {
+            connection.attempted_servers.pop();
+        }
+        self.start_attempt(now, index, connection);
+    }
+
+    /// Whatever this instance chose: the client was not told to migrate.
+    pub fn stays(&mut self, id: RequestId) {
+        let Some(connection) = self.connections.get_mut(&id) else { return };
+        connection.state = connection.state.server().map_or(connection.state, ConnectionState::Open);
+    }
+}
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -63,7 +63,7 @@
 struct Round {
     must_subscribe: bool,
     probes: bool,
-    /// As behind the facade: no delays told, nodes talk, draining servers are emptied.
+    /// As behind the balancer: no delays told, nodes talk, draining servers are emptied.
     sockets: bool,
     /// Further attempts are limited, clocks differ and only draining binds.
     doubts: bool,
@@ -107,7 +107,7 @@
                 let class = class.min(4);
                 let group = (group > 0).then_some(GroupId(group));
                 let remaining = ms(remaining);
-                node.ask(Request { class, group, expected_load: hint, remaining, ..request(next) });
+                node.send_request(Request { class, group, expected_load: hint, remaining, ..request(next) });
                 live.push(next);
                 next += 1;
             }
