--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -90,7 +90,7 @@
     wait_for_connections(&node, schedule).await;
     // Where another process continues as the same member, the member does not leave.
     if !node.process.other_serves()
-        && let Some(cluster) = node.operators.cluster()
+        && let Some(cluster) = node.admin.membership()
     {
         cluster.leave().await;
     }
@@ -108,7 +108,7 @@
     }
     node.process.begin_shutdown();
     node.process.release_sockets.notify_one();
-    node.operators.cluster().iter().for_each(|cluster| cluster.let_go());
+    node.admin.membership().iter().for_each(|cluster| cluster.let_go());
     let Some(other) = node.process.other() else { return };
     other.send_stopped_accepting();
     // A successor that is stopped first has nobody to hand connections over to: its predecessor takes none back.
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -291,8 +291,8 @@
             }
             channel.send(UpgradeMessage::Ack { number });
         }
-        UpgradeMessage::HostMaintenance { number, host, stand } => {
-            node.operators.stand(&host, stand);
+        UpgradeMessage::HostMaintenance { number, host, state } => {
+            node.admin.apply_maintenance(&host, state);
             channel.send(UpgradeMessage::Ack { number });
         }
         UpgradeMessage::RequestId(id) => node.clients.remember_id(id.as_bytes()),
--- a/crates/alderstile-node/src/lifecycle/upgrade_channel.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_channel.rs
@@ -12,7 +12,7 @@
 use tracing::warn;
 
 use super::upgrade_state::UpgradeState;
-use crate::admin::maintenance_store::Stand;
+use crate::admin::maintenance_store::MaintenanceState;
 
 /// How long a message that is awaited may take: a process that sends none until then is taken to have none.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -54,7 +54,8 @@
         /// The host's name.
         host: String,
         /// Its maintenance state.
-        stand: Stand,
+        #[serde(rename = "stand")]
+        state: MaintenanceState,
     },
     /// An acknowledgement: what was requested is done.
     #[serde(rename = "done")]
@@ -188,8 +189,8 @@
     }
 
     /// Sends the maintenance state of a host; it is in force at the other process once this returns.
-    pub async fn send_host_maintenance(self: &Rc<Self>, host: &str, stand: Stand) {
-        self.request(|number| UpgradeMessage::HostMaintenance { number, host: host.to_owned(), stand }).await;
+    pub async fn send_host_maintenance(self: &Rc<Self>, host: &str, state: MaintenanceState) {
+        self.request(|number| UpgradeMessage::HostMaintenance { number, host: host.to_owned(), state }).await;
     }
 
     /// Sends the id of a request that this process has admitted.
--- a/crates/alderstile-node/src/lifecycle/upgrade_state.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::admin::maintenance_store::Stand;
+use crate::admin::maintenance_store::MaintenanceState;
 use crate::discovery::endpoint_list::EndpointList;
 
 /// The state of the predecessor, as its first message tells it. The names on the wire are those of the first version.
@@ -26,7 +26,7 @@
     pub endpoints: EndpointList,
     /// The maintenance states of the hosts that operators have named.
     #[serde(rename = "hosts")]
-    pub host_maintenance: BTreeMap<String, Stand>,
+    pub host_maintenance: BTreeMap<String, MaintenanceState>,
     /// Ids of requests that are open, or ended recently.
     #[serde(rename = "ids")]
     pub request_ids: Vec<String>,
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -4,8 +4,8 @@
 
 use alderstile::types::{Micros, RetryBudgetBucket};
 
-use crate::admin::maintenance_store::Stand;
-use crate::admin::service::Operators;
+use crate::admin::maintenance_store::MaintenanceState;
+use crate::admin::service::AdminService;
 use crate::clock::micros;
 use crate::config::{Config, Current};
 use crate::control::configured_node::ConfiguredNode;
@@ -25,8 +25,8 @@
     pub clients: Rc<Clients>,
     /// This process and the other one.
     pub process: Rc<Process>,
-    /// What operators ask and say.
-    pub operators: Rc<Operators>,
+    /// The admin interface.
+    pub admin: Rc<AdminService>,
 }
 
 impl Node {
@@ -36,9 +36,9 @@
         let config = Rc::new(Current::new(config));
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
-        let operators = Operators::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
+        let admin = AdminService::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
         decisions.start_with_cached_list(&known);
-        Node { config, decisions, clients, process, operators: Rc::new(operators) }
+        Node { config, decisions, clients, process, admin: Rc::new(admin) }
     }
 
     /// What the node was told last.
@@ -48,11 +48,11 @@
 
     /// Other settings from now on, all of them in this step.
     pub fn renew(&self, config: Config) {
-        self.clients.count(|counters| counters.classes(&config.classes));
+        self.clients.count(|counters| counters.register_classes(&config.classes));
         self.decisions.apply_config(&config);
         // Agreed settings have versions of their own: told by the members too, each change would be 510 rumors.
-        if self.operators.control().is_none() {
-            self.operators.cluster().iter().for_each(|cluster| cluster.renew(&config));
+        if self.admin.replicated_config().is_none() {
+            self.admin.membership().iter().for_each(|cluster| cluster.renew(&config));
         }
         let discovery = config.discovery;
         self.config.set(config);
@@ -63,7 +63,7 @@
 
     /// Whether the front is to send clients to the clients' address, where another process of this node may serve.
     pub fn wanted(&self) -> bool {
-        self.operators.ready() || self.process.other_serves()
+        self.admin.is_ready() || self.process.other_serves()
     }
 
     /// Does what is due, for as long as the node runs; `tell` is given what all other nodes are to hear.
@@ -84,21 +84,21 @@
             discovery: Some(self.decisions.discovery()),
             endpoints: self.decisions.complete_list(),
             lease_remaining_us: Some(self.decisions.lease_remaining().0),
-            host_maintenance: self.operators.hosts().into_iter().collect(),
+            host_maintenance: self.admin.maintained_hosts().into_iter().collect(),
             request_ids: self.clients.known_ids(),
             descriptors_in_use: self.clients.descriptors_in_use(),
-            member: self.operators.cluster().map(|cluster| cluster.word()),
+            member: self.admin.membership().map(|cluster| cluster.word()),
             retry_budget: budget.map(|buckets| buckets.into_iter().map(RetryBudgetAges::from).collect()),
         }
     }
 
     /// Takes over the state of the predecessor. The endpoint list is requested at once: the predecessor's watch ends with it.
     pub fn take_over(&self, state: &UpgradeState) {
-        let known = self.operators.hosts();
+        let known = self.admin.maintained_hosts();
         for (host, stand) in &state.host_maintenance {
             // What the maintenance file says is in force already.
             if !known.iter().any(|known| (&known.0, &known.1) == (host, stand)) {
-                self.operators.stand(host, *stand);
+                self.admin.apply_maintenance(host, *stand);
             }
         }
         let budget = state.retry_budget.clone();
@@ -122,8 +122,8 @@
 
     fn count_reconfiguration(&self, applied: bool) {
         self.clients.count(|counters| match applied {
-            true => counters.reconfig_ok += 1,
-            false => counters.reconfig_failed += 1,
+            true => counters.configs_applied += 1,
+            false => counters.configs_rejected += 1,
         });
     }
 
@@ -132,8 +132,8 @@
     }
 
     fn put_host_back(&self, host: &str) {
-        let out_by_hand = (host.to_owned(), Stand::Out);
-        if !self.operators.hosts().contains(&out_by_hand) {
+        let out_by_hand = (host.to_owned(), MaintenanceState::OutOfService);
+        if !self.admin.maintained_hosts().contains(&out_by_hand) {
             self.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
         }
     }
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -34,7 +34,7 @@
     pub fn new(config: Rc<Current>, process: Rc<Process>) -> Self {
         let initial = config.get();
         let mut counters = Counters::default();
-        counters.classes(&initial.classes);
+        counters.register_classes(&initial.classes);
         Clients {
             pending: PendingClients::new(initial.sockets.saturating_sub(initial.own_descriptors())),
             config,
--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -85,7 +85,7 @@
             Ok(stream) => stream,
             Err(error) => return error.outcome(Outcome::NotForwarded),
         };
-        self.node.clients.count(|counters| counters.backend_calls += 1);
+        self.node.clients.count(|counters| counters.attempts_sent += 1);
         match self.read_answer(client, &mut stream, until).await {
             Ok(()) => AttemptOutcome::Established(stream, host.name.clone()),
             Err(error) => error.outcome(Outcome::Timeout),
--- a/crates/alderstile-node/src/proxy/session/first_line.rs
+++ b/crates/alderstile-node/src/proxy/session/first_line.rs
@@ -6,7 +6,7 @@
 use tokio::time::timeout;
 use tracing::info;
 
-use crate::admin::metrics::Ended;
+use crate::admin::metrics::RequestOutcome;
 use crate::node::Node;
 use crate::proxy::line_stream::{LineStream, ReadError};
 use crate::proxy::pending_clients::PendingSlot;
@@ -86,7 +86,7 @@
     };
     let class = node.clients.class(request.class).ok_or(TerminationReason::ClientUnknownClass)?;
     let Some(id) = node.clients.claim_id(request.id) else {
-        node.clients.count(|counters| counters.ended(class, Ended::Failure));
+        node.clients.count(|counters| counters.count_outcome(class, RequestOutcome::Failure));
         return Err(TerminationReason::ClientDuplicateId);
     };
     Ok(AdmittedRequest { request, class, _id: id })
--- a/crates/alderstile-node/src/proxy/session/mod.rs
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -22,7 +22,7 @@
 use super::protocol::OpenRequest;
 use super::relay::{self, CloseMode, Relay, RelayEnd, RelayState};
 use super::termination_reason::TerminationReason;
-use crate::admin::metrics::Ended;
+use crate::admin::metrics::RequestOutcome;
 use crate::clock::micros;
 use crate::discovery::endpoint_list::server_id;
 use crate::node::Node;
@@ -98,14 +98,14 @@
         };
         match placement {
             Placement::Established(host) => {
-                self.count(Ended::Success);
+                self.count(RequestOutcome::Success);
                 self.serve(client, host, in_flight, None).await;
             }
             Placement::Answered { reason, line } => {
                 self.log_end(reason, "-");
                 let failed =
                     matches!(reason, TerminationReason::Failed | TerminationReason::ClientLineTooLong);
-                self.count(if failed { Ended::Failure } else { Ended::Busy });
+                self.count(if failed { RequestOutcome::Failure } else { RequestOutcome::Rejected });
                 drop(in_flight);
                 client.close_after(&line).await;
             }
@@ -113,8 +113,8 @@
         }
     }
 
-    fn count(&self, ended: Ended) {
-        self.node.clients.count(|counters| counters.ended(self.class, ended));
+    fn count(&self, outcome: RequestOutcome) {
+        self.node.clients.count(|counters| counters.count_outcome(self.class, outcome));
     }
 
     fn id(&self) -> String {
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_node::admin::maintenance_store::Stand;
+use alderstile_node::admin::maintenance_store::MaintenanceState;
 use alderstile_node::config::Config;
 use alderstile_node::discovery::endpoint_list::Health;
 use alderstile_node::lifecycle::connection_handover::{self as handover, HandedOverConnection};
@@ -51,11 +51,11 @@
     assert!(matches!(message("ready"), UpgradeMessage::Ready { number: 3 }));
     assert!(matches!(message("door"), UpgradeMessage::ShareListener { number: 4 }));
     assert!(
-        matches!(message("host_out"), UpgradeMessage::HostMaintenance { number: 5, host, stand: Stand::Out } if host == "s-1")
+        matches!(message("host_out"), UpgradeMessage::HostMaintenance { number: 5, host, state: MaintenanceState::OutOfService } if host == "s-1")
     );
     assert!(matches!(
         message("host_back"),
-        UpgradeMessage::HostMaintenance { number: 6, host, stand: Stand::Back(1_764_748_800_000_007) } if host == "s-2"
+        UpgradeMessage::HostMaintenance { number: 6, host, state: MaintenanceState::ReturnedAt(1_764_748_800_000_007) } if host == "s-2"
     ));
     assert!(matches!(message("done"), UpgradeMessage::Ack { number: 7 }));
     assert!(matches!(message("id"), UpgradeMessage::RequestId(id) if id == "00000000000000a1"));
@@ -75,7 +75,10 @@
     assert_eq!((host.name.as_str(), host.address), ("s-1", "127.0.0.1:7001".parse().ok()));
     assert_eq!((host.zone.as_str(), host.cell, host.weight), ("a", 3, 1.5));
     assert_eq!(host.started_ms, 1_764_748_800_123);
-    let hosts = [("s-1".to_owned(), Stand::Out), ("s-2".to_owned(), Stand::Back(1_764_748_800_000_007))];
+    let hosts = [
+        ("s-1".to_owned(), MaintenanceState::OutOfService),
+        ("s-2".to_owned(), MaintenanceState::ReturnedAt(1_764_748_800_000_007)),
+    ];
     assert_eq!(hello.host_maintenance, BTreeMap::from(hosts));
     assert_eq!(hello.request_ids, ["00000000000000a1", "a \u{e9}\u{fffd}"]);
     assert_eq!(hello.retry_budget, Some(vec![(11, 22, 33, 4).into(), (55, 66, 77, 8).into()]));
