--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -108,7 +108,7 @@
     }
     node.process.begin_shutdown();
     node.process.release_sockets.notify_one();
-    node.admin.membership().iter().for_each(|cluster| cluster.let_go());
+    node.admin.membership().iter().for_each(|cluster| cluster.release_socket());
     let Some(other) = node.process.other() else { return };
     other.send_stopped_accepting();
     // A successor that is stopped first has nobody to hand connections over to: its predecessor takes none back.
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -52,7 +52,7 @@
         self.decisions.apply_config(&config);
         // Agreed settings have versions of their own: told by the members too, each change would be 510 rumors.
         if self.admin.replicated_config().is_none() {
-            self.admin.membership().iter().for_each(|cluster| cluster.renew(&config));
+            self.admin.membership().iter().for_each(|cluster| cluster.config_changed(&config));
         }
         let discovery = config.discovery;
         self.config.set(config);
@@ -87,7 +87,7 @@
             host_maintenance: self.admin.maintained_hosts().into_iter().collect(),
             request_ids: self.clients.known_ids(),
             descriptors_in_use: self.clients.descriptors_in_use(),
-            member: self.admin.membership().map(|cluster| cluster.word()),
+            member: self.admin.membership().map(|cluster| cluster.handover_state()),
             retry_budget: budget.map(|buckets| buckets.into_iter().map(RetryBudgetAges::from).collect()),
         }
     }
