--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -20,7 +20,7 @@
 use tracing::{debug, info, warn};
 
 use crate::config::{ClusterConfig, Config};
-use crate::lifecycle::upgrade_state::MemberWord;
+use crate::lifecycle::upgrade_state::MemberIdentity;
 
 /// While the other process of this node has the address, binding is retried this often.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -99,7 +99,7 @@
     pub fn new(
         config: &Config,
         cluster: &ClusterConfig,
-        predecessor: Option<&MemberWord>,
+        predecessor: Option<&MemberIdentity>,
     ) -> Result<Self, RecordError> {
         let mut seeds = cluster.seeds.clone();
         let mut instance = new_instance(config.seed);
@@ -280,10 +280,10 @@
     }
 
     /// What the process that takes over needs to go on as the same member.
-    pub fn handover_state(&self) -> MemberWord {
+    pub fn handover_state(&self) -> MemberIdentity {
         let members = self.members.borrow();
         let alive = members.peers().filter(|member| member.state == MemberState::Alive);
-        MemberWord {
+        MemberIdentity {
             session: members.local().instance.0,
             incarnation: members.local().incarnation,
             counter: members.last_sequence(),
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -37,7 +37,7 @@
         self.0.replace(Some(socket.clone()));
         tokio::select! {
             () = socket.receive(node.clone()) => {}
-            () = node.process.left.notified() => {}
+            () = node.process.release_sockets.notified() => {}
         }
         self.0.replace(None);
     }
@@ -48,7 +48,7 @@
             match GossipSocket::bind(&node).await {
                 Ok(None) => return,
                 Ok(Some(socket)) => return self.run(node, socket).await,
-                Err(error) if error.kind() == io::ErrorKind::AddrInUse && node.process.linked().is_some() => {
+                Err(error) if error.kind() == io::ErrorKind::AddrInUse && node.process.other().is_some() => {
                     tokio::time::sleep(BIND_RETRY_DELAY).await;
                 }
                 Err(error) => {
