--- a/crates/alderstile-cluster/tests/membership_failure_detection.rs
+++ b/crates/alderstile-cluster/tests/membership_failure_detection.rs
@@ -4,11 +4,13 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::membership::{
-    DatagramHeader, InstanceId, MemberState, MemberUpdate, Membership, MembershipChange, MembershipConfig,
-    MembershipEffect, Message,
+    DatagramHeader, InstanceId, MemberState, MemberUpdate, Membership, MembershipChange, MembershipEffect,
+    Message,
 };
 
-use support::members::{address, carry, carry_watched, codec, member, pass, period, record, state};
+use support::members::{
+    address, carry, carry_watched, codec, member, newcomer, next_due, pass, record, state,
+};
 
 #[test]
 fn members_find_each_other_by_any_one_seed() {
@@ -54,7 +56,7 @@
     }
     let mut now = Micros(0);
     let changes = loop {
-        let (due, i) = members.iter().enumerate().map(|(i, m)| (m.next_timeout(), i)).min().expect("members");
+        let (due, i) = next_due(&members);
         assert!(due < Micros::from_millis(4_000), "nobody asks");
         now = now.max(due);
         let out = members[i].handle_timeout(now);
@@ -113,18 +115,10 @@
     let mut members: Vec<Membership> = known.iter().map(|n| member(*n, &known)).collect();
     let mut now = Micros(0);
     pass(&mut members, &mut now, Micros::from_millis(36_000));
-    let seeds = vec![address(1)];
-    members.push(Membership::new(
-        MembershipConfig::with_period(period()),
-        codec(),
-        record(99),
-        seeds,
-        99,
-        now,
-    ));
+    members.push(newcomer(record(99), 99, now));
     let (mut last, mut longest) = (now, Micros(0));
     while now < Micros::from_millis(160_000) {
-        let (due, i) = members.iter().enumerate().map(|(i, m)| (m.next_timeout(), i)).min().expect("members");
+        let (due, i) = next_due(&members);
         now = now.max(due);
         let out = members[i].handle_timeout(now);
         carry_watched(&mut members, now, vec![(i, out)], &mut |to, bytes| {
--- a/crates/alderstile-cluster/tests/membership_identity.rs
+++ b/crates/alderstile-cluster/tests/membership_identity.rs
@@ -4,25 +4,18 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::membership::{
-    DatagramHeader, InstanceId, MAX_METADATA_BYTES, MemberRecord, MemberState, MemberUpdate, Membership,
-    MembershipChange, MembershipConfig, Message, RecordError,
+    DatagramHeader, InstanceId, MAX_METADATA_BYTES, MemberRecord, MemberState, MemberUpdate,
+    MembershipChange, Message, RecordError,
 };
 
-use support::members::{address, codec, member, pass, period, record, state};
+use support::members::{address, codec, member, newcomer, pass, record, state};
 
 #[test]
 fn a_restarted_member_replaces_its_earlier_instance() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3])];
     // Number 3 returns as another process at the same address; the others still hold the old one alive.
     let again = MemberRecord { instance: InstanceId(33), ..record(3) };
-    members.push(Membership::new(
-        MembershipConfig::with_period(period()),
-        codec(),
-        again,
-        vec![address(1)],
-        9,
-        Micros(0),
-    ));
+    members.push(newcomer(again, 9, Micros(0)));
     let mut now = Micros(0);
     let changes = pass(&mut members, &mut now, Micros::from_millis(5_000));
     assert!(
@@ -38,14 +31,7 @@
 fn a_name_conflict_is_reported_and_neither_member_is_believed_over_the_other() {
     let mut members = vec![member(1, &[2]), member(2, &[1])];
     let other = MemberRecord { name: "n2".into(), ..record(5) };
-    members.push(Membership::new(
-        MembershipConfig::with_period(period()),
-        codec(),
-        other,
-        vec![address(1)],
-        5,
-        Micros(0),
-    ));
+    members.push(newcomer(other, 5, Micros(0)));
     let mut now = Micros(0);
     let changes = pass(&mut members, &mut now, Micros::from_millis(5_000));
     for (by, member) in members.iter().enumerate() {
--- a/crates/alderstile-cluster/tests/subsetting.rs
+++ b/crates/alderstile-cluster/tests/subsetting.rs
@@ -1,5 +1,7 @@
 //! Subsetting: hosts' dues, churn, differing views, widening, and bad input.
 
+mod support;
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use alderstile::types::{Micros, ServerId};
@@ -9,20 +11,10 @@
 };
 use proptest::prelude::*;
 
-fn nodes(count: usize) -> Vec<SubsetNode> {
-    let node = |n: usize| SubsetNode { name: format!("edge-{n}").into(), zone: (n % 3) as u16, traffic: 1.0 };
-    (0..count).map(node).collect()
-}
+use support::subsets::{hosts, nodes_with_traffic};
 
-/// Weights 1 to 4, three zones, failure groups of five.
-fn hosts(count: usize) -> Vec<SubsetHost> {
-    let host = |h: usize| SubsetHost {
-        id: ServerId(h as u64 * 0x1_0001 + 77),
-        weight: 1.0 + (h * 7 % 4) as f64,
-        zone: (h % 3) as u16,
-        failure_group: (h / 5) as u16,
-    };
-    (0..count).map(host).collect()
+fn nodes(count: usize) -> Vec<SubsetNode> {
+    nodes_with_traffic(count, |_| 1.0)
 }
 
 /// What each host gets of all nodes' traffic.
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -1,5 +1,7 @@
 //! Shares and assigned hosts as the version before worked them out (cc53de7): the same to nine digits.
 
+mod support;
+
 use std::collections::BTreeSet;
 use std::path::PathBuf;
 
@@ -12,28 +14,15 @@
     share_table,
 };
 
+use support::subsets::{hosts, nodes_with_traffic};
+
 fn fixture(name: &str) -> String {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/subsetting").join(name);
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
 fn nodes(count: usize) -> Vec<SubsetNode> {
-    let node = |n: usize| SubsetNode {
-        name: format!("edge-{n}").into(),
-        zone: (n % 3) as u16,
-        traffic: 0.5 + (n * 5 % 7) as f64,
-    };
-    (0..count).map(node).collect()
-}
-
-fn hosts(count: usize) -> Vec<SubsetHost> {
-    let host = |h: usize| SubsetHost {
-        id: ServerId(h as u64 * 0x1_0001 + 77),
-        weight: 1.0 + (h * 7 % 4) as f64,
-        zone: (h % 3) as u16,
-        failure_group: (h / 5) as u16,
-    };
-    (0..count).map(host).collect()
+    nodes_with_traffic(count, |n| 0.5 + (n * 5 % 7) as f64)
 }
 
 fn counts(subset: SubsetCounts) -> (usize, usize) {
--- a/crates/alderstile-cluster/tests/support/members.rs
+++ b/crates/alderstile-cluster/tests/support/members.rs
@@ -39,6 +39,18 @@
     member_with(n, codec(), known)
 }
 
+/// One that knows nobody and has number 1 as its seed.
+pub fn newcomer(record: MemberRecord, random_seed: u64, now: Micros) -> Membership {
+    let config = MembershipConfig::with_period(period());
+    Membership::new(config, codec(), record, vec![address(1)], random_seed, now)
+}
+
+/// The member that has something to do next, and when.
+pub fn next_due(members: &[Membership]) -> (Micros, usize) {
+    let due = members.iter().enumerate().map(|(i, member)| (member.next_timeout(), i));
+    due.min().expect("members")
+}
+
 /// Carries all datagrams between these until nobody has anything to say; returns what changed, by whom.
 pub fn carry(
     members: &mut [Membership],
@@ -78,7 +90,7 @@
     let until = *now + span;
     let mut changes = Vec::new();
     loop {
-        let (due, i) = members.iter().enumerate().map(|(i, m)| (m.next_timeout(), i)).min().expect("members");
+        let (due, i) = next_due(members);
         if due > until {
             break;
         }
--- a/crates/alderstile-cluster/tests/support/mod.rs
+++ b/crates/alderstile-cluster/tests/support/mod.rs
@@ -3,3 +3,4 @@
 
 pub mod members;
 pub mod simulated_cluster;
+pub mod subsets;
