--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -5,7 +5,7 @@
 use super::Policy;
 use super::connection::Connection;
 use super::period::PERIOD;
-use super::running_mean::Mean;
+use super::running_mean::RunningMean;
 
 /// An attempt may take this many typical set-ups, and the latency objective at least.
 const TYPICAL_SETUPS_PER_ATTEMPT: f64 = 4.0;
@@ -21,11 +21,11 @@
 #[derive(Default)]
 pub(super) struct SetupStatistics {
     /// Running mean of what a set-up takes, in milliseconds.
-    typical_ms: Mean,
+    typical_ms: RunningMean,
     /// Running mean share of set-ups that ran into their time-out.
-    timed_out_share: Mean,
+    timed_out_share: RunningMean,
     /// Running mean of requests a second.
-    typical_request_rate: Mean,
+    typical_request_rate: RunningMean,
     /// Requests of the current period so far.
     requests_this_period: u32,
     pub(super) attempts_in_flight: u32,
@@ -41,32 +41,39 @@
         self.typical_request_rate.add(f64::from(requests) / PERIOD.as_secs_f64());
     }
 
-    /// Takes in an attempt that became a connection; returns what it took above the typical, in milliseconds.
-    pub(super) fn on_success(&mut self, latency: Micros) -> f64 {
-        self.attempts_in_flight -= 1;
+    /// What a set-up took above the typical, in milliseconds.
+    pub(super) fn excess_ms(&self, latency: Micros) -> f64 {
         let took_ms = latency.as_secs_f64() * 1e3;
-        let typical_ms = self.typical_ms.0.unwrap_or(took_ms);
-        self.typical_ms.add(took_ms.min(MAX_SETUP_MULTIPLE * typical_ms));
+        took_ms - self.typical_ms.value().unwrap_or(took_ms)
+    }
+
+    /// Takes in an attempt that became a connection.
+    pub(super) fn on_success(&mut self, latency: Micros) {
+        self.attempts_in_flight -= 1;
+        self.learn_typical(latency);
         self.timed_out_share.add(0.0);
-        took_ms - typical_ms
+    }
+
+    fn learn_typical(&mut self, took: Micros) {
+        let took_ms = took.as_secs_f64() * 1e3;
+        let typical_ms = self.typical_ms.value().unwrap_or(took_ms);
+        self.typical_ms.add(took_ms.min(MAX_SETUP_MULTIPLE * typical_ms));
     }
 
     /// Takes in an attempt that ran into its own time-out. It counts as a set-up of that length: in a fleet
     /// that is slow as a whole, time-outs would add to its work.
     fn on_timeout(&mut self, took: Micros) {
         self.timed_out_share.add(1.0);
-        let took_ms = took.as_secs_f64() * 1e3;
-        let bounded = self.typical_ms.0.map_or(took_ms, |typical| took_ms.min(MAX_SETUP_MULTIPLE * typical));
-        self.typical_ms.add(bounded);
+        self.learn_typical(took);
     }
 
     /// Whether set-ups take long everywhere: more attempts are in flight than requests come in `wait`
     /// (Little's law), or many time out.
     fn all_are_slow(&self, wait: Micros) -> bool {
-        let rate = self.typical_request_rate.0.unwrap_or(0.0);
+        let rate = self.typical_request_rate.value().unwrap_or(0.0);
         let expected_in_flight = MIN_ATTEMPTS_IN_FLIGHT + rate * wait.as_secs_f64();
         f64::from(self.attempts_in_flight) > expected_in_flight
-            || self.timed_out_share.0.is_some_and(|share| share > MAX_TIMED_OUT_SHARE)
+            || self.timed_out_share.value().is_some_and(|share| share > MAX_TIMED_OUT_SHARE)
     }
 }
 
@@ -77,7 +84,7 @@
     /// up. There is no time-out before a set-up has succeeded, where no time would be left for another
     /// attempt, and where set-ups take long everywhere: a retry would wait anew.
     pub(super) fn attempt_timeout(&self, now: Micros, connection: &Connection) -> Option<Micros> {
-        let typical = Micros((self.setups.typical_ms.0? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
+        let typical = Micros((self.setups.typical_ms.value()? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
         let wait = connection.class_at_arrival.as_ref()?.latency_objective.max(typical);
         if self.setups.all_are_slow(wait) {
             return None;
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -57,8 +57,12 @@
 }
 
 impl Policy {
-    /// A server, a node or a set-up told of the delay of messages at a server, in milliseconds.
-    pub(super) fn on_message_delay(&mut self, now: Micros, server: ServerId, ms: f64, unconfirmed: bool) {
+    /// A server reported the delay of its messages, in milliseconds.
+    pub(super) fn on_message_delay(&mut self, now: Micros, server: ServerId, ms: f64) {
+        self.record_delay(now, server, ms, false);
+    }
+
+    fn record_delay(&mut self, now: Micros, server: ServerId, ms: f64, unconfirmed: bool) {
         if !(0.0..=MAX_DELAY_MS).contains(&ms) {
             return;
         }
@@ -86,7 +90,7 @@
     ) {
         let (id, delay_ms) = (self.servers[index].endpoint.id, excess_ms.max(0.0));
         let unconfirmed = self.needs_confirmation(index, delay_ms);
-        self.on_message_delay(now, id, delay_ms, unconfirmed);
+        self.record_delay(now, id, delay_ms, unconfirmed);
         if self.settings.gossip_allowed && self.is_late(now, index) {
             actions.push(Action::Broadcast([id.0.to_le_bytes(), delay_ms.to_le_bytes()].concat()));
         }
@@ -104,7 +108,7 @@
     pub(super) fn on_gossip(&mut self, now: Micros, data: &[u8]) {
         let ([id, delay_ms], []) = data.as_chunks() else { return };
         let server = ServerId(u64::from_le_bytes(*id));
-        self.on_message_delay(now, server, f64::from_le_bytes(*delay_ms), false);
+        self.on_message_delay(now, server, f64::from_le_bytes(*delay_ms));
     }
 
     /// Whether messages at this server are late now.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -114,7 +114,7 @@
             Event::Established { id, latency } => self.on_established(now, id, latency, actions),
             Event::Ended { id, outcome, closed, .. } => self.on_ended(now, id, outcome, closed, actions),
             Event::LoadReported(id, load) => self.on_load_report(id, load),
-            Event::DelayReported(server, ms) => self.on_message_delay(now, server, ms, false),
+            Event::DelayReported(server, ms) => self.on_message_delay(now, server, ms),
             Event::ClientDisconnected(id) => self.on_client_disconnected(id),
             Event::Timer(PERIOD_TIMER) => self.on_period(now, actions),
             Event::Timer(POLL_TIMER) => self.on_poll_timer(actions),
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -63,7 +63,9 @@
         holds_few: bool,
         actions: &mut Vec<Action>,
     ) {
-        let excess = self.measure_excess(now, index, mean_load);
+        self.bound_late_server(now, index, mean_load);
+        self.count_overloaded_period(index, mean_load);
+        let excess = self.excess(now, index, mean_load);
         if excess.load <= 0.0 {
             return;
         }
@@ -74,41 +76,53 @@
         self.migrate_closest(index, load, moves, candidates, actions);
     }
 
-    /// Measures what a server holds too much, and counts its periods above the overload threshold.
-    fn measure_excess(&mut self, now: Micros, index: ServerIndex, mean_load: f64) -> Excess {
-        let draining = self.servers[index].draining;
-        let reactive = if draining {
-            self.servers[index].load.connections.len() as f64
-        } else {
-            self.measure_late_excess(now, index, mean_load)
-        };
-        let fair_load = mean_load * self.effective_weight(index);
-        let load = self.recorded_load(index);
+    /// Bounds a late server to what it manages, unless it is stalled: that tells nothing of its capacity.
+    fn bound_late_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
+        let Some(late) = self.delay_if_late(now, index).filter(|late| !late.stalled) else { return };
+        if !self.servers[index].draining {
+            let manageable_load = self.manageable_load(&late, self.recorded_load(index));
+            self.bound_to_capacity(index, manageable_load, mean_load);
+        }
+    }
+
+    fn count_overloaded_period(&mut self, index: ServerIndex, mean_load: f64) {
+        let threshold = OVERLOAD_THRESHOLD * (mean_load * self.effective_weight(index));
+        let overloaded = self.recorded_load(index) > threshold;
         let server = &mut self.servers[index];
-        let overloaded = load > OVERLOAD_THRESHOLD * fair_load;
         server.overloaded_periods = if overloaded { server.overloaded_periods + 1 } else { 0 };
-        let proactive = if server.overloaded_periods >= OVERLOADED_PERIODS { load - fair_load } else { 0.0 };
-        let cause = match (draining, reactive > 0.0) {
-            (true, _) => ExcessCause::Draining,
-            (false, true) => ExcessCause::Late,
-            (false, false) => ExcessCause::Overloaded,
+    }
+
+    /// What a server holds too much: the larger of what it has above its part of the mean, when it has been
+    /// overloaded for long enough, and of what a late or draining server is to be rid of.
+    fn excess(&self, now: Micros, index: ServerIndex, mean_load: f64) -> Excess {
+        let server = &self.servers[index];
+        let (reactive, cause) = if server.draining {
+            (server.load.connections.len() as f64, ExcessCause::Draining)
+        } else {
+            (self.late_excess(now, index), ExcessCause::Late)
+        };
+        let proactive = if server.overloaded_periods >= OVERLOADED_PERIODS {
+            self.recorded_load(index) - mean_load * self.effective_weight(index)
+        } else {
+            0.0
         };
+        let cause = if reactive > 0.0 { cause } else { ExcessCause::Overloaded };
         Excess { load: reactive.max(proactive), cause }
     }
 
-    /// Measures what a late server has beyond what it manages, and what is to go for its backlog to clear in
-    /// time. Bounds the server to what it manages, unless it is stalled: that tells nothing of its capacity.
-    fn measure_late_excess(&mut self, now: Micros, index: ServerIndex, mean_load: f64) -> f64 {
-        let Some(late) = self.servers[index].delay.filter(|_| self.is_late(now, index)) else { return 0.0 };
+    /// What a late server has beyond what it manages, and what is to go for its backlog to clear in time.
+    fn late_excess(&self, now: Micros, index: ServerIndex) -> f64 {
+        let Some(late) = self.delay_if_late(now, index) else { return 0.0 };
         let load = self.recorded_load(index);
         let manageable_load = self.manageable_load(&late, load);
-        if !late.stalled {
-            self.bound_to_capacity(index, manageable_load, mean_load);
-        }
         let backlog = late.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
         (load - manageable_load * (1.0 - backlog)).clamp(0.0, load)
     }
 
+    fn delay_if_late(&self, now: Micros, index: ServerIndex) -> Option<MessageDelay> {
+        self.servers[index].delay.filter(|_| self.is_late(now, index))
+    }
+
     /// The part of its load that a late server manages. The growth of its delay tells how far it is over its
     /// capacity; where it is a little late that is little, so only where a whole objective is missed the
     /// whole margin is kept.
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -91,7 +91,8 @@
         let request = connection.request;
         self.learn_typical_load(&request, request.expected_load);
         self.record_success(now, index);
-        let excess_ms = self.setups.on_success(latency);
+        let excess_ms = self.setups.excess_ms(latency);
+        self.setups.on_success(latency);
         if !self.settings.servers_report_delay {
             self.on_setup_excess(now, index, excess_ms, actions);
         }
@@ -130,9 +131,10 @@
         outcome: Outcome,
         actions: &mut Vec<Action>,
     ) {
-        if self.client_has_given_up(&connection, outcome) || !self.spend_retry_token(outcome) {
+        if self.client_has_given_up(&connection, outcome) || !self.has_retry_token(outcome) {
             return self.give_up(&connection, actions);
         }
+        self.spend_retry_token(outcome);
         self.attempt(now, connection, actions);
     }
 
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -130,19 +130,22 @@
         self.retry_usage.window.is_known(now, window) && f64::from(count.retries + 1) <= allowed
     }
 
-    /// Spends a token for a retry after this outcome; false where one is needed and none is left. Where a
-    /// budget is stated that bounds retries instead, and what no server has seen is no load on any and costs
-    /// nothing.
-    pub(super) fn spend_retry_token(&mut self, outcome: Outcome) -> bool {
+    /// Whether a retry after this outcome needs a token. Where a budget is stated that bounds retries
+    /// instead, and what no server has seen is no load on any.
+    fn needs_retry_token(&self, outcome: Outcome) -> bool {
         let unseen = matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
-        if self.settings.retry_budget.is_some() || unseen {
-            return true;
-        }
-        if self.retry_usage.tokens < 1.0 {
-            return false;
+        self.settings.retry_budget.is_none() && !unseen
+    }
+
+    /// Whether a retry after this outcome has the token that it needs.
+    pub(super) fn has_retry_token(&self, outcome: Outcome) -> bool {
+        !self.needs_retry_token(outcome) || self.retry_usage.tokens >= 1.0
+    }
+
+    pub(super) fn spend_retry_token(&mut self, outcome: Outcome) {
+        if self.needs_retry_token(outcome) {
+            self.retry_usage.tokens -= 1.0;
         }
-        self.retry_usage.tokens -= 1.0;
-        true
     }
 
     /// What was counted, for the process that takes this one's place; none where it is not known. This
--- a/src/policy/running_mean.rs
+++ b/src/policy/running_mean.rs
@@ -3,12 +3,19 @@
 /// Weight of the newest value.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// A running mean that starts at its first value; none before that.
+/// A running mean that starts at its first value.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Mean(pub(super) Option<f64>);
+pub(super) struct RunningMean {
+    mean: Option<f64>,
+}
 
-impl Mean {
+impl RunningMean {
     pub(super) fn add(&mut self, value: f64) {
-        self.0 = Some(self.0.map_or(value, |mean| mean + NEWEST_WEIGHT * (value - mean)));
+        self.mean = Some(self.mean.map_or(value, |mean| mean + NEWEST_WEIGHT * (value - mean)));
+    }
+
+    /// The mean; none before the first value.
+    pub(super) fn value(&self) -> Option<f64> {
+        self.mean
     }
 }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -79,7 +79,8 @@
 }
 
 impl Policy {
-    /// The server on which a connection lands; none where the request has to be given up.
+    /// The server on which a connection lands; none where the request has to be given up. Draws the random
+    /// number that breaks ties for connections without a group.
     pub(super) fn choose(&mut self, now: Micros, connection: &Connection) -> Option<ServerIndex> {
         let random_key = GroupId(self.rng.random());
         let selection = Selection::new(self, now, connection, random_key);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -9,7 +9,7 @@
 use super::Policy;
 use super::load_estimate::MAX_LOAD;
 use super::period::PERIOD;
-use super::running_mean::Mean;
+use super::running_mean::RunningMean;
 use super::selection::group_reach;
 use super::server::ServerIndex;
 
@@ -67,7 +67,7 @@
     /// Connections that ended by themselves.
     pub(super) ended: u32,
     /// Running mean of [`Policy::mean_connections`].
-    typical_connections: Mean,
+    typical_connections: RunningMean,
 }
 
 impl ConnectionTurnover {
@@ -112,7 +112,7 @@
         self.turnover.observe(self.connections.len(), mean_connections);
         // After a release a slow server may be the only warm one, and it holds next to nothing: what warm
         // ones held a moment ago is still known.
-        let typical = self.turnover.typical_connections.0;
+        let typical = self.turnover.typical_connections.value();
         let held = typical.map_or(mean_connections, |typical| typical.max(mean_connections));
         let lifetime = self.token_lifetime(now);
         for index in 0..self.servers.len() {
