--- a/crates/alderstile-lab/src/emulated/choosers.rs
+++ b/crates/alderstile-lab/src/emulated/choosers.rs
@@ -112,7 +112,7 @@
     /// Hosts that the node can't reach now.
     pub fn unreached(&self) -> BTreeSet<ServerId> {
         match self {
-            Chooser::Module(policy) => policy.unreached(),
+            Chooser::Module(policy) => policy.unreachable_servers(),
             Chooser::Plain(_) => BTreeSet::new(),
         }
     }
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -284,13 +284,13 @@
 
     /// How many listed servers receive nothing new now: draining, in maintenance, in backoff or late.
     pub fn unavailable_servers(&self, now: Micros) -> usize {
-        self.policy.avoided(now)
+        self.policy.avoided_server_count(now)
     }
 
     /// Servers that this node has ejected until a set-up succeeds: they could not be reached, had no capacity or dropped
     /// all their connections.
     pub fn ejected_servers(&self) -> BTreeSet<ServerId> {
-        self.policy.unreached()
+        self.policy.unreachable_servers()
     }
 
     /// Another node sent a message.
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -9,7 +9,7 @@
 
 impl Policy {
     /// How many listed servers draw nothing new now: they drain, are ejected or are late.
-    pub fn avoided(&self, now: Micros) -> usize {
+    pub fn avoided_server_count(&self, now: Micros) -> usize {
         (0..self.servers.len()).filter(|&index| self.is_avoided(now, index)).count()
     }
 
@@ -24,7 +24,7 @@
 
     /// Servers that this node could not reach, or that dropped all that it held there or rejected work, until
     /// a set-up succeeds.
-    pub fn unreached(&self) -> BTreeSet<ServerId> {
+    pub fn unreachable_servers(&self) -> BTreeSet<ServerId> {
         let outliers =
             self.servers.iter().filter(|server| server.outlier.unreachable || server.outlier.connect_failed);
         outliers.map(|server| server.endpoint.id).collect()
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -91,7 +91,7 @@
 
     /// Takes over the random state of the deciding instance, before that one handles an event.
     pub fn align_randomness(&mut self, deciding: &Policy) {
-        self.policy.share_chance(deciding);
+        self.policy.share_random_state(deciding);
     }
 
     /// Handles the event and compares with what the deciding instance did about it.
@@ -130,7 +130,7 @@
                 _ => counts.forwarded += 1,
             }
             if let Some(request) = request.filter(|request| request.id == *id) {
-                self.policy.follow(now, request, server);
+                self.policy.follow_forwarding(now, request, server);
             }
         }
     }
@@ -141,7 +141,7 @@
         counts.stayed += decided.difference(own).count() as u64;
         for id in own.difference(decided) {
             counts.migrated += 1;
-            self.policy.stays(*id);
+            self.policy.follow_staying(*id);
         }
     }
 }
--- a/tests/policy/probe.rs
+++ b/tests/policy/probe.rs
@@ -87,7 +87,7 @@
         }
         let report = vec![0.3];
         node.event(Event::ProbeCompleted { server: ServerId(1), outcome: Outcome::Ok, report });
-        node.policy.avoided(node.now) == 0 && probes > 0
+        node.policy.avoided_server_count(node.now) == 0 && probes > 0
     };
     assert!(probed(6_300.0), "asked, and back as soon as a report says that it does its work");
     assert!(!probed(300.0), "an overload that was seen is believed for longer than a report");
--- a/tests/policy/retry.rs
+++ b/tests/policy/retry.rs
@@ -127,8 +127,8 @@
     let (mut node, server) = with_attempt_in_flight(settings(), 2);
     node.end(1, Outcome::NotForwarded);
     assert!(node.server_of(1).is_some_and(|other| other != server));
-    assert!(node.policy.unreached().is_empty());
-    assert_eq!(node.policy.avoided(node.now), 0);
+    assert!(node.policy.unreachable_servers().is_empty());
+    assert_eq!(node.policy.avoided_server_count(node.now), 0);
     // Many in a row: each still finds the other server.
     for id in 2..40 {
         node.send_request(request(id));
