--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -49,11 +49,13 @@
         actions.push(Action::SetTimer(spread.scale(self.rng.random::<f64>()), POLL_TIMER));
     }
 
+    /// The backoff is over: subscribes to the endpoint list.
     pub(super) fn on_poll_timer(&mut self, actions: &mut Vec<Action>) {
         self.subscription.poll_scheduled = false;
         actions.push(Action::WatchEndpoints);
     }
 
+    /// A list or a change of it has come, or the subscription has failed.
     pub(super) fn on_endpoint_list(
         &mut self,
         now: Micros,
@@ -72,7 +74,7 @@
         for endpoint in endpoints {
             self.apply_endpoint(now, endpoint);
         }
-        self.find_disproved_lists(now);
+        self.update_disproved_lists(now);
         self.update_zone_affinity(now);
     }
 
@@ -81,6 +83,7 @@
     fn schedule_next_poll(&mut self, actions: &mut Vec<Action>) {
         let doublings = self.subscription.failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
         let backoff = POLL_BACKOFF.scale(f64::from(1 << doublings));
+        // Drawn before the checks, so that the sequence of random numbers does not depend on them.
         let jitter = 0.5 + self.rng.random::<f64>();
         let wait = backoff.scale(jitter).min(self.settings.max_poll_interval.scale(0.5));
         if !self.settings.must_subscribe || self.subscription.poll_scheduled {
@@ -129,7 +132,7 @@
         index
     }
 
-    /// A process that was started anew has no history.
+    /// Forgets what was seen of a server: its process was started anew.
     fn forget_history(&mut self, now: Micros, index: ServerIndex, endpoint: Endpoint) {
         let nodes = u64::from(self.settings.node_count);
         let node = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
@@ -173,9 +176,9 @@
         !server.load.connections.is_empty() || answered.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
     }
 
-    /// Finds the lists that removed running servers: where one server that a list removed runs, that list is
+    /// Notes the lists that removed running servers: where one server that a list removed runs, that list is
     /// wrong about all that it removed.
-    pub(super) fn find_disproved_lists(&mut self, now: Micros) {
+    pub(super) fn update_disproved_lists(&mut self, now: Micros) {
         let disproves =
             |&index: &ServerIndex| self.removal_is_advice(index) && self.is_known_to_run(now, index);
         let disproved = (0..self.servers.len()).filter(disproves);
--- a/src/policy/period.rs
+++ b/src/policy/period.rs
@@ -22,7 +22,7 @@
         self.refill_slow_start_tokens(now, mean_connections);
         self.servers.iter_mut().for_each(|server| server.capacity.recover());
         self.probe_stalled_servers(now, actions);
-        self.find_disproved_lists(now);
+        self.update_disproved_lists(now);
         self.update_zone_affinity(now);
         self.probe_removed_servers(now, actions);
         self.rebalance(now, mean_connections < FEW_CONNECTIONS, actions);
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -103,7 +103,7 @@
     ) {
         let Some(&index) = self.index_by_id.get(&server) else { return };
         self.servers[index].probes.answered_at = (outcome == Outcome::Ok).then_some(now);
-        self.find_disproved_lists(now);
+        self.update_disproved_lists(now);
         if let Some(ratio) = self.load_ratio_of(report) {
             self.servers[index].probes.load_report = Some(LoadReport { ratio, at: now });
             // No connection is there that could show that the delay is over.
