--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -13,6 +13,7 @@
 mod connection;
 mod effective_weight;
 mod endpoints;
+mod group_placement;
 mod load_estimate;
 mod log_limit;
 mod message_delay;
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -6,35 +6,18 @@
 
 use rand::RngExt;
 
-use crate::types::{GroupId, Micros, ServerId};
+use crate::types::{GroupId, Micros};
 
 use super::Policy;
 use super::connection::Connection;
+use super::group_placement::{lowest_hash_in_reach, shared_hash};
 use super::probe::CROWDED_LOAD_RATIO;
 use super::rebalance::OVERLOAD_THRESHOLD;
 use super::server::ServerIndex;
 
-/// A connection joins its group at a server while all nodes together would hold no more than this multiple of
-/// the mean there.
-const GROUP_OVERLOAD_THRESHOLD: f64 = 1.25;
-/// A group begins on the square root of the number of servers and so many more.
-const GROUP_EXTRA_SERVERS: f64 = 2.0;
 /// Where only set-ups tell of delays, each server is to have one this often, by any node.
 const SETUP_INTERVAL: Micros = Micros::from_millis(2_000);
 
-/// On how many of so many servers a group may begin; the same at all nodes.
-pub(super) fn group_reach(servers: usize) -> usize {
-    ((servers as f64).sqrt() + GROUP_EXTRA_SERVERS) as usize
-}
-
-/// A hash of a group and a server that is the same at all nodes: nodes that know nothing of one another begin
-/// a group on the same servers.
-fn shared_hash(group: GroupId, server: ServerId) -> u64 {
-    let mixed = (group.0 ^ server.0.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    let mixed = (mixed ^ mixed >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed ^ mixed >> 32
-}
-
 /// A weighted random pick: of servers with independent uniform hashes the one with the lowest value wins in
 /// proportion to its weight (exponential variates).
 fn weighted_pick(hash: u64, weight: f64) -> f64 {
@@ -64,18 +47,18 @@
 }
 
 /// What the ranks of one selection share.
-struct Selection<'a> {
-    policy: &'a Policy,
-    now: Micros,
-    connection: &'a Connection,
+pub(super) struct Selection<'a> {
+    pub(super) policy: &'a Policy,
+    pub(super) now: Micros,
+    pub(super) connection: &'a Connection,
     /// The connection's group, or a random one in its place: hashes with it break ties.
-    hash_key: GroupId,
+    pub(super) hash_key: GroupId,
     /// The lowest hash of a server on which the group may begin.
-    lowest_hash_in_reach: u64,
-    mean_load: f64,
-    mean_connections: f64,
-    typical_load: f64,
-    group_load_share: f64,
+    pub(super) lowest_hash_in_reach: u64,
+    pub(super) mean_load: f64,
+    pub(super) mean_connections: f64,
+    pub(super) typical_load: f64,
+    pub(super) group_load_share: f64,
 }
 
 impl Policy {
@@ -145,14 +128,6 @@
             && self.is_in_group_reach(index)
     }
 
-    /// A group keeps to its reach and to where it is: a copy of it on one more server costs more than one
-    /// connection is worth.
-    fn is_in_group_reach(&self, index: ServerIndex) -> bool {
-        self.connection.request.group.is_none()
-            || self.hash(index) >= self.lowest_hash_in_reach
-            || self.holds_group(index)
-    }
-
     fn rank(&self, index: ServerIndex) -> Rank {
         let (policy, now) = (self.policy, self.now);
         let load_ratio = policy.fresh_load_ratio(now, index);
@@ -169,23 +144,10 @@
         }
     }
 
-    fn hash(&self, index: ServerIndex) -> u64 {
+    pub(super) fn hash(&self, index: ServerIndex) -> u64 {
         shared_hash(self.hash_key, self.policy.servers[index].endpoint.id)
     }
 
-    fn holds_group(&self, index: ServerIndex) -> bool {
-        self.policy.servers[index].load.holds_group(self.connection.request.group)
-    }
-
-    /// Whether the group is at a server and all nodes together, the others taken at their mean, would not
-    /// overload it.
-    fn may_join_group(&self, index: ServerIndex) -> bool {
-        let nodes = f64::from(self.policy.settings.node_count.max(1));
-        let group_limit = self.mean_load * (1.0 + (GROUP_OVERLOAD_THRESHOLD - 1.0) * nodes);
-        let limit = group_limit * self.policy.effective_weight(index);
-        self.holds_group(index) && self.policy.recorded_load(index) <= limit
-    }
-
     /// The load of a server for each unit of effective weight, with the group's work if the group begins
     /// there.
     ///
@@ -203,14 +165,3 @@
             + self.typical_load * (missing_connections + chance).floor()
     }
 }
-
-/// The lowest hash among the servers on which a group may begin: the highest hashes of those that can be
-/// reached.
-fn lowest_hash_in_reach(policy: &Policy, now: Micros, group: GroupId) -> u64 {
-    let reachable =
-        policy.available_servers(now).filter(|&index| !policy.servers[index].outlier.is_barred(now));
-    let mut hashes: Vec<u64> =
-        reachable.map(|index| shared_hash(group, policy.servers[index].endpoint.id)).collect();
-    hashes.sort_unstable_by(|a, b| b.cmp(a));
-    hashes.get(group_reach(hashes.len()) - 1).copied().unwrap_or(0)
-}
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,10 +7,10 @@
 use crate::types::Micros;
 
 use super::Policy;
+use super::group_placement::group_reach;
 use super::load_estimate::MAX_LOAD;
 use super::period::PERIOD;
 use super::running_mean::RunningMean;
-use super::selection::group_reach;
 use super::server::ServerIndex;
 
 /// What a warm server can do, as a multiple of what it holds: fleets are seldom more than half full.
