--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,15 +12,15 @@
     ConnectionRequest { class: u16, group: u64, hint: Option<f64>, remaining: u64 },
     Establish(usize),
     End(usize, u8),
-    Gone(usize),
-    Load(usize, f64),
-    Delay(u64, f64),
+    ClientDisconnected(usize),
+    LoadReport(usize, f64),
+    DelayReport(u64, f64),
     Probed(u64, f64),
-    Pass(u64),
-    Change { server: u64, state: u8, restarted: Option<i64> },
-    Full(u64),
-    Failed,
-    Stray(u64),
+    PassTime(u64),
+    EndpointChange { server: u64, state: u8, restarted: Option<i64> },
+    FullList(u64),
+    ListFailed,
+    UnknownRequest(u64),
 }
 
 fn op() -> impl Strategy<Value = Op> {
@@ -33,16 +33,16 @@
             .prop_map(|(class, group, hint, remaining)| Op::ConnectionRequest { class, group, hint, remaining }),
         8 => any::<usize>().prop_map(Op::Establish),
         6 => (any::<usize>(), 0..8u8).prop_map(|(i, how)| Op::End(i, how)),
-        1 => any::<usize>().prop_map(Op::Gone),
-        4 => (any::<usize>(), load.clone()).prop_map(|(i, load)| Op::Load(i, load)),
-        3 => (0..9u64, load.clone()).prop_map(|(server, ms)| Op::Delay(server, ms / 500.0)),
+        1 => any::<usize>().prop_map(Op::ClientDisconnected),
+        4 => (any::<usize>(), load.clone()).prop_map(|(i, load)| Op::LoadReport(i, load)),
+        3 => (0..9u64, load.clone()).prop_map(|(server, ms)| Op::DelayReport(server, ms / 500.0)),
         3 => (0..9u64, load).prop_map(|(server, ratio)| Op::Probed(server, ratio / 1e6)),
-        6 => (0..1_500u64).prop_map(Op::Pass),
+        6 => (0..1_500u64).prop_map(Op::PassTime),
         2 => (1..9u64, 0..3u8, proptest::option::of(-30_000..30_000i64))
-            .prop_map(|(server, state, restarted)| Op::Change { server, state, restarted }),
-        1 => (0..9u64).prop_map(Op::Full),
-        1 => Just(Op::Failed),
-        1 => any::<u64>().prop_map(Op::Stray),
+            .prop_map(|(server, state, restarted)| Op::EndpointChange { server, state, restarted }),
+        1 => (0..9u64).prop_map(Op::FullList),
+        1 => Just(Op::ListFailed),
+        1 => any::<u64>().prop_map(Op::UnknownRequest),
     ]
 }
 
@@ -60,16 +60,16 @@
 
 /// What differs between deployments and the programs round the module.
 #[derive(Clone, Copy, Default)]
-struct Round {
+struct Deployment {
     must_subscribe: bool,
     probes: bool,
     /// As behind the balancer: no delays told, nodes talk, draining servers are emptied.
     sockets: bool,
     /// Further attempts are limited, clocks differ and only draining binds.
-    doubts: bool,
+    bounded_and_uncertain: bool,
 }
 
-fn mixed(round: Round) -> BalancerSettings {
+fn deployment_settings(deployment: Deployment) -> BalancerSettings {
     let semantics = [
         Idempotency::Idempotent,
         Idempotency::Deduplicated(DedupScope::All),
@@ -79,14 +79,14 @@
     ];
     let mut mixed = settings();
     mixed.classes = semantics.into_iter().map(class).collect();
-    mixed.must_subscribe = round.must_subscribe;
+    mixed.must_subscribe = deployment.must_subscribe;
     mixed.groups = true;
-    mixed.probes_allowed = round.probes;
-    mixed.servers_report_delay = !round.sockets;
-    mixed.gossip_allowed = round.sockets;
-    mixed.migrate_from_draining = round.sockets;
+    mixed.probes_allowed = deployment.probes;
+    mixed.servers_report_delay = !deployment.sockets;
+    mixed.gossip_allowed = deployment.sockets;
+    mixed.migrate_from_draining = deployment.sockets;
     mixed.report_fields = vec![ReportField::LoadRatio];
-    if round.doubts {
+    if deployment.bounded_and_uncertain {
         mixed.retry_budget = Some(RetryBudget { min_retries: 2.0, retry_ratio: 0.1, window: ms(1_700) });
         (mixed.deadline_tolerance, mixed.start_time_tolerance, mixed.removal_is_advisory) =
             (ms(2_000), ms(5_000), true);
@@ -94,8 +94,8 @@
     mixed
 }
 
-fn run(round: Round, servers: u64, ops: &[Op]) -> Vec<Action> {
-    let mut node = Node::new(mixed(round), servers);
+fn run(deployment: Deployment, servers: u64, ops: &[Op]) -> Vec<Action> {
+    let mut node = Node::new(deployment_settings(deployment), servers);
     let mut live: Vec<u64> = Vec::new();
     let mut all = Vec::new();
     let mut next = 1;
@@ -116,29 +116,29 @@
                 pick(i).into_iter().for_each(|id| node.establish_after(id, latency))
             }
             Op::End(i, how) => pick(i).into_iter().for_each(|id| node.end(id, OUTCOMES[usize::from(how)])),
-            Op::Gone(i) => pick(i).into_iter().for_each(|id| node.client_gone(id)),
-            Op::Load(i, load) => {
+            Op::ClientDisconnected(i) => pick(i).into_iter().for_each(|id| node.client_gone(id)),
+            Op::LoadReport(i, load) => {
                 pick(i).into_iter().for_each(|id| node.event(Event::LoadReported(RequestId(id), load)))
             }
-            Op::Delay(server, ms) if round.sockets => {
+            Op::DelayReport(server, ms) if deployment.sockets => {
                 node.event(Event::PeerMessage(1, [server.to_le_bytes(), ms.to_le_bytes()].concat()))
             }
-            Op::Delay(server, ms) => node.event(Event::DelayReported(ServerId(server), ms)),
+            Op::DelayReport(server, ms) => node.event(Event::DelayReported(ServerId(server), ms)),
             Op::Probed(server, ratio) => {
                 let (server, outcome, report) = (ServerId(server), Outcome::Ok, vec![ratio]);
                 node.event(Event::ProbeCompleted { server, outcome, report });
             }
-            Op::Pass(span) => node.pass(ms(span)),
-            Op::Change { server, state, restarted } => {
+            Op::PassTime(span) => node.pass(ms(span)),
+            Op::EndpointChange { server, state, restarted } => {
                 let state =
                     [EndpointState::Gone, EndpointState::Ready, EndpointState::Draining][usize::from(state)];
                 // Stamps may lie in the past or in the future.
                 let started = restarted.map(|off| Micros(node.now.0.saturating_add_signed(off * 1_000)));
                 node.list(EndpointListKind::Delta, vec![Endpoint { state, started, ..entry(server) }]);
             }
-            Op::Full(servers) => node.list(EndpointListKind::Full, (1..=servers).map(entry).collect()),
-            Op::Failed => node.list(EndpointListKind::Failed, Vec::new()),
-            Op::Stray(id) => {
+            Op::FullList(servers) => node.list(EndpointListKind::Full, (1..=servers).map(entry).collect()),
+            Op::ListFailed => node.list(EndpointListKind::Failed, Vec::new()),
+            Op::UnknownRequest(id) => {
                 // What is unknown or has ended is ignored.
                 let (id, server) = (RequestId(id | 1 << 51), ServerId(999));
                 node.event(Event::Established { id, latency: ms(1) });
@@ -156,14 +156,14 @@
     all
 }
 
-fn check(round: Round, servers: u64) {
+fn check(deployment: Deployment, servers: u64) {
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[17; 32]);
     let config = Config { cases: 200, failure_persistence: None, ..Config::default() };
     let mut runner = TestRunner::new_with_rng(config, rng);
     let ops = proptest::collection::vec(op(), 1..120);
     let result = runner.run(&ops, |ops| {
         // The same events must lead to the same actions.
-        let again = || run(round, servers, &ops);
+        let again = || run(deployment, servers, &ops);
         prop_assert_eq!(again(), again());
         Ok(())
     });
@@ -174,30 +174,38 @@
 
 #[test]
 fn rules_hold_under_arbitrary_events_with_a_pushed_list() {
-    check(Round::default(), 5);
+    check(Deployment::default(), 5);
 }
 
 #[test]
 fn rules_hold_under_arbitrary_events_with_an_asked_list() {
-    check(Round { must_subscribe: true, ..Round::default() }, 5);
+    check(Deployment { must_subscribe: true, ..Deployment::default() }, 5);
 }
 
 #[test]
 fn rules_hold_under_arbitrary_events_with_looks_by_probes() {
-    check(Round { probes: true, ..Round::default() }, 5);
+    check(Deployment { probes: true, ..Deployment::default() }, 5);
 }
 
 #[test]
 fn rules_hold_under_arbitrary_events_with_125_servers() {
-    check(Round { must_subscribe: true, probes: true, ..Round::default() }, 125);
+    check(Deployment { must_subscribe: true, probes: true, ..Deployment::default() }, 125);
 }
 
 #[test]
 fn rules_hold_under_arbitrary_events_with_a_budget_and_doubted_clocks() {
-    check(Round { must_subscribe: true, probes: true, doubts: true, ..Round::default() }, 5);
+    check(
+        Deployment {
+            must_subscribe: true,
+            probes: true,
+            bounded_and_uncertain: true,
+            ..Deployment::default()
+        },
+        5,
+    );
 }
 
 #[test]
 fn rules_hold_under_arbitrary_events_on_sockets() {
-    check(Round { must_subscribe: true, sockets: true, ..Round::default() }, 5);
+    check(Deployment { must_subscribe: true, sockets: true, ..Deployment::default() }, 5);
 }
