--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -107,7 +107,7 @@
         self.setups.on_request();
     }
 
-    /// Counts an attempt that is about to be sent, if it is a retry.
+    /// Counts an attempt that is about to be sent, as a retry unless it is the first of its request.
     pub(super) fn count_retry(&mut self, now: Micros, connection: &Connection) {
         let retries = u32::from(!connection.attempted_servers.is_empty());
         self.count_in_window(now, WindowCount { admitted: 0, retries });
