--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -58,8 +58,8 @@
         let config_known = self.replicated_config().is_none_or(|replica| replica.ready());
         config_known
             && self.decisions.can_serve()
-            && self.process.listens().is_some()
-            && !self.process.is_leaving()
+            && self.process.listener().is_some()
+            && !self.process.is_shutting_down()
     }
 
     /// Makes this node a member of a cluster.
@@ -90,14 +90,14 @@
     /// The metrics as statsd text.
     pub fn metrics_text(&self) -> String {
         let gauges = self.decisions.decide(|balancer, now| Gauges {
-            inflight: self.clients.inflight(),
+            inflight: self.clients.in_flight(),
             hosts_listed: balancer.maintenance().listed_count(),
             hosts_down: balancer.unavailable_servers(now),
             subset: self.decisions.assigned_host_counts(),
             members: self.membership().map(|membership| membership.stats()),
         });
         let replicated_config = self.replicated_config().map(|replica| replica.metrics()).unwrap_or_default();
-        self.clients.figures(gauges) + &replicated_config
+        self.clients.render_metrics(gauges) + &replicated_config
     }
 
     /// Takes a host out of service, or puts it back. It holds in the decisions, on disk and at the other process of
@@ -119,8 +119,8 @@
             };
             self.apply_maintenance(host, state);
             self.save_maintenance()?;
-            if let Some(link) = self.process.linked() {
-                link.tell_host(host, state).await;
+            if let Some(other) = self.process.other() {
+                other.send_host_maintenance(host, state).await;
             }
         }
         Ok(known)
--- a/crates/alderstile-node/src/config/successor.rs
+++ b/crates/alderstile-node/src/config/successor.rs
@@ -7,7 +7,7 @@
 use tracing::warn;
 
 use super::{Config, ConfigError};
-use crate::lifecycle::upgrade_state::Handshake;
+use crate::lifecycle::upgrade_state::UpgradeState;
 
 impl Config {
     /// The configuration of a successor: its own file, unless the predecessor would reject that at a reload. What the
@@ -17,11 +17,11 @@
     ///
     /// The predecessor's configuration can't be used.
     pub fn for_successor(
-        handshake: &Handshake,
+        predecessor: &UpgradeState,
         path: Option<&Path>,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        let in_force = Self::from_file_value(handshake.config.clone(), &env)?;
+        let in_force = Self::from_file_value(predecessor.config.clone(), &env)?;
         let own = Self::read(path, &env).and_then(|file| {
             in_force.reloaded(file.clone())?;
             Self::from_file_value(file, &env)
@@ -33,9 +33,9 @@
         // A new value in the file counts; otherwise the predecessor knows better than the environment of a start.
         config.discovery = match (discovery_of(&in_force.source), discovery_of(&config.source)) {
             (old, Some(new)) if old != Some(new) => new,
-            _ => handshake.discovery.unwrap_or(config.discovery),
+            _ => predecessor.discovery.unwrap_or(config.discovery),
         };
-        config.cached_endpoints = handshake.list.clone();
+        config.cached_endpoints = predecessor.endpoints.clone();
         Ok(config)
     }
 }
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -41,7 +41,7 @@
     loop {
         let peers = live_peers(&membership, &node.config());
         node.decisions.update_host_assignment(peers, |assignment, now| {
-            if let Some(level) = assignment.traffic_report(now, node.clients.held()) {
+            if let Some(level) = assignment.traffic_report(now, node.clients.descriptors_in_use()) {
                 membership.set_metadata(TRAFFIC_METADATA_TAG, &level);
             }
         });
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -20,7 +20,7 @@
 use tracing::{debug, info, warn};
 
 use crate::config::{ClusterConfig, Config};
-use crate::lifecycle::upgrade_state::MemberWord;
+use crate::lifecycle::upgrade_state::MemberIdentity;
 
 /// While the other process of this node has the address, binding is retried this often.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
@@ -99,7 +99,7 @@
     pub fn new(
         config: &Config,
         cluster: &ClusterConfig,
-        predecessor: Option<&MemberWord>,
+        predecessor: Option<&MemberIdentity>,
     ) -> Result<Self, RecordError> {
         let mut seeds = cluster.seeds.clone();
         let mut instance = new_instance(config.seed);
@@ -234,7 +234,7 @@
 
     /// Tells the others the digest of another configuration.
     pub fn config_changed(&self, config: &Config) {
-        self.members.borrow_mut().set_digest(settings_digest(config));
+        self.members.borrow_mut().set_config_digest(settings_digest(config));
     }
 
     /// Authenticates datagrams by other keys from now on.
@@ -280,10 +280,10 @@
     }
 
     /// What the process that takes over needs to go on as the same member.
-    pub fn handover_state(&self) -> MemberWord {
+    pub fn handover_state(&self) -> MemberIdentity {
         let members = self.members.borrow();
         let alive = members.peers().filter(|member| member.state == MemberState::Alive);
-        MemberWord {
+        MemberIdentity {
             session: members.local().instance.0,
             incarnation: members.local().incarnation,
             counter: members.last_sequence(),
@@ -354,5 +354,5 @@
             fields.remove(own);
         }
     }
-    alderstile_cluster::digest(Value::to_string(&settings).as_bytes())
+    alderstile_cluster::content_digest(Value::to_string(&settings).as_bytes())
 }
