--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -63,12 +63,7 @@
     if !node.process.other_serves() {
         node.process.begin_shutdown();
     }
-    let mut last_call = JoinSet::new();
-    let process = node.process.clone();
-    last_call.spawn_local(async move {
-        sleep_until(schedule.last_call).await;
-        process.make_last_call();
-    });
+    let _last_call = spawn_last_call(&node, schedule);
     while !node.process.other_serves() && Instant::now() < schedule.migrations_start {
         sleep(STEP).await;
     }
@@ -88,14 +83,29 @@
     node.process.stop_accepting.notify_one();
     drop(accepting.await);
     wait_for_connections(&node, schedule).await;
-    // Where another process continues as the same member, the member does not leave.
+    leave_cluster(&node).await;
+    node.decisions.log_shadow_differences();
+    info!("shutdown complete");
+}
+
+/// Makes the last call in its time, unless what is returned is dropped before.
+fn spawn_last_call(node: &Node, schedule: Schedule) -> JoinSet<()> {
+    let process = node.process.clone();
+    let mut task = JoinSet::new();
+    task.spawn_local(async move {
+        sleep_until(schedule.last_call).await;
+        process.make_last_call();
+    });
+    task
+}
+
+/// Leaves the cluster, unless another process continues as the same member.
+async fn leave_cluster(node: &Node) {
     if !node.process.other_serves()
         && let Some(cluster) = node.admin.membership()
     {
         cluster.leave().await;
     }
-    node.decisions.log_shadow_differences();
-    info!("shutdown complete");
 }
 
 /// Stops accepting, releases the sockets that only one process may have, and hands connections over to a successor.
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -68,11 +68,19 @@
     pub load: Option<f64>,
 }
 
+/// A request, and the host that serves it.
+#[derive(Clone, Copy, Debug)]
+pub struct ServedRequest {
+    /// The request's number.
+    pub request: RequestId,
+    /// The host's number.
+    pub host: ServerId,
+}
+
 /// Observes the lines that are forwarded.
 struct Monitor<'a> {
     decisions: &'a Decisions,
-    request: RequestId,
-    host: ServerId,
+    served: ServedRequest,
     /// Since when a line of the client has had no answer.
     unanswered_since: Option<Instant>,
     /// The host's last line, if it was a parting one.
@@ -116,9 +124,9 @@
         match host_line(line) {
             HostLine::Load(load) => {
                 self.load = Some(load);
-                debug!(number = self.request.0, load, "load report received");
-                self.decisions
-                    .decide(|balancer, now| balancer.on_load_report(now, self.request, self.host, load));
+                let ServedRequest { request, host } = self.served;
+                debug!(number = request.0, load, "load report received");
+                self.decisions.decide(|balancer, now| balancer.on_load_report(now, request, host, load));
             }
             parting @ (HostLine::Bye | HostLine::Move) => self.parting = Some(parting),
             HostLine::Up => {}
@@ -192,14 +200,13 @@
     /// connection that it handed over.
     pub fn new(
         decisions: &'a Decisions,
-        (request, server): (RequestId, ServerId),
+        served: ServedRequest,
         client: &'a mut LineStream,
         host: &'a mut LineStream,
         migration: &'a MigrationSignal,
         state: Option<RelayState>,
     ) -> Self {
-        let mut monitor =
-            Monitor { decisions, request, host: server, unanswered_since: None, parting: None, load: None };
+        let mut monitor = Monitor { decisions, served, unanswered_since: None, parting: None, load: None };
         match state {
             // The predecessor has observed the lines in the buffers.
             Some(state) => monitor.restore(state),
--- a/crates/alderstile-node/src/proxy/session/mod.rs
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -20,7 +20,7 @@
 use super::line_stream::LineStream;
 use super::pending_clients::PendingSlot;
 use super::protocol::OpenRequest;
-use super::relay::{self, CloseMode, Relay, RelayEnd, RelayState};
+use super::relay::{self, CloseMode, Relay, RelayEnd, RelayState, ServedRequest};
 use super::termination_reason::TerminationReason;
 use crate::admin::metrics::RequestOutcome;
 use crate::clock::micros;
@@ -154,7 +154,8 @@
         debug!(id = %self.id(), number = id.0, host = %name, attempts, up_ms, "connection established");
         let registration = self.node.clients.add_established(id);
         let decisions = &self.node.decisions;
-        let relay = Relay::new(decisions, (id, server), &mut client, &mut host, &registration.signal, state);
+        let served = ServedRequest { request: id, host: server };
+        let relay = Relay::new(decisions, served, &mut client, &mut host, &registration.signal, state);
         let mut end = relay.run().await;
         if let CloseMode::HandOver(state) = end.close
             && let Err(error) = self.hand_over(&client, &host, &name, state).await
--- a/crates/alderstile-node/src/proxy/session/placement.rs
+++ b/crates/alderstile-node/src/proxy/session/placement.rs
@@ -1,9 +1,10 @@
 //! Placing a request: attempts at the hosts that the policy chooses, until one is established or the client is answered.
 
+use std::net::SocketAddr;
 use std::time::Duration;
 
 use alderstile::balancer::Verdict;
-use alderstile::types::{Micros, Outcome, ServerId};
+use alderstile::types::{Micros, Outcome, RequestId, ServerId};
 use tokio::time::{Instant, sleep_until};
 use tracing::debug;
 
@@ -64,55 +65,67 @@
 impl Session<'_> {
     /// Places the request as the policy decides.
     pub(super) async fn place(&mut self, client: &mut LineStream, deadline: Instant) -> Placement {
+        let node = self.node.clone();
         // The host's connection needs a descriptor too. Clients that take all there are and stay must leave some: with only
         // one left for those who come, a crowd that sends nothing would have that one by turns.
-        let clients = &self.node.clients;
-        let Some(descriptor) = clients.acquire_descriptor(clients.pending.capacity()) else {
+        let Some(descriptor) = node.clients.acquire_descriptor(node.clients.pending.capacity()) else {
             return Placement::at_capacity();
         };
         let request = self.connection_request(deadline.saturating_duration_since(Instant::now()));
-        let (id, mut verdict) = self.node.decisions.decide(|balancer, now| balancer.place(now, request));
+        let (id, mut verdict) = node.decisions.decide(|balancer, now| balancer.place(now, request));
         loop {
             let (server, attempt_timeout) = match verdict {
                 Verdict::Forward(server, attempt_timeout) => (server, attempt_timeout),
                 Verdict::Reject(retry_after) => return Placement::rejected(retry_after),
                 Verdict::Fail => return Placement::failed(),
             };
-            self.attempts += 1;
             let began = Instant::now();
             let until = attempt_timeout
                 .map_or(deadline, |timeout| deadline.min(began + Duration::from_micros(timeout.0)));
-            let outcome = match self.node.decisions.host(server) {
-                None => AttemptOutcome::Failed(Outcome::ConnectFailed),
-                Some(host) => {
-                    let may_send = || self.node.decisions.may_send(id, server, host.address);
-                    self.attempt(client, &host, until, may_send).await
-                }
-            };
-            match outcome {
+            let may_send = |address| node.decisions.may_send(id, server, address);
+            match self.attempt_at(client, server, until, may_send).await {
                 AttemptOutcome::Established(stream, name) => {
-                    let latency = began.elapsed();
-                    self.up_ms = latency.as_millis();
-                    let decisions = &self.node.decisions;
-                    decisions.decide(|balancer, now| balancer.on_established(now, id, micros(latency)));
-                    decisions.on_accepted(server, began);
+                    self.report_established(id, server, began);
                     let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
                     return Placement::Established(host);
                 }
                 AttemptOutcome::ClientEnded(error) => {
-                    self.node.decisions.decide(|balancer, now| balancer.on_client_disconnected(now, id));
+                    node.decisions.decide(|balancer, now| balancer.on_client_disconnected(now, id));
                     return Placement::client_ended(error);
                 }
                 AttemptOutcome::Failed(outcome) => {
                     self.log_failed_attempt(server, outcome, began);
-                    let decisions = &self.node.decisions;
-                    verdict = decisions
+                    verdict = node
+                        .decisions
                         .decide(|balancer, now| balancer.on_attempt_failed(now, id, server, outcome));
                 }
             }
         }
     }
 
+    /// Makes one attempt at a host; it fails where the host is listed no more.
+    async fn attempt_at(
+        &mut self,
+        client: &mut LineStream,
+        server: ServerId,
+        until: Instant,
+        may_send: impl Fn(SocketAddr) -> bool,
+    ) -> AttemptOutcome {
+        self.attempts += 1;
+        match self.node.decisions.host(server) {
+            None => AttemptOutcome::Failed(Outcome::ConnectFailed),
+            Some(host) => self.attempt(client, &host, until, || may_send(host.address)).await,
+        }
+    }
+
+    fn report_established(&mut self, id: RequestId, server: ServerId, began: Instant) {
+        let latency = began.elapsed();
+        self.up_ms = latency.as_millis();
+        let decisions = &self.node.decisions;
+        decisions.decide(|balancer, now| balancer.on_established(now, id, micros(latency)));
+        decisions.on_accepted(server, began);
+    }
+
     fn log_failed_attempt(&self, server: ServerId, outcome: Outcome, began: Instant) {
         let (host, ms) = (self.node.decisions.host_name(server), began.elapsed().as_millis());
         debug!(id = %self.id(), %host, ?outcome, ms, "attempt failed");
@@ -130,36 +143,41 @@
             return Placement::at_capacity();
         };
         loop {
-            self.attempts += 1;
-            let outcome = match self.node.decisions.host(server) {
-                None => AttemptOutcome::Failed(Outcome::ConnectFailed),
-                Some(host) => self.attempt(client, &host, deadline, || true).await,
-            };
-            match outcome {
+            match self.attempt_at(client, server, deadline, |_| true).await {
                 AttemptOutcome::Established(stream, name) => {
                     let request = self.connection_request(Duration::ZERO);
-                    let id = self
-                        .node
-                        .decisions
-                        .decide(|balancer, now| balancer.adopt_connection(now, request, server));
+                    let decisions = &self.node.decisions;
+                    let id =
+                        decisions.decide(|balancer, now| balancer.adopt_connection(now, request, server));
                     let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
                     return Placement::Established(host);
                 }
                 AttemptOutcome::ClientEnded(error) => return Placement::client_ended(error),
+                AttemptOutcome::Failed(outcome) if outcome.may_have_run() => return Placement::failed(),
                 // What never ran may be retried: the host may still be starting.
-                AttemptOutcome::Failed(outcome) if !outcome.may_have_run() => {
-                    let next = Instant::now() + RESUME_RETRY_INTERVAL;
-                    if next >= deadline {
-                        return Placement::failed();
-                    }
-                    match self.unless_aborted(client, sleep_until(next)).await {
-                        Ok(()) => {}
-                        Err(AbortCause::Client(error)) => return Placement::client_ended(error),
-                        Err(AbortCause::LastCall) => return Placement::failed(),
+                AttemptOutcome::Failed(_) => {
+                    if let Err(placement) = self.wait_to_retry(client, deadline).await {
+                        return placement;
                     }
                 }
-                AttemptOutcome::Failed(_) => return Placement::failed(),
             }
         }
     }
+
+    /// Waits until a retry is due.
+    ///
+    /// # Errors
+    ///
+    /// How the placement ends where there is none.
+    async fn wait_to_retry(&self, client: &mut LineStream, deadline: Instant) -> Result<(), Placement> {
+        let next = Instant::now() + RESUME_RETRY_INTERVAL;
+        if next >= deadline {
+            return Err(Placement::failed());
+        }
+        match self.unless_aborted(client, sleep_until(next)).await {
+            Ok(()) => Ok(()),
+            Err(AbortCause::Client(error)) => Err(Placement::client_ended(error)),
+            Err(AbortCause::LastCall) => Err(Placement::failed()),
+        }
+    }
 }
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -1,4 +1,4 @@
-//! The lease on the server list: how long a node may go by a list that it can't bring up to date.
+//! The lease on the endpoint list: how long a node may act on a list that it cannot bring up to date.
 
 use std::time::Duration;
 
--- a/crates/alderstile-node/tests/line_buffer.rs
+++ b/crates/alderstile-node/tests/line_buffer.rs
@@ -1,4 +1,4 @@
-//! The buffer keeps every byte, in order, however the bytes are split.
+//! The line buffer keeps every byte, in order, however the bytes are split.
 
 use alderstile_node::proxy::line_buffer::{LineBuffer, LineTooLong, MAX_LINE};
 use proptest::prelude::*;
--- /dev/null
+++ b/crates/alderstile-node/tests/termination_reason.rs
@@ -0,0 +1,9 @@
+//! The codes of the log's termination reasons, and the on-call page that explains them.
+
+#[test]
+fn the_on_call_page_explains_every_reason_code() {
+    let page = include_str!("../../../docs/on-call.md");
+    for reason in alderstile_node::proxy::termination_reason::TerminationReason::ALL {
+        assert!(page.contains(&format!("| `{reason}` |")), "{reason}");
+    }
+}
