--- a/crates/alderstile-node/src/proxy/protocol.rs
+++ b/crates/alderstile-node/src/proxy/protocol.rs
@@ -1,6 +1,6 @@
 //! The lines that clients, the front and hosts send: bytes in, values out; pure.
 //!
-//! The variants of [`ClientLine`] and [`HostLine`] are named as the protocol's own words.
+//! The variants of [`ClientLine`] and [`HostLine`] are named as the words of the protocol.
 
 use std::ops::Range;
 
@@ -57,7 +57,7 @@
     }
 }
 
-fn word<'a>(input: &mut &'a [u8]) -> Parsed<&'a [u8]> {
+fn token<'a>(input: &mut &'a [u8]) -> Parsed<&'a [u8]> {
     take_while(1.., |byte: u8| byte.is_ascii_graphic()).parse_next(input)
 }
 
@@ -70,7 +70,7 @@
 fn open<'a>(input: &mut &'a [u8]) -> Parsed<OpenRequest<'a>> {
     let line = *input;
     let (id, flow_key) =
-        preceded(b"OPEN ", (terminated(word, b' '), terminated(word, b' '))).parse_next(input)?;
+        preceded(b"OPEN ", (terminated(token, b' '), terminated(token, b' '))).parse_next(input)?;
     let pairs: Vec<(&[u8], &[u8])> = terminated(separated(1.., pair, b','), eof).parse_next(input)?;
     let mut request = OpenRequest { id, flow_key, ..OpenRequest::default() };
     let (mut class, mut wait) = (None, None);
