--- a/crates/alderstile-cluster/src/replicated_config/activation.rs
+++ b/crates/alderstile-cluster/src/replicated_config/activation.rs
@@ -57,16 +57,24 @@
 }
 
 impl ReplicatedConfig {
-    /// The active version and its document: empty for version 0, which sets nothing.
-    pub fn active(&self) -> (u64, &[u8]) {
-        let header = self.active.header;
-        (header.position.version, self.documents.get(header.digest).unwrap_or_default())
+    /// The active version; 0 before any.
+    pub fn active_version(&self) -> u64 {
+        self.active.header.position.version
     }
 
-    /// The latest version that is known to be committed, and how long it has yet to wait until it is active.
-    pub fn committed(&self) -> (u64, Micros) {
-        let wait = self.committed_for().map_or(Micros(0), |age| self.settings.activation_delay() - age);
-        (self.committed.header.position.version, wait)
+    /// The active document: empty for version 0, which sets nothing.
+    pub fn active_document(&self) -> &[u8] {
+        self.documents.get(self.active.header.digest).unwrap_or_default()
+    }
+
+    /// The latest version that is known to be committed.
+    pub fn committed_version(&self) -> u64 {
+        self.committed.header.position.version
+    }
+
+    /// How long the latest version has yet to wait until it is active.
+    pub fn activates_in(&self) -> Micros {
+        self.committed_for().map_or(Micros(0), |age| self.settings.activation_delay() - age)
     }
 
     /// How long ago the latest version is known to have been the latest.
@@ -82,7 +90,7 @@
         };
         if now < latest_at + self.settings.lease {
             LeaseState::Valid
-        } else if self.committed.header.position.version > self.active.header.position.version {
+        } else if self.committed_version() > self.active_version() {
             LeaseState::Superseded
         } else {
             LeaseState::Expired
@@ -101,7 +109,7 @@
 
     /// When the latest version becomes active; none unless it is newer than the active one and its document is held.
     pub(super) fn activates_at(&self) -> Option<Micros> {
-        let newer = self.committed.header.position.version > self.active.header.position.version;
+        let newer = self.committed_version() > self.active_version();
         let held = self.documents.holds(self.committed.header.digest);
         let age = self.committed.age.filter(|_| newer && held)?;
         Some(age.learnt_at + (self.settings.activation_delay() - age.age))
@@ -114,13 +122,13 @@
         if version > self.reported_version
             && let Some(document) = self.documents.get(header.digest)
         {
-            effects.push(Effect::VersionCommitted(version, document.to_vec()));
+            effects.push(Effect::VersionCommitted { version, document: document.to_vec() });
             self.reported_version = version;
         }
         if self.activates_at().is_some_and(|at| at <= self.now) {
             self.active = ActiveVersion { header, latest_at: self.committed.latest_at };
-            let (version, document) = self.active();
-            effects.push(Effect::VersionActive(version, document.to_vec()));
+            let document = self.active_document().to_vec();
+            effects.push(Effect::VersionActive { version, document });
         }
     }
 
@@ -132,7 +140,7 @@
         committed_for: Micros,
         latest_at: Option<Micros>,
     ) {
-        let (version, known) = (header.position.version, self.committed.header.position.version);
+        let (version, known) = (header.position.version, self.committed_version());
         if version < known {
             return;
         }
@@ -155,7 +163,7 @@
     }
 
     fn raise_commit_age(&mut self, age: Micros) {
-        let proposed = self.committed.header.position.version > 0;
+        let proposed = self.committed_version() > 0;
         if proposed && self.committed_for().is_none_or(|known| known < age) {
             self.committed.age = Some(CommitAge { age, learnt_at: self.now });
         }
@@ -167,7 +175,7 @@
             return false;
         }
         self.committed.latest_at = latest_at;
-        if self.active.header.position.version == self.committed.header.position.version {
+        if self.active_version() == self.committed_version() {
             self.active.latest_at = latest_at;
         }
         true
--- a/crates/alderstile-cluster/src/replicated_config/effect.rs
+++ b/crates/alderstile-cluster/src/replicated_config/effect.rs
@@ -5,24 +5,63 @@
 use super::message::ProposalOutcome;
 use super::raft::{HardState, Role};
 
+/// What a voter keeps on disk: its hard state, and the document of its entry.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PersistedState {
+    /// The hard state.
+    pub hard_state: HardState,
+    /// The document.
+    pub document: Vec<u8>,
+}
+
+impl PersistedState {
+    /// The state before anything was committed: version 0, an empty document.
+    pub fn genesis() -> Self {
+        PersistedState { hard_state: HardState::genesis(), document: Vec::new() }
+    }
+}
+
 /// What a call of the core wants done, in the order of the list that it returns.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Sync this to disk, with the document of its entry, before any effect behind it. If that fails none of those may be carried
-    /// out, and [`super::ReplicatedConfig::handle_persist_failure`] is to be called.
-    PersistHardState(HardState, Vec<u8>),
-    /// Send this datagram.
-    Send(SocketAddr, Vec<u8>),
+    /// Sync this to disk before any effect behind it. If that fails none of those may be carried out, and
+    /// [`super::ReplicatedConfig::handle_persist_failure`] is to be called.
+    Persist(PersistedState),
+    /// Send a datagram.
+    Send {
+        /// Where to.
+        to: SocketAddr,
+        /// Its bytes.
+        datagram: Vec<u8>,
+    },
     /// A version was committed and is not active yet.
-    VersionCommitted(u64, Vec<u8>),
+    VersionCommitted {
+        /// The version.
+        version: u64,
+        /// Its document.
+        document: Vec<u8>,
+    },
     /// A version has become active.
-    VersionActive(u64, Vec<u8>),
-    /// The proposal with this nonce has ended.
-    ProposalFinished(u64, ProposalOutcome),
+    VersionActive {
+        /// The version.
+        version: u64,
+        /// Its document.
+        document: Vec<u8>,
+    },
+    /// A proposal of this node has ended.
+    ProposalFinished {
+        /// Which, as named at the proposal.
+        nonce: u64,
+        /// How.
+        outcome: ProposalOutcome,
+    },
     /// This voter has another role.
     RoleChanged(Role),
-    /// A message of a node with another list of voters was dropped; it is at this place of its list.
-    VoterListMismatch(u8),
+    /// A message of a voter with another list of voters was dropped.
+    VoterListMismatch {
+        /// Its place in its own list.
+        voter: u8,
+    },
 }
 
 /// Counts of datagrams since the process started.
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -35,7 +35,7 @@
 pub use activation::LeaseState;
 pub use chunked_transfer::{ChunkOutcome, ChunkedTransfer};
 pub use delta::{apply_delta, encode_delta};
-pub use effect::{Effect, TrafficCounters};
+pub use effect::{Effect, PersistedState, TrafficCounters};
 pub use message::{
     Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, LogPosition, MAX_CHUNK, MAX_DOCUMENT,
     MAX_REASON, Message, ProposalOutcome, ProposalRequest, RaftMessage, RaftPayload, VersionHeader,
@@ -76,7 +76,7 @@
     pub fn new(
         settings: ReplicationSettings,
         codec: DatagramCodec,
-        stored: Option<(HardState, Vec<u8>)>,
+        stored: Option<PersistedState>,
         validate: ValidateDocument,
         seed: u64,
         now: Micros,
@@ -84,9 +84,9 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut documents = ChunkedTransfer::default();
         documents.hold(Vec::new(), &[]);
-        let hard_state = stored.map(|(hard_state, document)| {
-            documents.hold(document, &[]);
-            hard_state
+        let hard_state = stored.map(|stored| {
+            documents.hold(stored.document, &[]);
+            stored.hard_state
         });
         let raft = settings.me.map(|me| {
             let rng = Pcg64Mcg::seed_from_u64(rng.random());
@@ -209,7 +209,7 @@
         match message {
             Message::Raft { voters_digest, from, .. } if voters_digest != self.voters_digest => {
                 self.traffic.foreign += 1;
-                effects.push(Effect::VoterListMismatch(from));
+                effects.push(Effect::VoterListMismatch { voter: from });
             }
             Message::Raft { from, term, payload, .. } => {
                 self.handle_raft_message(RaftMessage { peer: from, term, payload }, effects);
@@ -269,16 +269,16 @@
     }
 
     fn fetch_committed(&mut self, effects: &mut Vec<Effect>, from: SocketAddr) {
-        if self.committed.header.position.version > 0 {
+        if self.committed_version() > 0 {
             self.fetch(effects, self.committed.header.digest, from);
         }
     }
 
     fn send(&mut self, effects: &mut Vec<Effect>, to: SocketAddr, message: &Message) {
-        let bytes = self.codec.encode(message);
+        let datagram = self.codec.encode(message);
         self.traffic.sent += 1;
-        self.traffic.sent_bytes += bytes.len() as u64;
-        effects.push(Effect::Send(to, bytes));
+        self.traffic.sent_bytes += datagram.len() as u64;
+        effects.push(Effect::Send { to, datagram });
     }
 
     /// Whether this voter hears of versions by appends; a learner and any other node subscribe.
--- a/crates/alderstile-cluster/src/replicated_config/proposal.rs
+++ b/crates/alderstile-cluster/src/replicated_config/proposal.rs
@@ -110,7 +110,7 @@
     ) -> Vec<Effect> {
         self.now = self.now.max(now);
         if let Err(rejection) = self.validate_proposed(&document) {
-            return vec![Effect::ProposalFinished(nonce, rejection.into())];
+            return vec![Effect::ProposalFinished { nonce, outcome: rejection.into() }];
         }
         let length = document.len() as u32;
         let digest = self.hold(document);
@@ -201,7 +201,7 @@
 
     fn finish_own(&mut self, nonce: u64, outcome: ProposalOutcome, effects: &mut Vec<Effect>) {
         self.abandon_proposal(nonce);
-        effects.push(Effect::ProposalFinished(nonce, outcome));
+        effects.push(Effect::ProposalFinished { nonce, outcome });
     }
 
     fn answer(
@@ -243,7 +243,7 @@
     /// Whether the leader may write a proposal now.
     fn check_acceptable(&self, request: &ProposalRequest) -> Result<(), Rejection> {
         let latest = self.committed.header;
-        let (committed, wait) = self.committed();
+        let (committed, wait) = (latest.position.version, self.activates_in());
         let settled = self.raft.as_ref().and_then(Raft::committed) == Some(latest);
         if !settled || self.hard_state().is_none_or(|hard_state| hard_state.entry != latest) {
             return Err(Rejection::Busy);
@@ -261,7 +261,7 @@
     fn write_proposal(&mut self, proposal: PendingProposal, effects: &mut Vec<Effect>) {
         let digest = proposal.request.digest;
         let length = self.documents.get(digest).unwrap_or_default().len() as u32;
-        let next = self.committed.header.position.version.saturating_add(1);
+        let next = self.committed_version().saturating_add(1);
         self.proposals.forget_fetched(digest);
         self.proposals.pending.push(PendingProposal { version: Some(next), ..proposal });
         let mut version = None;
--- a/crates/alderstile-cluster/src/replicated_config/raft/election.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/election.rs
@@ -63,7 +63,7 @@
     /// doesn't hear the leader can't depose it.
     pub(super) fn hears_leader(&self, now: Micros) -> bool {
         let timeout = self.heartbeats(ELECTION_TIMEOUT_HEARTBEATS);
-        let heard = self.leader_heard_at.is_some_and(|heard_at| now < heard_at + timeout);
+        let heard = self.leader_contact_at.is_some_and(|received_at| now < received_at + timeout);
         self.role == Role::Leader || (self.leader.is_some() && heard)
     }
 
--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -108,7 +108,7 @@
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     clock_us: u64,
-    heard_at: Micros,
+    received_at: Micros,
 }
 
 /// Another voter's term and entry.
@@ -143,7 +143,7 @@
     progress: Vec<Progress>,
     leader: Option<u8>,
     /// When the leader was last heard.
-    leader_heard_at: Option<Micros>,
+    leader_contact_at: Option<Micros>,
     /// When a follower stands for election, and a learner asks again.
     election_at: Micros,
     /// Votes for this candidate, a bit a voter.
@@ -181,7 +181,7 @@
             rng,
             progress: vec![Progress::default(); count],
             leader: None,
-            leader_heard_at: None,
+            leader_contact_at: None,
             election_at: now,
             votes: 0,
             round: 0,
--- a/crates/alderstile-cluster/src/replicated_config/raft/replication.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/replication.rs
@@ -55,8 +55,8 @@
         let clock = self.progress[usize::from(peer)].clock;
         let latest_at_us = match (self.confirmed_at(), clock) {
             // The peer read its clock before this voter heard of it, so this is never too late.
-            (Some(confirmed_at), Some(ClockReading { clock_us, heard_at })) => {
-                clock_us.saturating_add(confirmed_at.0).saturating_sub(heard_at.0)
+            (Some(confirmed_at), Some(ClockReading { clock_us, received_at })) => {
+                clock_us.saturating_add(confirmed_at.0).saturating_sub(received_at.0)
             }
             _ => 0,
         };
@@ -101,7 +101,7 @@
             return;
         }
         self.become_follower(time.now, Some(peer));
-        self.leader_heard_at = Some(time.now);
+        self.leader_contact_at = Some(time.now);
         if append.entry.position > hard_state.entry.position {
             self.store_or_fetch(peer, &append, holds, effects);
         }
@@ -166,7 +166,7 @@
         }
         let progress = &mut self.progress[usize::from(peer)];
         if reply.round >= progress.round {
-            progress.clock = Some(ClockReading { clock_us: reply.clock_us, heard_at: now });
+            progress.clock = Some(ClockReading { clock_us: reply.clock_us, received_at: now });
         }
         progress.round = progress.round.max(reply.round);
         progress.stored = progress.stored.max(reply.stored);
--- a/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
@@ -2,7 +2,7 @@
 
 use super::ReplicatedConfig;
 use super::chunked_transfer::ChunkedTransfer;
-use super::effect::Effect;
+use super::effect::{Effect, PersistedState};
 use super::message::{Announcement, Message, RaftMessage, VersionHeader};
 use super::raft::{HardState, Raft, RaftEffects, Role, StepTime};
 use alderstile::types::Micros;
@@ -53,7 +53,7 @@
         let after = RaftState::of(raft);
         if let Some(hard_state) = after.hard_state.filter(|_| raft_effects.persist) {
             let document = self.documents.get(hard_state.entry.digest).unwrap_or_default().to_vec();
-            effects.push(Effect::PersistHardState(hard_state, document));
+            effects.push(Effect::Persist(PersistedState { hard_state, document }));
         }
         self.send_raft_messages(raft_effects.messages, effects);
         if let Some(wanted) = raft_effects.fetch
--- a/crates/alderstile-cluster/src/replicated_config/subscription.rs
+++ b/crates/alderstile-cluster/src/replicated_config/subscription.rs
@@ -34,7 +34,7 @@
 pub(super) struct Subscriber {
     /// Its clock when it subscribed.
     clock_us: u64,
-    heard_at: Micros,
+    received_at: Micros,
 }
 
 /// Whom this node subscribes to.
@@ -125,7 +125,7 @@
             self.upstream.news_at = self.now;
         }
         if let Some(to) = self.upstream.current {
-            let (clock_us, active_version) = (self.clock_us(), self.active.header.position.version);
+            let (clock_us, active_version) = (self.clock_us(), self.active_version());
             self.send(effects, to, &Message::Subscribe { clock_us, active_version });
         }
         self.schedule_renewal();
@@ -161,7 +161,7 @@
         if !room || clock_us >= MAX_CLOCK_US {
             return;
         }
-        let subscriber = Subscriber { clock_us, heard_at: self.now };
+        let subscriber = Subscriber { clock_us, received_at: self.now };
         if self.documents.holds(self.committed.header.digest) {
             let announcement = self.announcement_for(&subscriber);
             self.send(effects, from, &Message::Announce(announcement));
@@ -172,7 +172,7 @@
     /// Announces the latest version to those that have subscribed.
     pub(super) fn announce_to_subscribers(&mut self, effects: &mut Vec<Effect>) {
         let (now, lasts) = (self.now, self.heartbeats(SUBSCRIPTION_RENEWALS * RENEWAL_HEARTBEATS));
-        self.subscribers.retain(|_, subscriber| now < subscriber.heard_at + lasts);
+        self.subscribers.retain(|_, subscriber| now < subscriber.received_at + lasts);
         let announcements: Vec<(SocketAddr, Announcement)> = self
             .subscribers
             .iter()
@@ -186,7 +186,7 @@
     fn announcement_for(&self, subscriber: &Subscriber) -> Announcement {
         // The subscriber read its clock before it was heard here, so this is never too late.
         let latest_at_us = self.committed.latest_at.map_or(0, |latest_at| {
-            subscriber.clock_us.saturating_add(latest_at.0).saturating_sub(subscriber.heard_at.0)
+            subscriber.clock_us.saturating_add(latest_at.0).saturating_sub(subscriber.received_at.0)
         });
         let committed_for_us = self.committed_for().unwrap_or_default().0;
         Announcement { header: self.committed.header, committed_for_us, latest_at_us }
@@ -200,7 +200,7 @@
     ) {
         let latest_at = self.echoed_time(announcement.latest_at_us);
         let told = (announcement.header.position.version, latest_at);
-        let known = (self.committed.header.position.version, self.committed.latest_at);
+        let known = (self.committed_version(), self.committed.latest_at);
         if Some(from) == self.upstream.current && told > known {
             self.upstream.news_at = self.now;
         }
--- a/crates/alderstile-cluster/tests/replicated_config.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -14,7 +14,8 @@
     cluster.run(6.0);
     assert!(cluster.leader().is_some());
     assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| {
-        core.lease_state(cluster.local(n)) == LeaseState::Valid && core.active() == (0, &[][..])
+        core.lease_state(cluster.local(n)) == LeaseState::Valid
+            && (core.active_version(), core.active_document()) == (0, &[][..])
     })));
     let began = cluster.now;
     cluster.propose(11, 5, 0, &text(1, 2_000));
@@ -28,7 +29,8 @@
     for n in 0..12 {
         let took = (cluster.activated_at_us[n][&1] - began) as f64 / 1e6;
         assert!((2.5..4.0).contains(&took), "{n}: {took}");
-        assert_eq!(cluster.core(n).expect("up").active(), (1, &text(1, 2_000)[..]));
+        let core = cluster.core(n).expect("up");
+        assert_eq!((core.active_version(), core.active_document()), (1, &text(1, 2_000)[..]));
     }
     assert_eq!(cluster.overlap_seconds(), 0.0);
 }
@@ -90,14 +92,18 @@
     for n in 0..40 {
         let core = cluster.core(n).expect("up");
         let (version, standing) = if n % 2 == 0 { (2, LeaseState::Valid) } else { (1, LeaseState::Expired) };
-        assert_eq!((core.active().0, core.lease_state(cluster.local(n))), (version, standing), "{n}");
+        assert_eq!((core.active_version(), core.lease_state(cluster.local(n))), (version, standing), "{n}");
     }
     cluster.partitioned = false;
     let healed = cluster.now;
     cluster.run(8.0);
     for n in 0..40 {
         let core = cluster.core(n).expect("up");
-        assert_eq!((core.active().0, core.lease_state(cluster.local(n))), (2, LeaseState::Valid), "{n}");
+        assert_eq!(
+            (core.active_version(), core.lease_state(cluster.local(n))),
+            (2, LeaseState::Valid),
+            "{n}"
+        );
     }
     let last = (1..40).step_by(2).map(|n| cluster.activated_at_us[n][&2]).max().expect("some");
     assert!(last - healed < 6_000_000, "{} us", last - healed);
@@ -116,7 +122,9 @@
     cluster.propose(5, 2, 1, b"two");
     cluster.run(20.0);
     assert_eq!(cluster.outcomes.get(&2), None);
-    assert!((2..12).all(|n| cluster.core(n).is_some_and(|core| core.active() == (1, b"one"))));
+    assert!((2..12).all(|n| {
+        cluster.core(n).is_some_and(|core| (core.active_version(), core.active_document()) == (1, b"one"))
+    }));
     cluster.start(0);
     cluster.run(8.0);
     assert_eq!(cluster.outcomes.get(&2), Some(&ProposalOutcome::Committed(2)), "it was still put up");
@@ -148,7 +156,7 @@
     assert_eq!(cluster.outcomes.get(&1), Some(&ProposalOutcome::Committed(1)));
     cluster.resume(leader);
     cluster.run(4.0);
-    assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| core.active().0 == 1)));
+    assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| core.active_version() == 1)));
     assert_eq!(cluster.overlap_seconds(), 0.0);
 }
 
--- a/crates/alderstile-cluster/tests/replicated_config_faults.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_faults.rs
@@ -44,7 +44,7 @@
                 down.into_iter().for_each(|n| cluster.start(n));
             }
             _ => {
-                let expect = cluster.core(n).map_or(0, |core| core.committed().0);
+                let expect = cluster.core(n).map_or(0, |core| core.committed_version());
                 cluster.propose(n, step, expect, format!("{step} by {n}").as_bytes());
             }
         }
@@ -61,12 +61,13 @@
         }
     }
     cluster.run(25.0);
-    let latest = (0..count).filter_map(|n| cluster.core(n)).map(|core| core.active().0).max().expect("some");
+    let latest =
+        (0..count).filter_map(|n| cluster.core(n)).map(|core| core.active_version()).max().expect("some");
     for n in 0..count {
         let core = cluster.core(n).expect("up");
         assert_eq!(core.traffic().conflicting, 0, "seed {seed}");
         assert_eq!(
-            (core.active().0, core.lease_state(cluster.local(n))),
+            (core.active_version(), core.lease_state(cluster.local(n))),
             (latest, LeaseState::Valid),
             "seed {seed}: {n}"
         );
--- a/crates/alderstile-cluster/tests/replicated_config_messages.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_messages.rs
@@ -2,8 +2,8 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::replicated_config::{
-    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, DatagramCodec, HardState, LogPosition,
-    MAX_CHUNK, MAX_DOCUMENT, Message, ProposalOutcome, ProposalRequest, RaftPayload, ReplicatedConfig,
+    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, DatagramCodec, LogPosition, MAX_CHUNK,
+    MAX_DOCUMENT, Message, PersistedState, ProposalOutcome, ProposalRequest, RaftPayload, ReplicatedConfig,
     ReplicationSettings, VersionHeader, apply_delta, encode_delta,
 };
 use proptest::prelude::*;
@@ -101,8 +101,8 @@
     ) {
         for me in [None, Some(1)] {
             let set = ReplicationSettings::new((0..3).map(address).collect(), me);
-            let memory = me.map(|_| (HardState::genesis(), Vec::new()));
-            let mut core = ReplicatedConfig::new(set.clone(), codec(), memory, Box::new(check), 5, Micros(0));
+            let stored = me.map(|_| PersistedState::genesis());
+            let mut core = ReplicatedConfig::new(set.clone(), codec(), stored, Box::new(check), 5, Micros(0));
             let mut now = Micros(0);
             let mut give = |bytes: &[u8]| {
                 now = now + Micros(40_000);
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -6,7 +6,7 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::replicated_config::{
-    DatagramCodec, Effect, HardState, InvalidDocument, ProposalOutcome, ReplicatedConfig,
+    DatagramCodec, Effect, InvalidDocument, PersistedState, ProposalOutcome, ReplicatedConfig,
     ReplicationSettings, Role,
 };
 use rand::{RngExt, SeedableRng};
@@ -40,7 +40,7 @@
     pub rate: f64,
     /// Counts its starts: wakes of an earlier one don't count.
     pub incarnation: u64,
-    pub disk: Option<(HardState, Vec<u8>)>,
+    pub disk: Option<PersistedState>,
     pub disk_fails: bool,
     pub paused: bool,
     pub backlog: Vec<(SocketAddr, Vec<u8>)>,
@@ -104,7 +104,7 @@
             started_at_us: 0,
             rate: if drifting_clocks { 1.0 + 0.002 * (2.0 * rng.random::<f64>() - 1.0) } else { 1.0 },
             incarnation: 0,
-            disk: (n < voters).then(|| (HardState::genesis(), Vec::new())),
+            disk: (n < voters).then(PersistedState::genesis),
             disk_fails: false,
             paused: false,
             backlog: Vec::new(),
@@ -241,7 +241,7 @@
                 return self.kill(n);
             }
             match out {
-                Effect::PersistHardState(memory, document) => {
+                Effect::Persist(state) => {
                     if self.processes[n].disk_fails {
                         let now = self.local(n);
                         if let Some(core) = &mut self.processes[n].core {
@@ -249,24 +249,24 @@
                         }
                         break;
                     }
-                    self.processes[n].disk = Some((memory, document));
+                    self.processes[n].disk = Some(state);
                 }
-                Effect::Send(to, bytes) => self.send(n, to, bytes),
-                Effect::VersionActive(version, document) => {
+                Effect::Send { to, datagram } => self.send(n, to, datagram),
+                Effect::VersionActive { version, document } => {
                     let known = self.documents.entry(version).or_insert_with(|| document.clone());
                     assert_eq!(*known, document, "one document for version {version}");
                     let now = self.now;
                     self.activated_at_us[n].entry(version).or_insert(now);
                 }
-                Effect::VersionCommitted(version, document) => {
+                Effect::VersionCommitted { version, document } => {
                     let known = self.documents.entry(version).or_insert_with(|| document.clone());
                     assert_eq!(*known, document, "one document for version {version}");
                 }
-                Effect::ProposalFinished(nonce, outcome) => {
+                Effect::ProposalFinished { nonce, outcome } => {
                     self.outcomes.insert(nonce, outcome);
                 }
                 Effect::RoleChanged(_) => {}
-                Effect::VoterListMismatch(voter) => panic!("voters differ at {voter}"),
+                Effect::VoterListMismatch { voter } => panic!("voters differ at {voter}"),
             }
         }
         self.record_active(n);
@@ -275,7 +275,7 @@
     /// Notes what a process acts on, and until when it does if it hears nothing more.
     pub fn record_active(&mut self, n: usize) {
         let Some(core) = &self.processes[n].core else { return };
-        let (version, _) = core.active();
+        let version = core.active_version();
         let Some(until) = core.lease_ends_at().map(|until| self.true_time(n, until)) else { return };
         let now = self.now as f64;
         if until <= now {
--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -13,7 +13,8 @@
 use alderstile::types::Micros;
 use alderstile_cluster::authentication::MAX_DATAGRAM_BYTES;
 use alderstile_cluster::replicated_config::{
-    Effect, HardState, InvalidDocument, LeaseState, ProposalOutcome, ReplicatedConfig, ReplicationSettings,
+    Effect, HardState, InvalidDocument, LeaseState, PersistedState, ProposalOutcome, ReplicatedConfig,
+    ReplicationSettings,
 };
 use serde_json::Value;
 use thiserror::Error;
@@ -38,7 +39,7 @@
 use apply::AppliedConfig;
 use document::ConfigDocument;
 use status::role_name;
-use store::{StoreError, StoredState, VoterStore};
+use store::{StoreError, VoterStore};
 
 /// Key of the membership metadata that holds a member's port for announcements.
 const PORT_METADATA_KEY: u8 = b'c';
@@ -150,9 +151,9 @@
         }
     }
 
-    fn start_voting(&self, voter: u8, store: VoterStore, stored: Option<StoredState>) {
+    fn start_voting(&self, voter: u8, store: VoterStore, stored: Option<PersistedState>) {
         match &stored {
-            Some((HardState { term, entry, .. }, _)) => {
+            Some(PersistedState { hard_state: HardState { term, entry, .. }, .. }) => {
                 let version = entry.position.version;
                 info!(voter, term, version, "voter hard state restored");
             }
@@ -251,29 +252,29 @@
     fn carry_out(&self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::PersistHardState(hard_state, document) => {
-                    if !self.persist(&hard_state, &document) {
+                Effect::Persist(state) => {
+                    if !self.persist(&state) {
                         return;
                     }
                 }
-                Effect::Send(to, datagram) => self.send(to, &datagram),
-                Effect::VersionCommitted(version, document) => {
-                    let activates_in = self.core.borrow().committed().1;
+                Effect::Send { to, datagram } => self.send(to, &datagram),
+                Effect::VersionCommitted { version, document } => {
+                    let activates_in = self.core.borrow().activates_in();
                     self.applied.prepare(version, &document, activates_in);
                 }
-                Effect::VersionActive(version, document) => self.applied.activate(version, &document),
-                Effect::ProposalFinished(nonce, outcome) => self.finish_proposal(nonce, outcome),
+                Effect::VersionActive { version, document } => self.applied.activate(version, &document),
+                Effect::ProposalFinished { nonce, outcome } => self.finish_proposal(nonce, outcome),
                 Effect::RoleChanged(role) => info!(role = role_name(role), "voter role changed"),
-                Effect::VoterListMismatch(voter) => self.log_voter_list_mismatch(voter),
+                Effect::VoterListMismatch { voter } => self.log_voter_list_mismatch(voter),
             }
         }
     }
 
     /// Whether what rests on the hard state may be sent.
-    fn persist(&self, hard_state: &HardState, document: &[u8]) -> bool {
+    fn persist(&self, state: &PersistedState) -> bool {
         let store = self.store.borrow();
         let Some(store) = store.as_ref() else { return true };
-        if let Err(error) = store.save(hard_state, document) {
+        if let Err(error) = store.save(state) {
             error!(%error, "voter hard state not persisted; no vote until each other voter has answered");
             self.core.borrow_mut().handle_persist_failure(self.now());
             return false;
@@ -333,7 +334,7 @@
             LeaseState::Valid => true,
             LeaseState::NeverHeard => now >= lease && !refuses,
             LeaseState::Superseded => {
-                let follows_a_version = self.applied.version() > 0 || core.committed().0 == 0;
+                let follows_a_version = self.applied.version() > 0 || core.committed_version() == 0;
                 follows_a_version || now >= lease.scale(MAX_SUPERSEDED_LEASES)
             }
             LeaseState::Expired => !refuses,
@@ -359,7 +360,7 @@
     config: &ControlConfig,
     node: &Weak<dyn ConfiguredNode>,
     me: Option<u8>,
-    stored: Option<StoredState>,
+    stored: Option<PersistedState>,
     now: Micros,
 ) -> ReplicatedConfig {
     let node = node.clone();
--- a/crates/alderstile-node/src/control/replicated_config/status.rs
+++ b/crates/alderstile-node/src/control/replicated_config/status.rs
@@ -65,13 +65,12 @@
     /// The status for operators.
     pub fn status(&self) -> ReplicationStatus {
         let (core, now) = (self.core.borrow(), self.now());
-        let (active_version, document) = core.active();
-        let (committed_version, activates_in) = core.committed();
+        let document = core.active_document();
         ReplicationStatus {
-            active_version,
+            active_version: core.active_version(),
             lease_state: lease_state_name(core.lease_state(now)).to_owned(),
-            committed_version,
-            activates_in_ms: activates_in.0 / 1_000,
+            committed_version: core.committed_version(),
+            activates_in_ms: core.activates_in().0 / 1_000,
             news_age_ms: core.news_age(now).map(|age| age.0 / 1_000),
             role: core.role().map(|role| role_name(role).to_owned()),
             leader: core.leader().and_then(|leader| self.config.settings.voter(leader)),
@@ -89,8 +88,8 @@
             // Writing to a string cannot fail.
             let _ = writeln!(text, "router.agreed_{name}:{value}|{kind}");
         };
-        line("version", core.active().0, 'g');
-        line("known", core.committed().0, 'g');
+        line("version", core.active_version(), 'g');
+        line("known", core.committed_version(), 'g');
         line("cut_off", u64::from(core.lease_state(now) == LeaseState::Expired), 'g');
         line("refused", u64::from(self.applied.rejection().is_some()), 'g');
         line("age_ms", core.news_age(now).map_or(0, |age| age.0 / 1_000), 'g');
--- a/crates/alderstile-node/src/control/replicated_config/store.rs
+++ b/crates/alderstile-node/src/control/replicated_config/store.rs
@@ -7,7 +7,9 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-use alderstile_cluster::replicated_config::{HardState, LogPosition, MAX_DOCUMENT, VersionHeader};
+use alderstile_cluster::replicated_config::{
+    HardState, LogPosition, MAX_DOCUMENT, PersistedState, VersionHeader,
+};
 use thiserror::Error;
 use tracing::warn;
 
@@ -48,8 +50,14 @@
     },
 }
 
-/// A hard state and the document of its entry.
-pub type StoredState = (HardState, Vec<u8>);
+/// What a store's file holds.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct StoreFile {
+    /// Digest of the list of voters.
+    pub voters_digest: u64,
+    /// The state.
+    pub state: PersistedState,
+}
 
 /// The store of one voter.
 pub struct VoterStore {
@@ -69,7 +77,7 @@
     ///
     /// # Errors
     /// Another process has it, it is of another list of voters, or the disk failed.
-    pub fn open(path: &Path, voters_digest: u64) -> Result<(Self, Option<StoredState>), StoreError> {
+    pub fn open(path: &Path, voters_digest: u64) -> Result<(Self, Option<PersistedState>), StoreError> {
         let store = VoterStore { path: path.to_owned(), voters_digest, _lock: lock(path)? };
         let bytes = match std::fs::read(path) {
             Ok(bytes) => bytes,
@@ -77,7 +85,7 @@
             Err(error) => return Err(io_error(path, error)),
         };
         match decode(&bytes) {
-            Some((of, stored)) if of == voters_digest => Ok((store, Some(stored))),
+            Some(file) if file.voters_digest == voters_digest => Ok((store, Some(file.state))),
             Some(_) => Err(StoreError::VoterListMismatch(path.to_owned())),
             None => {
                 let aside = path.with_extension("damaged");
@@ -92,8 +100,8 @@
     ///
     /// # Errors
     /// The disk failed; what was stored before stays.
-    pub fn save(&self, hard_state: &HardState, document: &[u8]) -> Result<(), StoreError> {
-        let value = encode(self.voters_digest, hard_state, document);
+    pub fn save(&self, state: &PersistedState) -> Result<(), StoreError> {
+        let value = encode(self.voters_digest, state);
         self.replace(&value).map_err(|error| io_error(&self.path, error))
     }
 
@@ -123,8 +131,8 @@
     StoreError::Io { path: path.to_owned(), source }
 }
 
-fn encode(voters_digest: u64, hard_state: &HardState, document: &[u8]) -> Vec<u8> {
-    let HardState { term, vote, entry } = hard_state;
+fn encode(voters_digest: u64, state: &PersistedState) -> Vec<u8> {
+    let HardState { term, vote, entry } = &state.hard_state;
     let mut bytes = vec![FORMAT];
     bytes.extend(voters_digest.to_le_bytes());
     bytes.extend(term.to_le_bytes());
@@ -133,14 +141,14 @@
         bytes.extend(number.to_le_bytes());
     }
     bytes.extend(entry.length.to_le_bytes());
-    bytes.extend(document);
+    bytes.extend(&state.document);
     let checksum = alderstile_cluster::digest(&bytes);
     bytes.extend(checksum.to_le_bytes());
     bytes
 }
 
-/// Reads a file: the digest of the voters' list and the state; none where it is cut short, damaged or in another format.
-pub fn decode(bytes: &[u8]) -> Option<(u64, StoredState)> {
+/// Reads a store's file; none where it is cut short, damaged or in another format.
+pub fn decode(bytes: &[u8]) -> Option<StoreFile> {
     let least = DOCUMENT_AT + CHECKSUM_BYTES;
     if bytes.len() < least || bytes.len() > least + MAX_DOCUMENT || bytes[0] != FORMAT {
         return None;
@@ -163,7 +171,8 @@
     }
     let vote = Some(checked[VOTE_AT]).filter(|vote| *vote != NO_VOTE);
     let hard_state = HardState { term: u64_at(checked, TERM_AT)?, vote, entry };
-    Some((u64_at(checked, VOTERS_AT)?, (hard_state, document)))
+    let state = PersistedState { hard_state, document };
+    Some(StoreFile { voters_digest: u64_at(checked, VOTERS_AT)?, state })
 }
 
 fn u64_at(bytes: &[u8], at: usize) -> Option<u64> {
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::replicated_config::HardState;
+use alderstile_cluster::replicated_config::PersistedState;
 use alderstile_node::admin::{client, server};
 use alderstile_node::config::{ClusterConfig, Config};
 use alderstile_node::control::host_assignment;
@@ -228,7 +228,7 @@
         return Err(format!("{}: is there already, and stays as it is", path.display()));
     }
     let opened = VoterStore::open(&path, control.settings.voters_digest());
-    let begun = opened.and_then(|(store, _)| store.save(&HardState::genesis(), &[]));
+    let begun = opened.and_then(|(store, _)| store.save(&PersistedState::genesis()));
     begun.map_err(|error| error.to_string())?;
     Ok(format!("{}: begun", path.display()))
 }
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -3,7 +3,9 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use alderstile_cluster::replicated_config::{HardState, LeaseState, LogPosition, Role, VersionHeader};
+use alderstile_cluster::replicated_config::{
+    HardState, LeaseState, LogPosition, PersistedState, Role, VersionHeader,
+};
 use alderstile_node::admin::server;
 use alderstile_node::control::replicated_config::ReplicationStatus;
 use alderstile_node::control::replicated_config::document::ConfigDocument;
@@ -28,14 +30,15 @@
     serde_json::to_vec(&document).expect("JSON")
 }
 
-fn stored_state(document: &[u8]) -> HardState {
+fn stored_state(document: &[u8]) -> PersistedState {
     let position = LogPosition { term: 4, version: 9 };
     let entry = VersionHeader {
         position,
         digest: alderstile_cluster::digest(document),
         length: document.len() as u32,
     };
-    HardState { term: 5, vote: Some(2), entry }
+    let hard_state = HardState { term: 5, vote: Some(2), entry };
+    PersistedState { hard_state, document: document.to_vec() }
 }
 
 const VOTERS: u64 = 0x0102_0304_0506_0708;
@@ -48,9 +51,9 @@
     std::fs::copy(fixture("voter_store.bin"), &path).expect("copied");
     let (store, found) = VoterStore::open(&path, VOTERS).expect("opened");
     let document = stored_document();
-    assert_eq!(found, Some((stored_state(&document), document.clone())));
+    assert_eq!(found, Some(stored_state(&document)));
     std::fs::remove_file(&path).expect("taken away");
-    store.save(&stored_state(&document), &document).expect("saved");
+    store.save(&stored_state(&document)).expect("saved");
     let written = std::fs::read(&path).expect("read");
     assert!(written == std::fs::read(fixture("voter_store.bin")).expect("read"));
     std::fs::remove_dir_all(&dir).expect("taken away");
--- a/crates/alderstile-node/tests/replicated_config_store.rs
+++ b/crates/alderstile-node/tests/replicated_config_store.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use alderstile_cluster::replicated_config::{HardState, LogPosition, VersionHeader};
+use alderstile_cluster::replicated_config::{HardState, LogPosition, PersistedState, VersionHeader};
 use alderstile_node::config::Config;
 use alderstile_node::control::replicated_config::document::ConfigDocument;
 use alderstile_node::control::replicated_config::store::{StoreError, VoterStore, decode};
@@ -14,18 +14,19 @@
 use support::config;
 use support::replicated_config::folder;
 
-fn hard_state(version: u64, document: &[u8]) -> HardState {
+fn state(version: u64, document: &[u8]) -> PersistedState {
     let position = LogPosition { term: 4, version };
     let entry = VersionHeader {
         position,
         digest: alderstile_cluster::digest(document),
         length: document.len() as u32,
     };
-    HardState { term: 5, vote: Some(2), entry }
+    let hard_state = HardState { term: 5, vote: Some(2), entry };
+    PersistedState { hard_state, document: document.to_vec() }
 }
 
 /// What a store holds. Processes that other tests start at this moment hold its lock until they have become themselves.
-fn open(path: &Path) -> Option<(HardState, Vec<u8>)> {
+fn open(path: &Path) -> Option<PersistedState> {
     let began = Instant::now();
     loop {
         match VoterStore::open(path, 7) {
@@ -43,10 +44,10 @@
     let (store, _) = VoterStore::open(&path, 7).expect("opened");
     assert!(matches!(VoterStore::open(&path, 7), Err(StoreError::Locked)));
     for version in 1..20 {
-        store.save(&hard_state(version, &[b'a'; 9_000]), &[b'a'; 9_000]).expect("saved");
+        store.save(&state(version, &[b'a'; 9_000])).expect("saved");
     }
     drop(store);
-    assert_eq!(open(&path), Some((hard_state(19, &[b'a'; 9_000]), vec![b'a'; 9_000])));
+    assert_eq!(open(&path), Some(state(19, &[b'a'; 9_000])));
     let other = loop {
         match VoterStore::open(&path, 8) {
             Err(StoreError::Locked) => {}
@@ -63,10 +64,10 @@
     let path = VoterStore::path(&dir, "n1");
     let document = b"a document";
     let (store, _) = VoterStore::open(&path, 7).expect("opened");
-    store.save(&hard_state(3, document), document).expect("saved");
+    store.save(&state(3, document)).expect("saved");
     drop(store);
     let whole = std::fs::read(&path).expect("read");
-    assert_eq!(open(&path), Some((hard_state(3, document), document.to_vec())));
+    assert_eq!(open(&path), Some(state(3, document)));
     for at in 0..whole.len() {
         let mut flipped = whole.clone();
         flipped[at] ^= 0x40;
@@ -84,12 +85,12 @@
     let dir = folder("full");
     let path = VoterStore::path(&dir, "n1");
     let (store, _) = VoterStore::open(&path, 7).expect("opened");
-    store.save(&hard_state(1, b"one"), b"one").expect("saved");
+    store.save(&state(1, b"one")).expect("saved");
     // Nothing can be written beside it.
     std::fs::create_dir(path.with_extension("voter-new")).expect("a folder in its place");
-    assert!(matches!(store.save(&hard_state(2, b"two"), b"two"), Err(StoreError::Io { .. })));
+    assert!(matches!(store.save(&state(2, b"two")), Err(StoreError::Io { .. })));
     drop(store);
-    assert_eq!(open(&path), Some((hard_state(1, b"one"), b"one".to_vec())));
+    assert_eq!(open(&path), Some(state(1, b"one")));
     std::fs::remove_dir_all(&dir).expect("taken away");
 }
 
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use alderstile_cluster::replicated_config::HardState;
+use alderstile_cluster::replicated_config::PersistedState;
 use alderstile_node::config::ClusterConfig;
 use alderstile_node::control::membership::Cluster;
 use alderstile_node::control::replicated_config::store::VoterStore;
@@ -46,7 +46,7 @@
     let control = cluster.control.as_ref().expect("a table");
     let store = VoterStore::path(&dir, &setup.node.config().name);
     let (begun, _) = VoterStore::open(&store, control.settings.voters_digest()).expect("opened");
-    begun.save(&HardState::genesis(), &[]).expect("saved");
+    begun.save(&PersistedState::genesis()).expect("saved");
     drop(begun);
     let member = Rc::new(Cluster::new(&setup.node.config(), &cluster, None).expect("a member"));
     setup.node.admin.set_membership(member.clone());
