--- a/crates/alderstile-node/src/control/replicated_config/store.rs
+++ b/crates/alderstile-node/src/control/replicated_config/store.rs
@@ -142,7 +142,7 @@
     }
     bytes.extend(entry.length.to_le_bytes());
     bytes.extend(&state.document);
-    let checksum = alderstile_cluster::digest(&bytes);
+    let checksum = alderstile_cluster::content_digest(&bytes);
     bytes.extend(checksum.to_le_bytes());
     bytes
 }
@@ -154,7 +154,7 @@
         return None;
     }
     let (checked, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
-    if alderstile_cluster::digest(checked) != u64::from_le_bytes(*checksum) {
+    if alderstile_cluster::content_digest(checked) != u64::from_le_bytes(*checksum) {
         return None;
     }
     let entry = VersionHeader {
@@ -166,7 +166,9 @@
         length: u32::from_le_bytes(checked.get(LENGTH_AT..DOCUMENT_AT)?.try_into().ok()?),
     };
     let document = checked.get(DOCUMENT_AT..)?.to_vec();
-    if document.len() != entry.length as usize || alderstile_cluster::digest(&document) != entry.digest {
+    if document.len() != entry.length as usize
+        || alderstile_cluster::content_digest(&document) != entry.digest
+    {
         return None;
     }
     let vote = Some(checked[VOTE_AT]).filter(|vote| *vote != NO_VOTE);
