--- a/crates/alderstile-cluster/tests/replicated_config.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -9,7 +9,7 @@
 use support::simulated_cluster::{SimulatedCluster, text};
 
 #[test]
-fn voters_agree_and_all_take_a_version_up_after_the_wait_and_not_before() {
+fn a_committed_version_becomes_active_everywhere_after_the_delay_and_not_before() {
     let mut cluster = SimulatedCluster::new(1, 12, 3, true);
     cluster.run(6.0);
     assert!(cluster.leader().is_some());
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn proposals_that_can_t_count_are_refused_with_the_reason() {
+fn proposals_that_can_t_be_committed_are_rejected_with_the_reason() {
     let mut cluster = SimulatedCluster::new(2, 5, 3, false);
     cluster.run(6.0);
     let outcome = |cluster: &mut SimulatedCluster, by: usize, expect: u64, document: &[u8]| {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn the_larger_side_goes_on_and_the_smaller_one_stays_as_it_is_until_it_hears() {
+fn in_a_partition_the_majority_goes_on_and_the_minority_stays_until_it_heals() {
     let mut cluster = SimulatedCluster::new(3, 40, 9, true);
     cluster.run(6.0);
     cluster.propose(20, 1, 0, b"one");
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_changes_and_all_go_on_as_they_are() {
+fn without_a_majority_nothing_is_committed_and_all_stay_at_their_version() {
     let mut cluster = SimulatedCluster::new(4, 12, 3, true);
     cluster.run(6.0);
     cluster.propose(5, 1, 0, b"one");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_node_that_starts_late_learns_what_counts_at_once() {
+fn a_node_that_starts_late_learns_the_active_version_at_once() {
     let mut cluster = SimulatedCluster::new(5, 30, 3, true);
     cluster.run(6.0);
     cluster.kill(29);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_voter_that_stood_still_while_it_led_tells_nobody_that_the_old_version_counts() {
+fn a_leader_that_was_paused_renews_no_lease_on_the_old_version() {
     let mut cluster = SimulatedCluster::new(6, 12, 3, true);
     cluster.run(6.0);
     let leader = cluster.leader().expect("a leader");
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_voter_whose_disk_was_lost_comes_back_by_the_others_and_one_whose_disk_fails_stops_voting() {
+fn a_voter_with_a_lost_disk_recovers_from_the_others_and_one_with_a_failing_disk_stops_voting() {
     let mut cluster = SimulatedCluster::new(7, 8, 3, true);
     cluster.run(6.0);
     cluster.propose(5, 1, 0, b"one");
--- a/crates/alderstile-cluster/tests/replicated_config_cost.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_cost.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_change_is_in_force_at_510_nodes_within_four_seconds_and_three_kilobytes_a_second() {
+fn a_change_is_active_at_510_nodes_within_four_seconds_and_three_kilobytes_a_second() {
     let cost = changes(1, 510, 0.0, 3_000, 2, 20.0);
     println!("{cost:?}");
     assert!(cost.took.iter().all(|took| *took <= 4.0), "{cost:?}");
@@ -66,7 +66,7 @@
 
 #[test]
 #[ignore = "minutes: the table of docs/replicated-config.md"]
-fn what_fleets_take_and_cost() {
+fn measure_fleets() {
     for (count, loss) in
         [(30, 0.0), (100, 0.0), (300, 0.0), (510, 0.0), (510, 0.01), (510, 0.05), (1_000, 0.0)]
     {
--- a/crates/alderstile-cluster/tests/replicated_config_faults.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_faults.rs
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn whatever_happens_what_is_agreed_stays_and_nobody_acts_on_two_versions_at_once() {
+fn under_random_faults_commits_stay_and_no_two_versions_are_acted_on_at_once() {
     for seed in 0..60 {
         assert_eq!(random_schedule(seed, DRIFT), 0.0, "seed {seed}");
     }
@@ -97,7 +97,7 @@
 const DRIFT: f64 = 0.002;
 
 #[test]
-fn with_a_wait_that_is_shorter_than_the_lease_two_versions_are_acted_on_at_once() {
+fn with_a_delay_shorter_than_the_lease_two_versions_are_acted_on_at_once() {
     // Such a drift can't be: it makes the wait a tenth of the lease.
     let longest = (0..10).map(|seed| random_schedule(seed, -0.82)).fold(0.0, f64::max);
     assert!(longest > 1.0, "{longest} s: the check sees nothing");
@@ -105,7 +105,7 @@
 
 #[test]
 #[ignore = "minutes: the same on 2,000 other seeds"]
-fn whatever_happens_on_many_seeds() {
+fn random_faults_on_many_seeds() {
     for seed in 1_000..3_000 {
         assert_eq!(random_schedule(seed, DRIFT), 0.0, "seed {seed}");
     }
--- a/crates/alderstile-cluster/tests/replicated_config_messages.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_messages.rs
@@ -86,7 +86,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(46), ..ProptestConfig::default() })]
 
     #[test]
-    fn every_message_is_read_as_it_was_written(message in message()) {
+    fn every_message_is_decoded_as_it_was_encoded(message in message()) {
         let bytes = codec().encode(&message);
         prop_assert!(bytes.len() <= 1_200);
         prop_assert_eq!(codec().decode(&bytes), Ok(message));
@@ -126,7 +126,7 @@
     }
 
     #[test]
-    fn a_difference_makes_the_new_document_of_the_old_one(
+    fn a_delta_makes_the_new_document_of_the_old_one(
         old in proptest::collection::vec(0_u8..3, 0..60),
         new in proptest::collection::vec(0_u8..3, 0..60),
         other in proptest::collection::vec(any::<u8>(), 0..60),
--- a/crates/alderstile-cluster/tests/replicated_config_raft.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_raft.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_voter_without_a_memory_neither_votes_nor_acknowledges_until_it_heard_from_all_others() {
+fn a_learner_neither_votes_nor_acknowledges_until_all_others_have_answered() {
     let mut blank = voter(0, None);
     let say = |voter: &mut Raft, peer: u8, term: u64, payload: RaftPayload| {
         let mut effects = RaftEffects::default();
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_voter_votes_once_a_term_and_for_nobody_that_holds_less() {
+fn a_voter_votes_once_a_term_and_for_nobody_with_an_older_entry() {
     let position = LogPosition { term: 3, version: 5 };
     let entry = VersionHeader { position, digest: 1, length: 1 };
     let mut one = voter(0, Some(HardState { term: 3, vote: None, entry }));
--- a/crates/alderstile-node/src/control/replicated_config/document.rs
+++ b/crates/alderstile-node/src/control/replicated_config/document.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigDocument {
-    /// The settings, as in a configuration's file, but for [each node's own](NODE_SETTINGS).
+    /// The settings, as in a configuration's file, without `my_zone` and `index`, which are each node's own.
     pub settings: Map<String, Value>,
     /// Hosts that nothing new is sent to, whatever discovery lists.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
--- a/crates/alderstile-node/tests/replicated_config_applied.rs
+++ b/crates/alderstile-node/tests/replicated_config_applied.rs
@@ -5,14 +5,14 @@
 use serde_json::json;
 
 mod support;
-use support::replicated_config::{agreed, alone, document, in_force};
+use support::replicated_config::{document, propose_until_committed, single_voter_node, wait_until_active};
 use support::{Host, run, start};
 
 #[test]
-fn settings_and_hosts_out_count_at_the_node_and_the_stricter_of_both_while_a_version_waits() {
+fn an_active_version_applies_and_until_then_the_stricter_of_both() {
     run(async {
         let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let (setup, _watch, control, dir) = alone(86, &[&hosts[0], &hosts[1]]).await;
+        let (setup, _watch, control, dir) = single_voter_node(86, &[&hosts[0], &hosts[1]]).await;
         let out = |host: &str| {
             setup
                 .node
@@ -24,10 +24,10 @@
             document["settings"]["allowed"]["max_attempts"] = 2.into();
             document["hosts_out"] = json!(["s-1"]);
         });
-        assert_eq!(agreed(&control, &both).await, 1);
+        assert_eq!(propose_until_committed(&control, &both).await, 1);
         // Agreed and not in force yet: fewer attempts and a host out count at once.
         assert_eq!((control.status().active_version, most(), out("s-1")), (0, 2, true));
-        in_force(&control, 1).await;
+        wait_until_active(&control, 1).await;
         assert_eq!((most(), out("s-1"), out("s-2")), (2, true, false));
         assert!(setup.node.admin.metrics_text().contains("router.hosts_down:1|g"));
         let wider = document(|document| {
@@ -35,10 +35,10 @@
             document["settings"]["obligations"]["fall_multiple"] = 3.0.into();
             document["hosts_out"] = json!(["s-2"]);
         });
-        assert_eq!(agreed(&control, &wider).await, 2);
+        assert_eq!(propose_until_committed(&control, &wider).await, 2);
         assert_eq!(control.status().active_version, 1);
         assert_eq!((most(), out("s-1"), out("s-2")), (2, true, true), "both are out until it counts");
-        in_force(&control, 2).await;
+        wait_until_active(&control, 2).await;
         assert_eq!((most(), out("s-1"), out("s-2")), (5, false, true));
         // The file at SIGHUP can't undo what is agreed; its other keys count.
         let path = dir.join("file.json");
@@ -56,31 +56,31 @@
 }
 
 #[test]
-fn a_host_out_by_hand_at_a_node_stays_out_when_the_agreed_word_ends() {
+fn a_host_taken_out_by_an_operator_stays_out_when_the_document_puts_it_back() {
     run(async {
         let host = Host::new("s-1").await;
-        let (setup, _watch, control, dir) = alone(87, &[&host]).await;
+        let (setup, _watch, control, dir) = single_voter_node(87, &[&host]).await;
         let out = || {
             setup
                 .node
                 .decisions
                 .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
-        agreed(&control, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
-        in_force(&control, 1).await;
+        propose_until_committed(&control, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
+        wait_until_active(&control, 1).await;
         setup.node.admin.apply_maintenance(
             "s-1",
             alderstile_node::admin::maintenance_store::MaintenanceState::OutOfService,
         );
-        agreed(&control, &document(|_| {})).await;
-        in_force(&control, 2).await;
+        propose_until_committed(&control, &document(|_| {})).await;
+        wait_until_active(&control, 2).await;
         assert!(out(), "by hand");
         std::fs::remove_dir_all(&dir).expect("taken away");
     });
 }
 
 #[test]
-fn without_the_table_there_is_no_such_path_and_no_figure() {
+fn without_the_table_there_is_no_replica_and_no_metric() {
     run(async {
         let setup = start(|_| {}).await;
         assert!(setup.node.admin.replicated_config().is_none());
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -16,7 +16,7 @@
 use tokio::task::spawn_local;
 
 mod support;
-use support::replicated_config::{alone, document, folder, in_force};
+use support::replicated_config::{document, folder, single_voter_node, wait_until_active};
 use support::{Host, Peer, run};
 
 fn fixture(name: &str) -> PathBuf {
@@ -128,7 +128,7 @@
 /// What a node that is the only voter answers before and after a version, each under the name of its fixture.
 async fn answers() -> Vec<(&'static str, String)> {
     let host = Host::new("s-1").await;
-    let (setup, _watch, control, dir) = alone(89, &[&host]).await;
+    let (setup, _watch, control, dir) = single_voter_node(89, &[&host]).await;
     let before = serde_json::to_string(&control.status()).expect("JSON");
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let to = listener.local_addr().expect("bound");
@@ -143,7 +143,7 @@
     };
     let (status, text) = call(to, "POST", "/settings/after/7", "{\"setings\": {}}").await;
     let rejected = format!("{status}\n{text}");
-    in_force(&control, 1).await;
+    wait_until_active(&control, 1).await;
     let (status, after) = call(to, "GET", "/settings", "").await;
     assert_eq!(status, "HTTP/1.1 200");
     let (_, counters) = call(to, "GET", "/control/counters", "").await;
--- a/crates/alderstile-node/tests/replicated_config_store.rs
+++ b/crates/alderstile-node/tests/replicated_config_store.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_memory_is_read_as_it_was_saved_and_belongs_to_one_process_and_one_list_of_voters() {
+fn a_state_is_read_as_it_was_saved_by_one_process_with_the_same_list_of_voters() {
     let dir = folder("store");
     let path = VoterStore::path(&dir, "n/1");
     assert_eq!(open(&path), None);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_store_that_is_cut_short_or_damaged_at_any_byte_is_not_believed() {
+fn a_store_that_is_truncated_or_damaged_at_any_byte_is_set_aside() {
     let dir = folder("damage");
     let path = VoterStore::path(&dir, "n1");
     let document = b"a document";
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_memory_that_can_t_be_put_on_disk_is_said_to_be_so_and_the_one_before_stays() {
+fn a_state_that_can_t_be_written_is_an_error_and_the_one_before_stays() {
     let dir = folder("full");
     let path = VoterStore::path(&dir, "n1");
     let (store, _) = VoterStore::open(&path, 7).expect("opened");
@@ -98,7 +98,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(46), ..ProptestConfig::default() })]
 
     #[test]
-    fn no_bytes_are_taken_for_a_memory_and_no_text_for_a_document(
+    fn random_bytes_are_no_state_and_random_text_is_no_document(
         bytes in proptest::collection::vec(any::<u8>(), 0..200),
         text in "[{}a-z\":,0-9\\[\\] ]{0,60}",
     ) {
--- a/crates/alderstile-node/tests/replicated_config_table.rs
+++ b/crates/alderstile-node/tests/replicated_config_table.rs
@@ -6,7 +6,7 @@
 use support::replicated_config::KEY;
 
 #[test]
-fn a_faulty_table_is_turned_down_with_its_key() {
+fn a_faulty_table_is_rejected_with_its_key() {
     let fine = format!(
         "name = \"edge\"\nlisten = \"127.0.0.1:7946\"\nkeys = [\"{KEY}\"]\n[control]\nlisten = \"127.0.0.1:7950\"\n\
          voters = [\"127.0.0.2:7950\", \"127.0.0.3:7950\"]\n"
--- a/crates/alderstile-node/tests/support/fleet.rs
+++ b/crates/alderstile-node/tests/support/fleet.rs
@@ -24,14 +24,14 @@
         let dir = folder(&format!("fleet-{net}"));
         let mut fleet = Fleet { dir, net, voters, running: (0..count).map(|_| None).collect() };
         for n in 1..=count {
-            let mut file = config(&fleet.at(n, 19_000), "127.0.0.1:1");
-            (file["name"], file["admin_addr"]) = (format!("n{n}").into(), fleet.at(n, 19_001).into());
+            let mut file = config(&fleet.address(n, 19_000), "127.0.0.1:1");
+            (file["name"], file["admin_addr"]) = (format!("n{n}").into(), fleet.address(n, 19_001).into());
             std::fs::write(fleet.file(n, "json"), file.to_string()).expect("written");
-            fleet.key(n, KEY);
+            fleet.write_cluster_file(n, KEY);
             if n <= voters {
-                let out = fleet.call(n, &["settings", "init"]);
+                let out = fleet.command(n, &["settings", "init"]);
                 assert!(out.status.success(), "{out:?}");
-                let again = fleet.call(n, &["settings", "init"]);
+                let again = fleet.command(n, &["settings", "init"]);
                 assert_eq!(again.status.code(), Some(2), "it never takes a memory's place");
             }
             fleet.start(n);
@@ -39,7 +39,7 @@
         fleet
     }
 
-    pub fn at(&self, n: u8, port: u16) -> String {
+    pub fn address(&self, n: u8, port: u16) -> String {
         format!("127.0.{}.{n}:{port}", self.net)
     }
 
@@ -52,22 +52,23 @@
     }
 
     /// Writes a node's cluster's file, with this key.
-    pub fn key(&self, n: u8, key: &str) {
-        let voters: Vec<String> = (1..=self.voters).map(|n| format!("\"{}\"", self.at(n, 19_003))).collect();
+    pub fn write_cluster_file(&self, n: u8, key: &str) {
+        let voters: Vec<String> =
+            (1..=self.voters).map(|n| format!("\"{}\"", self.address(n, 19_003))).collect();
         let text = format!(
             "name = \"edge\"\nlisten = \"{}\"\nseeds = [\"{}\", \"{}\"]\nkeys = [\"{key}\"]\nperiod_ms = 200\n\
              [control]\nlisten = \"{}\"\nvoters = [{}]\nstate_dir = \"{}\"\nheartbeat_ms = 150\nlease_s = 0.9\n",
-            self.at(n, 19_002),
-            self.at(1, 19_002),
-            self.at(2, 19_002),
-            self.at(n, 19_003),
+            self.address(n, 19_002),
+            self.address(1, 19_002),
+            self.address(2, 19_002),
+            self.address(n, 19_003),
             voters.join(", "),
             self.dir.display()
         );
         std::fs::write(self.file(n, "toml"), text).expect("written");
     }
 
-    pub fn call(&self, n: u8, args: &[&str]) -> Output {
+    pub fn command(&self, n: u8, args: &[&str]) -> Output {
         let mut program = Command::new(env!("CARGO_BIN_EXE_alderstile"));
         program
             .args(args)
@@ -105,8 +106,8 @@
         assert!(Command::new("kill").args([signal, &pid]).status().expect("sent").success());
     }
 
-    pub fn show(&self, n: u8) -> Option<ReplicationStatus> {
-        let out = self.call(n, &["settings", "show"]);
+    pub fn status(&self, n: u8) -> Option<ReplicationStatus> {
+        let out = self.command(n, &["settings", "show"]);
         serde_json::from_slice(&out.stdout).ok()
     }
 
@@ -119,13 +120,13 @@
             args.extend(["--expect".to_owned(), expect.to_string()]);
         }
         let args: Vec<&str> = args.iter().map(String::as_str).collect();
-        let out = self.call(n, &args);
+        let out = self.command(n, &args);
         let text = String::from_utf8_lossy(&out.stdout).into_owned() + &String::from_utf8_lossy(&out.stderr);
         (out.status.code(), text)
     }
 
     /// Proposes until it is agreed on: a leader may have to be elected, or the version before to count, first.
-    pub fn agree(&self, n: u8, document: &Value) -> u64 {
+    pub fn commit(&self, n: u8, document: &Value) -> u64 {
         let began = Instant::now();
         loop {
             let (code, said) = self.propose(n, document, None);
@@ -142,17 +143,17 @@
     }
 
     /// Waits until these nodes are as wanted.
-    pub fn until(&self, nodes: &[u8], what: &str, wanted: impl Fn(&ReplicationStatus) -> bool) {
+    pub fn wait_until(&self, nodes: &[u8], what: &str, wanted: impl Fn(&ReplicationStatus) -> bool) {
         let began = Instant::now();
-        while !nodes.iter().all(|n| self.show(*n).is_some_and(|shown| wanted(&shown))) {
-            let shown: Vec<Option<ReplicationStatus>> = nodes.iter().map(|n| self.show(*n)).collect();
+        while !nodes.iter().all(|n| self.status(*n).is_some_and(|shown| wanted(&shown))) {
+            let shown: Vec<Option<ReplicationStatus>> = nodes.iter().map(|n| self.status(*n)).collect();
             assert!(began.elapsed() < Duration::from_secs(60), "{what}: {shown:#?}");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
 
-    pub fn counts(&self, nodes: &[u8], version: u64) {
-        self.until(nodes, &format!("version {version}"), |shown| {
+    pub fn wait_active(&self, nodes: &[u8], version: u64) {
+        self.wait_until(nodes, &format!("version {version}"), |shown| {
             shown.active_version == version && shown.lease_state == "counts" && shown.rejection.is_none()
         });
     }
@@ -160,7 +161,7 @@
     pub fn leader(&self) -> u8 {
         let began = Instant::now();
         loop {
-            let voter = |n: &u8| self.show(*n).is_some_and(|shown| shown.role.as_deref() == Some("leader"));
+            let voter = |n: &u8| self.status(*n).is_some_and(|shown| shown.role.as_deref() == Some("leader"));
             if let Some(leader) = (1..=self.voters).find(voter) {
                 return leader;
             }
@@ -175,9 +176,9 @@
 }
 
 /// A process that ends with its owner.
-pub struct Ended(pub Child);
+pub struct KillOnDrop(pub Child);
 
-impl Drop for Ended {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         self.0.kill().unwrap_or_default();
         let _ = self.0.wait();
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -17,8 +17,8 @@
 pub const KEY: &str = "00112233445566778899aabbccddeeff";
 
 pub fn folder(name: &str) -> PathBuf {
-    let dir =
-        PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("agreed-{name}-{}", std::process::id()));
+    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
+        .join(format!("replicated-config-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("a folder");
     dir
 }
@@ -33,7 +33,7 @@
 }
 
 /// A node that is the only voter, in this process.
-pub async fn alone(net: u8, hosts: &[&Host]) -> (Setup, Peer, Rc<ConfigReplica>, PathBuf) {
+pub async fn single_voter_node(net: u8, hosts: &[&Host]) -> (Setup, Peer, Rc<ConfigReplica>, PathBuf) {
     let (setup, watch) = serving(hosts).await;
     let dir = folder(&format!("alone-{net}"));
     let text = format!(
@@ -57,7 +57,7 @@
     (setup, watch, control, dir)
 }
 
-pub async fn agreed(control: &ConfigReplica, document: &Value) -> u64 {
+pub async fn propose_until_committed(control: &ConfigReplica, document: &Value) -> u64 {
     loop {
         let expect = control.status().committed_version;
         if let ProposalResult::Committed(version) =
@@ -69,7 +69,7 @@
     }
 }
 
-pub async fn in_force(control: &ConfigReplica, version: u64) {
+pub async fn wait_until_active(control: &ConfigReplica, version: u64) {
     while control.status().active_version < version {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
