--- a/crates/alderstile-cluster/tests/membership_identity.rs
+++ b/crates/alderstile-cluster/tests/membership_identity.rs
@@ -4,25 +4,18 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::membership::{
-    DatagramHeader, InstanceId, MAX_METADATA_BYTES, MemberRecord, MemberState, MemberUpdate, Membership,
-    MembershipChange, MembershipConfig, Message, RecordError,
+    DatagramHeader, InstanceId, MAX_METADATA_BYTES, MemberRecord, MemberState, MemberUpdate,
+    MembershipChange, Message, RecordError,
 };
 
-use support::members::{address, codec, member, pass, period, record, state};
+use support::members::{address, codec, member, newcomer, pass, record, state};
 
 #[test]
 fn a_restarted_member_replaces_its_earlier_instance() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3])];
     // Number 3 returns as another process at the same address; the others still hold the old one alive.
     let again = MemberRecord { instance: InstanceId(33), ..record(3) };
-    members.push(Membership::new(
-        MembershipConfig::with_period(period()),
-        codec(),
-        again,
-        vec![address(1)],
-        9,
-        Micros(0),
-    ));
+    members.push(newcomer(again, 9, Micros(0)));
     let mut now = Micros(0);
     let changes = pass(&mut members, &mut now, Micros::from_millis(5_000));
     assert!(
@@ -38,14 +31,7 @@
 fn a_name_conflict_is_reported_and_neither_member_is_believed_over_the_other() {
     let mut members = vec![member(1, &[2]), member(2, &[1])];
     let other = MemberRecord { name: "n2".into(), ..record(5) };
-    members.push(Membership::new(
-        MembershipConfig::with_period(period()),
-        codec(),
-        other,
-        vec![address(1)],
-        5,
-        Micros(0),
-    ));
+    members.push(newcomer(other, 5, Micros(0)));
     let mut now = Micros(0);
     let changes = pass(&mut members, &mut now, Micros::from_millis(5_000));
     for (by, member) in members.iter().enumerate() {
@@ -64,7 +50,7 @@
 fn metadata_and_digests_reach_the_others_within_their_bounds() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3]), member(3, &[1, 2])];
     members[0].set_metadata(4, b"cold").expect("it fits");
-    members[0].set_digest(99);
+    members[0].set_config_digest(99);
     assert_eq!(members[0].set_metadata(5, &[0; MAX_METADATA_BYTES]), Err(RecordError::MetadataLength));
     let mut now = Micros(0);
     pass(&mut members, &mut now, Micros::from_millis(5_000));
@@ -90,7 +76,7 @@
     };
     let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[&top]);
     one.handle_datagram(Micros(0), address(2), &bytes);
-    one.set_digest(8);
+    one.set_config_digest(8);
     one.leave(Micros(1));
     assert_eq!(one.local().incarnation, u64::MAX);
 }
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -234,7 +234,7 @@
 
     /// Tells the others the digest of another configuration.
     pub fn config_changed(&self, config: &Config) {
-        self.members.borrow_mut().set_digest(settings_digest(config));
+        self.members.borrow_mut().set_config_digest(settings_digest(config));
     }
 
     /// Authenticates datagrams by other keys from now on.
@@ -354,5 +354,5 @@
             fields.remove(own);
         }
     }
-    alderstile_cluster::digest(Value::to_string(&settings).as_bytes())
+    alderstile_cluster::content_digest(Value::to_string(&settings).as_bytes())
 }
