--- a/crates/alderstile-cluster/tests/replicated_config.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -9,12 +9,13 @@
 use support::simulated_cluster::{SimulatedCluster, text};
 
 #[test]
-fn voters_agree_and_all_take_a_version_up_after_the_wait_and_not_before() {
+fn a_committed_version_becomes_active_everywhere_after_the_delay_and_not_before() {
     let mut cluster = SimulatedCluster::new(1, 12, 3, true);
     cluster.run(6.0);
     assert!(cluster.leader().is_some());
     assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| {
-        core.lease_state(cluster.local(n)) == LeaseState::Valid && core.active() == (0, &[][..])
+        core.lease_state(cluster.local(n)) == LeaseState::Valid
+            && (core.active_version(), core.active_document()) == (0, &[][..])
     })));
     let began = cluster.now;
     cluster.propose(11, 5, 0, &text(1, 2_000));
@@ -28,13 +29,14 @@
     for n in 0..12 {
         let took = (cluster.activated_at_us[n][&1] - began) as f64 / 1e6;
         assert!((2.5..4.0).contains(&took), "{n}: {took}");
-        assert_eq!(cluster.core(n).expect("up").active(), (1, &text(1, 2_000)[..]));
+        let core = cluster.core(n).expect("up");
+        assert_eq!((core.active_version(), core.active_document()), (1, &text(1, 2_000)[..]));
     }
     assert_eq!(cluster.overlap_seconds(), 0.0);
 }
 
 #[test]
-fn proposals_that_can_t_count_are_refused_with_the_reason() {
+fn proposals_that_can_t_be_committed_are_rejected_with_the_reason() {
     let mut cluster = SimulatedCluster::new(2, 5, 3, false);
     cluster.run(6.0);
     let outcome = |cluster: &mut SimulatedCluster, by: usize, expect: u64, document: &[u8]| {
@@ -74,7 +76,7 @@
 }
 
 #[test]
-fn the_larger_side_goes_on_and_the_smaller_one_stays_as_it_is_until_it_hears() {
+fn in_a_partition_the_majority_goes_on_and_the_minority_stays_until_it_heals() {
     let mut cluster = SimulatedCluster::new(3, 40, 9, true);
     cluster.run(6.0);
     cluster.propose(20, 1, 0, b"one");
@@ -90,14 +92,18 @@
     for n in 0..40 {
         let core = cluster.core(n).expect("up");
         let (version, standing) = if n % 2 == 0 { (2, LeaseState::Valid) } else { (1, LeaseState::Expired) };
-        assert_eq!((core.active().0, core.lease_state(cluster.local(n))), (version, standing), "{n}");
+        assert_eq!((core.active_version(), core.lease_state(cluster.local(n))), (version, standing), "{n}");
     }
     cluster.partitioned = false;
     let healed = cluster.now;
     cluster.run(8.0);
     for n in 0..40 {
         let core = cluster.core(n).expect("up");
-        assert_eq!((core.active().0, core.lease_state(cluster.local(n))), (2, LeaseState::Valid), "{n}");
+        assert_eq!(
+            (core.active_version(), core.lease_state(cluster.local(n))),
+            (2, LeaseState::Valid),
+            "{n}"
+        );
     }
     let last = (1..40).step_by(2).map(|n| cluster.activated_at_us[n][&2]).max().expect("some");
     assert!(last - healed < 6_000_000, "{} us", last - healed);
@@ -105,7 +111,7 @@
 }
 
 #[test]
-fn without_a_majority_nothing_changes_and_all_go_on_as_they_are() {
+fn without_a_majority_nothing_is_committed_and_all_stay_at_their_version() {
     let mut cluster = SimulatedCluster::new(4, 12, 3, true);
     cluster.run(6.0);
     cluster.propose(5, 1, 0, b"one");
@@ -116,14 +122,16 @@
     cluster.propose(5, 2, 1, b"two");
     cluster.run(20.0);
     assert_eq!(cluster.outcomes.get(&2), None);
-    assert!((2..12).all(|n| cluster.core(n).is_some_and(|core| core.active() == (1, b"one"))));
+    assert!((2..12).all(|n| {
+        cluster.core(n).is_some_and(|core| (core.active_version(), core.active_document()) == (1, b"one"))
+    }));
     cluster.start(0);
     cluster.run(8.0);
     assert_eq!(cluster.outcomes.get(&2), Some(&ProposalOutcome::Committed(2)), "it was still put up");
 }
 
 #[test]
-fn a_node_that_starts_late_learns_what_counts_at_once() {
+fn a_node_that_starts_late_learns_the_active_version_at_once() {
     let mut cluster = SimulatedCluster::new(5, 30, 3, true);
     cluster.run(6.0);
     cluster.kill(29);
@@ -137,7 +145,7 @@
 }
 
 #[test]
-fn a_voter_that_stood_still_while_it_led_tells_nobody_that_the_old_version_counts() {
+fn a_leader_that_was_paused_renews_no_lease_on_the_old_version() {
     let mut cluster = SimulatedCluster::new(6, 12, 3, true);
     cluster.run(6.0);
     let leader = cluster.leader().expect("a leader");
@@ -148,12 +156,12 @@
     assert_eq!(cluster.outcomes.get(&1), Some(&ProposalOutcome::Committed(1)));
     cluster.resume(leader);
     cluster.run(4.0);
-    assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| core.active().0 == 1)));
+    assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| core.active_version() == 1)));
     assert_eq!(cluster.overlap_seconds(), 0.0);
 }
 
 #[test]
-fn a_voter_whose_disk_was_lost_comes_back_by_the_others_and_one_whose_disk_fails_stops_voting() {
+fn a_voter_with_a_lost_disk_recovers_from_the_others_and_one_with_a_failing_disk_stops_voting() {
     let mut cluster = SimulatedCluster::new(7, 8, 3, true);
     cluster.run(6.0);
     cluster.propose(5, 1, 0, b"one");
--- a/crates/alderstile-cluster/tests/replicated_config_messages.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_messages.rs
@@ -2,8 +2,8 @@
 
 use alderstile::types::Micros;
 use alderstile_cluster::replicated_config::{
-    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, DatagramCodec, HardState, LogPosition,
-    MAX_CHUNK, MAX_DOCUMENT, Message, ProposalOutcome, ProposalRequest, RaftPayload, ReplicatedConfig,
+    Announcement, AppendEntry, AppendReply, Chunk, ChunkRequest, DatagramCodec, LogPosition, MAX_CHUNK,
+    MAX_DOCUMENT, Message, PersistedState, ProposalOutcome, ProposalRequest, RaftPayload, ReplicatedConfig,
     ReplicationSettings, VersionHeader, apply_delta, encode_delta,
 };
 use proptest::prelude::*;
@@ -86,7 +86,7 @@
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(46), ..ProptestConfig::default() })]
 
     #[test]
-    fn every_message_is_read_as_it_was_written(message in message()) {
+    fn every_message_is_decoded_as_it_was_encoded(message in message()) {
         let bytes = codec().encode(&message);
         prop_assert!(bytes.len() <= 1_200);
         prop_assert_eq!(codec().decode(&bytes), Ok(message));
@@ -101,8 +101,8 @@
     ) {
         for me in [None, Some(1)] {
             let set = ReplicationSettings::new((0..3).map(address).collect(), me);
-            let memory = me.map(|_| (HardState::genesis(), Vec::new()));
-            let mut core = ReplicatedConfig::new(set.clone(), codec(), memory, Box::new(check), 5, Micros(0));
+            let stored = me.map(|_| PersistedState::genesis());
+            let mut core = ReplicatedConfig::new(set.clone(), codec(), stored, Box::new(check), 5, Micros(0));
             let mut now = Micros(0);
             let mut give = |bytes: &[u8]| {
                 now = now + Micros(40_000);
@@ -126,7 +126,7 @@
     }
 
     #[test]
-    fn a_difference_makes_the_new_document_of_the_old_one(
+    fn a_delta_makes_the_new_document_of_the_old_one(
         old in proptest::collection::vec(0_u8..3, 0..60),
         new in proptest::collection::vec(0_u8..3, 0..60),
         other in proptest::collection::vec(any::<u8>(), 0..60),
