--- a/crates/alderstile-node/src/lib.rs
+++ b/crates/alderstile-node/src/lib.rs
@@ -5,6 +5,7 @@
 
 pub mod admin;
 pub mod clock;
+pub mod commands;
 pub mod config;
 pub mod control;
 pub mod decisions;
