--- a/crates/alderstile-cluster/src/membership/mod.rs
+++ b/crates/alderstile-cluster/src/membership/mod.rs
@@ -8,11 +8,11 @@
 //!
 //! Bounds, with N members and the period T: a member sends at most [`MembershipConfig::max_datagrams_per_period`] datagrams a
 //! period of at most [`crate::authentication::MAX_DATAGRAM_BYTES`] bytes; a member that dies is suspected after e/(e-1) T in
-//! the mean, and is dead to all after [`MembershipConfig::suspicion_multiplier`] more.
+//! the mean, and is dead to all after about [`MembershipConfig::min_suspicion_timeout`] more.
 //!
 //! # Note
-//! The state machine has no I/O and no clock: it is driven by [`Membership::handle_datagram`] and
-//! [`Membership::handle_timeout`], and what they return has to be done in that order.
+//! The state machine has no I/O and no clock: [`Membership::handle_datagram`] and [`Membership::handle_timeout`] drive it, and
+//! the caller carries out the effects that they return.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
--- a/crates/alderstile-cluster/src/membership/rejoin.rs
+++ b/crates/alderstile-cluster/src/membership/rejoin.rs
@@ -1,4 +1,4 @@
-//! Rejoining after a partition: the dead are probed now and then, as after a split nobody else would look for them.
+//! Rejoining after a partition: the dead are probed now and then, as nothing else would find them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/alderstile-cluster/src/membership/suspicion.rs
+++ b/crates/alderstile-cluster/src/membership/suspicion.rs
@@ -16,7 +16,8 @@
 const MAX_CONFIRMATIONS: usize = 3;
 /// How much longer an unconfirmed one lasts (Lifeguard's beta): a member that alone suspects may be cut off itself.
 const MAX_TIMEOUT_FACTOR: f64 = 2.0;
-/// Of all members so many ping a suspect once more before they declare it dead, so that lost gossip costs nobody its life.
+/// Of all members so many ping a suspect once more before they declare it dead, so that lost gossip makes no live
+/// member dead.
 const FINAL_PROBERS: f64 = 8.0;
 /// The others give them this many periods for it.
 const FINAL_PROBE_GRACE_PERIODS: f64 = 2.0;
@@ -120,7 +121,7 @@
         }
         let nonce = self.new_nonce();
         self.ping(suspect, nonce);
-        // A datagram that is lost must not cost a member its life: some others ask it too.
+        // One lost datagram must not make a live member dead: some others ping it too.
         self.request_pings(INDIRECT_PROBES - 1, suspect, nonce);
     }
 }
--- a/crates/alderstile-cluster/src/membership/update.rs
+++ b/crates/alderstile-cluster/src/membership/update.rs
@@ -34,7 +34,7 @@
         if record.incarnation <= peer.record.incarnation || peer.state == MemberState::Left {
             return;
         }
-        // An instance has one name for its life: the index by name rests on it.
+        // An instance never changes its name: the index by name rests on it.
         let record = MemberRecord { name: peer.record.name.clone(), ..record };
         let before = self.peers.mark_alive(record.clone(), self.now);
         self.gossip.push(MemberUpdate::Alive(record));
