--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -34,7 +34,7 @@
         load.map_or(0.0, |load| priority / load)
     }
 
-    /// Answers a request for which no attempt is made: at once, so that the client can come again. What may
+    /// Answers a request for which no attempt is made: at once, so that the client can retry. What may
     /// have run and is not safe to repeat at any server fails; all else is rejected.
     pub(super) fn give_up(&mut self, connection: &Connection, actions: &mut Vec<Action>) {
         let id = connection.request.id;
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,4 +1,4 @@
-//! Observed capacity: what a server that was late was seen to manage, let out again by and by.
+//! Observed capacity: the load that a late server was seen to manage, and its gradual recovery.
 
 use super::Policy;
 use super::server::ServerIndex;
--- a/src/policy/connection.rs
+++ b/src/policy/connection.rs
@@ -6,7 +6,7 @@
 use super::load_estimate::is_load;
 use super::server::ServerIndex;
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionState {
     /// Accepted, no attempt in flight: it waits for a probe.
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -169,7 +169,7 @@
         self.settings.removal_is_advisory && removed && !server.draining
     }
 
-    /// Whether a server holds a connection of this node, or has answered a probe of late.
+    /// Whether a server holds a connection of this node, or has recently answered a probe.
     fn is_known_to_run(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let answered = server.probes.answered_at;
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -1,4 +1,4 @@
-//! Load estimate: the load of each server as this node's own connections tell it.
+//! Load estimate: the load of each server as seen from this node's own connections.
 //!
 //! Loads are in microseconds of work a second. A connection counts with the load last reported on it, or with
 //! the typical load of its class; before any load is known each connection counts as one.
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -1,7 +1,7 @@
 //! Message delay: which servers answer messages late.
 //!
 //! Servers report delays about once a second while they are late. Where they do not, what a connection set-up
-//! takes above the usual is taken for the delay of a message, and nodes that may gossip tell each other.
+//! takes above the usual is taken for the delay of a message, and nodes that may gossip inform each other.
 
 use crate::types::{Action, BalancerSettings, Micros, ServerId};
 
@@ -28,7 +28,7 @@
     pub(super) delay: Micros,
     /// When it was heard.
     pub(super) at: Micros,
-    /// The server stands still, or did and works off its backlog.
+    /// The server answers nothing, or has resumed and works off its backlog.
     pub(super) stalled: bool,
     /// Growth since the delay before, in seconds a second.
     pub(super) growth: f64,
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Whether a stalled server counts as late only because this node has nothing there that could tell
+    /// Whether a stalled server counts as late only because this node has nothing there that could show
     /// otherwise.
     pub(super) fn is_late_unobserved(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -12,24 +12,24 @@
 use super::rebalance::{Excess, ExcessCause};
 use super::server::ServerIndex;
 
-/// Share of an overloaded server's connections that one period may move, rounded down: few connections tell
-/// too little of a server.
-const PROACTIVE_MOVE_SHARE: f64 = 0.1;
+/// Share of an overloaded server's connections that one period may migrate, rounded down: few connections say
+/// too little about a server.
+const PROACTIVE_MIGRATION_SHARE: f64 = 0.1;
 /// The same for a late or draining server: its connections lose more by staying.
-const REACTIVE_MOVE_SHARE: f64 = 0.5;
-/// Added before the number of moves is rounded down: rounds up.
+const REACTIVE_MIGRATION_SHARE: f64 = 0.5;
+/// Added before the number of migrations is rounded down, which rounds it up.
 const ROUND_UP: f64 = 0.99;
-/// From this share of late servers among the warm ones on the fleet as a whole is late: what moves finds no
-/// capacity.
+/// From this share of late servers among the warm ones on the fleet as a whole is late: what migrates finds
+/// no capacity.
 const FLEET_LATE_SHARE: f64 = 0.9;
 
-/// How many connections one period may move.
-pub(super) struct MoveLimit {
+/// How many connections one period may migrate.
+pub(super) struct MigrationLimit {
     share: f64,
     rounding: f64,
 }
 
-impl MoveLimit {
+impl MigrationLimit {
     pub(super) fn of(&self, connections: usize) -> usize {
         (connections as f64 * self.share + self.rounding).floor() as usize
     }
@@ -44,17 +44,17 @@
 
 impl Policy {
     /// How many connections a server may shed in this period. Where the fleet as a whole is late, late
-    /// servers move no more than others, rounded by chance: what moves comes back as set-ups, and these would
-    /// keep the fleet late.
-    pub(super) fn draw_move_limit(&mut self, now: Micros, cause: ExcessCause) -> MoveLimit {
+    /// servers migrate no more than others, rounded by chance: what migrates comes back as set-ups, and these
+    /// would keep the fleet late.
+    pub(super) fn draw_migration_limit(&mut self, now: Micros, cause: ExcessCause) -> MigrationLimit {
         let fleet_is_late = cause != ExcessCause::Draining
             && self.late_share(now, self.warm_servers(now)) >= FLEET_LATE_SHARE;
         // Drawn whatever the cause: the sequence of random numbers depends on the fleet alone.
         let rounding = if fleet_is_late { self.rng.random() } else { ROUND_UP };
         match cause {
-            ExcessCause::Overloaded => MoveLimit { share: PROACTIVE_MOVE_SHARE, rounding: 0.0 },
-            _ if fleet_is_late => MoveLimit { share: PROACTIVE_MOVE_SHARE, rounding },
-            _ => MoveLimit { share: REACTIVE_MOVE_SHARE, rounding },
+            ExcessCause::Overloaded => MigrationLimit { share: PROACTIVE_MIGRATION_SHARE, rounding: 0.0 },
+            _ if fleet_is_late => MigrationLimit { share: PROACTIVE_MIGRATION_SHARE, rounding },
+            _ => MigrationLimit { share: REACTIVE_MIGRATION_SHARE, rounding },
         }
     }
 
@@ -132,7 +132,7 @@
     ) -> Option<f64> {
         let lightest = candidates.iter().map(|candidate| candidate.freed_load).fold(f64::INFINITY, f64::min);
         let reactive = excess.cause != ExcessCause::Overloaded;
-        let part = excess.load.min(REACTIVE_MOVE_SHARE * lightest);
+        let part = excess.load.min(REACTIVE_MIGRATION_SHARE * lightest);
         if (holds_few || self.misses_objective(index))
             && reactive
             && excess.load < lightest
@@ -156,12 +156,12 @@
         &mut self,
         index: ServerIndex,
         load: f64,
-        moves: usize,
+        migrations: usize,
         mut candidates: Vec<MigrationCandidate>,
         actions: &mut Vec<Action>,
     ) {
         let mut remaining = load;
-        for _ in 0..moves {
+        for _ in 0..migrations {
             let closest = self.draw_closest(remaining, &candidates);
             if (candidates[closest].freed_load - remaining).abs() >= remaining.abs() {
                 break;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -117,7 +117,7 @@
     }
 
     /// Takes in a set-up that succeeded. One at a server that had taken no connection counts as its start:
-    /// the endpoint list tells of a restart late or never, and the server's load is the lowest.
+    /// the endpoint list shows a restart late or never, and the server's load is the lowest.
     pub(super) fn record_success(&mut self, now: Micros, index: ServerIndex) {
         let server = &mut self.servers[index];
         if std::mem::take(&mut server.outlier.connect_failed) {
--- a/src/policy/period.rs
+++ b/src/policy/period.rs
@@ -9,7 +9,8 @@
 pub(super) const PERIOD: Micros = Micros::from_millis(1_000);
 /// Wakes the next period.
 pub(super) const PERIOD_TIMER: TimerToken = TimerToken(0);
-/// Below this many connections on a server, in the mean, the own record tells next to nothing of a server.
+/// Below this many connections on a server, in the mean, this node's record says next to nothing about a
+/// server.
 const FEW_CONNECTIONS: f64 = 1.0;
 
 impl Policy {
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// The load ratio that a server has reported of late.
+    /// The load ratio that a server has reported recently.
     pub(super) fn fresh_load_ratio(&self, now: Micros, index: ServerIndex) -> Option<f64> {
         let report = self.servers[index].probes.load_report;
         report.filter(|report| now < report.at + LOAD_REPORT_VALID_FOR).map(|report| report.ratio)
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -69,14 +69,15 @@
         if excess.load <= 0.0 {
             return;
         }
-        let limit = self.draw_move_limit(now, excess.cause);
+        let limit = self.draw_migration_limit(now, excess.cause);
         let candidates = self.migration_candidates(now, index, excess.cause);
         let Some(load) = self.draw_load_to_shed(index, &excess, &candidates, holds_few) else { return };
-        let moves = limit.of(candidates.len());
-        self.migrate_closest(index, load, moves, candidates, actions);
+        let migrations = limit.of(candidates.len());
+        self.migrate_closest(index, load, migrations, candidates, actions);
     }
 
-    /// Bounds a late server to what it manages, unless it is stalled: that tells nothing of its capacity.
+    /// Bounds a late server to what it manages, unless it is stalled: a stall says nothing about its
+    /// capacity.
     fn bound_late_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
         let Some(late) = self.delay_if_late(now, index).filter(|late| !late.stalled) else { return };
         if !self.servers[index].draining {
@@ -123,7 +124,7 @@
         self.servers[index].delay.filter(|_| self.is_late(now, index))
     }
 
-    /// The part of its load that a late server manages. The growth of its delay tells how far it is over its
+    /// The part of its load that a late server manages. The growth of its delay shows how far it is over its
     /// capacity; where it is a little late that is little, so only where a whole objective is missed the
     /// whole margin is kept.
     fn manageable_load(&self, late: &MessageDelay, load: f64) -> f64 {
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -138,8 +138,8 @@
         self.attempt(now, connection, actions);
     }
 
-    /// Whether an end shows that the client's time is over, whatever was told of it: clocks differ, and the
-    /// attempt had all of that time.
+    /// Whether an end shows that the client's time is over, whatever deadline it stated: clocks differ, and
+    /// the attempt had all of that time.
     fn client_has_given_up(&self, connection: &Connection, outcome: Outcome) -> bool {
         let out_of_time = matches!(outcome, Outcome::Timeout | Outcome::NeverSent);
         let clocks_differ = self.settings.deadline_tolerance > Micros(0);
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -15,7 +15,7 @@
 use super::rebalance::OVERLOAD_THRESHOLD;
 use super::server::ServerIndex;
 
-/// Where only set-ups tell of delays, each server is to have one this often, by any node.
+/// Where only set-ups show delays, each server is to have one this often, by any node.
 const SETUP_INTERVAL: Micros = Micros::from_millis(2_000);
 
 /// A weighted random pick: of servers with independent uniform hashes the one with the lowest value wins in
@@ -32,7 +32,7 @@
     ejected: bool,
     /// It has reported that little of its capacity is free.
     crowded: bool,
-    /// The connection's group is not there, or has no room to grow there.
+    /// The connection's group is not there, or has no capacity to grow there.
     outside_group: bool,
     /// Its delay need not be seen by a set-up now.
     setup_not_due: bool,
@@ -41,7 +41,7 @@
     /// Among equals a server that warms up goes first: tokens bound what it holds, while a warm one that
     /// holds nothing of this node's is full of what other nodes sent there.
     warm: bool,
-    /// No load report of late.
+    /// It has reported no load recently.
     unreported: bool,
     weighted_pick: f64,
 }
--- a/src/policy/shadow.rs
+++ b/src/policy/shadow.rs
@@ -28,7 +28,7 @@
         self.start_attempt(now, index, connection);
     }
 
-    /// Whatever this instance chose: the client was not told to migrate.
+    /// Whatever this instance chose: the client was not asked to migrate.
     pub fn follow_staying(&mut self, id: RequestId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.state = connection.state.server().map_or(connection.state, ConnectionState::Open);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start: how much work a server that has started of late may be sent.
+//! Slow start: how much work a server that has started recently may be sent.
 //!
 //! A server that warms up falls over when it is sent more than a multiple of its present capacity for long.
 //! Each node therefore sends it only what it has tokens for, and all nodes' tokens together stay within that
@@ -47,7 +47,7 @@
     }
 
     /// Adds what one period earns at `rate` tokens a second. Tokens live for `lifetime` beyond the period;
-    /// the first ones include what would be kept by then, as most clients come again right after a start.
+    /// the first ones include what would be kept by then, as most clients reconnect right after a start.
     fn refill(&mut self, now: Micros, rate: f64, lifetime: Micros) {
         let first = if self.expire_at == Micros(0) { lifetime.as_secs_f64() } else { 0.0 };
         self.fraction += (rate * (PERIOD.as_secs_f64() + first)).min(MAX_LOAD);
@@ -59,10 +59,10 @@
     }
 }
 
-/// How many connections warm servers hold and for how long connections stand.
+/// How many connections warm servers hold and for how long connections last.
 #[derive(Default)]
 pub(super) struct ConnectionTurnover {
-    /// Sum of the seconds that connections have stood.
+    /// Sum of the seconds that connections have been open.
     connection_seconds: f64,
     /// Connections that ended by themselves.
     pub(super) ended: u32,
@@ -100,7 +100,7 @@
     }
 
     /// The same, but no more than the share of a warm-up for which this node has had the server: its own
-    /// record of a server that the cluster assigned to it of late tells little.
+    /// record of a server that the cluster recently assigned to it says little.
     pub(super) fn warm_up_fraction_here(&self, now: Micros, index: ServerIndex) -> f64 {
         let assigned = self.servers[index].endpoint.joined;
         self.warm_up_fraction(now, index).min(elapsed_fraction(assigned, now, self.settings.warm_up))
