--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -269,29 +269,54 @@
         holds: impl Fn(u64) -> bool,
         effects: &mut RaftEffects,
     ) {
-        let RaftMessage { peer, term, payload } = message;
+        let peer = message.peer;
         if peer == self.me || usize::from(peer) >= self.progress.len() {
             return;
         }
         let Some(hard_state) = self.hard_state else {
             return self.step_learner(time.now, message, holds, effects);
         };
-        // None of these raises this voter's term: a candidate that could not win must not end a leader's term.
+        if self.step_outside_term(time, message, &hard_state, effects) {
+            return;
+        }
+        self.adopt_newer_term(time.now, message.term, effects);
+        self.step_in_term(time, message, holds, effects);
+    }
+
+    /// Handles what must not raise this voter's term: a candidate that could not win must not end a leader's term. Whether the message
+    /// was such a one.
+    fn step_outside_term(
+        &mut self,
+        time: StepTime,
+        message: RaftMessage,
+        hard_state: &HardState,
+        effects: &mut RaftEffects,
+    ) -> bool {
+        let RaftMessage { peer, term, payload } = message;
         match payload {
-            RaftPayload::HardStateRequest { nonce } => {
-                return send_hard_state(&hard_state, peer, nonce, effects);
-            }
-            RaftPayload::HardStateReply { .. } => return,
+            RaftPayload::HardStateRequest { nonce } => send_hard_state(hard_state, peer, nonce, effects),
+            RaftPayload::HardStateReply { .. } => {}
             RaftPayload::PreVote { last_entry } => {
-                return self.handle_pre_vote(time.now, peer, term, last_entry, effects);
+                self.handle_pre_vote(time.now, peer, term, last_entry, effects);
             }
             RaftPayload::PreVoteReply { granted: true } => {
-                return self.handle_pre_vote_granted(time, peer, term, effects);
+                self.handle_pre_vote_granted(time, peer, term, effects);
             }
-            RaftPayload::RequestVote { .. } if self.hears_leader(time.now) => return,
-            _ => {}
+            RaftPayload::RequestVote { .. } if self.hears_leader(time.now) => {}
+            _ => return false,
         }
-        self.adopt_newer_term(time.now, term, effects);
+        true
+    }
+
+    /// Handles a message once this voter's term is no older than the sender's.
+    fn step_in_term(
+        &mut self,
+        time: StepTime,
+        message: RaftMessage,
+        holds: impl Fn(u64) -> bool,
+        effects: &mut RaftEffects,
+    ) {
+        let RaftMessage { peer, term, payload } = message;
         match payload {
             RaftPayload::RequestVote { last_entry } => {
                 self.handle_vote_request(time.now, peer, term, last_entry, effects);
