--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -12,12 +12,12 @@
 use super::request_ids::{OpenId, RequestIds};
 use super::termination_reason::TerminationReason;
 use crate::admin::metrics::{Counters, Gauges};
-use crate::config::Current;
+use crate::config::ActiveConfig;
 use crate::lifecycle::process::Process;
 
 /// All clients of this process.
 pub struct Clients {
-    config: Rc<Current>,
+    config: Rc<ActiveConfig>,
     process: Rc<Process>,
     /// Connections without a request.
     pub pending: Rc<PendingClients>,
@@ -31,12 +31,12 @@
 
 impl Clients {
     /// A process without clients.
-    pub fn new(config: Rc<Current>, process: Rc<Process>) -> Self {
+    pub fn new(config: Rc<ActiveConfig>, process: Rc<Process>) -> Self {
         let initial = config.get();
         let mut counters = Counters::default();
         counters.register_classes(&initial.classes);
         Clients {
-            pending: PendingClients::new(initial.sockets.saturating_sub(initial.own_descriptors())),
+            pending: PendingClients::new(initial.max_descriptors.saturating_sub(initial.own_descriptors())),
             config,
             process,
             ids: RequestIds::default(),
@@ -51,7 +51,7 @@
     /// The number of a class that accepts requests.
     pub fn class(&self, name: &[u8]) -> Option<u16> {
         let config = self.config.get();
-        let open = |class: &String| class.as_bytes() == name && !config.gone.contains(class);
+        let open = |class: &String| class.as_bytes() == name && !config.retired_classes.contains(class);
         config.classes.iter().position(open).and_then(|class| u16::try_from(class).ok())
     }
 
@@ -123,7 +123,7 @@
     pub fn acquire_descriptor(&self, spare: usize) -> Option<CountGuard> {
         // Two processes of one node share its limit.
         let others = self.process.other().map_or(0, |channel| channel.descriptors_in_use.get());
-        let available = self.descriptors_in_use() + others + spare < self.config.get().sockets;
+        let available = self.descriptors_in_use() + others + spare < self.config.get().max_descriptors;
         available.then(|| self.descriptors.acquire())
     }
 
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -131,7 +131,8 @@
 /// What the code makes of handed-over connections, given their datagrams.
 async fn received(names: &[&str]) -> Vec<HandedOverConnection> {
     let node = Rc::new(Node::new(
-        Config::of_file(config("127.0.0.1:0", "127.0.0.1:1"), |_| None).expect("a fine configuration"),
+        Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+            .expect("a fine configuration"),
     ));
     let (to, from) = UnixDatagram::pair().expect("a pair");
     let connections = Rc::<RefCell<Vec<HandedOverConnection>>>::default();
@@ -197,7 +198,8 @@
         handover::share_listener(&to, &listener).await.expect("sent");
         assert_eq!(datagram(&from).await.as_bytes(), fixture("handover/door.json"));
         let node = Rc::new(Node::new(
-            Config::of_file(config("127.0.0.1:0", "127.0.0.1:1"), |_| None).expect("a fine configuration"),
+            Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+                .expect("a fine configuration"),
         ));
         send_datagram(&to, &fixture("handover/door.json"), &[listener.as_fd()]);
         let receiving = spawn_local(handover::receive(node.clone(), from, |_, _| panic!("no connection")));
