--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -7,7 +7,7 @@
 use crate::admin::maintenance_store::MaintenanceState;
 use crate::admin::service::AdminService;
 use crate::clock::micros;
-use crate::config::{Config, Current};
+use crate::config::{ActiveConfig, Config};
 use crate::control::configured_node::ConfiguredNode;
 use crate::decisions::Decisions;
 use crate::discovery::endpoint_list::server_id;
@@ -18,7 +18,7 @@
 
 /// One node. A task is given the parts that it needs.
 pub struct Node {
-    config: Rc<Current>,
+    config: Rc<ActiveConfig>,
     /// The decisions and the list.
     pub decisions: Rc<Decisions>,
     /// The clients of this process.
@@ -32,8 +32,8 @@
 impl Node {
     /// A node that has just started, with the list it last had.
     pub fn new(config: Config) -> Self {
-        let known = config.known.clone();
-        let config = Rc::new(Current::new(config));
+        let known = config.cached_endpoints.clone();
+        let config = Rc::new(ActiveConfig::new(config));
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
         let admin = AdminService::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
@@ -80,7 +80,7 @@
         UpgradeState {
             version,
             name: config.name.clone(),
-            config: config.told.clone(),
+            config: config.source.clone(),
             discovery: Some(self.decisions.discovery()),
             endpoints: self.decisions.complete_list(),
             lease_remaining_us: Some(self.decisions.lease_remaining().0),
