--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -21,7 +21,7 @@
 use super::connection_handover;
 use super::upgrade_channel::{MESSAGE_TIMEOUT, UpgradeChannel, UpgradeMessage};
 use super::upgrade_state::UpgradeState;
-use crate::config::Identity;
+use crate::config::NodeIdentity;
 use crate::discovery::endpoint_list::server_id;
 use crate::node::Node;
 
@@ -113,7 +113,7 @@
 /// # Errors
 ///
 /// Another process has joined it already.
-pub async fn join(identity: &Identity) -> Result<Option<Predecessor>, AlreadyJoined> {
+pub async fn join(identity: &NodeIdentity) -> Result<Option<Predecessor>, AlreadyJoined> {
     let path = socket_path(&identity.dir, &identity.name);
     let stream = match UnixStream::connect(&path).await {
         Ok(stream) => stream,
