--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -1,6 +1,7 @@
 //! What the admin server answers from: readiness, metrics, and hosts taken out of service.
 
 use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 
@@ -83,7 +84,7 @@
     }
 
     /// The hosts that operators named at this node, and the state of each.
-    pub fn maintained_hosts(&self) -> Vec<(String, MaintenanceState)> {
+    pub fn maintained_hosts(&self) -> BTreeMap<String, MaintenanceState> {
         self.maintenance.borrow().hosts().map(|(host, state)| (host.to_owned(), state)).collect()
     }
 
--- a/crates/alderstile-node/src/lifecycle/reload.rs
+++ b/crates/alderstile-node/src/lifecycle/reload.rs
@@ -23,7 +23,7 @@
     match file.and_then(|file| node.config().reloaded(file)) {
         Ok(reloaded) => {
             log_reload(node, &reloaded);
-            node.renew(reloaded.config);
+            node.apply_config(reloaded.config);
             node.clients.count(|counters| counters.configs_applied += 1);
         }
         Err(error) => {
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -1,4 +1,4 @@
-//! One node: its parts, and what concerns all of them.
+//! A node: its parts, and the operations that concern several of them.
 
 use std::rc::Rc;
 
@@ -16,43 +16,45 @@
 use crate::lifecycle::upgrade_state::{RetryBudgetAges, UpgradeState};
 use crate::proxy::clients::Clients;
 
-/// One node. A task is given the parts that it needs.
+/// A node. A task is given the parts that it needs.
 pub struct Node {
     config: Rc<ActiveConfig>,
-    /// The decisions and the list.
+    /// The decisions and the endpoint list.
     pub decisions: Rc<Decisions>,
     /// The clients of this process.
     pub clients: Rc<Clients>,
-    /// This process and the other one.
+    /// This process, and the other one of the node while there is one.
     pub process: Rc<Process>,
     /// The admin interface.
     pub admin: Rc<AdminService>,
 }
 
 impl Node {
-    /// A node that has just started, with the list it last had.
+    /// A node that has just started, with the cached endpoint list of its configuration.
     pub fn new(config: Config) -> Self {
-        let known = config.cached_endpoints.clone();
+        let cached_endpoints = config.cached_endpoints.clone();
         let config = Rc::new(ActiveConfig::new(config));
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
         let admin = AdminService::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
-        decisions.start_with_cached_list(&known);
+        decisions.start_with_cached_list(&cached_endpoints);
         Node { config, decisions, clients, process, admin: Rc::new(admin) }
     }
 
-    /// What the node was told last.
+    /// The configuration in force.
     pub fn config(&self) -> Rc<Config> {
         self.config.get()
     }
 
-    /// Other settings from now on, all of them in this step.
-    pub fn renew(&self, config: Config) {
+    /// Puts another configuration in force, at all parts in one step.
+    pub fn apply_config(&self, config: Config) {
         self.clients.count(|counters| counters.register_classes(&config.classes));
         self.decisions.apply_config(&config);
-        // Agreed settings have versions of their own: told by the members too, each change would be 510 rumors.
-        if self.admin.replicated_config().is_none() {
-            self.admin.membership().iter().for_each(|cluster| cluster.config_changed(&config));
+        // A replicated configuration has versions of its own: gossiped as well, each change would be a rumor a member.
+        if self.admin.replicated_config().is_none()
+            && let Some(membership) = self.admin.membership()
+        {
+            membership.config_changed(&config);
         }
         let discovery = config.discovery;
         self.config.set(config);
@@ -61,15 +63,15 @@
         }
     }
 
-    /// Whether the front is to send clients to the clients' address, where another process of this node may serve.
-    pub fn wanted(&self) -> bool {
+    /// Whether clients may be sent to the clients' address, where another process of this node may serve.
+    pub fn accepts_clients(&self) -> bool {
         self.admin.is_ready() || self.process.other_serves()
     }
 
-    /// Does what is due, for as long as the node runs; `tell` is given what all other nodes are to hear.
-    pub async fn run(self: Rc<Self>, tell: impl Fn(&[u8])) {
+    /// Carries out what the decisions ask for, for as long as the node runs; `broadcast` sends a message to all other nodes.
+    pub async fn run(self: Rc<Self>, broadcast: impl Fn(&[u8])) {
         let clients = self.clients.clone();
-        self.decisions.clone().run(|id| clients.migrate(id), tell).await;
+        self.decisions.clone().run(|id| clients.migrate(id), broadcast).await;
     }
 
     /// The state that the successor needs. The retry budget is the successor's from here on: two processes of one node have
@@ -84,29 +86,33 @@
             discovery: Some(self.decisions.discovery()),
             endpoints: self.decisions.complete_list(),
             lease_remaining_us: Some(self.decisions.lease_remaining().0),
-            host_maintenance: self.admin.maintained_hosts().into_iter().collect(),
+            host_maintenance: self.admin.maintained_hosts(),
             request_ids: self.clients.known_ids(),
             descriptors_in_use: self.clients.descriptors_in_use(),
-            member: self.admin.membership().map(|cluster| cluster.handover_state()),
+            member: self.admin.membership().map(|membership| membership.handover_state()),
             retry_budget: budget.map(|buckets| buckets.into_iter().map(RetryBudgetAges::from).collect()),
         }
     }
 
     /// Takes over the state of the predecessor. The endpoint list is requested at once: the predecessor's watch ends with it.
     pub fn take_over(&self, state: &UpgradeState) {
-        let known = self.admin.maintained_hosts();
-        for (host, stand) in &state.host_maintenance {
+        let in_force = self.admin.maintained_hosts();
+        for (host, maintenance) in &state.host_maintenance {
             // What the maintenance file says is in force already.
-            if !known.iter().any(|known| (&known.0, &known.1) == (host, stand)) {
-                self.admin.apply_maintenance(host, *stand);
+            if in_force.get(host) != Some(maintenance) {
+                self.admin.apply_maintenance(host, *maintenance);
             }
         }
         let budget = state.retry_budget.clone();
         let budget = budget.map(|buckets| buckets.into_iter().map(RetryBudgetBucket::from).collect());
-        let late = micros(MESSAGE_TIMEOUT);
-        self.decisions.decide(|balancer, now| balancer.import_retry_budget(now, budget, late));
-        state.request_ids.iter().for_each(|id| self.clients.remember_id(id.as_bytes()));
-        state.lease_remaining_us.iter().for_each(|left| self.decisions.inherit_lease(Micros(*left)));
+        let max_delay = micros(MESSAGE_TIMEOUT);
+        self.decisions.decide(|balancer, now| balancer.import_retry_budget(now, budget, max_delay));
+        for id in &state.request_ids {
+            self.clients.remember_id(id.as_bytes());
+        }
+        if let Some(remaining_us) = state.lease_remaining_us {
+            self.decisions.inherit_lease(Micros(remaining_us));
+        }
         self.decisions.list_requested.notify_one();
     }
 }
@@ -117,7 +123,7 @@
     }
 
     fn apply_config(&self, config: Config) {
-        self.renew(config);
+        Node::apply_config(self, config);
     }
 
     fn count_reconfiguration(&self, applied: bool) {
@@ -132,8 +138,8 @@
     }
 
     fn put_host_back(&self, host: &str) {
-        let out_by_hand = (host.to_owned(), MaintenanceState::OutOfService);
-        if !self.admin.maintained_hosts().contains(&out_by_hand) {
+        let maintenance = self.admin.maintained_hosts().get(host).copied();
+        if maintenance != Some(MaintenanceState::OutOfService) {
             self.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
         }
     }
--- a/crates/alderstile-node/src/proxy/session/first_line.rs
+++ b/crates/alderstile-node/src/proxy/session/first_line.rs
@@ -61,7 +61,7 @@
             return Ok(line);
         }
         checked = true;
-        if !node.wanted() || client.socket.write_all(b"PONG\r\n").await.is_err() {
+        if !node.accepts_clients() || client.socket.write_all(b"PONG\r\n").await.is_err() {
             return Err(TerminationReason::HealthChecked);
         }
     }
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' address: what it answers, whoever else is there, and what the figures say.
+//! The admin server: what it answers however it is called, the metrics, and hosts taken out of service.
 
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/alderstile-node/tests/cluster.rs
+++ b/crates/alderstile-node/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster's file, and members as operators see them.
+//! The cluster's file, and the status of its members.
 
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration is said by naming the key.
+//! The configuration: what it reads, its defaults, and errors that name the key at fault.
 
 use std::path::Path;
 
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -614,7 +614,7 @@
             told["discovery"] = json!(discovery.0.local_addr().expect("bound").to_string());
             // A watch is wanted in the same moment.
             setup.node.decisions.list_requested.notify_one();
-            setup.node.renew(Config::from_file_value(told, |_| None).expect("a fine configuration"));
+            setup.node.apply_config(Config::from_file_value(told, |_| None).expect("a fine configuration"));
         }
         assert_eq!(watch.line().await, None, "the old watch is dropped");
         let (line, mut call) = last.call().await;
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -467,7 +467,7 @@
         let mut told = setup.node.config().source.clone();
         told["discovery"] = json!(other.0.local_addr().expect("bound").to_string());
         let moved = Instant::now();
-        setup.node.renew(Config::from_file_value(told, |_| None).expect("a fine configuration"));
+        setup.node.apply_config(Config::from_file_value(told, |_| None).expect("a fine configuration"));
         sleep_until(moved + Duration::from_millis(3_500)).await;
         assert!(setup.node.decisions.lease_remaining() > Micros(0));
         sleep_until(moved + Duration::from_millis(4_100)).await;
--- a/crates/alderstile-node/tests/peers.rs
+++ b/crates/alderstile-node/tests/peers.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes.
+//! Gossip between nodes.
 
 use std::net::UdpSocket;
 use std::rc::Rc;
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -1,4 +1,4 @@
-//! A new configuration while the node runs.
+//! Reloading the configuration while the node runs, and the configuration of a successor.
 
 use std::path::PathBuf;
 use std::process::Stdio;
