--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -314,10 +314,10 @@
             self.list_requested.notify_one();
         }
         work.broadcasts.iter().for_each(|message| broadcast(message));
-        for LogLine { server: host, text: line } in work.log_lines {
-            match host {
-                Some(host) => info!("host {}: {line}", self.host_name(host)),
-                None => info!("{line}"),
+        for LogLine { server, text } in work.log_lines {
+            match server {
+                Some(server) => info!(host = %self.host_name(server), "{text}"),
+                None => info!("{text}"),
             }
         }
     }
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -1,5 +1,5 @@
-//! What crosses what: for each moment between two steps of the node something comes in exactly there, forced by what the
-//! stand-ins do. `docs/crossings.md` lists them all.
+//! Races: between each two steps of the node an event comes in exactly there, forced by what the stand-ins do.
+//! `docs/crossings.md` lists them all.
 
 use std::io::Write;
 use std::pin::Pin;
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A second process takes the node over while clients come and go.
+//! Upgrade: a second process takes the node over while clients come and go.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
