--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -58,7 +58,7 @@
 /// The clients are served as usual for the first half of the time, then migrated one after the other: sent away in one
 /// moment, they could all meet another node that was stopped before this one and has not come back.
 pub async fn run(node: Rc<Node>, accepting: JoinHandle<()>) {
-    let schedule = Schedule::starting_now(node.config().stop_within);
+    let schedule = Schedule::starting_now(node.config().shutdown_timeout);
     info!(clients = node.clients.established(), "shutdown started");
     if !node.process.other_serves() {
         node.process.begin_shutdown();
