--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -218,6 +218,10 @@
 
 impl Hollows {
     /// No nodes yet, on so many threads.
+    ///
+    /// # Errors
+    ///
+    /// If the system gives no thread or no runtime.
     pub fn new(threads: usize, setup: &Setup) -> io::Result<Self> {
         let mut all = Vec::new();
         for number in 0..threads.max(1) {
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -196,7 +196,7 @@
             Ok(true)
         }
         Command::Scale { file, members, out, name, program } => {
-            let mut runs = Runs::load(&file)?;
+            let mut runs = Runs::load(&file).map_err(|error| error.to_string())?;
             runs.sizes.retain(|size| members.is_none_or(|members| members == size.members));
             let real = runs.sizes.iter().any(|size| size.real > 0);
             let program = match program {
@@ -210,7 +210,8 @@
                 rows.extend_from_slice(more);
                 // After each size: what comes later may be interrupted.
                 written = tables::write(&out, &name, &rows);
-            })?;
+            })
+            .map_err(|error| error.to_string())?;
             written.map_err(|error| format!("{}: {error}", out.display()))?;
             print!("{}", tables::markdown(&rows));
             if rows.is_empty() { Err("no size was measured".to_owned()) } else { Ok(true) }
@@ -226,7 +227,9 @@
                 written = tables::write(&out, &name, &rows);
             });
             print!("{}", tables::markdown(&rows));
-            done.and(written.map_err(|error| format!("{}: {error}", out.display()))).map(|()| true)
+            done.map_err(|error| error.to_string())
+                .and(written.map_err(|error| format!("{}: {error}", out.display())))
+                .map(|()| true)
         }
         Command::Slopes { files, out } => {
             let mut rows = Vec::new();
--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -12,6 +12,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use thiserror::Error;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{Semaphore, mpsc, oneshot};
@@ -22,9 +23,10 @@
 use crate::history::History;
 use crate::processes::discovery::{Discovery, Entry};
 use crate::processes::nodes::{self, Folder, Node};
-use crate::processes::{Addresses, interrupted};
+use crate::processes::{self, Addresses, interrupted};
 use crate::real::{Usage, counters, usage};
 use crate::scale::settings_of;
+use crate::schedule::ScheduleError;
 use crate::tables::Row;
 
 /// Descriptors that a node is given; the system's limit is read, and a node keeps some for itself.
@@ -95,19 +97,66 @@
     }
 }
 
+/// Why a measurement ended early.
+#[derive(Debug, Error)]
+pub enum MeasureError {
+    /// The system refused a resource, or the node did not start.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// There are no loopback addresses for the node and its hosts.
+    #[error(transparent)]
+    Addresses(#[from] processes::RunError),
+    /// The node's settings are invalid.
+    #[error(transparent)]
+    Settings(#[from] ScheduleError),
+    /// The node's process is gone.
+    #[error("no process")]
+    NoProcess,
+    /// A step took longer than all of a step may take.
+    #[error("{step}: not within {} s", STEP.as_secs())]
+    StepTimeout {
+        /// The step.
+        step: &'static str,
+    },
+    /// Lines did not reach all listeners in time.
+    #[error("{listeners} listeners: lines did not arrive")]
+    LinesLost {
+        /// All listeners.
+        listeners: usize,
+    },
+    /// The node did not take a list in.
+    #[error("a list of {hosts} hosts was not taken in")]
+    ListIgnored {
+        /// Hosts in the list.
+        hosts: usize,
+    },
+    /// A placement was not answered in time.
+    #[error("no answer")]
+    NoAnswer,
+    /// A placement was turned down, or its connection broke.
+    #[error("a placement: {0}")]
+    Placement(io::Error),
+    /// A signal ended the run.
+    #[error("interrupted")]
+    Interrupted,
+}
+
 /// Measures all of that; what is done is handed to `done` at once.
-pub fn run(sizes: &Sizes, program: &Path, mut done: impl FnMut(&[Row])) -> Result<(), String> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-    let runtime = runtime.map_err(|error| error.to_string())?;
+///
+/// # Errors
+///
+/// If the node could not be set up, a step was not done in time, or a signal ended the run.
+pub fn run(sizes: &Sizes, program: &Path, mut done: impl FnMut(&[Row])) -> Result<(), MeasureError> {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         tokio::select! {
             all = all(sizes, program, &mut done) => all,
-            () = interrupted() => Err("interrupted".to_owned()),
+            () = interrupted() => Err(MeasureError::Interrupted),
         }
     })
 }
 
-async fn all(sizes: &Sizes, program: &Path, done: &mut impl FnMut(&[Row])) -> Result<(), String> {
+async fn all(sizes: &Sizes, program: &Path, done: &mut impl FnMut(&[Row])) -> Result<(), MeasureError> {
     for &connections in &sizes.connections {
         info!("{connections} idle connections");
         done(&with(program, 20, async |stand| idle(stand, connections, sizes.idle).await).await?);
@@ -142,11 +191,10 @@
 async fn with(
     program: &Path,
     hosts: usize,
-    what: impl AsyncFnOnce(&Stand) -> Result<Vec<Row>, String>,
-) -> Result<Vec<Row>, String> {
-    let text = |error: io::Error| error.to_string();
-    let addresses = Addresses::take().await.map_err(|error| error.to_string())?;
-    let folder = Folder::new(20_000 + hosts as u32).map_err(text)?;
+    what: impl AsyncFnOnce(&Stand) -> Result<Vec<Row>, MeasureError>,
+) -> Result<Vec<Row>, MeasureError> {
+    let addresses = Addresses::take().await?;
+    let folder = Folder::new(20_000 + hosts as u32)?;
     let at: Vec<SocketAddr> = (0..hosts).map(|host| addresses.wide(host, 9_100)).collect();
     let history = Rc::new(History::unread());
     let entries = vec![Entry { health: "up", zone: "here".to_owned(), born_ms: 0 }; hosts];
@@ -163,7 +211,7 @@
         }
     });
     let dir = folder.path().join("n0");
-    std::fs::create_dir_all(&dir).map_err(text)?;
+    std::fs::create_dir_all(&dir)?;
     let listen = addresses.wide(0, 9_000);
     let mut config = nodes::config("n0", listen, list, settings_of(&["here".to_owned()])?);
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
@@ -182,7 +230,7 @@
         started: Default::default(),
         up: tokio::sync::watch::Sender::new(None),
     });
-    let hosts = Hosts::start(at).await.map_err(text)?;
+    let hosts = Hosts::start(at).await?;
     let stand = Stand {
         node: node.clone(),
         hosts,
@@ -193,7 +241,7 @@
     };
     let done = match node.start().await {
         Ok(()) => what(&stand).await,
-        Err(error) => Err(error.to_string()),
+        Err(error) => Err(error.into()),
     };
     stand.clients.stop();
     let process = node.process.take();
@@ -205,9 +253,9 @@
 }
 
 impl Stand {
-    fn usage(&self) -> Result<Usage, String> {
+    fn usage(&self) -> Result<Usage, MeasureError> {
         let pid = self.node.process.borrow().as_ref().map(|process| process.pid());
-        usage(pid.ok_or("no process")?).map_err(|error| error.to_string())
+        Ok(usage(pid.ok_or(MeasureError::NoProcess)?)?)
     }
 
     async fn figure(&self, name: &str) -> Option<u64> {
@@ -216,24 +264,24 @@
     }
 
     /// Brings so many clients up, not too many at once.
-    async fn bring_up(&self, clients: usize) -> Result<(), String> {
+    async fn bring_up(&self, clients: usize) -> Result<(), MeasureError> {
         self.clients.want(clients, AT_ONCE);
         until("clients come up", || self.clients.up.get() == clients).await
     }
 }
 
-async fn until(what: &str, done: impl Fn() -> bool) -> Result<(), String> {
+async fn until(step: &'static str, done: impl Fn() -> bool) -> Result<(), MeasureError> {
     let last = Instant::now() + STEP;
     while !done() {
         if Instant::now() > last {
-            return Err(format!("{what}: not within {} s", STEP.as_secs()));
+            return Err(MeasureError::StepTimeout { step });
         }
         sleep(LOOK).await;
     }
     Ok(())
 }
 
-async fn idle(stand: &Stand, connections: usize, span: Duration) -> Result<Vec<Row>, String> {
+async fn idle(stand: &Stand, connections: usize, span: Duration) -> Result<Vec<Row>, MeasureError> {
     let empty = stand.usage()?;
     stand.bring_up(connections).await?;
     // What setting up left to do is done.
@@ -255,7 +303,7 @@
     ])
 }
 
-async fn lines(stand: &Stand, listeners: usize, count: usize) -> Result<Vec<Row>, String> {
+async fn lines(stand: &Stand, listeners: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
     stand.bring_up(listeners).await?;
     // One listener: as many deliveries as make a figure.
     let count = count.max(2_000 / listeners);
@@ -271,7 +319,7 @@
                 stand.clients.heard.notified().await;
             }
         };
-        timeout(STEP, all).await.map_err(|_| format!("{listeners} listeners: lines did not arrive"))?;
+        timeout(STEP, all).await.map_err(|_| MeasureError::LinesLost { listeners })?;
         spans.push(from.elapsed().as_secs_f64() * 1e3);
     }
     let span = began.elapsed().as_secs_f64();
@@ -288,7 +336,7 @@
     Ok(rows)
 }
 
-async fn placements(stand: &Stand, hosts: usize, count: usize) -> Result<Vec<Row>, String> {
+async fn placements(stand: &Stand, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
     // The first ones meet what is still unknown.
     for _ in 0..(count / 10).max(5) {
         stand.clients.once().await?;
@@ -313,7 +361,7 @@
 }
 
 /// Whole lists that lack a host, by turns another one.
-async fn lists(stand: &Stand, hosts: usize, count: usize) -> Result<Vec<Row>, String> {
+async fn lists(stand: &Stand, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
     let (mut spans, mut cpu) = (Vec::new(), Vec::new());
     let quiet = {
         let before = stand.usage()?;
@@ -332,7 +380,7 @@
         stand.discovery.fault(0, |told| told.leaves_out.clear());
         while stand.figure("hosts_listed").await != Some(hosts as u64) {
             if from.elapsed() > STEP {
-                return Err(format!("a list of {hosts} hosts was not taken in"));
+                return Err(MeasureError::ListIgnored { hosts });
             }
         }
         spans.push(from.elapsed().as_secs_f64() * 1e3);
@@ -345,13 +393,13 @@
 }
 
 /// The node's process is killed with all its clients and started again; all of them come back at once.
-async fn comes_back(stand: &Stand, clients: usize) -> Result<Vec<Row>, String> {
+async fn comes_back(stand: &Stand, clients: usize) -> Result<Vec<Row>, MeasureError> {
     stand.bring_up(clients).await?;
     stand.clients.limit.add_permits(clients);
     stand.clients.refused.set(0);
     stand.node.kill().await;
     let killed = Instant::now();
-    stand.node.start().await.map_err(|error| error.to_string())?;
+    stand.node.start().await?;
     let ready = killed.elapsed().as_secs_f64();
     let mut marks: BTreeMap<usize, f64> = BTreeMap::new();
     while stand.clients.up.get() < clients {
@@ -475,9 +523,9 @@
     }
 
     /// Comes, is placed and goes.
-    async fn once(&self) -> Result<(), String> {
-        let opened = timeout(STEP, self.open()).await.map_err(|_| "no answer".to_owned())?;
-        drop(opened.map_err(|error| format!("a placement: {error}"))?);
+    async fn once(&self) -> Result<(), MeasureError> {
+        let opened = timeout(STEP, self.open()).await.map_err(|_| MeasureError::NoAnswer)?;
+        drop(opened.map_err(MeasureError::Placement)?);
         Ok(())
     }
 }
--- a/crates/alderstile-lab/src/processes/mod.rs
+++ b/crates/alderstile-lab/src/processes/mod.rs
@@ -81,6 +81,10 @@
 }
 
 /// The program beside this one.
+///
+/// # Errors
+///
+/// If there is no such program, or this one's own path is unknown.
 pub fn program_beside() -> io::Result<PathBuf> {
     let own = std::env::current_exe()?;
     let dirs = own.ancestors().skip(1).take(2);
@@ -94,6 +98,10 @@
 }
 
 /// Plays a plan. Returns when all processes have ended, whatever came of it.
+///
+/// # Errors
+///
+/// If the plan can't be played on processes, something did not start, the run did not end, or a signal ended it.
 pub fn run(plan: &Plan, options: &Options, history: Rc<History>) -> Result<(), RunError> {
     if plan.nodes > MOST_PROCESSES {
         return Err(RunError::TooMany(plan.nodes));
--- a/crates/alderstile-lab/src/scale.rs
+++ b/crates/alderstile-lab/src/scale.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,6 +13,7 @@
 use alderstile_cluster::membership::{DatagramCodec, MembershipConfig};
 use serde::Deserialize;
 use serde_json::json;
+use thiserror::Error;
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 use tracing::{info, warn};
@@ -21,9 +22,9 @@
 use crate::hollow::{Hollows, Look, Looks, MakePart, Network, Seen, Setup, Spec, What};
 use crate::processes::discovery::{Discovery, Entry};
 use crate::processes::nodes::{self, Folder, Node};
-use crate::processes::{Addresses, interrupted, settings};
+use crate::processes::{self, Addresses, interrupted, settings};
 use crate::real::{Usage, counters, usage};
-use crate::schedule::Plan;
+use crate::schedule::{Plan, ScheduleError};
 use crate::tables::Row;
 
 /// Where members' datagrams arrive.
@@ -95,18 +96,92 @@
     pub most_s: f64,
 }
 
+/// Why a file of scale runs was refused.
+#[derive(Debug, Error)]
+pub enum RunsError {
+    /// The file could not be read.
+    #[error("{}: {source}", path.display())]
+    Read {
+        /// The file.
+        path: PathBuf,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// The text is no TOML, or lacks a key, or has one that is unknown.
+    #[error("{file}: {source}")]
+    Syntax {
+        /// The file, as it is shown.
+        file: String,
+        /// What the parser said.
+        source: Box<toml::de::Error>,
+    },
+    /// A key has a value out of its range.
+    #[error("{file}: the key {key}: {expected}")]
+    Value {
+        /// The file, as it is shown.
+        file: String,
+        /// The key.
+        key: String,
+        /// What the key may be.
+        expected: String,
+    },
+}
+
+/// Why scale runs ended early.
+#[derive(Debug, Error)]
+pub enum ScaleError {
+    /// The system refused a resource that a run needs.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    /// There are no loopback addresses for the run.
+    #[error(transparent)]
+    Addresses(#[from] processes::RunError),
+    /// The settings of the real nodes are invalid.
+    #[error(transparent)]
+    Settings(#[from] ScheduleError),
+    /// The cluster's key is invalid.
+    #[error("no key")]
+    Key,
+    /// A real node did not start.
+    #[error("{members} members: {source}")]
+    Start {
+        /// The size of the run.
+        members: usize,
+        /// Why the node did not start.
+        source: io::Error,
+    },
+    /// A signal ended the run.
+    #[error("interrupted")]
+    Interrupted,
+}
+
 impl Runs {
     /// Reads and checks a file.
-    pub fn load(path: &Path) -> Result<Self, String> {
-        let shown = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-        Self::parse(&shown, &text)
-    }
-
-    /// Checks a text.
-    pub fn parse(shown: &str, text: &str) -> Result<Self, String> {
-        let runs: Runs = toml::from_str(text).map_err(|error| format!("{shown}: {error}"))?;
-        let bad = |key: &str, what: &str| Err(format!("{shown}: the key {key}: {what}"));
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be read, or as [`Runs::parse`].
+    pub fn load(path: &Path) -> Result<Self, RunsError> {
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| RunsError::Read { path: path.to_owned(), source })?;
+        Self::parse(&path.display().to_string(), &text)
+    }
+
+    /// Checks a text; `shown` names the file in errors.
+    ///
+    /// # Errors
+    ///
+    /// If the text has not the form of [`Runs`], or a value is out of its range.
+    pub fn parse(shown: &str, text: &str) -> Result<Self, RunsError> {
+        let runs: Runs = toml::from_str(text)
+            .map_err(|error| RunsError::Syntax { file: shown.to_owned(), source: Box::new(error) })?;
+        let bad = |key: &str, expected: &str| {
+            Err(RunsError::Value {
+                file: shown.to_owned(),
+                key: key.to_owned(),
+                expected: expected.to_owned(),
+            })
+        };
         if runs.sizes.is_empty() {
             return bad("sizes", "at least one is wanted");
         }
@@ -181,21 +256,25 @@
     /// It took too long.
     Late,
     /// Something did not start.
-    Failed(String),
+    Failed(io::Error),
     /// A person or a program ended it.
     Interrupted,
 }
 
 /// Plays all sizes; each size's figures are handed to `done` as it ends.
+///
+/// # Errors
+///
+/// If a size could not be set up, a real node did not start, or a signal ended the run. A size that took too long is
+/// logged, and the next one is played.
 pub fn run(
     runs: &Runs,
     program: &Path,
     parts: &MakePart,
     mut done: impl FnMut(Size, &[Row]),
-) -> Result<(), String> {
+) -> Result<(), ScaleError> {
     for size in &runs.sizes {
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
-        let runtime = runtime.map_err(|error| error.to_string())?;
+        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let (rows, played) = LocalSet::new().block_on(&runtime, async {
             let mut fleet = Fleet::build(runs, *size, program, parts).await?;
             let most = Duration::from_secs_f64(runs.most_s);
@@ -204,7 +283,7 @@
                 () = interrupted() => Err(Cut::Interrupted),
             };
             fleet.end().await;
-            Ok::<_, String>((std::mem::take(&mut fleet.rows), played))
+            Ok::<_, ScaleError>((std::mem::take(&mut fleet.rows), played))
         })?;
         // What was measured until then stays.
         done(*size, &rows);
@@ -212,8 +291,8 @@
             Ok(()) => {}
             // The sizes that follow are not kept from their turn.
             Err(Cut::Late) => warn!("{} members: not done after {} s", size.members, runs.most_s),
-            Err(Cut::Failed(error)) => return Err(format!("{} members: {error}", size.members)),
-            Err(Cut::Interrupted) => return Err("interrupted".to_owned()),
+            Err(Cut::Failed(source)) => return Err(ScaleError::Start { members: size.members, source }),
+            Err(Cut::Interrupted) => return Err(ScaleError::Interrupted),
         }
     }
     Ok(())
@@ -269,10 +348,9 @@
 }
 
 impl<'a> Fleet<'a> {
-    async fn build(runs: &'a Runs, size: Size, program: &Path, parts: &MakePart) -> Result<Self, String> {
-        let text = |error: io::Error| error.to_string();
-        let at = Addresses::take().await.map_err(|error| error.to_string())?;
-        let folder = Folder::new(size.members as u32 + 10_000).map_err(text)?;
+    async fn build(runs: &'a Runs, size: Size, program: &Path, parts: &MakePart) -> Result<Self, ScaleError> {
+        let at = Addresses::take().await?;
+        let folder = Folder::new(size.members as u32 + 10_000)?;
         let zone = |number| format!("z{}", runs.zone_of(number));
         let specs: Vec<Spec> = (0..size.members)
             .map(|number| {
@@ -285,7 +363,7 @@
         let network = Network::new(regions);
         let mut settings = MembershipConfig::with_period(Micros::from_millis(runs.period_ms));
         settings.suspicion_multiplier = runs.suspicion;
-        let codec = DatagramCodec::new("scale", &[KEY.to_vec()]).map_err(|_| "no key")?;
+        let codec = DatagramCodec::new("scale", &[KEY.to_vec()]).map_err(|_| ScaleError::Key)?;
         let seeds: Vec<SocketAddr> = specs.iter().take(3).map(|spec| spec.address).collect();
         let numbers: Vec<usize> =
             (0..size.members).filter(|&number| runs.may_be_real(number)).take(size.real).collect();
@@ -300,7 +378,7 @@
             parts: parts.clone(),
         };
         let before = own_resident();
-        let hollows = Hollows::new(runs.threads, &setup).map_err(text)?;
+        let hollows = Hollows::new(runs.threads, &setup)?;
         let history = Rc::new(History::unread());
         let list = at.wide(0, 8_500);
         let entry = Entry { health: "up", zone: zone(0), born_ms: 0 };
@@ -319,7 +397,7 @@
         for &number in &numbers {
             let spec = &specs[number];
             let dir = folder.path().join(&spec.name);
-            std::fs::create_dir_all(&dir).map_err(text)?;
+            std::fs::create_dir_all(&dir)?;
             let file = dir.join("cluster.toml");
             let quoted: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
             let key: String = KEY.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -330,7 +408,7 @@
                 runs.period_ms,
                 runs.suspicion
             );
-            std::fs::write(&file, cluster).map_err(text)?;
+            std::fs::write(&file, cluster)?;
             let mut node_settings = settings_of(&zones)?;
             node_settings["my_zone"] = json!(runs.zone_of(number));
             let listen = at.wide(number, 9_000);
@@ -466,7 +544,7 @@
         self.values(phase, "bytes out a real node and second", &bytes);
     }
 
-    async fn play(&mut self) -> Result<(), String> {
+    async fn play(&mut self) -> io::Result<()> {
         self.start().await?;
         let phase = "quiet";
         // What the start itself was news of is told by then.
@@ -500,7 +578,7 @@
     }
 
     /// All members start within a second, and know three of them.
-    async fn start(&mut self) -> Result<(), String> {
+    async fn start(&mut self) -> io::Result<()> {
         let phase = "start of all";
         info!("{} members, {} of them real: start", self.size.members, self.size.real);
         let from = self.meter().await;
@@ -519,7 +597,7 @@
             sleep(pause).await;
         }
         while let Some(started) = starts.join_next().await {
-            started.map_err(io::Error::other).flatten().map_err(|error| error.to_string())?;
+            started.map_err(io::Error::other).flatten()?;
         }
         let known = self.until_all_see(phase, began, self.size.members).await;
         let to = self.meter().await;
@@ -820,14 +898,14 @@
 }
 
 /// The settings that real nodes have: those of the lab's schedules.
-pub(crate) fn settings_of(zones: &[String]) -> Result<serde_json::Value, String> {
+pub(crate) fn settings_of(zones: &[String]) -> Result<serde_json::Value, ScheduleError> {
     let zones: Vec<String> = zones.iter().map(|zone| format!("{zone:?}")).collect();
     let text = format!(
         "title = \"measure\"\nlength_s = 1.0\n[nodes]\ncount = 1\nzones = [{}]\n[hosts]\ncount = 1\n\
          [[clients]]\nclass = \"chat\"\nsemantics = \"retryable\"\ncount = 1\n",
         zones.join(", ")
     );
-    Ok(settings(&Plan::parse("measure", &text, None).map_err(|error| error.to_string())?))
+    Ok(settings(&Plan::parse("measure", &text, None)?))
 }
 
 /// No node has a further core.
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -219,7 +219,7 @@
         ("seed = 3", "seed = 3\nwhat = 1", "what"),
     ] {
         assert!(SMALL.contains(from), "{from}");
-        let error = Runs::parse("f.toml", &SMALL.replace(from, to)).expect_err("refused");
+        let error = Runs::parse("f.toml", &SMALL.replace(from, to)).expect_err("refused").to_string();
         assert!(error.starts_with("f.toml: ") && error.contains(key), "{to}: {error}");
     }
 }
