--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -306,7 +306,21 @@
     if voter.is_some() && table.state_dir.is_none() {
         return Err(InvalidKey::new("control.state_dir", "a voter wants a lasting place for its memory"));
     }
-    let mut settings = replicated_config::ReplicationSettings::new(table.voters, voter);
+    let settings = parse_replication_settings(&table, voter)?;
+    Ok(ReplicationConfig {
+        listen: table.listen,
+        codec,
+        settings,
+        state_dir: table.state_dir,
+        when_isolated: table.cut_off.unwrap_or_default(),
+    })
+}
+
+fn parse_replication_settings(
+    table: &ControlTable,
+    voter: Option<u8>,
+) -> Result<replicated_config::ReplicationSettings, InvalidKey> {
+    let mut settings = replicated_config::ReplicationSettings::new(table.voters.clone(), voter);
     if let Some(heartbeat_ms) = table.heartbeat_ms {
         if !(20..=10_000).contains(&heartbeat_ms) {
             let fault = format!("{heartbeat_ms}: 20 to 10000 is wanted");
@@ -323,13 +337,7 @@
     if !(2..=64).contains(&settings.fanout) {
         return Err(InvalidKey::new("control.fanout", format!("{}: 2 to 64 is wanted", settings.fanout)));
     }
-    Ok(ReplicationConfig {
-        listen: table.listen,
-        codec,
-        settings,
-        state_dir: table.state_dir,
-        when_isolated: table.cut_off.unwrap_or_default(),
-    })
+    Ok(settings)
 }
 
 fn check_voters(voters: &[SocketAddr]) -> Result<(), InvalidKey> {
