--- /dev/null
+++ b/tests/pages.rs
@@ -0,0 +1,70 @@
+//! The pages for people name only files that are there.
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::{Path, PathBuf};
+
+/// Folders whose files the pages name by their path from the root.
+const FOLDERS: [&str; 6] = ["src/", "crates/", "tests/", "docs/", "examples/", "deploy/"];
+
+fn root() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn is_page(path: &Path) -> bool {
+    path.extension().is_some_and(|extension| extension == "md")
+}
+
+/// All pages: those of the root, of `docs/` with its folders, and of `examples/`.
+fn pages() -> Vec<PathBuf> {
+    let mut folders = vec![root().join("docs"), root().join("examples")];
+    let mut pages: Vec<PathBuf> =
+        ["README.md", "CONTRIBUTING.md"].iter().map(|page| root().join(page)).collect();
+    while let Some(folder) = folders.pop() {
+        for entry in fs::read_dir(&folder).expect("a folder of pages") {
+            let path = entry.expect("a readable entry").path();
+            if path.is_dir() {
+                folders.push(path);
+            } else if is_page(&path) {
+                pages.push(path);
+            }
+        }
+    }
+    pages
+}
+
+/// The paths that a page names in backticks; a path with a placeholder or a wildcard names no one file.
+fn named_paths(text: &str) -> BTreeSet<&str> {
+    let quoted = text.split('`').skip(1).step_by(2);
+    let is_path = |quoted: &&str| {
+        FOLDERS.iter().any(|folder| quoted.starts_with(folder))
+            && !quoted.contains(['*', '<', '{', ' ', '\n'])
+    };
+    quoted.filter(is_path).map(|path| path.split(['#', ':']).next().unwrap_or(path)).collect()
+}
+
+#[test]
+fn pages_name_files_that_are_there() {
+    let mut missing = Vec::new();
+    for page in pages() {
+        let text = fs::read_to_string(&page).expect("a page");
+        let gone = named_paths(&text).into_iter().filter(|path| !root().join(path).exists());
+        missing.extend(gone.map(|path| format!("{}: {path}", page.display())));
+    }
+    assert!(missing.is_empty(), "pages name files that are not there:\n{}", missing.join("\n"));
+}
+
+#[test]
+fn links_between_pages_lead_to_files() {
+    let mut broken = Vec::new();
+    for page in pages() {
+        let text = fs::read_to_string(&page).expect("a page");
+        let folder = page.parent().expect("the page's folder");
+        let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
+        let local = targets.filter(|target| !target.contains("://") && !target.starts_with('#'));
+        let files = local.map(|target| target.split('#').next().unwrap_or(target));
+        let gone = files.filter(|file| !folder.join(file).exists());
+        broken.extend(gone.map(|file| format!("{}: {file}", page.display())));
+    }
+    assert!(broken.is_empty(), "links to files that are not there:\n{}", broken.join("\n"));
+}
