--- a/crates/alderstile-cluster/tests/replicated_config_faults.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_faults.rs
@@ -44,7 +44,7 @@
                 down.into_iter().for_each(|n| cluster.start(n));
             }
             _ => {
-                let expect = cluster.core(n).map_or(0, |core| core.committed().0);
+                let expect = cluster.core(n).map_or(0, |core| core.committed_version());
                 cluster.propose(n, step, expect, format!("{step} by {n}").as_bytes());
             }
         }
@@ -61,12 +61,13 @@
         }
     }
     cluster.run(25.0);
-    let latest = (0..count).filter_map(|n| cluster.core(n)).map(|core| core.active().0).max().expect("some");
+    let latest =
+        (0..count).filter_map(|n| cluster.core(n)).map(|core| core.active_version()).max().expect("some");
     for n in 0..count {
         let core = cluster.core(n).expect("up");
         assert_eq!(core.traffic().conflicting, 0, "seed {seed}");
         assert_eq!(
-            (core.active().0, core.lease_state(cluster.local(n))),
+            (core.active_version(), core.lease_state(cluster.local(n))),
             (latest, LeaseState::Valid),
             "seed {seed}: {n}"
         );
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn whatever_happens_what_is_agreed_stays_and_nobody_acts_on_two_versions_at_once() {
+fn under_random_faults_commits_stay_and_no_two_versions_are_acted_on_at_once() {
     for seed in 0..60 {
         assert_eq!(random_schedule(seed, DRIFT), 0.0, "seed {seed}");
     }
@@ -96,7 +97,7 @@
 const DRIFT: f64 = 0.002;
 
 #[test]
-fn with_a_wait_that_is_shorter_than_the_lease_two_versions_are_acted_on_at_once() {
+fn with_a_delay_shorter_than_the_lease_two_versions_are_acted_on_at_once() {
     // Such a drift can't be: it makes the wait a tenth of the lease.
     let longest = (0..10).map(|seed| random_schedule(seed, -0.82)).fold(0.0, f64::max);
     assert!(longest > 1.0, "{longest} s: the check sees nothing");
@@ -104,7 +105,7 @@
 
 #[test]
 #[ignore = "minutes: the same on 2,000 other seeds"]
-fn whatever_happens_on_many_seeds() {
+fn random_faults_on_many_seeds() {
     for seed in 1_000..3_000 {
         assert_eq!(random_schedule(seed, DRIFT), 0.0, "seed {seed}");
     }
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -1,6 +1,7 @@
 //! What the admin server answers from: readiness, metrics, and hosts taken out of service.
 
 use std::cell::RefCell;
+use std::collections::BTreeMap;
 use std::io;
 use std::rc::Rc;
 
@@ -8,8 +9,8 @@
 
 use crate::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
 use crate::admin::metrics::Gauges;
-use crate::config::Current;
-use crate::control::membership::Cluster;
+use crate::config::ActiveConfig;
+use crate::control::membership::ClusterMembership;
 use crate::control::replicated_config::ConfigReplica;
 use crate::decisions::Decisions;
 use crate::discovery::endpoint_list::server_id;
@@ -18,19 +19,19 @@
 
 /// The admin interface of one node, and the parts of the node that it asks.
 pub struct AdminService {
-    config: Rc<Current>,
+    config: Rc<ActiveConfig>,
     decisions: Rc<Decisions>,
     clients: Rc<Clients>,
     process: Rc<Process>,
     maintenance: RefCell<MaintenanceStore>,
-    membership: RefCell<Option<Rc<Cluster>>>,
+    membership: RefCell<Option<Rc<ClusterMembership>>>,
     replicated_config: RefCell<Option<Rc<ConfigReplica>>>,
 }
 
 impl AdminService {
     /// Loads the maintenance file that an earlier process left, and tells the decisions what it says.
     pub fn new(
-        config: Rc<Current>,
+        config: Rc<ActiveConfig>,
         decisions: Rc<Decisions>,
         clients: Rc<Clients>,
         process: Rc<Process>,
@@ -58,17 +59,17 @@
         let config_known = self.replicated_config().is_none_or(|replica| replica.ready());
         config_known
             && self.decisions.can_serve()
-            && self.process.listens().is_some()
-            && !self.process.is_leaving()
+            && self.process.listener().is_some()
+            && !self.process.is_shutting_down()
     }
 
     /// Makes this node a member of a cluster.
-    pub fn set_membership(&self, membership: Rc<Cluster>) {
+    pub fn set_membership(&self, membership: Rc<ClusterMembership>) {
         self.membership.replace(Some(membership));
     }
 
     /// This node's membership in its cluster, where it has one.
-    pub fn membership(&self) -> Option<Rc<Cluster>> {
+    pub fn membership(&self) -> Option<Rc<ClusterMembership>> {
         self.membership.borrow().clone()
     }
 
@@ -83,21 +84,21 @@
     }
 
     /// The hosts that operators named at this node, and the state of each.
-    pub fn maintained_hosts(&self) -> Vec<(String, MaintenanceState)> {
+    pub fn maintained_hosts(&self) -> BTreeMap<String, MaintenanceState> {
         self.maintenance.borrow().hosts().map(|(host, state)| (host.to_owned(), state)).collect()
     }
 
     /// The metrics as statsd text.
     pub fn metrics_text(&self) -> String {
         let gauges = self.decisions.decide(|balancer, now| Gauges {
-            inflight: self.clients.inflight(),
+            inflight: self.clients.in_flight(),
             hosts_listed: balancer.maintenance().listed_count(),
             hosts_down: balancer.unavailable_servers(now),
             subset: self.decisions.assigned_host_counts(),
             members: self.membership().map(|membership| membership.stats()),
         });
         let replicated_config = self.replicated_config().map(|replica| replica.metrics()).unwrap_or_default();
-        self.clients.figures(gauges) + &replicated_config
+        self.clients.render_metrics(gauges) + &replicated_config
     }
 
     /// Takes a host out of service, or puts it back. It holds in the decisions, on disk and at the other process of
@@ -119,8 +120,8 @@
             };
             self.apply_maintenance(host, state);
             self.save_maintenance()?;
-            if let Some(link) = self.process.linked() {
-                link.tell_host(host, state).await;
+            if let Some(other) = self.process.other() {
+                other.send_host_maintenance(host, state).await;
             }
         }
         Ok(known)
--- a/src/policy/period.rs
+++ b/src/policy/period.rs
@@ -9,7 +9,8 @@
 pub(super) const PERIOD: Micros = Micros::from_millis(1_000);
 /// Wakes the next period.
 pub(super) const PERIOD_TIMER: TimerToken = TimerToken(0);
-/// Below this many connections on a server, in the mean, the own record tells next to nothing of a server.
+/// Below this many connections on a server, in the mean, this node's record says next to nothing about a
+/// server.
 const FEW_CONNECTIONS: f64 = 1.0;
 
 impl Policy {
@@ -22,7 +23,7 @@
         self.refill_slow_start_tokens(now, mean_connections);
         self.servers.iter_mut().for_each(|server| server.capacity.recover());
         self.probe_stalled_servers(now, actions);
-        self.find_disproved_lists(now);
+        self.update_disproved_lists(now);
         self.update_zone_affinity(now);
         self.probe_removed_servers(now, actions);
         self.rebalance(now, mean_connections < FEW_CONNECTIONS, actions);
