--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -68,3 +68,45 @@
     }
     assert!(broken.is_empty(), "links to files that are not there:\n{}", broken.join("\n"));
 }
+
+/// The text of all source files.
+fn sources() -> String {
+    let mut folders = vec![root().join("src"), root().join("crates")];
+    let mut text = String::new();
+    while let Some(folder) = folders.pop() {
+        for entry in fs::read_dir(&folder).expect("a folder of sources") {
+            let path = entry.expect("a readable entry").path();
+            if path.is_dir() {
+                folders.push(path);
+            } else if path.extension().is_some_and(|extension| extension == "rs") {
+                text += &fs::read_to_string(&path).expect("a source file");
+            }
+        }
+    }
+    text
+}
+
+/// Whether a word is written as the name of a type: two or more capitalized parts.
+fn is_type_name(word: &str) -> bool {
+    let capitals = word.chars().filter(char::is_ascii_uppercase).count();
+    word.starts_with(|first: char| first.is_ascii_uppercase())
+        && capitals >= 2
+        && word.chars().any(|c| c.is_ascii_lowercase())
+        && word.chars().all(|c| c.is_ascii_alphanumeric())
+}
+
+#[test]
+fn pages_name_types_that_are_there() {
+    let sources = sources();
+    let known: BTreeSet<&str> =
+        sources.split(|c: char| !c.is_ascii_alphanumeric() && c != '_').filter(|w| is_type_name(w)).collect();
+    let mut gone = Vec::new();
+    for page in pages() {
+        let text = fs::read_to_string(&page).expect("a page");
+        let quoted = text.split('`').skip(1).step_by(2).filter(|quoted| !quoted.contains('\n'));
+        let words = quoted.flat_map(|quoted| quoted.split(|c: char| !c.is_ascii_alphanumeric() && c != '_'));
+        let unknown: BTreeSet<&str> = words.filter(|w| is_type_name(w) && !known.contains(w)).collect();
+        gone.extend(unknown.into_iter().map(|name| format!("{}: {name}", page.display())));
+    }
+    assert!(gone.is_empty(), "pages name types that are not there:\n{}", gone.join("\n"));
+}
