--- a/crates/alderstile-lab/src/compare.rs
+++ b/crates/alderstile-lab/src/compare.rs
@@ -77,6 +77,10 @@
 }
 
 /// Plays a schedule by each way and at each of so many seeds, from the file's own on.
+///
+/// # Errors
+///
+/// If the schedule can't be read or emulated, or has no hosts or no clients.
 pub fn compare(file: &Path, ways: &[Choice], seeds: u64) -> Result<(Plan, Vec<Row>), CompareError> {
     let first = Plan::load(file, None)?;
     let plans = (0..seeds).map(|i| Plan::load(file, Some(first.seed.wrapping_add(i))));
--- a/crates/alderstile-lab/src/history.rs
+++ b/crates/alderstile-lab/src/history.rs
@@ -207,6 +207,10 @@
 
 impl History {
     /// A new file; its clock begins now.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be created.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = Some(RefCell::new(BufWriter::new(File::create(path)?)));
         Ok(History { began: Instant::now(), file, failed: RefCell::default() })
@@ -241,12 +245,20 @@
     }
 
     /// Writes the last line; says whether all was written.
+    ///
+    /// # Errors
+    ///
+    /// The first failure to write a line.
     pub fn finish(&self) -> io::Result<()> {
         self.add(Event::End {});
         self.written()
     }
 
     /// Says whether all was written.
+    ///
+    /// # Errors
+    ///
+    /// The first failure to write a line.
     pub fn written(&self) -> io::Result<()> {
         self.file.as_ref().map_or(Ok(()), |file| file.borrow_mut().flush())?;
         self.failed.borrow_mut().take().map_or(Ok(()), Err)
@@ -270,7 +282,11 @@
     CutShort(String, usize),
 }
 
-/// Reads a whole history.
+/// Reads a complete history.
+///
+/// # Errors
+///
+/// If the file can't be read, a line of it is no event, or the first or the last line is missing.
 pub fn read(path: &Path) -> Result<Vec<Line>, HistoryError> {
     let file = path.display().to_string();
     let open = File::open(path).map_err(|error| HistoryError::File(file.clone(), error))?;
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -231,11 +231,11 @@
         Command::Slopes { files, out } => {
             let mut rows = Vec::new();
             for file in &files {
-                rows.extend(tables::read(file)?);
+                rows.extend(tables::read(file).map_err(|error| error.to_string())?);
             }
             let failed = |error| format!("{}: {error}", out.display());
             std::fs::create_dir_all(&out).map_err(failed)?;
-            slopes::charts(&out, &rows)?;
+            slopes::charts(&out, &rows).map_err(|error| error.to_string())?;
             let table = slopes::table(&rows);
             std::fs::write(out.join("slopes.md"), &table).map_err(failed)?;
             print!("{table}");
--- a/crates/alderstile-lab/src/real.rs
+++ b/crates/alderstile-lab/src/real.rs
@@ -24,6 +24,10 @@
 }
 
 /// Reads them. The system's own figures of processor time are in nanoseconds (`schedstat`), not in its ticks of 10 ms.
+///
+/// # Errors
+///
+/// If the process is gone or its figures can't be read.
 pub fn usage(pid: i32) -> io::Result<Usage> {
     let mut cpu = Duration::ZERO;
     for task in std::fs::read_dir(format!("/proc/{pid}/task"))? {
--- a/crates/alderstile-lab/src/schedule.rs
+++ b/crates/alderstile-lab/src/schedule.rs
@@ -50,6 +50,35 @@
     },
 }
 
+/// Why a word names no party of a run.
+#[derive(Debug, Error)]
+pub enum PartyError {
+    /// The word is no party's name.
+    #[error("{0:?} names no party")]
+    Unknown(String),
+    /// The zone is not one of the schedule's.
+    #[error("{0:?}: no such zone")]
+    Zone(String),
+    /// The share of the nodes is no number from 0 to 1.
+    #[error("{0:?}: a share from 0 to 1 is wanted")]
+    Share(String),
+    /// The word before the colon is unknown.
+    #[error("{0:?}: zone:NAME or share:0.3 is wanted")]
+    Group(String),
+    /// The node's number is beyond the last.
+    #[error("there are nodes n0 to n{last}")]
+    Node {
+        /// The last node's number.
+        last: usize,
+    },
+    /// The host's number is beyond the last.
+    #[error("there are {count} hosts, from h0 on")]
+    Host {
+        /// How many hosts there are.
+        count: usize,
+    },
+}
+
 /// A schedule as it stands in the file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -432,8 +461,8 @@
 }
 
 impl TryFrom<String> for Actor {
-    type Error = String;
-    fn try_from(text: String) -> Result<Self, String> {
+    type Error = PartyError;
+    fn try_from(text: String) -> Result<Self, PartyError> {
         let number = |rest: &str| rest.parse().ok();
         let of = |text: &str| match text {
             "discovery" => Some(Actor::Discovery),
@@ -443,7 +472,7 @@
                 node.or_else(|| text.strip_prefix('h').and_then(number).map(Actor::Host))
             }
         };
-        of(&text).ok_or_else(|| format!("{text:?} names no party"))
+        of(&text).ok_or(PartyError::Unknown(text))
     }
 }
 
@@ -543,6 +572,10 @@
 
 impl Plan {
     /// Reads and checks a file. `seed` stands above the file's.
+    ///
+    /// # Errors
+    ///
+    /// If the file can't be read, or a key of it is unknown or has a value that can't be used.
     pub fn load(path: &Path, seed: Option<u64>) -> Result<Self, ScheduleError> {
         let file = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -550,7 +583,11 @@
         Self::parse(&file, &text, seed)
     }
 
-    /// Checks a text.
+    /// Checks a text; `file` is its name in errors.
+    ///
+    /// # Errors
+    ///
+    /// If a key is unknown or has a value that can't be used.
     pub fn parse(file: &str, text: &str, seed: Option<u64>) -> Result<Self, ScheduleError> {
         let at = Text { file, text };
         let schedule: Schedule = toml::from_str(text).map_err(|error| {
@@ -686,13 +723,13 @@
 
 impl Parties<'_> {
     /// Those that a word names.
-    fn named(&self, word: &str, rng: &mut Pcg64Mcg) -> Result<Vec<Actor>, String> {
+    fn named(&self, word: &str, rng: &mut Pcg64Mcg) -> Result<Vec<Actor>, PartyError> {
         let nodes = || (0..self.nodes).map(Actor::Node);
         let hosts = || (0..self.hosts).map(Actor::Host);
         match word.split_once(':') {
             Some(("zone", zone)) => {
                 let zone = self.zones.iter().position(|name| name == zone);
-                let zone = zone.ok_or_else(|| format!("{word:?}: no such zone"))?;
+                let zone = zone.ok_or_else(|| PartyError::Zone(word.to_owned()))?;
                 let within = |n: usize| n % self.zones.len() == zone;
                 Ok(nodes()
                     .chain(hosts())
@@ -701,28 +738,24 @@
             }
             Some(("share", share)) => {
                 let share: Option<f64> = share.parse().ok().filter(|share| (0.0..=1.0).contains(share));
-                let share = share.ok_or_else(|| format!("{word:?}: a share from 0 to 1 is wanted"))?;
+                let share = share.ok_or_else(|| PartyError::Share(word.to_owned()))?;
                 let mut drawn: Vec<Actor> = nodes().collect();
                 drawn.shuffle(rng);
                 drawn.truncate((share * self.nodes as f64).round() as usize);
                 Ok(drawn)
             }
-            Some(_) => Err(format!("{word:?}: zone:NAME or share:0.3 is wanted")),
+            Some(_) => Err(PartyError::Group(word.to_owned())),
             None if word == "nodes" => Ok(nodes().collect()),
             None if word == "hosts" => Ok(hosts().collect()),
             None => match Actor::try_from(word.to_owned())? {
-                Actor::Node(n) if n >= self.nodes => {
-                    Err(format!("there are nodes n0 to n{}", self.nodes - 1))
-                }
-                Actor::Host(h) if h >= self.hosts => {
-                    Err(format!("there are {} hosts, from h0 on", self.hosts))
-                }
+                Actor::Node(n) if n >= self.nodes => Err(PartyError::Node { last: self.nodes - 1 }),
+                Actor::Host(h) if h >= self.hosts => Err(PartyError::Host { count: self.hosts }),
                 actor => Ok(vec![actor]),
             },
         }
     }
 
-    fn all_named(&self, words: &[String], rng: &mut Pcg64Mcg) -> Result<BTreeSet<Actor>, String> {
+    fn all_named(&self, words: &[String], rng: &mut Pcg64Mcg) -> Result<BTreeSet<Actor>, PartyError> {
         words.iter().try_fold(BTreeSet::new(), |mut set, word| {
             set.extend(self.named(word, rng)?);
             Ok(set)
@@ -767,7 +800,8 @@
     if fault.ms.is_some_and(|ms| !(0.0..=600_000.0).contains(&ms)) {
         return Err(("ms", "0 to 600000 is wanted".to_owned()));
     }
-    let mut named = |key, words: &[String]| parties.all_named(words, rng).map_err(|what| (key, what));
+    let mut named =
+        |key, words: &[String]| parties.all_named(words, rng).map_err(|error| (key, error.to_string()));
     let (on, from, to) = (named("on", &fault.on)?, named("from", &fault.from)?, named("to", &fault.to)?);
     let hosts = named("hosts", &fault.hosts)?;
     let wanted = |actor: &Actor| match about {
--- a/crates/alderstile-lab/src/slopes.rs
+++ b/crates/alderstile-lab/src/slopes.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-use crate::charts::{Labels, Series, draw};
+use crate::charts::{ChartError, Labels, Series, draw};
 use crate::fit::Fit;
 use crate::tables::{Row, short};
 
@@ -265,7 +265,11 @@
 }
 
 /// Draws all charts that have points; returns their files.
-pub fn charts(dir: &Path, rows: &[Row]) -> Result<Vec<String>, String> {
+///
+/// # Errors
+///
+/// If a chart can't be drawn or written.
+pub fn charts(dir: &Path, rows: &[Row]) -> Result<Vec<String>, ChartError> {
     let mut files = Vec::new();
     for plot in PLOTS {
         let series: Vec<Series> = plot
--- a/crates/alderstile-lab/src/tables.rs
+++ b/crates/alderstile-lab/src/tables.rs
@@ -4,6 +4,8 @@
 use std::io;
 use std::path::Path;
 
+use thiserror::Error;
+
 /// One figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
@@ -58,14 +60,46 @@
     text
 }
 
-/// Reads such a file.
-pub fn read(path: &Path) -> Result<Vec<Row>, String> {
-    let shown = path.display();
-    let text = std::fs::read_to_string(path).map_err(|error| format!("{shown}: {error}"))?;
-    parse(&text).map_err(|line| format!("{shown}:{line}: not a row of \"{HEAD}\""))
+/// Why a table can't be read.
+#[derive(Debug, Error)]
+pub enum TableError {
+    /// The file can't be read.
+    #[error("{file}: {error}")]
+    File {
+        /// Its path.
+        file: String,
+        /// Why.
+        error: io::Error,
+    },
+    /// A line is not a row of a table.
+    #[error("{file}:{line}: not a row of \"{HEAD}\"")]
+    Row {
+        /// The file's path.
+        file: String,
+        /// The line, from 1.
+        line: usize,
+    },
+}
+
+/// Reads a CSV file that [`write`] wrote.
+///
+/// # Errors
+///
+/// If the file can't be read, or a line of it is not a row.
+pub fn read(path: &Path) -> Result<Vec<Row>, TableError> {
+    let file = path.display().to_string();
+    let text = match std::fs::read_to_string(path) {
+        Ok(text) => text,
+        Err(error) => return Err(TableError::File { file, error }),
+    };
+    parse(&text).map_err(|line| TableError::Row { file, line })
 }
 
-/// Reads the text of such a file; names the first faulty line.
+/// Reads the text of such a file.
+///
+/// # Errors
+///
+/// The number of the first line that is not a row, from 1.
 pub fn parse(text: &str) -> Result<Vec<Row>, usize> {
     let mut lines = text.lines();
     if lines.next() != Some(HEAD) {
@@ -128,6 +162,10 @@
 }
 
 /// Writes rows beside each other as `NAME.csv` and `NAME.md`.
+///
+/// # Errors
+///
+/// If the directory can't be made or a file can't be written.
 pub fn write(dir: &Path, name: &str, rows: &[Row]) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     std::fs::write(dir.join(format!("{name}.csv")), csv(rows))?;
