--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -4,14 +4,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
 use alderstile::types::Micros;
 use alderstile_cluster::membership::{DatagramCodec, MembershipConfig};
-use serde::Deserialize;
 use serde_json::json;
 use thiserror::Error;
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
@@ -27,6 +26,11 @@
 use crate::schedule::{Plan, ScheduleError};
 use crate::tables::Row;
 
+mod phases;
+mod plan;
+
+pub use plan::{Runs, RunsError, Size};
+
 /// Where members' datagrams arrive.
 const MEMBERS: u16 = 7_946;
 /// How often is looked whether something is known everywhere; what a real node sees is known this exactly.
@@ -41,92 +45,9 @@
 const CALL: Duration = Duration::from_secs(10);
 /// Between two deaths, and between two pieces of news.
 const APART: Duration = Duration::from_secs(2);
-/// Most members of a run, and most real processes among them.
-const MOST_MEMBERS: usize = 5_000;
-const MOST_REAL: usize = 100;
 /// The cluster's key: these nodes have nothing to hide.
 const KEY: [u8; 32] = [0x5a; 32];
 
-/// One size.
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(deny_unknown_fields)]
-pub struct Size {
-    /// All members.
-    pub members: usize,
-    /// Real processes among them.
-    pub real: usize,
-}
-
-/// What a run is to do: the file's form.
-#[derive(Clone, Debug, Deserialize, PartialEq)]
-#[serde(deny_unknown_fields)]
-pub struct Runs {
-    /// What it is about.
-    pub title: String,
-    /// For all that is drawn.
-    pub seed: u64,
-    /// One run after the other.
-    pub sizes: Vec<Size>,
-    /// Members that are set aside for control, spread over all zones. So far they do what all members do.
-    pub control: usize,
-    /// Zones over which members are dealt out, one after the other.
-    pub zones: usize,
-    /// The first so many of them are one region, with all real nodes; the rest are the other.
-    pub zones_of_first_region: usize,
-    /// The protocol period.
-    pub period_ms: u64,
-    /// As in the cluster's file.
-    pub suspicion: f64,
-    /// Threads that share the hollow nodes.
-    pub threads: usize,
-    /// Whether hollow nodes know each other when they start; without, all know three seeds.
-    #[serde(default)]
-    pub know_all: bool,
-    /// How long nothing happens while costs are measured.
-    pub quiet_s: f64,
-    /// Members that die and come back, one after the other.
-    pub deaths: usize,
-    /// Members that tell another digest of their settings, one after the other.
-    pub news: usize,
-    /// Whether the last zone dies and comes back.
-    pub zone: bool,
-    /// How long regions don't hear each other; 0 for not at all.
-    pub parted_s: f64,
-    /// A size that is not done by then is given up.
-    pub most_s: f64,
-}
-
-/// Why a file of scale runs was refused.
-#[derive(Debug, Error)]
-pub enum RunsError {
-    /// The file could not be read.
-    #[error("{}: {source}", path.display())]
-    Read {
-        /// The file.
-        path: PathBuf,
-        /// What the system said.
-        source: io::Error,
-    },
-    /// The text is no TOML, or lacks a key, or has one that is unknown.
-    #[error("{file}: {source}")]
-    Syntax {
-        /// The file, as it is shown.
-        file: String,
-        /// What the parser said.
-        source: Box<toml::de::Error>,
-    },
-    /// A key has a value out of its range.
-    #[error("{file}: the key {key}: {expected}")]
-    Value {
-        /// The file, as it is shown.
-        file: String,
-        /// The key.
-        key: String,
-        /// What the key may be.
-        expected: String,
-    },
-}
-
 /// Why scale runs ended early.
 #[derive(Debug, Error)]
 pub enum ScaleError {
@@ -155,102 +76,6 @@
     Interrupted,
 }
 
-impl Runs {
-    /// Reads and checks a file.
-    ///
-    /// # Errors
-    ///
-    /// If the file can't be read, or as [`Runs::parse`].
-    pub fn load(path: &Path) -> Result<Self, RunsError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| RunsError::Read { path: path.to_owned(), source })?;
-        Self::parse(&path.display().to_string(), &text)
-    }
-
-    /// Checks a text; `shown` names the file in errors.
-    ///
-    /// # Errors
-    ///
-    /// If the text has not the form of [`Runs`], or a value is out of its range.
-    pub fn parse(shown: &str, text: &str) -> Result<Self, RunsError> {
-        let runs: Runs = toml::from_str(text)
-            .map_err(|error| RunsError::Syntax { file: shown.to_owned(), source: Box::new(error) })?;
-        let bad = |key: &str, expected: &str| {
-            Err(RunsError::Value {
-                file: shown.to_owned(),
-                key: key.to_owned(),
-                expected: expected.to_owned(),
-            })
-        };
-        if runs.sizes.is_empty() {
-            return bad("sizes", "at least one is wanted");
-        }
-        for (i, size) in runs.sizes.iter().enumerate() {
-            if size.members < 2 || size.members > MOST_MEMBERS {
-                return bad(&format!("sizes[{i}].members"), &format!("2 to {MOST_MEMBERS} is wanted"));
-            }
-            let room = (0..size.members).filter(|&number| runs.may_be_real(number)).count();
-            if size.real > MOST_REAL.min(room) {
-                return bad(
-                    &format!("sizes[{i}].real"),
-                    &format!(
-                        "at most {} is wanted: real nodes are in the first region and no control machines",
-                        MOST_REAL.min(room)
-                    ),
-                );
-            }
-            // Those that die and tell are hollow, no control machines, and not of the zone that is lost.
-            let able = (0..size.members).filter(|&number| runs.is_ordinary(number)).count() - size.real;
-            let most = able.min(size.members / 3);
-            for (key, value) in [("deaths", runs.deaths), ("news", runs.news)] {
-                if value > most {
-                    return bad(key, &format!("at most {most} is wanted for {} members", size.members));
-                }
-            }
-        }
-        if runs.zones == 0 || runs.zones > 100 || runs.zones_of_first_region > runs.zones {
-            return bad("zones", "1 to 100 is wanted, with zones_of_first_region of them at most");
-        }
-        if !(50..=60_000).contains(&runs.period_ms) {
-            return bad("period_ms", "50 to 60000 is wanted");
-        }
-        if !(1.0..=100.0).contains(&runs.suspicion) {
-            return bad("suspicion", "1 to 100 is wanted");
-        }
-        if !(1..=64).contains(&runs.threads) {
-            return bad("threads", "1 to 64 is wanted");
-        }
-        for (key, value) in [("quiet_s", runs.quiet_s), ("parted_s", runs.parted_s), ("most_s", runs.most_s)]
-        {
-            if !(0.0..=86_400.0).contains(&value) {
-                return bad(key, "0 to 86400 is wanted");
-            }
-        }
-        Ok(runs)
-    }
-
-    fn zone_of(&self, number: usize) -> usize {
-        number % self.zones.max(1)
-    }
-
-    fn region_of(&self, number: usize) -> u8 {
-        u8::from(self.zone_of(number) >= self.zones_of_first_region)
-    }
-
-    fn may_be_real(&self, number: usize) -> bool {
-        self.is_ordinary(number) && self.region_of(number) == 0
-    }
-
-    /// Neither a control machine nor of the zone that is lost.
-    fn is_ordinary(&self, number: usize) -> bool {
-        number >= self.control && (self.zones == 1 || self.zone_of(number) + 1 != self.zones)
-    }
-
-    fn period_s(&self) -> f64 {
-        self.period_ms as f64 / 1e3
-    }
-}
-
 /// Why a size was not played to its end.
 enum Cut {
     /// It took too long.
@@ -773,122 +598,6 @@
         let able = self.hollow_alive.iter().rev().copied().filter(|number| self.runs.is_ordinary(*number));
         able.take(count).collect()
     }
-
-    /// News of the members' own: another digest of the settings, as after a file was taken in.
-    async fn news(&mut self) {
-        let phase = "news";
-        info!("{} members: {} pieces of news", self.size.members, self.runs.news);
-        self.hollows.seen().await;
-        let (mut told, mut of) = (Vec::new(), BTreeMap::new());
-        let from = self.meter().await;
-        for node in self.ordinary(self.runs.news) {
-            let digest = 1_000 + node as u64;
-            told.push(node);
-            of.insert(node, (What::News(digest), self.network.now()));
-            self.hollows.news(node, digest).await;
-            sleep(APART).await;
-        }
-        let by = self.hollow_alive.clone();
-        let (learned, _) = self.until_learned(phase, &by, &of, None).await;
-        let to = self.meter().await;
-        self.spread(phase, &of, &learned);
-        self.costs(phase, &from, &to);
-    }
-
-    async fn deaths(&mut self) {
-        info!("{} members: {} deaths", self.size.members, self.runs.deaths);
-        self.hollows.seen().await;
-        let mut of = BTreeMap::new();
-        let from = self.meter().await;
-        for node in self.ordinary(self.runs.deaths) {
-            of.insert(node, (What::Died, self.network.now()));
-            self.hollows.kill(node);
-            self.hollow_alive.remove(&node);
-            sleep(APART).await;
-        }
-        self.lost_and_back("death", "start", of, from).await;
-    }
-
-    async fn zone(&mut self) {
-        let last = self.runs.zones - 1;
-        let lost: Vec<usize> =
-            self.hollow_alive.iter().filter(|n| self.runs.zone_of(**n) == last).copied().collect();
-        info!("{} members: a zone of {} is lost", self.size.members, lost.len());
-        self.hollows.seen().await;
-        let from = self.meter().await;
-        let at = self.network.now();
-        let mut of = BTreeMap::new();
-        for node in lost {
-            of.insert(node, (What::Died, at));
-            self.hollows.kill(node);
-            self.hollow_alive.remove(&node);
-        }
-        self.lost_and_back("zone lost", "zone back", of, from).await;
-    }
-
-    /// Until all know that these are gone, and then that they are back.
-    async fn lost_and_back(
-        &mut self,
-        lost: &str,
-        back: &str,
-        of: BTreeMap<usize, (What, Micros)>,
-        from: Meter,
-    ) {
-        let (by, rest) = (self.hollow_alive.clone(), self.size.members - of.len());
-        let began = of.values().map(|(_, at)| *at).fold(Micros(0), Micros::max);
-        let (learned, real) = self.until_learned(lost, &by, &of, Some(rest)).await;
-        let to = self.meter().await;
-        self.spread(lost, &of, &learned);
-        self.real_after(lost, "a real node counts right after (s)", began, &real);
-        self.costs(lost, &from, &to);
-        let at = self.network.now();
-        let joined: BTreeMap<usize, (What, Micros)> =
-            of.keys().map(|node| (*node, (What::Joined, at))).collect();
-        for node in of.keys() {
-            self.hollows.start(self.specs[*node].clone());
-        }
-        let (learned, real) = self.until_learned(back, &by, &joined, Some(self.size.members)).await;
-        self.hollow_alive.extend(of.keys());
-        self.spread(back, &joined, &learned);
-        self.real_after(back, "a real node counts right after (s)", at, &real);
-        let after = self.meter().await;
-        self.costs(back, &to, &after);
-        self.until_all_see(back, at, self.size.members).await;
-    }
-
-    async fn parted(&mut self) {
-        let phase = "regions parted";
-        info!("{} members: regions parted for {} s", self.size.members, self.runs.parted_s);
-        self.hollows.seen().await;
-        let from = self.meter().await;
-        let at = self.network.now();
-        self.network.part(true);
-        sleep(Duration::from_secs_f64(self.runs.parted_s)).await;
-        let seen = self.hollows.seen().await;
-        let mut last: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-        for seen in seen.iter().filter(|seen| seen.what == What::Died) {
-            if self.runs.region_of(seen.by) != self.runs.region_of(seen.of) {
-                last.insert((seen.by, seen.of), (seen.at - at).as_secs_f64());
-            }
-        }
-        let own = |region| self.hollow_alive.iter().filter(|n| self.runs.region_of(**n) == region).count();
-        let all = |region| (0..self.size.members).filter(|n| self.runs.region_of(*n) == region).count();
-        let pairs = own(0) * all(1) + own(1) * all(0);
-        let spans: Vec<f64> = last.values().copied().collect();
-        let wrong = seen.iter().filter(|seen| seen.what == What::Died);
-        let wrong = wrong.filter(|s| self.runs.region_of(s.by) == self.runs.region_of(s.of)).count();
-        self.values(phase, "one of the other side is held dead after (s)", &spans);
-        self.one(phase, "pairs that still held each other alive", pairs.saturating_sub(spans.len()) as f64);
-        self.one(phase, "held dead though well on the same side (pairs)", wrong as f64);
-        let to = self.meter().await;
-        self.costs(phase, &from, &to);
-        let phase = "regions joined";
-        let at = self.network.now();
-        self.network.part(false);
-        self.until_all_see(phase, at, self.size.members).await;
-        let after = self.meter().await;
-        self.costs(phase, &to, &after);
-    }
 }
 
 /// Memory of this process's own, bytes; 0 where the system does not tell.
