--- /dev/null
+++ b/crates/alderstile-lab/src/processes/configuration.rs
@@ -0,0 +1,59 @@
+//! The files that nodes are started with: the cluster's and the settings.
+
+use serde_json::{Value, json};
+
+use super::MEMBERS;
+use super::addresses::{Addresses, For};
+use crate::schedule::{Choices, Members, Part, Plan, Semantics};
+
+/// A member's file: others know it by its address at the lab.
+pub(super) fn cluster(
+    members: &Members,
+    choices: &Choices,
+    at: &Addresses,
+    number: usize,
+    nodes: usize,
+) -> String {
+    let (listen, advertise) = (at.at(For::Node, number, MEMBERS), at.at(For::Way, number, MEMBERS));
+    let seeds: Vec<String> =
+        (0..nodes.min(3)).map(|node| format!("\"{}\"", at.at(For::Way, node, MEMBERS))).collect();
+    let subsets = match choices.on.contains(&Part::Subsets) {
+        true => format!(
+            "[subsets]\nsize = {}\nusers = {}\nzones_first = {}\nhold_s = {:?}\n",
+            choices.size, choices.users, choices.zones_first, choices.hold_s
+        ),
+        false => String::new(),
+    };
+    format!(
+        "name = \"lab\"\nlisten = \"{listen}\"\nadvertise = \"{advertise}\"\nseeds = [{}]\n\
+         keys = [\"{}\"]\nperiod_ms = {}\nsuspicion = {:?}\n{subsets}",
+        seeds.join(", "),
+        "1ab".repeat(12) + "00",
+        members.period_ms,
+        members.suspicion,
+    )
+}
+
+/// The settings that all nodes have, in the form of a node's file.
+pub(crate) fn settings(plan: &Plan) -> Value {
+    let classes: Vec<Value> = plan
+        .clients
+        .iter()
+        .map(|clients| {
+            let semantics = match clients.semantics {
+                Semantics::Retryable => "retryable",
+                Semantics::Fragile => "fragile",
+            };
+            json!({"name": clients.class, "aim": 300_000, "give_up": clients.wait_ms * 1_000,
+                   "worth": 1.0, "semantics": semantics, "window": 5_000_000})
+        })
+        .collect();
+    json!({
+        "balancers": plan.nodes, "my_zone": 0, "zones": plan.zones, "weights": "silent",
+        "discovery": "subscribe", "classes": classes, "extra": {"groups": false, "message_aim": [100_000]},
+        "allowed": {"connect_timeout": 250_000, "max_attempts": 3, "retry_after": true,
+                    "max_retry_after": 1_000_000, "probes": false, "may_tell": false},
+        "obligations": {"must_ask_in": 10_000_000, "cold": 8_000_000, "cold_from": 0.4, "fall_multiple": 4.0,
+                        "overload_for": 1_500_000},
+    })
+}
--- a/crates/alderstile-lab/src/processes/mod.rs
+++ b/crates/alderstile-lab/src/processes/mod.rs
@@ -3,29 +3,35 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use serde_json::{Value, json};
+use serde_json::json;
 use thiserror::Error;
-use tokio::net::TcpListener;
 use tokio::task::{JoinHandle, JoinSet, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use tracing::{info, warn};
 
 use crate::history::{Event, History};
-use crate::schedule::{About, Actor, Choices, Kind, MOST_PROCESSES, Members, Part, Plan, Planned, Semantics};
+use crate::schedule::{Actor, MOST_PROCESSES, Plan, Semantics};
 
+mod addresses;
 mod clients;
+mod configuration;
 pub(crate) mod discovery;
+mod faults;
 mod hosts;
 pub(crate) mod nodes;
 mod ways;
 
+pub(crate) use addresses::Addresses;
+use addresses::{For, RUNS};
 use clients::{Client, Front, Wanting};
+use configuration::cluster;
+pub(crate) use configuration::settings;
 use discovery::{Discovery, Entry};
 use hosts::Host;
 use nodes::{Folder, Node};
@@ -41,9 +47,6 @@
 const MEMBERS: u16 = 7_946;
 /// A line of progress comes this often.
 const PROGRESS: Duration = Duration::from_secs(5);
-/// A host that was drained is up again this long after it ended.
-const DRAINED: Duration = Duration::from_secs(1);
-
 /// Why a run came to nothing.
 #[derive(Debug, Error)]
 pub enum RunError {
@@ -138,50 +141,6 @@
     tokio::select! { _ = int.recv() => {}, _ = term.recv() => {} }
 }
 
-/// Loopback addresses that no other run uses.
-pub(crate) struct Addresses {
-    second: u8,
-    /// Held as long as the run, so that no other takes them.
-    _lock: TcpListener,
-}
-
-/// What an address is for.
-#[derive(Clone, Copy)]
-enum For {
-    Node = 1,
-    Front = 2,
-    Way = 3,
-    Host = 4,
-    Discovery = 5,
-}
-
-static RUNS: AtomicU32 = AtomicU32::new(0);
-
-impl Addresses {
-    pub(crate) async fn take() -> Result<Self, RunError> {
-        let first = std::process::id().wrapping_mul(31).wrapping_add(RUNS.fetch_add(1, Ordering::Relaxed));
-        let mut last = None;
-        for step in 0..100u32 {
-            let second = 100 + ((first.wrapping_add(step)) % 100) as u8;
-            match TcpListener::bind((Ipv4Addr::new(127, second, 0, 1), 7_000)).await {
-                Ok(lock) => return Ok(Addresses { second, _lock: lock }),
-                Err(error) => last = Some(error),
-            }
-        }
-        Err(RunError::Io("no addresses left".to_owned(), last.unwrap_or(io::ErrorKind::AddrInUse.into())))
-    }
-
-    /// Beyond those: for up to 40,000 parties of a run that has no others.
-    pub(crate) fn wide(&self, number: usize, port: u16) -> SocketAddr {
-        (Ipv4Addr::new(127, self.second, 16 + (number / 200) as u8, 1 + (number % 200) as u8), port).into()
-    }
-
-    fn at(&self, what: For, number: usize, port: u16) -> SocketAddr {
-        // At most a hundred parties of one kind.
-        (Ipv4Addr::new(127, self.second, what as u8, 10 + number as u8), port).into()
-    }
-}
-
 struct Lab {
     nodes: Vec<Rc<Node>>,
     hosts: Vec<Rc<Host>>,
@@ -195,52 +154,6 @@
     _addresses: Rc<Addresses>,
 }
 
-/// A member's file: others know it by its address at the lab.
-fn cluster(members: &Members, choices: &Choices, at: &Addresses, number: usize, nodes: usize) -> String {
-    let (listen, advertise) = (at.at(For::Node, number, MEMBERS), at.at(For::Way, number, MEMBERS));
-    let seeds: Vec<String> =
-        (0..nodes.min(3)).map(|node| format!("\"{}\"", at.at(For::Way, node, MEMBERS))).collect();
-    let subsets = match choices.on.contains(&Part::Subsets) {
-        true => format!(
-            "[subsets]\nsize = {}\nusers = {}\nzones_first = {}\nhold_s = {:?}\n",
-            choices.size, choices.users, choices.zones_first, choices.hold_s
-        ),
-        false => String::new(),
-    };
-    format!(
-        "name = \"lab\"\nlisten = \"{listen}\"\nadvertise = \"{advertise}\"\nseeds = [{}]\n\
-         keys = [\"{}\"]\nperiod_ms = {}\nsuspicion = {:?}\n{subsets}",
-        seeds.join(", "),
-        "1ab".repeat(12) + "00",
-        members.period_ms,
-        members.suspicion,
-    )
-}
-
-/// The settings that all nodes have, in the form of a node's file.
-pub(crate) fn settings(plan: &Plan) -> Value {
-    let classes: Vec<Value> = plan
-        .clients
-        .iter()
-        .map(|clients| {
-            let semantics = match clients.semantics {
-                Semantics::Retryable => "retryable",
-                Semantics::Fragile => "fragile",
-            };
-            json!({"name": clients.class, "aim": 300_000, "give_up": clients.wait_ms * 1_000,
-                   "worth": 1.0, "semantics": semantics, "window": 5_000_000})
-        })
-        .collect();
-    json!({
-        "balancers": plan.nodes, "my_zone": 0, "zones": plan.zones, "weights": "silent",
-        "discovery": "subscribe", "classes": classes, "extra": {"groups": false, "message_aim": [100_000]},
-        "allowed": {"connect_timeout": 250_000, "max_attempts": 3, "retry_after": true,
-                    "max_retry_after": 1_000_000, "probes": false, "may_tell": false},
-        "obligations": {"must_ask_in": 10_000_000, "cold": 8_000_000, "cold_from": 0.4, "fall_multiple": 4.0,
-                        "overload_for": 1_500_000},
-    })
-}
-
 impl Lab {
     async fn build(plan: &Plan, options: &Options, history: Rc<History>) -> Result<Self, RunError> {
         let at = Rc::new(Addresses::take().await?);
@@ -385,7 +298,7 @@
         for (number, fault) in plan.faults.iter().enumerate() {
             let at = began + Duration::from_secs_f64(fault.at_s);
             sleep_until(at.min(until)).await;
-            tasks.extend(self.begin(number, fault)?);
+            tasks.extend(self.begin(number, fault));
         }
         sleep_until(until + SETTLE).await;
         progress.abort();
@@ -393,85 +306,6 @@
         Ok(())
     }
 
-    /// Begins a fault; returns what sees to its end.
-    fn begin(&self, number: usize, fault: &Planned) -> Result<Vec<JoinHandle<()>>, RunError> {
-        info!("{}: {} {}", fault.kind, shown(&fault.on), shown_way(fault));
-        self.history.add(Event::fault(fault, true));
-        let span = fault.for_s.map(Duration::from_secs_f64);
-        let (history, end) = (self.history.clone(), Event::fault(fault, false));
-        let written_end = move || history.add(end);
-        let mut tasks = Vec::new();
-        match fault.kind.about() {
-            About::Way => {
-                self.ways.change(|faults| faults.begin(number, fault));
-                if let Some(span) = span {
-                    let ways = self.ways.clone();
-                    tasks.push(spawn_local(async move {
-                        sleep(span).await;
-                        ways.change(|faults| faults.end(number));
-                        written_end();
-                    }));
-                }
-            }
-            About::Process => {
-                for node in self.named_nodes(fault) {
-                    tasks.push(spawn_local(process_fault(node, fault.kind, span)));
-                }
-                if let Some(span) = span {
-                    tasks.push(spawn_local(async move {
-                        sleep(span).await;
-                        written_end();
-                    }));
-                }
-            }
-            About::List => {
-                let nodes: Vec<usize> = self.named_nodes(fault).iter().map(|node| node.number).collect();
-                let hosts: Vec<usize> = fault.hosts.iter().filter_map(host_of).collect();
-                let (kind, late) = (fault.kind, Duration::from_secs_f64(fault.ms / 1e3));
-                let discovery = self.discovery.clone();
-                let set = move |begins: bool| {
-                    for &node in &nodes {
-                        discovery.fault(node, |told| match kind {
-                            Kind::ListLate => told.late = if begins { late } else { Duration::ZERO },
-                            Kind::ListLeavesOut => {
-                                told.leaves_out = if begins { hosts.clone() } else { Vec::new() }
-                            }
-                            Kind::ListLies => told.lies = if begins { hosts.clone() } else { Vec::new() },
-                            _ => told.refuses = begins,
-                        });
-                    }
-                };
-                set(true);
-                if let Some(span) = span {
-                    tasks.push(spawn_local(async move {
-                        sleep(span).await;
-                        set(false);
-                        written_end();
-                    }));
-                }
-            }
-            About::Host => {
-                for host in fault.on.iter().filter_map(host_of).filter_map(|h| self.hosts.get(h)) {
-                    let (host, discovery) = (host.clone(), self.discovery.clone());
-                    let slow = Duration::from_secs_f64(fault.ms / 1e3);
-                    tasks.push(spawn_local(host_fault(host, discovery, fault.kind, span, slow)));
-                }
-                if let Some(span) = span {
-                    tasks.push(spawn_local(async move {
-                        sleep(span).await;
-                        written_end();
-                    }));
-                }
-            }
-        }
-        Ok(tasks)
-    }
-
-    fn named_nodes(&self, fault: &Planned) -> Vec<Rc<Node>> {
-        let number = |actor: &Actor| if let Actor::Node(n) = actor { Some(*n) } else { None };
-        fault.on.iter().filter_map(number).filter_map(|n| self.nodes.get(n).cloned()).collect()
-    }
-
     /// Ends all processes, and leaves their logs where they are wanted.
     async fn end(&self) {
         for node in &self.nodes {
@@ -494,93 +328,3 @@
         info!("{} is taken away", self.folder.path().display());
     }
 }
-
-fn host_of(actor: &Actor) -> Option<usize> {
-    if let Actor::Host(h) = actor { Some(*h) } else { None }
-}
-
-fn shown(set: &std::collections::BTreeSet<Actor>) -> String {
-    let names: Vec<String> = set.iter().map(Actor::to_string).collect();
-    names.join(" ")
-}
-
-fn shown_way(fault: &Planned) -> String {
-    if fault.kind.about() != About::Way {
-        return String::new();
-    }
-    format!("from {} to {}", shown(&fault.from), shown(&fault.to))
-}
-
-async fn process_fault(node: Rc<Node>, kind: Kind, span: Option<Duration>) {
-    let began = Instant::now();
-    let failed = |error: io::Error| warn!("{kind} of n{}: {error}", node.number);
-    match kind {
-        Kind::Kill => node.kill().await,
-        Kind::Stop => node.stop().await,
-        Kind::Replace => return node.replace().await.unwrap_or_else(failed),
-        Kind::Reload => {
-            // Another file than the one before: attempts change between two and three.
-            let changed = node.reload(|config| {
-                let attempts = &mut config["settings"]["allowed"]["max_attempts"];
-                *attempts = json!(if *attempts == json!(3) { 2 } else { 3 });
-            });
-            return changed.unwrap_or_else(failed);
-        }
-        _ => node.pause(true),
-    }
-    let Some(span) = span else { return };
-    sleep_until(began + span).await;
-    if kind == Kind::Pause {
-        node.pause(false);
-    } else {
-        node.start().await.unwrap_or_else(failed);
-    }
-}
-
-async fn host_fault(
-    host: Rc<Host>,
-    discovery: Rc<Discovery>,
-    kind: Kind,
-    span: Option<Duration>,
-    slow: Duration,
-) {
-    let number = host.number();
-    let came_back = async || {
-        if let Err(error) = host.start().await {
-            warn!("h{number}: {error}");
-        }
-        discovery.set(number, "up", true);
-    };
-    match kind {
-        Kind::HostKill => {
-            host.kill();
-            discovery.set(number, "removed", false);
-            if let Some(span) = span {
-                sleep(span).await;
-                came_back().await;
-            }
-        }
-        Kind::HostDrain => {
-            discovery.set(number, "draining", false);
-            sleep(span.unwrap_or_default()).await;
-            host.kill();
-            discovery.set(number, "removed", false);
-            sleep(DRAINED).await;
-            came_back().await;
-        }
-        _ => {
-            let before = host.manner.get();
-            let mut manner = before;
-            match kind {
-                Kind::HostSlow => manner.slow = slow,
-                Kind::HostSilent => manner.silent = true,
-                _ => manner.refuses = true,
-            }
-            host.manner.set(manner);
-            if let Some(span) = span {
-                sleep(span).await;
-                host.manner.set(before);
-            }
-        }
-    }
-}
