--- a/crates/alderstile-lab/src/check.rs
+++ b/crates/alderstile-lab/src/check.rs
@@ -1,7 +1,7 @@
 //! Checkers: from a history alone, whether the rules were kept. They share no code with what they check.
 //!
 //! Safety is strict: a second effect or answer is a breach whenever it comes. Where a time is checked, what the lab did to the
-//! parties is taken out ([`Disturbed`]) and the bound is wide, as the machine has other work.
+//! parties is taken out (`Disturbed`) and the bound is wide, as the machine has other work.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
--- /dev/null
+++ b/crates/alderstile-lab/src/schedule/parties.rs
@@ -0,0 +1,115 @@
+//! The parties of a run and the words that name them.
+
+use std::collections::BTreeSet;
+use std::fmt;
+
+use rand::seq::SliceRandom;
+use rand_pcg::Pcg64Mcg;
+use serde::{Deserialize, Serialize};
+
+use super::errors::PartyError;
+
+/// A party of a run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(into = "String", try_from = "String")]
+pub enum Actor {
+    /// A node, from 0.
+    Node(usize),
+    /// A host, from 0.
+    Host(usize),
+    /// The list's service.
+    Discovery,
+    /// All clients.
+    Clients,
+}
+
+impl fmt::Display for Actor {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Actor::Node(n) => write!(f, "n{n}"),
+            Actor::Host(h) => write!(f, "h{h}"),
+            Actor::Discovery => f.write_str("discovery"),
+            Actor::Clients => f.write_str("clients"),
+        }
+    }
+}
+
+impl From<Actor> for String {
+    fn from(actor: Actor) -> Self {
+        actor.to_string()
+    }
+}
+
+impl TryFrom<String> for Actor {
+    type Error = PartyError;
+    fn try_from(text: String) -> Result<Self, PartyError> {
+        let number = |rest: &str| rest.parse().ok();
+        let of = |text: &str| match text {
+            "discovery" => Some(Actor::Discovery),
+            "clients" => Some(Actor::Clients),
+            _ => {
+                let node = text.strip_prefix('n').and_then(number).map(Actor::Node);
+                node.or_else(|| text.strip_prefix('h').and_then(number).map(Actor::Host))
+            }
+        };
+        of(&text).ok_or(PartyError::Unknown(text))
+    }
+}
+
+/// Who there is.
+pub(super) struct Parties<'a> {
+    pub(super) nodes: usize,
+    pub(super) hosts: usize,
+    pub(super) zones: &'a [String],
+}
+
+impl Parties<'_> {
+    /// Those that a word names.
+    fn named(&self, word: &str, rng: &mut Pcg64Mcg) -> Result<Vec<Actor>, PartyError> {
+        let nodes = || (0..self.nodes).map(Actor::Node);
+        let hosts = || (0..self.hosts).map(Actor::Host);
+        match word.split_once(':') {
+            Some(("zone", zone)) => {
+                let zone = self.zones.iter().position(|name| name == zone);
+                let zone = zone.ok_or_else(|| PartyError::Zone(word.to_owned()))?;
+                let within = |n: usize| n % self.zones.len() == zone;
+                Ok(nodes()
+                    .chain(hosts())
+                    .filter(|actor| matches!(actor, Actor::Node(n) | Actor::Host(n) if within(*n)))
+                    .collect())
+            }
+            Some(("share", share)) => {
+                let share: Option<f64> = share.parse().ok().filter(|share| (0.0..=1.0).contains(share));
+                let share = share.ok_or_else(|| PartyError::Share(word.to_owned()))?;
+                let mut drawn: Vec<Actor> = nodes().collect();
+                drawn.shuffle(rng);
+                drawn.truncate((share * self.nodes as f64).round() as usize);
+                Ok(drawn)
+            }
+            Some(_) => Err(PartyError::Group(word.to_owned())),
+            None if word == "nodes" => Ok(nodes().collect()),
+            None if word == "hosts" => Ok(hosts().collect()),
+            None => match Actor::try_from(word.to_owned())? {
+                Actor::Node(n) if n >= self.nodes => Err(PartyError::Node { last: self.nodes - 1 }),
+                Actor::Host(h) if h >= self.hosts => Err(PartyError::Host { count: self.hosts }),
+                actor => Ok(vec![actor]),
+            },
+        }
+    }
+
+    pub(super) fn all_named(
+        &self,
+        words: &[String],
+        rng: &mut Pcg64Mcg,
+    ) -> Result<BTreeSet<Actor>, PartyError> {
+        words.iter().try_fold(BTreeSet::new(), |mut set, word| {
+            set.extend(self.named(word, rng)?);
+            Ok(set)
+        })
+    }
+
+    pub(super) fn everyone(&self) -> BTreeSet<Actor> {
+        let nodes = (0..self.nodes).map(Actor::Node);
+        nodes.chain((0..self.hosts).map(Actor::Host)).chain([Actor::Discovery, Actor::Clients]).collect()
+    }
+}
--- a/crates/alderstile-lab/src/tables.rs
+++ b/crates/alderstile-lab/src/tables.rs
@@ -81,7 +81,7 @@
     },
 }
 
-/// Reads a CSV file that [`write`] wrote.
+/// Reads a CSV file that [`write()`] wrote.
 ///
 /// # Errors
 ///
