--- a/crates/alderstile-lab/src/emulated/choosers.rs
+++ b/crates/alderstile-lab/src/emulated/choosers.rs
@@ -6,7 +6,10 @@
 use std::str::FromStr;
 
 use alderstile::policy::Policy;
-use alderstile::types::*;
+use alderstile::types::{
+    Action, BalancerSettings, ClassSettings, EndpointListKind, Event, Idempotency, Micros, Outcome,
+    RequestId, ServerId,
+};
 use clap::ValueEnum;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/fleet.rs
@@ -5,7 +5,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use alderstile::types::*;
+use alderstile::types::{
+    Action, BalancerSettings, ClassSettings, Endpoint, EndpointListKind, EndpointState, Event, Idempotency,
+    Micros, Outcome, Prices, RequestId, ServerId, TimerToken, WeightMeaning,
+};
 use alderstile_cluster::host_assignment::{
     HostAssignment, HostAssignmentConfig, TRAFFIC_METADATA_TAG, traffic_of_level,
 };
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -158,6 +158,10 @@
 }
 
 /// Plays a plan by one way of choosing; its history gets all that happened.
+///
+/// # Errors
+///
+/// When the plan has nothing to emulate, or a fault of something that is not emulated in it.
 pub fn run(plan: &Plan, choice: &Choice, history: &History) -> Result<Sums, EmulatedError> {
     let fleet = Fleet::new(plan, choice);
     if plan.members.is_none() && !fleet.on() {
--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -1,6 +1,6 @@
 //! Clients and their requests, from the front to a host and back.
 
-use alderstile::types::*;
+use alderstile::types::{RequestId, Event, Micros, Outcome, Request};
 use rand::RngExt;
 
 use super::fleet::{Fleet, Part, SERIAL_BITS, Stage, Step, of, request_id, server_id};
@@ -183,153 +183,219 @@
         }
     }
 
+    /// What happens to a client's request; ignored where that request is over.
     pub(super) fn of_request(&mut self, client: usize, serial: u32, what: Part) {
+        // Drawn whatever happens: the order of random draws is part of a run's history.
         let soon = self.soon();
         let who = &self.fleet.clients[client];
         if who.serial != serial || who.stage == Stage::Idle {
             return;
         }
-        let (id, node, stage, told) = (request_id(client, serial), who.node, who.stage, who.told);
-        let at_node = self.fleet.sides[node].clients.contains(&client);
-        let ended = |server: usize, outcome, closed| Event::Ended {
-            id,
-            server: server_id(server),
-            outcome,
-            closed,
-            report: Vec::new(),
-        };
+        let request = OpenRequest { client, serial, node: who.node, soon };
         match what {
-            Part::Asks => {
-                let side = &mut self.fleet.sides[node];
-                if side.life != who.life {
-                    // It went down in between; one that was told to stop still answers what knocks.
-                    if side.stopped {
-                        self.answered(client, "busy", None);
-                    } else {
-                        self.closed(client, "reset");
-                    }
-                    return self.over(client, serial, None, Some(soon));
-                }
-                side.clients.insert(client);
-                let kind = &self.plan.clients[who.class];
-                let request = Request {
-                    id,
-                    class: who.class as u16,
-                    group: None,
-                    expected_load: None,
-                    remaining: Micros(kind.wait_ms * 1_000),
-                    key: None,
-                    mid_flow: false,
-                };
-                self.decide(node, Event::Request(request));
-            }
-            Part::Deadline => {
-                if let Stage::Trying(host) = stage
-                    && at_node
-                {
-                    self.off_host(client, serial);
-                    self.fleet.clients[client].stage = Stage::Asking;
-                    self.decide(node, ended(host, Outcome::Timeout, false));
-                }
-            }
-            Part::GivesUp => {
-                if !told {
-                    self.write(Line::GaveUp { id: name(client, serial) });
-                    self.over(client, serial, Some(Event::ClientDisconnected(id)), Some(soon));
-                }
-            }
-            Part::Reaches { attempt, host } => {
-                if stage != Stage::Trying(host) || who.attempt != attempt {
-                    return;
-                }
-                let (load, it) = (who.load, &mut self.fleet.hosts[host]);
-                let (took, outcome) = match () {
-                    () if !it.up => (0, Outcome::ConnectFailed),
-                    () if it.silent => return,
-                    () => match it.takes(self.now, (client, serial), node, load) {
-                        Some(took) => (took, Outcome::Ok),
-                        None => (0, Outcome::Rejected),
-                    },
-                };
-                let receipt = (outcome == Outcome::Ok).then(|| {
-                    self.fleet.receipts += 1;
-                    format!("{host:02x}{:010x}", self.fleet.receipts)
-                });
-                if let Some(receipt) = receipt.clone() {
-                    self.write(Line::Ran { host, id: name(client, serial), receipt });
-                }
-                if let Some(way) = self.way(Actor::Host(host), Actor::Node(node)) {
-                    let part = Part::Result { attempt, outcome, receipt };
-                    self.step(self.now + took + way, of(client, serial, part));
-                }
-            }
+            Part::Asks => self.reaches_node(request),
+            Part::Deadline => self.deadline_passes(request),
+            Part::GivesUp => self.client_gives_up(request),
+            Part::Reaches { attempt, host } => self.attempt_reaches_host(request, attempt, host),
             Part::Result { attempt, outcome, receipt } => {
-                let Stage::Trying(host) = stage else { return };
-                if who.attempt != attempt || !at_node {
-                    return;
-                }
-                if outcome != Outcome::Ok {
-                    self.fleet.clients[client].stage = Stage::Asking;
-                    return self.decide(node, ended(host, outcome, false));
-                }
-                let (load, latency) = (who.load, Micros(self.now - who.opened));
-                self.fleet.clients[client].stage = Stage::Up(host);
-                self.decide(node, Event::Established { id, latency });
-                if load > 0.0 {
-                    self.decide(node, Event::LoadReported(id, load));
-                }
-                if let Some(way) = self.way(Actor::Node(node), Actor::Clients) {
-                    let part = Part::Final { up: receipt, word: "up", wait: 0 };
-                    self.step(self.now + way, of(client, serial, part));
-                }
-            }
-            Part::Final { up, word, wait } => {
-                self.answered(client, word, up.clone());
-                if up.is_none() {
-                    let after = wait.max(soon).min(LONGEST_REST);
-                    return self.over(client, serial, None, Some(after));
-                }
-                let who = &mut self.fleet.clients[client];
-                (who.told, who.served) = (true, self.now);
-                let (till, took) = (who.till.max(self.now + 1), (self.now - who.opened) as f32 / 1e6);
-                self.fleet.traffic.answers_s.push(took);
-                self.step(till, of(client, serial, Part::Leaves));
+                self.attempt_result(request, attempt, outcome, receipt);
             }
+            Part::Final { up, word, wait } => self.final_answer(request, up, word, wait),
             // On one way nothing overtakes the answer.
-            Part::Broke | Part::Moved if matches!(stage, Stage::Up(_)) && !told => {
+            Part::Broke | Part::Moved if self.answer_is_on_its_way(request) => {
                 self.step(self.now + AFTER_ANSWER, of(client, serial, what));
             }
-            Part::Broke => match stage {
-                Stage::Trying(host) if !told => {
-                    self.off_host(client, serial);
-                    self.fleet.clients[client].stage = Stage::Asking;
-                    self.decide(node, ended(host, Outcome::Reset, false));
-                }
-                Stage::Up(host) => {
-                    self.closed(client, "end");
-                    self.over(client, serial, Some(ended(host, Outcome::Reset, true)), Some(soon));
-                }
-                _ => {}
-            },
-            Part::Silent { by_client } => {
-                if let Stage::Up(host) = stage {
-                    self.closed(client, if by_client { "silent" } else { "move" });
-                    let left = Event::ClientDisconnected(id);
-                    let event = if by_client { left } else { ended(host, Outcome::Reset, true) };
-                    self.over(client, serial, Some(event), Some(soon));
-                }
-            }
-            Part::Moved => {
-                if let Stage::Up(host) = stage {
-                    self.closed(client, "move");
-                    self.over(client, serial, Some(ended(host, Outcome::Cancelled, true)), Some(soon));
-                }
-            }
+            Part::Broke => self.host_broke(request),
+            Part::Silent { by_client } => self.falls_silent(request, by_client),
+            Part::Moved => self.client_migrates(request),
             Part::Leaves => {
                 self.closed(client, "left");
-                self.over(client, serial, Some(Event::ClientDisconnected(id)), None);
+                self.over(client, serial, Some(Event::ClientDisconnected(request.id())), None);
+            }
+        }
+    }
+
+    fn answer_is_on_its_way(&self, request: OpenRequest) -> bool {
+        let who = &self.fleet.clients[request.client];
+        matches!(who.stage, Stage::Up(_)) && !who.told
+    }
+
+    fn reaches_node(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, node, soon } = request;
+        let who = &self.fleet.clients[client];
+        let side = &mut self.fleet.sides[node];
+        if side.life != who.life {
+            // It went down in between; one that was told to stop still answers what knocks.
+            if side.stopped {
+                self.answered(client, "busy", None);
+            } else {
+                self.closed(client, "reset");
             }
+            return self.over(client, serial, None, Some(soon));
         }
+        side.clients.insert(client);
+        let kind = &self.plan.clients[who.class];
+        let event = Event::Request(Request {
+            id: request.id(),
+            class: who.class as u16,
+            group: None,
+            expected_load: None,
+            remaining: Micros(kind.wait_ms * 1_000),
+            key: None,
+            mid_flow: false,
+        });
+        self.decide(node, event);
+    }
+
+    fn deadline_passes(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, node, .. } = request;
+        let at_node = self.fleet.sides[node].clients.contains(&client);
+        if let Stage::Trying(host) = self.fleet.clients[client].stage
+            && at_node
+        {
+            self.off_host(client, serial);
+            self.fleet.clients[client].stage = Stage::Asking;
+            self.decide(node, request.ended(host, Outcome::Timeout, false));
+        }
+    }
+
+    fn client_gives_up(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, soon, .. } = request;
+        if !self.fleet.clients[client].told {
+            self.write(Line::GaveUp { id: name(client, serial) });
+            self.over(client, serial, Some(Event::ClientDisconnected(request.id())), Some(soon));
+        }
+    }
+
+    fn attempt_reaches_host(&mut self, request: OpenRequest, attempt: u32, host: usize) {
+        let OpenRequest { client, serial, node, .. } = request;
+        let who = &self.fleet.clients[client];
+        if who.stage != Stage::Trying(host) || who.attempt != attempt {
+            return;
+        }
+        let (load, it) = (who.load, &mut self.fleet.hosts[host]);
+        if it.up && it.silent {
+            return;
+        }
+        let set_up = if it.up { it.takes(self.now, (client, serial), node, load) } else { None };
+        let outcome = match set_up {
+            Some(_) => Outcome::Ok,
+            None if it.up => Outcome::Rejected,
+            None => Outcome::ConnectFailed,
+        };
+        let receipt = set_up.map(|_| self.next_receipt(host));
+        if let Some(receipt) = receipt.clone() {
+            self.write(Line::Ran { host, id: name(client, serial), receipt });
+        }
+        if let Some(way) = self.way(Actor::Host(host), Actor::Node(node)) {
+            let part = Part::Result { attempt, outcome, receipt };
+            self.step(self.now + set_up.unwrap_or(0) + way, of(client, serial, part));
+        }
+    }
+
+    fn next_receipt(&mut self, host: usize) -> String {
+        self.fleet.receipts += 1;
+        format!("{host:02x}{:010x}", self.fleet.receipts)
+    }
+
+    fn attempt_result(
+        &mut self,
+        request: OpenRequest,
+        attempt: u32,
+        outcome: Outcome,
+        receipt: Option<String>,
+    ) {
+        let OpenRequest { client, serial, node, .. } = request;
+        let who = &self.fleet.clients[client];
+        let Stage::Trying(host) = who.stage else { return };
+        if who.attempt != attempt || !self.fleet.sides[node].clients.contains(&client) {
+            return;
+        }
+        if outcome != Outcome::Ok {
+            self.fleet.clients[client].stage = Stage::Asking;
+            return self.decide(node, request.ended(host, outcome, false));
+        }
+        let (load, latency) = (who.load, Micros(self.now - who.opened));
+        self.fleet.clients[client].stage = Stage::Up(host);
+        self.decide(node, Event::Established { id: request.id(), latency });
+        if load > 0.0 {
+            self.decide(node, Event::LoadReported(request.id(), load));
+        }
+        if let Some(way) = self.way(Actor::Node(node), Actor::Clients) {
+            let part = Part::Final { up: receipt, word: "up", wait: 0 };
+            self.step(self.now + way, of(client, serial, part));
+        }
+    }
+
+    fn final_answer(&mut self, request: OpenRequest, up: Option<String>, word: &'static str, wait: u64) {
+        let OpenRequest { client, serial, soon, .. } = request;
+        self.answered(client, word, up.clone());
+        if up.is_none() {
+            let after = wait.max(soon).min(LONGEST_REST);
+            return self.over(client, serial, None, Some(after));
+        }
+        let who = &mut self.fleet.clients[client];
+        (who.told, who.served) = (true, self.now);
+        let (till, took) = (who.till.max(self.now + 1), (self.now - who.opened) as f32 / 1e6);
+        self.fleet.traffic.answers_s.push(took);
+        self.step(till, of(client, serial, Part::Leaves));
+    }
+
+    fn host_broke(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, node, soon } = request;
+        let who = &self.fleet.clients[client];
+        match who.stage {
+            Stage::Trying(host) if !who.told => {
+                self.off_host(client, serial);
+                self.fleet.clients[client].stage = Stage::Asking;
+                self.decide(node, request.ended(host, Outcome::Reset, false));
+            }
+            Stage::Up(host) => {
+                self.closed(client, "end");
+                let event = request.ended(host, Outcome::Reset, true);
+                self.over(client, serial, Some(event), Some(soon));
+            }
+            _ => {}
+        }
+    }
+
+    fn falls_silent(&mut self, request: OpenRequest, by_client: bool) {
+        let OpenRequest { client, serial, soon, .. } = request;
+        if let Stage::Up(host) = self.fleet.clients[client].stage {
+            self.closed(client, if by_client { "silent" } else { "move" });
+            let left = Event::ClientDisconnected(request.id());
+            let event = if by_client { left } else { request.ended(host, Outcome::Reset, true) };
+            self.over(client, serial, Some(event), Some(soon));
+        }
+    }
+
+    fn client_migrates(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, soon, .. } = request;
+        if let Stage::Up(host) = self.fleet.clients[client].stage {
+            self.closed(client, "move");
+            let event = request.ended(host, Outcome::Cancelled, true);
+            self.over(client, serial, Some(event), Some(soon));
+        }
+    }
+}
+
+/// A request that is not over.
+#[derive(Clone, Copy)]
+struct OpenRequest {
+    client: usize,
+    serial: u32,
+    node: usize,
+    /// After how long its client would come again, microseconds.
+    soon: u64,
+}
+
+impl OpenRequest {
+    fn id(self) -> RequestId {
+        request_id(self.client, self.serial)
+    }
+
+    fn ended(self, host: usize, outcome: Outcome, closed: bool) -> Event {
+        Event::Ended { id: self.id(), server: server_id(host), outcome, closed, report: Vec::new() }
     }
 }
 
--- a/crates/alderstile-lab/src/emulated/supply.rs
+++ b/crates/alderstile-lab/src/emulated/supply.rs
@@ -2,13 +2,12 @@
 
 use std::collections::BTreeSet;
 
-use alderstile::types::*;
-
 use super::fleet::{Part, Step, of, server_id};
 use super::hosts::TICK;
 use super::{World, micros};
 use crate::history::{Event as Line, Life};
 use crate::schedule::{Actor, Kind};
+use alderstile::types::{Endpoint, EndpointListKind, EndpointState, Event};
 
 /// A call for the list that is not answered has failed after this, and one that would wait longer is turned away.
 const LIST_WAIT: u64 = 2_000_000;
