--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -1,6 +1,6 @@
 //! Clients and their requests, from the front to a host and back.
 
-use alderstile::types::{RequestId, Event, Micros, Outcome, Request};
+use alderstile::types::{Event, Micros, Outcome, Request, RequestId};
 use rand::RngExt;
 
 use super::fleet::{Fleet, Part, SERIAL_BITS, Stage, Step, of, request_id, server_id};
