--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -1,4 +1,4 @@
-//! The policy on this node's clock: asks and reports to it, keeps it up to date with discovery, and does what is due.
+//! The policy on this node's clock (a *server* of the policy is a *host* of the node's files, logs and admin interface): asks and reports to it, keeps it up to date with discovery, and does what is due.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -129,12 +129,12 @@
                 let entries = assignment.apply_list(kind, entries);
                 balancer.on_endpoint_list(now, kind, entries);
                 if assignment.has_no_ready_host() {
-                    let changed = assignment.refresh(now, &balancer.ejected_servers());
+                    let changed = assignment.refresh(now, &balancer.unreachable_servers());
                     balancer.on_endpoint_list(now, EndpointListKind::Delta, changed);
                 }
             }
         });
-        // A cached list may be old: a node serves by it only once it is known that discovery can't be had.
+        // Gates readiness, as a cached list may be old: true once a list or a failure was reported and an endpoint is known.
         self.can_serve.set(self.can_serve.get() || !self.endpoints.borrow().is_empty());
     }
 
@@ -177,7 +177,7 @@
         assignment.set_nodes(others);
         self.decide(|balancer, now| {
             update(assignment, now);
-            let changed = assignment.refresh(now, &balancer.ejected_servers());
+            let changed = assignment.refresh(now, &balancer.unreachable_servers());
             if !changed.is_empty() {
                 balancer.on_endpoint_list(now, EndpointListKind::Delta, changed);
             }
@@ -203,7 +203,8 @@
         }
     }
 
-    /// Shortens the lease on the endpoint list: the watch has ended, or a call has failed.
+    /// Adjusts the lease on the endpoint list after the watch ended or a call failed: extended where discovery was unreachable,
+    /// then shortened to the bound without a watch.
     pub fn on_watch_ended(&self, ended: WatchEnd) {
         let mut lease = self.lease.borrow_mut();
         if ended.discovery_unreachable {
@@ -271,7 +272,7 @@
     /// Continues after a successor that was handed the retry budget has ended. What it spent is not known, so no retries are
     /// made until the budget's span has passed.
     pub fn continue_without_successor(&self) {
-        self.decide(|balancer, now| balancer.import_retry_budget(now, None, Micros(0)));
+        self.decide(|balancer, now| balancer.take_over_retry_budget(now, None, Micros(0)));
     }
 
     /// What the shadow instance would have done differently so far; none without one.
--- a/crates/alderstile-node/src/discovery/lease.rs
+++ b/crates/alderstile-node/src/discovery/lease.rs
@@ -9,8 +9,8 @@
 
 use alderstile::types::{Micros, ServerId};
 
-/// How long after discovery had it, or a silent watch missed it, a change counts as notified. The grace at drains is added
-/// to this, and is the margin.
+/// How long this node may act on a list without proof that it is current: after this a change counts as notified. The grace
+/// at drains is allowed in addition, and kept as margin.
 const NOTIFICATION_BOUND: Micros = Micros::from_millis(6_000);
 /// The same for what discovery at a new address has, from the configuration that names the address.
 const NOTIFICATION_BOUND_AFTER_MOVE: Micros = Micros::from_millis(4_000);
--- a/crates/alderstile-node/src/discovery/watch.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -42,8 +42,8 @@
     Silent,
     #[error("no connection: {0}")]
     Unreachable(io::Error),
-    #[error("no socket: {0}")]
-    NoSocket(io::Error),
+    #[error("connect failed: {0}")]
+    ConnectFailed(io::Error),
     #[error("HTTP: {0}")]
     Http(#[from] hyper::Error),
     #[error("request: {0}")]
@@ -59,7 +59,7 @@
 }
 
 impl WatchError {
-    /// Whether it is the other side that is not there, or this side that has no socket to reach it by.
+    /// Tells an unreachable discovery, which extends the lease, from any other connect error, which does not.
     fn of_connect(error: io::Error) -> Self {
         use io::ErrorKind::{
             ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut,
@@ -68,7 +68,7 @@
             ConnectionRefused | ConnectionReset | HostUnreachable | NetworkUnreachable | TimedOut => {
                 WatchError::Unreachable(error)
             }
-            _ => WatchError::NoSocket(error),
+            _ => WatchError::ConnectFailed(error),
         }
     }
 }
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -88,7 +88,7 @@
     info!("shutdown complete");
 }
 
-/// Makes the last call in its time, unless what is returned is dropped before.
+/// Starts the task that makes the last call at its time; dropping the result cancels it.
 fn spawn_last_call(node: &Node, schedule: Schedule) -> JoinSet<()> {
     let process = node.process.clone();
     let mut task = JoinSet::new();
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -119,7 +119,7 @@
         Ok(stream) => stream,
         Err(error) => {
             if error.kind() != io::ErrorKind::NotFound {
-                info!(path = %path.display(), %error, "no process serves");
+                info!(path = %path.display(), %error, "upgrade socket can't be connected to, starting alone");
             }
             return Ok(None);
         }
@@ -154,7 +154,7 @@
     let node = node.clone();
     async move {
         exchange_messages(&node, &channel, stream, messages).await;
-        info!("predecessor ended");
+        info!("channel to predecessor closed");
         node.process.predecessor_ended.notify_one();
     }
 }
@@ -164,7 +164,7 @@
     let config = node.config();
     let Some(dir) = &config.state_dir else { return };
     let path = socket_path(dir, &config.name);
-    // The socket's process has ended: this one was its successor, or found none to join.
+    // Removes the path even if a process that could not be joined still listens there: successors join this one.
     if let Err(error) = std::fs::remove_file(&path)
         && error.kind() != io::ErrorKind::NotFound
     {
@@ -225,11 +225,11 @@
     }
     exchange_messages(node, &channel, stream, messages).await;
     node.decisions.continue_without_successor();
-    info!("successor ended, this process continues to serve");
+    info!("channel to successor closed, this process continues to serve");
     Ok(())
 }
 
-/// Exchanges messages with the other process until the stream ends, which means that the process has.
+/// Exchanges messages with the other process until the stream ends or fails; that process is then taken to have ended.
 async fn exchange_messages(
     node: &Node,
     channel: &UpgradeChannel,
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -77,7 +77,7 @@
     /// The state that the successor needs. The retry budget is the successor's from here on: two processes of one node have
     /// one budget.
     pub fn hand_over_state(&self, version: u32) -> UpgradeState {
-        let budget = self.decisions.decide(|balancer, now| balancer.export_retry_budget(now));
+        let budget = self.decisions.decide(|balancer, now| balancer.hand_over_retry_budget(now));
         let config = self.config();
         UpgradeState {
             version,
@@ -106,7 +106,7 @@
         let budget = state.retry_budget.clone();
         let budget = budget.map(|buckets| buckets.into_iter().map(RetryBudgetBucket::from).collect());
         let max_delay = micros(MESSAGE_TIMEOUT);
-        self.decisions.decide(|balancer, now| balancer.import_retry_budget(now, budget, max_delay));
+        self.decisions.decide(|balancer, now| balancer.take_over_retry_budget(now, budget, max_delay));
         for id in &state.request_ids {
             self.clients.remember_id(id.as_bytes());
         }
--- a/crates/alderstile-node/src/proxy/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -152,7 +152,7 @@
             }
         }
     }
-    warn!("listener closed with clients queued: no descriptors were left for them");
+    warn!("listener closed before its queue was empty, time for it is over");
 }
 
 fn accept_queued(
--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -137,9 +137,9 @@
         });
     }
 
-    /// Exports the retry budget's window for the process that takes over, with ages in place of times; none where it is
-    /// not known. This process retries no more from now on: two processes of one node share one budget.
-    pub fn export_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
+    /// Stops this process's retries where a budget is stated, and returns the budget's window for the process that takes
+    /// over, with ages in place of times; none where it is not known. Two processes of one node share one budget.
+    pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let buckets = self.policy.hand_over_retry_budget(now);
         let aged = |bucket: RetryBudgetBucket| RetryBudgetBucket {
             first_event: now - bucket.first_event,
@@ -149,9 +149,9 @@
         buckets.map(|buckets| buckets.into_iter().map(aged).collect())
     }
 
-    /// Imports the retry budget's window of the process before, whose ages were taken at most `transfer_time` ago.
+    /// Takes over the retry budget's window of the process before, whose ages were taken at most `transfer_time` ago.
     /// Without one, nothing is retried until a whole window has passed.
-    pub fn import_retry_budget(
+    pub fn take_over_retry_budget(
         &mut self,
         now: Micros,
         exported: Option<Vec<RetryBudgetBucket>>,
@@ -282,14 +282,14 @@
         &self.maintenance
     }
 
-    /// How many listed servers receive nothing new now: draining, in maintenance, in backoff or late.
+    /// How many listed servers are avoided now: draining, in maintenance, late or ejected.
     pub fn unavailable_servers(&self, now: Micros) -> usize {
         self.policy.avoided_server_count(now)
     }
 
-    /// Servers that this node has ejected until a set-up succeeds: they could not be reached, had no capacity or dropped
-    /// all their connections.
-    pub fn ejected_servers(&self) -> BTreeSet<ServerId> {
+    /// Servers that this node could not reach, that rejected work or that dropped all connections, until a set-up
+    /// succeeds.
+    pub fn unreachable_servers(&self) -> BTreeSet<ServerId> {
         self.policy.unreachable_servers()
     }
 
--- a/src/policy/log_limit.rs
+++ b/src/policy/log_limit.rs
@@ -19,7 +19,8 @@
 }
 
 impl Policy {
-    /// Logs a line about a server, or about none, while the period's bound allows it.
+    /// Logs a line about a server, or about none. Lines beyond the period's bound are dropped without a
+    /// trace.
     pub(super) fn log(&mut self, server: Option<ServerId>, line: String, actions: &mut Vec<Action>) {
         if self.log_limit.lines_left > 0 {
             self.log_limit.lines_left -= 1;
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: a server that fails is ejected for a time that doubles with each failure.
+//! Outlier detection: a server that fails is ejected for a time that doubles with each further ejection.
+//! Failures while ejected do not lengthen it.
 //!
 //! A server that fails fast, or drops what it takes, keeps a low load and would draw all new work. An ejected
 //! server comes after all others; one that could not be reached is barred until its ejection is over.
@@ -13,7 +14,7 @@
 
 /// The first ejection; it doubles with each further failure.
 const BASE_EJECTION: Micros = Micros::from_millis(1_000);
-/// The ejection doubles so many times at most.
+/// How often the ejection doubles at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 /// Failures are forgotten when a server has been back for this long without one.
 const FAILURES_FORGOTTEN_AFTER: Micros = Micros::from_millis(8_000);
@@ -21,7 +22,7 @@
 const JITTER: f64 = 0.5;
 /// Nodes that take turns in trying a server that is down, at most: with more it would wait for long.
 const MAX_RETURN_TURNS: f64 = 16.0;
-/// So many failures that were not forgotten are logged.
+/// A line is logged at this many failures that were not forgotten.
 const LOGGED_FAILURES: u32 = 3;
 
 /// What outlier detection holds of one server.
@@ -30,7 +31,8 @@
     /// Failures that led to an ejection and are not forgotten.
     failures: u32,
     pub(super) ejected_until: Micros,
-    /// It could not be reached or had no capacity, until a set-up succeeds.
+    /// It refused a connection, rejected work or dropped all of this node's connections, until a set-up
+    /// succeeds.
     pub(super) unreachable: bool,
     /// It took no connection while this node had none there, until a set-up succeeds: it is tried by one
     /// attempt at a time.
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    /// What was counted, for the process that takes this one's place; none where it is not known. This
-    /// process makes no retries from now on.
+    /// Stops this process's retries where a budget is stated, and returns what was counted for the process
+    /// that takes its place; none where it is not known. Retry tokens are not handed over.
     pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let window = self.settings.retry_budget.map_or(Micros(0), |budget| budget.window);
         let usage = &mut self.retry_usage.window;
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -8,7 +8,7 @@
 use super::server::ServerIndex;
 
 impl Policy {
-    /// How many listed servers draw nothing new now: they drain, are ejected or are late.
+    /// How many listed servers are avoided now: they drain, are late or are ejected (chosen last, or barred).
     pub fn avoided_server_count(&self, now: Micros) -> usize {
         (0..self.servers.len()).filter(|&index| self.is_avoided(now, index)).count()
     }
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -257,8 +257,8 @@
     let (mut before, mut after) = (start(), start());
     assert!(again(&mut before, now), "one of two");
     now = now + ms(4_000);
-    let told = before.export_retry_budget(now);
-    after.import_retry_budget(now, told, ms(500));
+    let told = before.hand_over_retry_budget(now);
+    after.take_over_retry_budget(now, told, ms(500));
     assert!(!again(&mut before, now), "from here on it is the other's");
     assert!(again(&mut after, now), "the second of two");
     assert!(!again(&mut after, now), "an upgrade doesn't double it");
@@ -266,11 +266,11 @@
     assert!(again(&mut after, now), "the first one's attempt is out of the span");
     assert!(!again(&mut after, now));
     // The one that was to take over has ended, and what it spent is not known; nor what an older version did.
-    before.import_retry_budget(now, None, ms(0));
+    before.take_over_retry_budget(now, None, ms(0));
     let mut third = start();
-    third.import_retry_budget(now, None, ms(500));
+    third.take_over_retry_budget(now, None, ms(500));
     assert!(!again(&mut before, now) && !again(&mut third, now));
-    let told = third.export_retry_budget(now);
+    let told = third.hand_over_retry_budget(now);
     assert_eq!(told, None, "what is not known is not told");
     now = now + ms(10_100);
     assert!(again(&mut before, now));
