--- a/crates/alderstile-cluster/src/authentication.rs
+++ b/crates/alderstile-cluster/src/authentication.rs
@@ -23,16 +23,16 @@
 
 /// Why an [`Authenticator`] can't be made.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-pub enum KeyError {
+pub enum AuthenticatorError {
     /// The cluster's name is empty or too long.
     #[error("a cluster name of 1 to {MAX_CLUSTER_NAME_BYTES} bytes is wanted")]
-    ClusterName,
+    ClusterNameLength,
     /// There is no key.
     #[error("at least one key is wanted")]
-    NoKey,
+    NoKeys,
     /// A key is too short.
     #[error("keys of at least {MIN_KEY_BYTES} bytes are wanted")]
-    ShortKey,
+    KeyTooShort,
 }
 
 /// Why a datagram is rejected.
@@ -65,17 +65,22 @@
     ///
     /// # Errors
     /// The name or a key is out of bounds, or there is no key.
-    pub fn new(magic: [u8; 2], format: u8, cluster: &str, keys: &[Vec<u8>]) -> Result<Self, KeyError> {
-        let length = u8::try_from(cluster.len()).map_err(|_| KeyError::ClusterName)?;
+    pub fn new(
+        magic: [u8; 2],
+        format: u8,
+        cluster: &str,
+        keys: &[Vec<u8>],
+    ) -> Result<Self, AuthenticatorError> {
+        let length = u8::try_from(cluster.len()).map_err(|_| AuthenticatorError::ClusterNameLength)?;
         if length == 0 || cluster.len() > MAX_CLUSTER_NAME_BYTES {
-            return Err(KeyError::ClusterName);
+            return Err(AuthenticatorError::ClusterNameLength);
         }
         if keys.is_empty() {
-            return Err(KeyError::NoKey);
+            return Err(AuthenticatorError::NoKeys);
         }
         let signer = |key: &Vec<u8>| match Hmac::new_from_slice(key) {
             Ok(signer) if key.len() >= MIN_KEY_BYTES => Ok(signer),
-            _ => Err(KeyError::ShortKey),
+            _ => Err(AuthenticatorError::KeyTooShort),
         };
         let keys = keys.iter().map(signer).collect::<Result<_, _>>()?;
         let prefix = [&magic[..], &[format, length], cluster.as_bytes()].concat();
--- a/crates/alderstile-cluster/src/host_assignment/mod.rs
+++ b/crates/alderstile-cluster/src/host_assignment/mod.rs
@@ -14,7 +14,7 @@
 mod traffic_level;
 
 use traffic_level::ReportedLevel;
-pub use traffic_level::{TRAFFIC_METADATA_TAG, traffic_level, traffic_of_level};
+pub use traffic_level::{TRAFFIC_METADATA_TAG, traffic_from_metadata, traffic_level};
 
 /// How hosts are assigned.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -100,7 +100,7 @@
             return None;
         }
         let report = [self.reported_level.update(now, connections)?];
-        self.node.traffic = traffic_of_level(Some(&report));
+        self.node.traffic = traffic_from_metadata(Some(&report));
         self.is_outdated = true;
         Some(report)
     }
--- a/crates/alderstile-cluster/src/host_assignment/traffic_level.rs
+++ b/crates/alderstile-cluster/src/host_assignment/traffic_level.rs
@@ -17,7 +17,7 @@
 }
 
 /// The traffic that a member's metadata states, in connections; 0 where it states none that can be read.
-pub fn traffic_of_level(metadata: Option<&[u8]>) -> f64 {
+pub fn traffic_from_metadata(metadata: Option<&[u8]>) -> f64 {
     match metadata {
         Some(&[level]) => (f64::from(level) / STEPS_PER_DOUBLING).exp2(),
         _ => 0.0,
--- a/crates/alderstile-cluster/src/membership/codec/mod.rs
+++ b/crates/alderstile-cluster/src/membership/codec/mod.rs
@@ -20,7 +20,7 @@
 use winnow::Parser;
 
 use super::datagram::{Datagram, DatagramHeader, MemberUpdate, Message};
-use crate::authentication::{Authenticator, DecodeError, KeyError, MAC_BYTES, MAX_DATAGRAM_BYTES};
+use crate::authentication::{Authenticator, AuthenticatorError, DecodeError, MAC_BYTES, MAX_DATAGRAM_BYTES};
 
 pub(super) use encode::page_entry_bytes;
 
@@ -40,7 +40,7 @@
     ///
     /// # Errors
     /// The name or a key is out of bounds, or there is no key.
-    pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Result<Self, KeyError> {
+    pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Result<Self, AuthenticatorError> {
         Authenticator::new(MAGIC, FORMAT, cluster, keys).map(DatagramCodec)
     }
 
--- a/crates/alderstile-cluster/src/replicated_config/wire.rs
+++ b/crates/alderstile-cluster/src/replicated_config/wire.rs
@@ -7,7 +7,7 @@
 
 use super::codec::{decode_message, encode_message};
 use super::message::Message;
-use crate::authentication::{Authenticator, DecodeError, KeyError};
+use crate::authentication::{Authenticator, AuthenticatorError, DecodeError};
 
 const MAGIC: [u8; 2] = *b"AC";
 /// The format that this program writes, and the only one that it reads.
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// The name or a key is out of bounds, or there is no key.
-    pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Result<Self, KeyError> {
+    pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Result<Self, AuthenticatorError> {
         Authenticator::new(MAGIC, FORMAT, cluster, keys).map(DatagramCodec)
     }
 
--- a/crates/alderstile-cluster/tests/membership_datagrams.rs
+++ b/crates/alderstile-cluster/tests/membership_datagrams.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use alderstile::types::Micros;
-use alderstile_cluster::authentication::{KeyError, MAX_DATAGRAM_BYTES, MIN_KEY_BYTES};
+use alderstile_cluster::authentication::{AuthenticatorError, MAX_DATAGRAM_BYTES, MIN_KEY_BYTES};
 use alderstile_cluster::membership::{
     DatagramCodec, DatagramHeader, InstanceId, MemberRecord, MemberState, MemberUpdate, Membership,
     MembershipConfig, MembershipEffect, Message,
@@ -85,9 +85,9 @@
         assert!(members.iter().all(|m| m.counters().unauthenticated == 0 && m.counters().accepted > 3));
     }
     let error = |cluster, keys: &[Vec<u8>]| DatagramCodec::new(cluster, keys).err();
-    assert_eq!(error("test", &[vec![1; MIN_KEY_BYTES - 1]]), Some(KeyError::ShortKey));
-    assert_eq!(error("test", &[]), Some(KeyError::NoKey));
-    assert_eq!(error("", &[KEY.to_vec()]), Some(KeyError::ClusterName));
+    assert_eq!(error("test", &[vec![1; MIN_KEY_BYTES - 1]]), Some(AuthenticatorError::KeyTooShort));
+    assert_eq!(error("test", &[]), Some(AuthenticatorError::NoKeys));
+    assert_eq!(error("", &[KEY.to_vec()]), Some(AuthenticatorError::ClusterNameLength));
 }
 
 #[test]
--- a/crates/alderstile-cluster/tests/replicated_config.rs
+++ b/crates/alderstile-cluster/tests/replicated_config.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 mod support;
-use support::simulated_cluster::{SimulatedCluster, text};
+use support::simulated_cluster::{SimulatedCluster, document_of_size};
 
 #[test]
 fn a_committed_version_becomes_active_everywhere_after_the_delay_and_not_before() {
@@ -14,11 +14,11 @@
     cluster.run(6.0);
     assert!(cluster.leader().is_some());
     assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| {
-        core.lease_state(cluster.local(n)) == LeaseState::Valid
+        core.lease_state(cluster.local_time(n)) == LeaseState::Valid
             && (core.active_version(), core.active_document()) == (0, &[][..])
     })));
     let began = cluster.now;
-    cluster.propose(11, 5, 0, &text(1, 2_000));
+    cluster.propose(11, 5, 0, &document_of_size(1, 2_000));
     cluster.run(1.0);
     assert_eq!(cluster.outcomes.get(&5), Some(&ProposalOutcome::Committed(1)));
     assert!(
@@ -30,9 +30,9 @@
         let took = (cluster.activated_at_us[n][&1] - began) as f64 / 1e6;
         assert!((2.5..4.0).contains(&took), "{n}: {took}");
         let core = cluster.core(n).expect("up");
-        assert_eq!((core.active_version(), core.active_document()), (1, &text(1, 2_000)[..]));
+        assert_eq!((core.active_version(), core.active_document()), (1, &document_of_size(1, 2_000)[..]));
     }
-    assert_eq!(cluster.overlap_seconds(), 0.0);
+    assert_eq!(cluster.max_version_overlap_seconds(), 0.0);
 }
 
 #[test]
@@ -92,7 +92,11 @@
     for n in 0..40 {
         let core = cluster.core(n).expect("up");
         let (version, standing) = if n % 2 == 0 { (2, LeaseState::Valid) } else { (1, LeaseState::Expired) };
-        assert_eq!((core.active_version(), core.lease_state(cluster.local(n))), (version, standing), "{n}");
+        assert_eq!(
+            (core.active_version(), core.lease_state(cluster.local_time(n))),
+            (version, standing),
+            "{n}"
+        );
     }
     cluster.partitioned = false;
     let healed = cluster.now;
@@ -100,14 +104,14 @@
     for n in 0..40 {
         let core = cluster.core(n).expect("up");
         assert_eq!(
-            (core.active_version(), core.lease_state(cluster.local(n))),
+            (core.active_version(), core.lease_state(cluster.local_time(n))),
             (2, LeaseState::Valid),
             "{n}"
         );
     }
     let last = (1..40).step_by(2).map(|n| cluster.activated_at_us[n][&2]).max().expect("some");
     assert!(last - healed < 6_000_000, "{} us", last - healed);
-    assert_eq!(cluster.overlap_seconds(), 0.0);
+    assert_eq!(cluster.max_version_overlap_seconds(), 0.0);
 }
 
 #[test]
@@ -135,7 +139,7 @@
     let mut cluster = SimulatedCluster::new(5, 30, 3, true);
     cluster.run(6.0);
     cluster.kill(29);
-    cluster.propose(5, 1, 0, &text(9, 6_000));
+    cluster.propose(5, 1, 0, &document_of_size(9, 6_000));
     cluster.run(10.0);
     cluster.start(29);
     let began = cluster.now;
@@ -157,7 +161,7 @@
     cluster.resume(leader);
     cluster.run(4.0);
     assert!((0..12).all(|n| cluster.core(n).is_some_and(|core| core.active_version() == 1)));
-    assert_eq!(cluster.overlap_seconds(), 0.0);
+    assert_eq!(cluster.max_version_overlap_seconds(), 0.0);
 }
 
 #[test]
@@ -186,5 +190,5 @@
     cluster.propose(5, 3, 1, b"two");
     cluster.run(8.0);
     assert_eq!(cluster.outcomes.get(&3), Some(&ProposalOutcome::Committed(2)), "two of three go on");
-    assert_eq!(cluster.overlap_seconds(), 0.0);
+    assert_eq!(cluster.max_version_overlap_seconds(), 0.0);
 }
--- a/crates/alderstile-cluster/tests/replicated_config_cost.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_cost.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 
 mod support;
-use support::simulated_cluster::{SimulatedCluster, text};
+use support::simulated_cluster::{SimulatedCluster, document_of_size};
 
 /// What a fleet took and cost; bytes are those sent, without the headers of UDP and IP.
 #[derive(Debug, Default)]
@@ -27,25 +27,30 @@
     cluster.loss = loss;
     cluster.run(10.0);
     // The first version goes out whole, later ones as differences.
-    cluster.propose(count - 1, 1, 0, &text(0, size));
+    cluster.propose(count - 1, 1, 0, &document_of_size(0, size));
     cluster.run(pause);
     let begin = (cluster.now / 1_000_000) as usize;
     let mut cost = Cost::default();
     for version in 2..2 + changes {
         let (began, by) = (cluster.now, cluster.rng.random_range(0..count));
-        cluster.propose(by, version, version - 1, &text(version, size));
+        cluster.propose(by, version, version - 1, &document_of_size(version, size));
         cluster.run(pause);
         assert_eq!(cluster.outcomes.get(&version), Some(&ProposalOutcome::Committed(version)), "seed {seed}");
         let last =
             (0..count).map(|n| cluster.activated_at_us[n].get(&version).copied().unwrap_or(u64::MAX)).max();
         cost.took.push((last.expect("some") - began) as f64 / 1e6);
     }
-    assert_eq!(cluster.overlap_seconds(), 0.0);
+    assert_eq!(cluster.max_version_overlap_seconds(), 0.0);
     let end = (cluster.now / 1_000_000) as usize;
-    cluster.processes.iter_mut().for_each(|process| process.bytes.resize(end + 1, 0));
-    cost.whole =
-        cluster.processes.iter().map(|process| process.bytes[10..begin].iter().sum()).max().unwrap_or(0);
-    let sent: Vec<&[u32]> = cluster.processes.iter().map(|process| &process.bytes[begin..end]).collect();
+    cluster.processes.iter_mut().for_each(|process| process.sent_bytes_per_second.resize(end + 1, 0));
+    cost.whole = cluster
+        .processes
+        .iter()
+        .map(|process| process.sent_bytes_per_second[10..begin].iter().sum())
+        .max()
+        .unwrap_or(0);
+    let sent: Vec<&[u32]> =
+        cluster.processes.iter().map(|process| &process.sent_bytes_per_second[begin..end]).collect();
     let mean = |bytes: &[u32]| bytes.iter().map(|bytes| f64::from(*bytes)).sum::<f64>() / bytes.len() as f64;
     let busiest = |nodes: &[&[u32]]| {
         let four = nodes.iter().flat_map(|bytes| bytes.windows(4)).map(mean).fold(0.0, f64::max);
--- a/crates/alderstile-cluster/tests/replicated_config_faults.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_faults.rs
@@ -16,7 +16,7 @@
         ReplicationSettings { drift, ..ReplicationSettings::new((0..voters).map(address).collect(), None) };
     let mut cluster = SimulatedCluster::with(seed, count, true, settings);
     (cluster.loss, cluster.duplication) = (chance.random_range(0.0..0.25), chance.random_range(0.0..0.2));
-    cluster.crash_in_batch = chance.random_range(0..2) == 0;
+    cluster.crash_between_effects = chance.random_range(0..2) == 0;
     cluster.run(chance.random_range(0.0..6.0));
     let mut lost_disk = false;
     for step in 0..40 {
@@ -50,7 +50,7 @@
         }
         cluster.run(chance.random_range(0.0..4.0));
     }
-    (cluster.loss, cluster.duplication, cluster.partitioned, cluster.crash_in_batch) =
+    (cluster.loss, cluster.duplication, cluster.partitioned, cluster.crash_between_effects) =
         (0.0, 0.0, false, false);
     cluster.isolated.fill(false);
     for n in 0..count {
@@ -67,7 +67,7 @@
         let core = cluster.core(n).expect("up");
         assert_eq!(core.traffic().conflicting, 0, "seed {seed}");
         assert_eq!(
-            (core.active_version(), core.lease_state(cluster.local(n))),
+            (core.active_version(), core.lease_state(cluster.local_time(n))),
             (latest, LeaseState::Valid),
             "seed {seed}: {n}"
         );
@@ -83,7 +83,7 @@
             }
         }
     }
-    cluster.overlap_seconds()
+    cluster.max_version_overlap_seconds()
 }
 
 #[test]
--- a/crates/alderstile-cluster/tests/replicated_config_messages.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_messages.rs
@@ -10,7 +10,7 @@
 use proptest::test_runner::RngSeed;
 
 mod support;
-use support::simulated_cluster::{KEY, address, check, codec};
+use support::simulated_cluster::{KEY, address, codec, validate_document};
 
 /// Any message.
 fn message() -> impl Strategy<Value = Message> {
@@ -102,7 +102,7 @@
         for me in [None, Some(1)] {
             let set = ReplicationSettings::new((0..3).map(address).collect(), me);
             let stored = me.map(|_| PersistedState::genesis());
-            let mut core = ReplicatedConfig::new(set.clone(), codec(), stored, Box::new(check), 5, Micros(0));
+            let mut core = ReplicatedConfig::new(set.clone(), codec(), stored, Box::new(validate_document), 5, Micros(0));
             let mut now = Micros(0);
             let mut give = |bytes: &[u8]| {
                 now = now + Micros(40_000);
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -7,7 +7,7 @@
 
 use alderstile::types::{Endpoint, EndpointListKind, EndpointState, Micros, ServerId};
 use alderstile_cluster::host_assignment::{
-    HostAssignment, HostAssignmentConfig, traffic_level, traffic_of_level,
+    HostAssignment, HostAssignmentConfig, traffic_from_metadata, traffic_level,
 };
 use alderstile_cluster::subsetting::{
     HostUse, NodeSubset, SubsetCounts, SubsetHost, SubsetNode, SubsettingParams, preference_order,
@@ -156,8 +156,10 @@
 fn traffic_levels_are_those_of_the_version_before() {
     let counts = [0, 1, 2, 3, 10, 99, 1_000, 65_535, 1_999_999];
     let levels: Vec<u8> = counts.map(traffic_level).to_vec();
-    let lines: String =
-        levels.iter().map(|&level| format!("{level} {:.9}\n", traffic_of_level(Some(&[level])))).collect();
+    let lines: String = levels
+        .iter()
+        .map(|&level| format!("{level} {:.9}\n", traffic_from_metadata(Some(&[level]))))
+        .collect();
     assert_eq!(lines, fixture("levels.txt"));
-    assert!(traffic_of_level(None) == 0.0 && traffic_of_level(Some(&[1, 2])) == 0.0);
+    assert!(traffic_from_metadata(None) == 0.0 && traffic_from_metadata(Some(&[1, 2])) == 0.0);
 }
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -23,7 +23,7 @@
 }
 
 /// Anything but what begins with a `!` is fine.
-pub fn check(document: &[u8]) -> Result<(), InvalidDocument> {
+pub fn validate_document(document: &[u8]) -> Result<(), InvalidDocument> {
     if document.first() == Some(&b'!') {
         Err(InvalidDocument("the key !: none of ours".to_owned()))
     } else {
@@ -48,7 +48,7 @@
     /// What it acted on, and when.
     pub acted: Vec<Acted>,
     /// Bytes sent in each second.
-    pub bytes: Vec<u32>,
+    pub sent_bytes_per_second: Vec<u32>,
 }
 
 /// A span in which a process acted on a version, true time, microseconds.
@@ -84,7 +84,7 @@
     pub outcomes: BTreeMap<u64, ProposalOutcome>,
     pub activated_at_us: Vec<BTreeMap<u64, u64>>,
     pub documents: BTreeMap<u64, Vec<u8>>,
-    pub crash_in_batch: bool,
+    pub crash_between_effects: bool,
 }
 
 impl SimulatedCluster {
@@ -110,7 +110,7 @@
             backlog: Vec::new(),
             region: n % 2,
             acted: Vec::new(),
-            bytes: Vec::new(),
+            sent_bytes_per_second: Vec::new(),
         };
         let processes = (0..count).map(|n| process(n, &mut rng)).collect();
         let mut cluster = SimulatedCluster {
@@ -132,13 +132,13 @@
             outcomes: BTreeMap::new(),
             activated_at_us: vec![BTreeMap::new(); count],
             documents: BTreeMap::new(),
-            crash_in_batch: false,
+            crash_between_effects: false,
         };
         (0..count).for_each(|n| cluster.start(n));
         cluster
     }
 
-    pub fn local(&self, n: usize) -> Micros {
+    pub fn local_time(&self, n: usize) -> Micros {
         let process = &self.processes[n];
         Micros(((self.now - process.started_at_us) as f64 * process.rate) as u64)
     }
@@ -153,7 +153,8 @@
         let settings = ReplicationSettings { me, ..self.settings.clone() };
         let seed = self.rng.random();
         let disk = self.processes[n].disk.clone();
-        let mut core = ReplicatedConfig::new(settings, codec(), disk, Box::new(check), seed, Micros(0));
+        let mut core =
+            ReplicatedConfig::new(settings, codec(), disk, Box::new(validate_document), seed, Micros(0));
         let others = (self.voters..self.processes.len()).map(address).collect();
         core.set_members(others, n.checked_sub(self.voters));
         let process = &mut self.processes[n];
@@ -201,7 +202,7 @@
     }
 
     pub fn tick(&mut self, n: usize) {
-        let now = self.local(n);
+        let now = self.local_time(n);
         if let Some(core) = &mut self.processes[n].core {
             let out = core.tick(now);
             self.carry_out(n, out);
@@ -209,7 +210,7 @@
     }
 
     pub fn deliver(&mut self, n: usize, from: SocketAddr, bytes: &[u8]) {
-        let now = self.local(n);
+        let now = self.local_time(n);
         if let Some(core) = &mut self.processes[n].core {
             let before = core.next_timeout();
             let out = core.handle_datagram(now, from, bytes);
@@ -222,7 +223,7 @@
     }
 
     pub fn propose(&mut self, n: usize, nonce: u64, expect: u64, document: &[u8]) {
-        let now = self.local(n);
+        let now = self.local_time(n);
         if self.processes[n].paused {
             return;
         }
@@ -234,7 +235,7 @@
     }
 
     pub fn carry_out(&mut self, n: usize, out: Vec<Effect>) {
-        let crash = (self.crash_in_batch && self.rng.random_range(0..2_000) == 0)
+        let crash = (self.crash_between_effects && self.rng.random_range(0..2_000) == 0)
             .then(|| self.rng.random_range(0..=out.len()));
         for (i, out) in out.into_iter().enumerate() {
             if crash == Some(i) {
@@ -243,7 +244,7 @@
             match out {
                 Effect::Persist(state) => {
                     if self.processes[n].disk_fails {
-                        let now = self.local(n);
+                        let now = self.local_time(n);
                         if let Some(core) = &mut self.processes[n].core {
                             core.handle_persist_failure(now);
                         }
@@ -300,7 +301,7 @@
 
     pub fn send(&mut self, n: usize, to: SocketAddr, bytes: Vec<u8>) {
         let second = (self.now / 1_000_000) as usize;
-        let sent = &mut self.processes[n].bytes;
+        let sent = &mut self.processes[n].sent_bytes_per_second;
         sent.resize(sent.len().max(second + 1), 0);
         sent[second] += bytes.len() as u32;
         let std::net::IpAddr::V4(ip) = to.ip() else { return };
@@ -331,7 +332,10 @@
                     let process = &self.processes[n];
                     if process.core.is_some() && process.incarnation == incarnation {
                         if !process.paused
-                            && process.core.as_ref().is_some_and(|core| core.next_timeout() <= self.local(n))
+                            && process
+                                .core
+                                .as_ref()
+                                .is_some_and(|core| core.next_timeout() <= self.local_time(n))
                         {
                             self.tick(n);
                         }
@@ -368,7 +372,7 @@
     }
 
     /// How long a version was acted on after a later one had begun to be, at most, in seconds: none below 0.
-    pub fn overlap_seconds(&self) -> f64 {
+    pub fn max_version_overlap_seconds(&self) -> f64 {
         let acted = || self.processes.iter().flat_map(|process| &process.acted);
         let mut begins: BTreeMap<u64, f64> = BTreeMap::new();
         for Acted { version, from_us, .. } in acted() {
@@ -384,7 +388,7 @@
 }
 
 /// A document of about this size, of which few bytes differ between two numbers.
-pub fn text(n: u64, size: usize) -> Vec<u8> {
+pub fn document_of_size(n: u64, size: usize) -> Vec<u8> {
     let mut text = "settings of a fleet, many keys that stay as they are; ".repeat(size / 54).into_bytes();
     let at = text.len() / 2;
     text.splice(at..at, format!("\"max_attempts\": {n}").into_bytes());
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/fleet.rs
@@ -10,7 +10,7 @@
     Micros, Outcome, Prices, RequestId, ServerId, TimerToken, WeightMeaning,
 };
 use alderstile_cluster::host_assignment::{
-    HostAssignment, HostAssignmentConfig, TRAFFIC_METADATA_TAG, traffic_of_level,
+    HostAssignment, HostAssignmentConfig, TRAFFIC_METADATA_TAG, traffic_from_metadata,
 };
 use alderstile_cluster::membership::Peer;
 use alderstile_cluster::subsetting::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, share_table};
@@ -556,7 +556,7 @@
         let node = |member: &Peer| SubsetNode {
             name: member.record.name.clone(),
             zone: zone(&member.record.zone),
-            traffic: traffic_of_level(member.record.metadata_value(TRAFFIC_METADATA_TAG)),
+            traffic: traffic_from_metadata(member.record.metadata_value(TRAFFIC_METADATA_TAG)),
         };
         lives.map(node).collect()
     }
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use alderstile_cluster::host_assignment::{
-    HostAssignment, HostAssignmentConfig, TRAFFIC_METADATA_TAG, traffic_of_level,
+    HostAssignment, HostAssignmentConfig, TRAFFIC_METADATA_TAG, traffic_from_metadata,
 };
 use alderstile_cluster::subsetting::{SubsetCounts, SubsetNode, SubsettingParams};
 use tracing::info;
@@ -62,7 +62,7 @@
         name: record.name.clone(),
         // A zone that the settings do not name is none of theirs.
         zone: zone_number(&config.zones, &record.zone).unwrap_or(u16::MAX),
-        traffic: traffic_of_level(record.metadata_value(TRAFFIC_METADATA_TAG)),
+        traffic: traffic_from_metadata(record.metadata_value(TRAFFIC_METADATA_TAG)),
     })
 }
 
