--- a/crates/alderstile-cluster/src/authentication.rs
+++ b/crates/alderstile-cluster/src/authentication.rs
@@ -68,22 +68,22 @@
     pub fn new(
         magic: [u8; 2],
         format: u8,
-        cluster: &str,
+        cluster_name: &str,
         keys: &[Vec<u8>],
     ) -> Result<Self, AuthenticatorError> {
-        let length = u8::try_from(cluster.len()).map_err(|_| AuthenticatorError::ClusterNameLength)?;
-        if length == 0 || cluster.len() > MAX_CLUSTER_NAME_BYTES {
+        let length = u8::try_from(cluster_name.len()).map_err(|_| AuthenticatorError::ClusterNameLength)?;
+        if length == 0 || cluster_name.len() > MAX_CLUSTER_NAME_BYTES {
             return Err(AuthenticatorError::ClusterNameLength);
         }
         if keys.is_empty() {
             return Err(AuthenticatorError::NoKeys);
         }
-        let signer = |key: &Vec<u8>| match Hmac::new_from_slice(key) {
-            Ok(signer) if key.len() >= MIN_KEY_BYTES => Ok(signer),
+        let keyed_mac = |key: &Vec<u8>| match Hmac::new_from_slice(key) {
+            Ok(keyed_mac) if key.len() >= MIN_KEY_BYTES => Ok(keyed_mac),
             _ => Err(AuthenticatorError::KeyTooShort),
         };
-        let keys = keys.iter().map(signer).collect::<Result<_, _>>()?;
-        let prefix = [&magic[..], &[format, length], cluster.as_bytes()].concat();
+        let keys = keys.iter().map(keyed_mac).collect::<Result<_, _>>()?;
+        let prefix = [&magic[..], &[format, length], cluster_name.as_bytes()].concat();
         Ok(Authenticator { magic, format, prefix, keys })
     }
 
--- a/crates/alderstile-cluster/src/host_assignment/mod.rs
+++ b/crates/alderstile-cluster/src/host_assignment/mod.rs
@@ -32,7 +32,7 @@
 pub struct HostAssignment {
     config: HostAssignmentConfig,
     node: SubsetNode,
-    others: Vec<SubsetNode>,
+    other_nodes: Vec<SubsetNode>,
     subset: Option<NodeSubset>,
     /// Weights in the list are capacities; hosts count alike otherwise.
     weights_are_capacities: bool,
@@ -42,7 +42,7 @@
     /// The list as the decisions see it.
     assigned: BTreeMap<ServerId, Endpoint>,
     /// Members or hosts have changed since the subset was worked out.
-    is_outdated: bool,
+    is_subset_outdated: bool,
 }
 
 impl HostAssignment {
@@ -53,13 +53,13 @@
         HostAssignment {
             config,
             node,
-            others: Vec::new(),
+            other_nodes: Vec::new(),
             subset,
             weights_are_capacities,
             reported_level: ReportedLevel::default(),
             listed: BTreeMap::new(),
             assigned: BTreeMap::new(),
-            is_outdated: false,
+            is_subset_outdated: false,
         }
     }
 
@@ -69,9 +69,9 @@
     }
 
     /// Takes in the other nodes, as the members' view has them.
-    pub fn set_nodes(&mut self, others: Vec<SubsetNode>) {
-        self.is_outdated |= self.others != others;
-        self.others = others;
+    pub fn set_nodes(&mut self, other_nodes: Vec<SubsetNode>) {
+        self.is_subset_outdated |= self.other_nodes != other_nodes;
+        self.other_nodes = other_nodes;
     }
 
     /// Takes in a list as it came, and returns it as the decisions are to see it. A host that is new is cordoned until
@@ -82,8 +82,9 @@
         }
         let ready_before = self.ready_hosts();
         self.update_listed(kind, &entries);
-        self.is_outdated |= ready_before != self.ready_hosts();
-        let entries: Vec<Endpoint> = entries.into_iter().map(|entry| self.as_assigned(entry)).collect();
+        self.is_subset_outdated |= ready_before != self.ready_hosts();
+        let entries: Vec<Endpoint> =
+            entries.into_iter().map(|entry| self.with_last_assignment(entry)).collect();
         self.assigned.extend(entries.iter().map(|entry| (entry.id, *entry)));
         self.assigned.retain(|id, _| self.listed.contains_key(id));
         entries
@@ -101,27 +102,27 @@
         }
         let report = [self.reported_level.update(now, connections)?];
         self.node.traffic = traffic_from_metadata(Some(&report));
-        self.is_outdated = true;
+        self.is_subset_outdated = true;
         Some(report)
     }
 
     /// Brings the list up to date with the members, the hosts and those that this node can't reach; returns what has changed. To
     /// be called about once a second.
-    pub fn refresh(&mut self, now: Micros, unreached: &BTreeSet<ServerId>) -> Vec<Endpoint> {
-        self.refresh_with(now, unreached, node_shares)
+    pub fn refresh(&mut self, now: Micros, unreachable: &BTreeSet<ServerId>) -> Vec<Endpoint> {
+        self.refresh_with(now, unreachable, node_shares)
     }
 
     /// The same, with rows of the table from elsewhere: many nodes of one process share them.
     pub fn refresh_with(
         &mut self,
         now: Micros,
-        unreached: &BTreeSet<ServerId>,
-        shares_of: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
+        unreachable: &BTreeSet<ServerId>,
+        compute_shares: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
     ) -> Vec<Endpoint> {
-        if std::mem::take(&mut self.is_outdated) {
-            self.update_subset(shares_of);
+        if std::mem::take(&mut self.is_subset_outdated) {
+            self.update_subset(compute_shares);
         }
-        self.update_assigned(now, unreached)
+        self.update_assigned(now, unreachable)
     }
 
     /// How many hosts the subset has; none without subsetting.
@@ -154,7 +155,7 @@
     }
 
     /// A listed entry as it was last assigned; one that is new is cordoned.
-    fn as_assigned(&self, entry: Endpoint) -> Endpoint {
+    fn with_last_assignment(&self, entry: Endpoint) -> Endpoint {
         if !entry.ready() {
             return entry;
         }
@@ -166,22 +167,22 @@
 
     fn update_subset(
         &mut self,
-        shares_of: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
+        compute_shares: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
     ) {
         let hosts = self.ready_hosts();
         let (Some(subset), Some(params)) = (&mut self.subset, self.config.subsetting) else { return };
-        let mut nodes = self.others.clone();
+        let mut nodes = self.other_nodes.clone();
         nodes.push(self.node.clone());
         fill_unknown_traffic(&mut nodes);
         let Some(node) = nodes.pop() else { return };
-        subset.update_shares(shares_of(params, &node, &nodes, &hosts), &hosts);
+        subset.update_shares(compute_shares(params, &node, &nodes, &hosts), &hosts);
     }
 
     /// Assigns the hosts anew; returns the entries that have changed.
-    fn update_assigned(&mut self, now: Micros, unreached: &BTreeSet<ServerId>) -> Vec<Endpoint> {
+    fn update_assigned(&mut self, now: Micros, unreachable: &BTreeSet<ServerId>) -> Vec<Endpoint> {
         let warming_up = self.warming_up_hosts(now);
         let Some(subset) = &mut self.subset else { return Vec::new() };
-        let uses = subset.host_uses(now, unreached, &warming_up);
+        let uses = subset.host_uses(now, unreachable, &warming_up);
         let is_used = |host_use: &&HostUse| matches!(host_use, HostUse::Assigned(_));
         let used_hosts = uses.values().filter(is_used).count() as f64;
         let had_ready_host = self.assigned.values().any(Endpoint::ready);
--- a/crates/alderstile-cluster/src/membership/anti_entropy.rs
+++ b/crates/alderstile-cluster/src/membership/anti_entropy.rs
@@ -16,7 +16,7 @@
 
 /// How far this member has copied others' views.
 pub(super) struct AntiEntropy {
-    requests_left: u32,
+    remaining_requests: u32,
     /// The next page to request begins behind this instance.
     after: InstanceId,
     /// The pages have reached the end of a view once.
@@ -25,11 +25,15 @@
 
 impl AntiEntropy {
     pub fn new() -> Self {
-        AntiEntropy { requests_left: MAX_REQUESTS_PER_PERIOD, after: InstanceId::default(), complete: false }
+        AntiEntropy {
+            remaining_requests: MAX_REQUESTS_PER_PERIOD,
+            after: InstanceId::default(),
+            complete: false,
+        }
     }
 
     pub fn begin_period(&mut self) {
-        self.requests_left = MAX_REQUESTS_PER_PERIOD;
+        self.remaining_requests = MAX_REQUESTS_PER_PERIOD;
     }
 
     pub fn is_complete(&self) -> bool {
@@ -40,14 +44,14 @@
         self.complete = complete;
     }
 
-    fn take_request(&mut self) -> bool {
-        let is_left = self.requests_left > 0;
-        self.requests_left -= u32::from(is_left);
-        is_left
+    fn try_take_request(&mut self) -> bool {
+        let is_allowed = self.remaining_requests > 0;
+        self.remaining_requests -= u32::from(is_allowed);
+        is_allowed
     }
 
     /// The view's end was reached: the next page is the first again.
-    fn restart(&mut self) {
+    fn finish_pass(&mut self) {
         (self.after, self.complete) = (InstanceId::default(), true);
     }
 }
@@ -55,7 +59,7 @@
 impl Membership {
     /// Requests the next page from a random peer.
     pub(super) fn request_sync_page(&mut self) {
-        if !self.anti_entropy.take_request() {
+        if !self.anti_entropy.try_take_request() {
             return;
         }
         if let Some(target) = self.random_alive_peers(1, InstanceId::default()).first() {
@@ -67,11 +71,11 @@
     /// As many members as fit, by rising instances behind this one, then from the first on: a page costs the same however many
     /// members there are.
     pub(super) fn sync_page(&self, after: InstanceId) -> Message {
-        let (behind, before) = self.page_candidates(after);
-        let until_end = behind.len();
+        let (following, preceding) = self.page_candidates(after);
+        let following_count = following.len();
         let mut capacity = self.codec.page_capacity();
         let mut members = Vec::new();
-        for (state, record) in behind.into_iter().chain(before) {
+        for (state, record) in following.into_iter().chain(preceding) {
             let bytes = page_entry_bytes(&record);
             if bytes > capacity || members.len() == usize::from(u8::MAX) {
                 break;
@@ -79,31 +83,31 @@
             capacity -= bytes;
             members.push((state, record));
         }
-        Message::SyncPage { last: members.len() >= until_end, members }
+        Message::SyncPage { is_last: members.len() >= following_count, members }
     }
 
     /// Members behind an instance, and those up to it, this one among them; more than fit on a page of each.
     fn page_candidates(&self, after: InstanceId) -> (Vec<PageEntry>, Vec<PageEntry>) {
         let next = InstanceId(after.0.saturating_add(1));
-        let mut behind: Vec<PageEntry> =
+        let mut following: Vec<PageEntry> =
             self.peers.starting_at(next).take(MAX_PAGE_ENTRIES).map(page_entry).collect();
-        let mut before: Vec<PageEntry> =
+        let mut preceding: Vec<PageEntry> =
             self.peers.below(next).take(MAX_PAGE_ENTRIES).map(page_entry).collect();
         if !self.leaving {
-            let part = if self.local.instance > after { &mut behind } else { &mut before };
-            let place = part.partition_point(|(_, record)| record.instance < self.local.instance);
-            part.insert(place, (MemberState::Alive, self.local.clone()));
+            let entries = if self.local.instance > after { &mut following } else { &mut preceding };
+            let index = entries.partition_point(|(_, record)| record.instance < self.local.instance);
+            entries.insert(index, (MemberState::Alive, self.local.clone()));
         }
-        (behind, before)
+        (following, preceding)
     }
 
-    pub(super) fn handle_sync_page(&mut self, sender: InstanceId, last: bool, members: Vec<PageEntry>) {
-        let end = members.last().map(|(_, record)| record.instance);
+    pub(super) fn handle_sync_page(&mut self, sender: InstanceId, is_last: bool, members: Vec<PageEntry>) {
+        let last_instance = members.last().map(|(_, record)| record.instance);
         members.into_iter().for_each(|(state, record)| self.apply_page_entry(sender, state, record));
-        if last {
-            self.anti_entropy.restart();
-        } else if let Some(end) = end {
-            self.anti_entropy.after = end;
+        if is_last {
+            self.anti_entropy.finish_pass();
+        } else if let Some(last_instance) = last_instance {
+            self.anti_entropy.after = last_instance;
             if !self.anti_entropy.is_complete() {
                 self.request_sync_page();
             }
--- a/crates/alderstile-cluster/src/membership/codec/decode.rs
+++ b/crates/alderstile-cluster/src/membership/codec/decode.rs
@@ -20,8 +20,8 @@
     let receiver = instance(input)?;
     let sequence = le_u64.parse_next(input)?;
     let message = message(input)?;
-    let updates_count = usize::from(u8.parse_next(input)?);
-    let updates = repeat(updates_count, update).parse_next(input)?;
+    let update_count = usize::from(u8.parse_next(input)?);
+    let updates = repeat(update_count, update).parse_next(input)?;
     eof.parse_next(input)?;
     Ok(Datagram { header: DatagramHeader { sender, receiver, sequence }, message, updates })
 }
@@ -39,9 +39,9 @@
         5 => Message::Identify { record: record(input)? },
         6 => Message::SyncRequest { after: instance(input)?, record: record(input)? },
         7 => {
-            let last = boolean(input)?;
-            let members_count = usize::from(u8.parse_next(input)?);
-            Message::SyncPage { last, members: repeat(members_count, page_entry).parse_next(input)? }
+            let is_last = boolean(input)?;
+            let member_count = usize::from(u8.parse_next(input)?);
+            Message::SyncPage { is_last, members: repeat(member_count, page_entry).parse_next(input)? }
         }
         _ => return malformed(),
     })
@@ -52,12 +52,12 @@
     if kind == 0 {
         return record(input).map(MemberUpdate::Alive);
     }
-    let about = instance(input)?;
+    let subject = instance(input)?;
     let incarnation = le_u64.parse_next(input)?;
     Ok(match kind {
-        1 => MemberUpdate::Suspect { instance: about, incarnation, reporter: instance(input)? },
-        2 => MemberUpdate::Dead { instance: about, incarnation },
-        3 => MemberUpdate::Left { instance: about, incarnation },
+        1 => MemberUpdate::Suspect { instance: subject, incarnation, reporter: instance(input)? },
+        2 => MemberUpdate::Dead { instance: subject, incarnation },
+        3 => MemberUpdate::Left { instance: subject, incarnation },
         _ => return malformed(),
     })
 }
@@ -81,7 +81,7 @@
         zone: text(MAX_ZONE_BYTES, input)?,
         address: address(input)?,
         config_digest: le_u64.parse_next(input)?,
-        metadata: short(MAX_METADATA_BYTES, input)?.into(),
+        metadata: length_prefixed(MAX_METADATA_BYTES, input)?.into(),
     };
     let is_valid = record.validate().is_ok() && record.instance != InstanceId::default();
     if is_valid { Ok(record) } else { malformed() }
@@ -92,7 +92,7 @@
 }
 
 fn address(input: &mut &[u8]) -> Parsed<SocketAddr> {
-    let ip = short(16, input)?;
+    let ip = length_prefixed(16, input)?;
     let port = le_u16.parse_next(input)?;
     if let Ok(ip) = <[u8; 4]>::try_from(ip) {
         return Ok((ip, port).into());
@@ -101,12 +101,12 @@
 }
 
 fn text(max_bytes: usize, input: &mut &[u8]) -> Parsed<Box<str>> {
-    let bytes = short(max_bytes, input)?;
+    let bytes = length_prefixed(max_bytes, input)?;
     std::str::from_utf8(bytes).map(Box::from).or_else(|_| malformed())
 }
 
 /// Bytes behind their length.
-fn short<'a>(max_bytes: usize, input: &mut &'a [u8]) -> Parsed<&'a [u8]> {
+fn length_prefixed<'a>(max_bytes: usize, input: &mut &'a [u8]) -> Parsed<&'a [u8]> {
     length_take(u8).verify(|bytes: &&[u8]| bytes.len() <= max_bytes).parse_next(input)
 }
 
--- a/crates/alderstile-cluster/src/membership/codec/encode.rs
+++ b/crates/alderstile-cluster/src/membership/codec/encode.rs
@@ -15,28 +15,28 @@
 }
 
 pub fn put_header(bytes: &mut Vec<u8>, header: DatagramHeader) {
-    put_numbers(bytes, &[header.sender.0, header.receiver.0, header.sequence]);
+    put_u64s(bytes, &[header.sender.0, header.receiver.0, header.sequence]);
 }
 
 pub fn put_message(bytes: &mut Vec<u8>, message: &Message) {
     match message {
         Message::Ping { nonce, record } => {
             bytes.push(1);
-            put_numbers(bytes, &[*nonce]);
+            put_u64s(bytes, &[*nonce]);
             put_record(bytes, record);
         }
         Message::Ack { nonce } => {
             bytes.push(2);
-            put_numbers(bytes, &[*nonce]);
+            put_u64s(bytes, &[*nonce]);
         }
         Message::PingRequest { nonce, target, address } => {
             bytes.push(3);
-            put_numbers(bytes, &[*nonce, target.0]);
+            put_u64s(bytes, &[*nonce, target.0]);
             put_address(bytes, *address);
         }
         Message::Nack { nonce } => {
             bytes.push(4);
-            put_numbers(bytes, &[*nonce]);
+            put_u64s(bytes, &[*nonce]);
         }
         Message::Identify { record } => {
             bytes.push(5);
@@ -44,11 +44,11 @@
         }
         Message::SyncRequest { after, record } => {
             bytes.push(6);
-            put_numbers(bytes, &[after.0]);
+            put_u64s(bytes, &[after.0]);
             put_record(bytes, record);
         }
-        Message::SyncPage { last, members } => {
-            bytes.extend([7, u8::from(*last), members.len() as u8]);
+        Message::SyncPage { is_last, members } => {
+            bytes.extend([7, u8::from(*is_last), members.len() as u8]);
             members.iter().for_each(|(state, record)| put_page_entry(bytes, *state, record));
         }
     }
@@ -56,19 +56,19 @@
 
 /// Appends as many updates as fit, behind their number; returns that number.
 pub fn put_updates(bytes: &mut Vec<u8>, updates: &[&MemberUpdate]) -> usize {
-    let count_at = bytes.len();
+    let count_index = bytes.len();
     bytes.push(0);
     let mut written = 0;
     for update in updates {
-        let before = bytes.len();
+        let start = bytes.len();
         put_update(bytes, update);
         if bytes.len() + MAC_BYTES > MAX_DATAGRAM_BYTES || written == u8::MAX {
-            bytes.truncate(before);
+            bytes.truncate(start);
             break;
         }
         written += 1;
     }
-    bytes[count_at] = written;
+    bytes[count_index] = written;
     usize::from(written)
 }
 
@@ -80,15 +80,15 @@
         }
         MemberUpdate::Suspect { instance, incarnation, reporter } => {
             bytes.push(1);
-            put_numbers(bytes, &[instance.0, *incarnation, reporter.0]);
+            put_u64s(bytes, &[instance.0, *incarnation, reporter.0]);
         }
         MemberUpdate::Dead { instance, incarnation } => {
             bytes.push(2);
-            put_numbers(bytes, &[instance.0, *incarnation]);
+            put_u64s(bytes, &[instance.0, *incarnation]);
         }
         MemberUpdate::Left { instance, incarnation } => {
             bytes.push(3);
-            put_numbers(bytes, &[instance.0, *incarnation]);
+            put_u64s(bytes, &[instance.0, *incarnation]);
         }
     }
 }
@@ -104,28 +104,28 @@
 }
 
 fn put_record(bytes: &mut Vec<u8>, record: &MemberRecord) {
-    put_numbers(bytes, &[record.instance.0, record.incarnation]);
-    put_short(bytes, record.name.as_bytes());
-    put_short(bytes, record.zone.as_bytes());
+    put_u64s(bytes, &[record.instance.0, record.incarnation]);
+    put_length_prefixed(bytes, record.name.as_bytes());
+    put_length_prefixed(bytes, record.zone.as_bytes());
     put_address(bytes, record.address);
-    put_numbers(bytes, &[record.config_digest]);
-    put_short(bytes, &record.metadata);
+    put_u64s(bytes, &[record.config_digest]);
+    put_length_prefixed(bytes, &record.metadata);
 }
 
 fn put_address(bytes: &mut Vec<u8>, address: SocketAddr) {
     match address.ip() {
-        IpAddr::V4(ip) => put_short(bytes, &ip.octets()),
-        IpAddr::V6(ip) => put_short(bytes, &ip.octets()),
+        IpAddr::V4(ip) => put_length_prefixed(bytes, &ip.octets()),
+        IpAddr::V6(ip) => put_length_prefixed(bytes, &ip.octets()),
     }
     bytes.extend(address.port().to_le_bytes());
 }
 
 /// Bytes behind their length, which fits into one byte: records are validated where they are made.
-fn put_short(bytes: &mut Vec<u8>, short: &[u8]) {
-    bytes.push(short.len() as u8);
-    bytes.extend(short);
+fn put_length_prefixed(bytes: &mut Vec<u8>, value: &[u8]) {
+    bytes.push(value.len() as u8);
+    bytes.extend(value);
 }
 
-fn put_numbers(bytes: &mut Vec<u8>, numbers: &[u64]) {
+fn put_u64s(bytes: &mut Vec<u8>, numbers: &[u64]) {
     numbers.iter().for_each(|number| bytes.extend(number.to_le_bytes()));
 }
--- a/crates/alderstile-cluster/src/membership/codec/mod.rs
+++ b/crates/alderstile-cluster/src/membership/codec/mod.rs
@@ -29,7 +29,7 @@
 /// Sender, receiver and sequence number.
 const HEADER_BYTES: usize = 3 * 8;
 /// The bytes of a sync page beside its members: the message's kind, whether it is the last, how many, how many updates.
-const PAGE_FIXED_BYTES: usize = 4;
+const PAGE_OVERHEAD_BYTES: usize = 4;
 
 /// Encodes and decodes the datagrams of one cluster's members.
 #[derive(Clone)]
@@ -74,6 +74,6 @@
 
     /// The bytes that members may take on a sync page.
     pub fn page_capacity(&self) -> usize {
-        MAX_DATAGRAM_BYTES - self.0.prefix().len() - HEADER_BYTES - PAGE_FIXED_BYTES - MAC_BYTES
+        MAX_DATAGRAM_BYTES - self.0.prefix().len() - HEADER_BYTES - PAGE_OVERHEAD_BYTES - MAC_BYTES
     }
 }
--- a/crates/alderstile-cluster/src/membership/datagram.rs
+++ b/crates/alderstile-cluster/src/membership/datagram.rs
@@ -71,7 +71,7 @@
     /// A part of the sender's view, by rising instances.
     SyncPage {
         /// The page reaches the end of the view.
-        last: bool,
+        is_last: bool,
         /// The members as the sender sees them.
         members: Vec<(MemberState, MemberRecord)>,
     },
--- a/crates/alderstile-cluster/src/membership/gossip.rs
+++ b/crates/alderstile-cluster/src/membership/gossip.rs
@@ -34,21 +34,21 @@
 
     /// The places of the updates to send now: the least sent first, of equals the newest.
     pub fn select(&self, limit: usize) -> Vec<usize> {
-        let mut places: Vec<usize> = (0..self.0.len()).collect();
-        places.sort_by_key(|&place| (self.0[place].transmissions, Reverse(place)));
-        places.truncate(limit);
-        places
+        let mut indices: Vec<usize> = (0..self.0.len()).collect();
+        indices.sort_by_key(|&index| (self.0[index].transmissions, Reverse(index)));
+        indices.truncate(limit);
+        indices
     }
 
     /// The updates at places that [`GossipQueue::select`] gave.
-    pub fn at<'a>(&'a self, places: &'a [usize]) -> impl Iterator<Item = &'a MemberUpdate> {
-        places.iter().filter_map(|&place| self.0.get(place)).map(|queued| &queued.update)
+    pub fn updates_at<'a>(&'a self, indices: &'a [usize]) -> impl Iterator<Item = &'a MemberUpdate> {
+        indices.iter().filter_map(|&index| self.0.get(index)).map(|queued| &queued.update)
     }
 
     /// Counts a transmission of the updates at these places, and drops those that have reached the limit.
-    pub fn mark_sent(&mut self, places: &[usize], limit: u32) {
-        for &place in places {
-            if let Some(queued) = self.0.get_mut(place) {
+    pub fn mark_sent(&mut self, indices: &[usize], limit: u32) {
+        for &index in indices {
+            if let Some(queued) = self.0.get_mut(index) {
                 queued.transmissions += 1;
             }
         }
--- a/crates/alderstile-cluster/src/membership/indirect_probe.rs
+++ b/crates/alderstile-cluster/src/membership/indirect_probe.rs
@@ -47,18 +47,18 @@
     }
 
     /// So many alive peers at random, but not that one; by rising instances.
-    pub(super) fn random_alive_peers(&mut self, count: usize, except: InstanceId) -> Vec<InstanceId> {
+    pub(super) fn random_alive_peers(&mut self, count: usize, excluded: InstanceId) -> Vec<InstanceId> {
         let alive = self.peers.iter().filter(|(_, peer)| peer.state == MemberState::Alive);
         let alive: Vec<InstanceId> =
-            alive.map(|(instance, _)| instance).filter(|instance| *instance != except).collect();
-        let mut drawn = BTreeSet::new();
+            alive.map(|(instance, _)| instance).filter(|instance| *instance != excluded).collect();
+        let mut sample = BTreeSet::new();
         // Few of many: drawing again is cheaper than shuffling all.
         for _ in 0..4 * count {
-            if drawn.len() < count.min(alive.len()) {
-                drawn.insert(alive[self.rng.random_range(0..alive.len())]);
+            if sample.len() < count.min(alive.len()) {
+                sample.insert(alive[self.rng.random_range(0..alive.len())]);
             }
         }
-        drawn.into_iter().collect()
+        sample.into_iter().collect()
     }
 
     pub(super) fn relay_ping(
@@ -81,10 +81,10 @@
 
     /// The target of a relayed ping has answered: passes that on.
     pub(super) fn relay_ack(&mut self, nonce: u64) {
-        let Some(place) = self.relayed_pings.iter().position(|relayed| relayed.nonce == nonce) else {
+        let Some(index) = self.relayed_pings.iter().position(|relayed| relayed.nonce == nonce) else {
             return;
         };
-        let relayed = self.relayed_pings.swap_remove(place);
+        let relayed = self.relayed_pings.swap_remove(index);
         self.send(relayed.requester, &Message::Ack { nonce: relayed.requester_nonce });
     }
 
--- a/crates/alderstile-cluster/src/membership/peer.rs
+++ b/crates/alderstile-cluster/src/membership/peer.rs
@@ -47,7 +47,7 @@
     /// How it is seen.
     pub state: MemberState,
     /// Since when.
-    pub since: Micros,
+    pub state_since: Micros,
     /// Who reported that it does not answer, while it is suspected (Lifeguard section IV-B).
     pub(super) reporters: Vec<InstanceId>,
     pub(super) final_probe: FinalProbe,
@@ -62,7 +62,7 @@
     /// Others do, and this process gives them time for it.
     ByOthers,
     /// It will.
-    Due,
+    Scheduled,
     /// It has, and waits for an answer until then.
     AwaitingAck(Micros),
 }
@@ -73,7 +73,7 @@
         Peer {
             record,
             state: MemberState::Alive,
-            since: now,
+            state_since: now,
             reporters: Vec::new(),
             final_probe: FinalProbe::ByOthers,
             rejoin_probed_at: Micros(0),
--- a/crates/alderstile-cluster/src/membership/peer_table.rs
+++ b/crates/alderstile-cluster/src/membership/peer_table.rs
@@ -88,7 +88,7 @@
         let peer = self.peers.get_mut(&instance)?;
         let old_address = std::mem::replace(&mut peer.record, record).address;
         let before = std::mem::replace(&mut peer.state, MemberState::Alive);
-        peer.since = now;
+        peer.state_since = now;
         peer.reporters.clear();
         peer.final_probe = FinalProbe::ByOthers;
         self.live += usize::from(before == MemberState::Dead);
@@ -101,26 +101,26 @@
 
     pub fn mark_suspect(&mut self, instance: InstanceId, incarnation: u64, now: Micros) -> Option<&mut Peer> {
         let peer = self.peers.get_mut(&instance)?;
-        (peer.state, peer.since) = (MemberState::Suspect, now);
+        (peer.state, peer.state_since) = (MemberState::Suspect, now);
         peer.record.incarnation = incarnation;
         self.suspects.insert(instance);
         Some(peer)
     }
 
     pub fn mark_dead(&mut self, instance: InstanceId, incarnation: u64, now: Micros) {
-        self.mark_gone(instance, incarnation, MemberState::Dead, now);
+        self.mark_dead_or_left(instance, incarnation, MemberState::Dead, now);
         self.dead.insert(instance);
     }
 
     pub fn mark_left(&mut self, instance: InstanceId, incarnation: u64, now: Micros) {
-        self.mark_gone(instance, incarnation, MemberState::Left, now);
+        self.mark_dead_or_left(instance, incarnation, MemberState::Left, now);
         self.dead.remove(&instance);
     }
 
-    fn mark_gone(&mut self, instance: InstanceId, incarnation: u64, state: MemberState, now: Micros) {
+    fn mark_dead_or_left(&mut self, instance: InstanceId, incarnation: u64, state: MemberState, now: Micros) {
         let Some(peer) = self.peers.get_mut(&instance) else { return };
         self.live -= usize::from(peer.state.is_live());
-        (peer.state, peer.since) = (state, now);
+        (peer.state, peer.state_since) = (state, now);
         peer.record.incarnation = incarnation;
         peer.reporters.clear();
         let address = peer.record.address;
@@ -129,13 +129,13 @@
     }
 
     /// Those that are dead or have left since before this moment.
-    pub fn gone_before(&self, moment: Micros) -> Vec<InstanceId> {
-        let gone = self.iter().filter(|(_, peer)| !peer.state.is_live() && peer.since < moment);
-        gone.map(|(instance, _)| instance).collect()
+    pub fn dead_or_left_before(&self, cutoff: Micros) -> Vec<InstanceId> {
+        let expired = self.iter().filter(|(_, peer)| !peer.state.is_live() && peer.state_since < cutoff);
+        expired.map(|(instance, _)| instance).collect()
     }
 
     /// Forgets a peer that is dead or has left.
-    pub fn forget(&mut self, instance: InstanceId) {
+    pub fn remove(&mut self, instance: InstanceId) {
         self.dead.remove(&instance);
         let Some(peer) = self.peers.remove(&instance) else { return };
         let Some(instances) = self.by_name.get_mut(&peer.record.name) else { return };
--- a/crates/alderstile-cluster/src/membership/probe.rs
+++ b/crates/alderstile-cluster/src/membership/probe.rs
@@ -71,15 +71,15 @@
     /// Puts a newcomer anywhere in the order (SWIM section 4.3), also where this round has passed: in the rest of a round that
     /// is nearly over all members would ping it in the same few periods, and nobody in the others.
     pub fn add_to_round(&mut self, instance: InstanceId, rng: &mut Pcg64Mcg) {
-        let place = rng.random_range(0..=self.round.len());
-        self.round.insert(place, instance);
-        self.position += usize::from(place < self.position);
+        let index = rng.random_range(0..=self.round.len());
+        self.round.insert(index, instance);
+        self.position += usize::from(index < self.position);
     }
 
     /// Ends the probe with this nonce, if one waits.
     pub fn finish(&mut self, nonce: u64) -> bool {
-        let place = self.pending.iter().position(|probe| probe.nonce == nonce);
-        place.map(|place| self.pending.swap_remove(place)).is_some()
+        let index = self.pending.iter().position(|probe| probe.nonce == nonce);
+        index.map(|index| self.pending.swap_remove(index)).is_some()
     }
 
     pub fn count_nack(&mut self, nonce: u64) {
@@ -122,9 +122,9 @@
     fn begin_round(&mut self, peers: &PeerTable, rng: &mut Pcg64Mcg) {
         self.position = 0;
         self.round.retain(|instance| peers.is_live(*instance));
-        let listed: BTreeSet<InstanceId> = self.round.iter().copied().collect();
+        let already_in_round: BTreeSet<InstanceId> = self.round.iter().copied().collect();
         for (instance, peer) in peers.iter() {
-            if peer.state.is_live() && !listed.contains(&instance) {
+            if peer.state.is_live() && !already_in_round.contains(&instance) {
                 self.round.insert(rng.random_range(0..=self.round.len()), instance);
             }
         }
--- a/crates/alderstile-cluster/src/membership/receive.rs
+++ b/crates/alderstile-cluster/src/membership/receive.rs
@@ -29,23 +29,23 @@
         }
         if header.receiver != self.local.instance {
             self.counters.wrong_instance += 1;
-            return self.answer_wrong_instance(from, header.sender, &message);
+            return self.reply_to_wrong_instance(from, header.sender, &message);
         }
         if let Some(record) = sender_record(&message) {
             if record.instance != header.sender {
                 self.counters.malformed += 1;
                 return;
             }
-            self.introduce(record, header.sequence);
+            self.apply_sender_record(record, header.sequence);
         }
         if !self.accept_sequence(header) {
             return;
         }
-        let thinks_dead = self.incarnation_held_dead(&updates);
+        let declared_dead = self.incarnation_declared_dead(&updates);
         updates.into_iter().for_each(|update| self.apply_update(update));
         // A sender that holds this member dead hears otherwise now, where the answer to its message does not bring it.
         let is_answered = matches!(message, Message::Ping { .. } | Message::SyncRequest { .. });
-        let is_stale = thinks_dead.is_some_and(|incarnation| incarnation < self.local.incarnation);
+        let is_stale = declared_dead.is_some_and(|incarnation| incarnation < self.local.incarnation);
         if !is_answered && !self.leaving && is_stale {
             self.send_gossip(header.sender);
         }
@@ -54,7 +54,7 @@
 
     /// A datagram for an earlier instance here, or from before the sender had heard of this one, may be a replay: nothing of
     /// it counts. The sender is told which instance is here; that is not answered in turn.
-    fn answer_wrong_instance(&mut self, from: SocketAddr, sender: InstanceId, message: &Message) {
+    fn reply_to_wrong_instance(&mut self, from: SocketAddr, sender: InstanceId, message: &Message) {
         if !matches!(message, Message::Identify { .. }) && !self.leaving {
             let record = self.local.clone();
             self.send_to(from, sender, &Message::Identify { record });
@@ -62,7 +62,7 @@
     }
 
     /// A member states who it is, in a datagram for this very instance.
-    fn introduce(&mut self, record: &MemberRecord, sequence: u64) {
+    fn apply_sender_record(&mut self, record: &MemberRecord, sequence: u64) {
         // A replay must not bring back an old statement.
         let known = self.peers.get(record.instance);
         if known.is_some_and(|peer| !peer.replay_window.is_new(sequence)) {
@@ -100,7 +100,7 @@
     }
 
     /// The incarnation of this member that the first update saying so holds dead.
-    fn incarnation_held_dead(&self, updates: &[MemberUpdate]) -> Option<u64> {
+    fn incarnation_declared_dead(&self, updates: &[MemberUpdate]) -> Option<u64> {
         updates.iter().find_map(|update| match update {
             MemberUpdate::Dead { instance, incarnation } if *instance == self.local.instance => {
                 Some(*incarnation)
@@ -122,7 +122,7 @@
                 let page = self.sync_page(after);
                 self.send(sender, &page);
             }
-            Message::SyncPage { last, members } => self.handle_sync_page(sender, last, members),
+            Message::SyncPage { is_last, members } => self.handle_sync_page(sender, is_last, members),
         }
     }
 
--- a/crates/alderstile-cluster/src/membership/rejoin.rs
+++ b/crates/alderstile-cluster/src/membership/rejoin.rs
@@ -15,7 +15,7 @@
 /// A member that has been dead for so many periods is probed less often.
 const LONG_DEAD_PERIODS: f64 = 300.0;
 /// How much less often.
-const LONG_DEAD_FACTOR: f64 = 10.0;
+const LONG_DEAD_INTERVAL_FACTOR: f64 = 10.0;
 
 /// An address where a member is held dead and nobody is known to be alive.
 pub(super) struct DeadAddress {
@@ -47,7 +47,7 @@
             }
             let entry = addresses.entry(peer.record.address);
             entry
-                .and_modify(|address| address.add(instance, peer))
+                .and_modify(|address| address.merge(instance, peer))
                 .or_insert_with(|| DeadAddress::new(instance, peer));
         }
         addresses
@@ -55,7 +55,7 @@
 
     /// Probes one dead peer, if one is due. The one that has waited longest comes first, so that with few members left none
     /// waits for more than all others.
-    pub(super) fn probe_a_dead_peer(&mut self) {
+    pub(super) fn probe_dead_peer(&mut self) {
         let due = self
             .dead_addresses()
             .into_values()
@@ -69,21 +69,21 @@
     }
 
     fn dead_address_interval(&self, address: &DeadAddress) -> Micros {
-        let died_lately = address.died_at + self.config.period.scale(LONG_DEAD_PERIODS) > self.now;
-        let factor = if died_lately { 1.0 } else { LONG_DEAD_FACTOR };
+        let died_recently = address.died_at + self.config.period.scale(LONG_DEAD_PERIODS) > self.now;
+        let factor = if died_recently { 1.0 } else { LONG_DEAD_INTERVAL_FACTOR };
         self.config.period.scale((self.address_probe_periods() * factor).max(1.0))
     }
 }
 
 impl DeadAddress {
     fn new(instance: InstanceId, peer: &Peer) -> Self {
-        DeadAddress { probed_at: peer.rejoin_probed_at, last_instance: instance, died_at: peer.since }
+        DeadAddress { probed_at: peer.rejoin_probed_at, last_instance: instance, died_at: peer.state_since }
     }
 
-    fn add(&mut self, instance: InstanceId, peer: &Peer) {
+    fn merge(&mut self, instance: InstanceId, peer: &Peer) {
         self.probed_at = self.probed_at.max(peer.rejoin_probed_at);
-        if self.died_at < peer.since {
-            (self.last_instance, self.died_at) = (instance, peer.since);
+        if self.died_at < peer.state_since {
+            (self.last_instance, self.died_at) = (instance, peer.state_since);
         }
     }
 }
--- a/crates/alderstile-cluster/src/membership/replay_window.rs
+++ b/crates/alderstile-cluster/src/membership/replay_window.rs
@@ -1,7 +1,7 @@
 //! Replay protection: which datagrams of a sender were accepted (RFC 4303, section 3.4.3).
 
 /// Datagrams that may overtake one another.
-const WINDOW: u64 = 64;
+const WINDOW_SIZE: u64 = 64;
 
 /// The highest sequence number accepted, and which of the 63 below it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -15,7 +15,7 @@
     /// Whether a number was not accepted before and is not too old to tell.
     pub fn is_new(&self, sequence: u64) -> bool {
         let behind = self.highest - sequence.min(self.highest);
-        sequence > self.highest || (behind < WINDOW && self.accepted >> behind & 1 == 0)
+        sequence > self.highest || (behind < WINDOW_SIZE && self.accepted >> behind & 1 == 0)
     }
 
     /// Accepts a number; false where it is not new.
@@ -25,7 +25,7 @@
         }
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            self.accepted = if ahead < WINDOW { self.accepted << ahead } else { 0 };
+            self.accepted = if ahead < WINDOW_SIZE { self.accepted << ahead } else { 0 };
             self.highest = sequence;
         }
         self.accepted |= 1 << (self.highest - sequence);
--- a/crates/alderstile-cluster/src/membership/self_update.rs
+++ b/crates/alderstile-cluster/src/membership/self_update.rs
@@ -9,7 +9,7 @@
 use super::record::{InstanceId, RecordError};
 
 /// Peers that are told at once of a refutation or of leaving, without waiting for a ping.
-const URGENT_RECEIVERS: usize = 2 * INDIRECT_PROBES;
+const IMMEDIATE_GOSSIP_PEERS: usize = 2 * INDIRECT_PROBES;
 
 impl Membership {
     /// The configuration that this member runs with has this digest from now on.
@@ -39,7 +39,7 @@
         self.raise_incarnation_above(self.local.incarnation);
         let (instance, incarnation) = (self.local.instance, self.local.incarnation);
         self.gossip.push(MemberUpdate::Left { instance, incarnation });
-        self.gossip_at_once();
+        self.gossip_immediately();
         self.take_effects()
     }
 
@@ -67,7 +67,7 @@
         // Who is suspected though it is alive may be slow itself (Lifeguard section IV-A).
         self.local_health.degrade(1);
         self.gossip.push(MemberUpdate::Alive(self.local.clone()));
-        self.gossip_at_once();
+        self.gossip_immediately();
         self.report(MembershipChange::Refuted);
     }
 
@@ -81,14 +81,14 @@
         self.local.incarnation = incarnation.saturating_add(1);
     }
 
-    fn gossip_at_once(&mut self) {
-        for receiver in self.random_alive_peers(URGENT_RECEIVERS, InstanceId::default()) {
+    fn gossip_immediately(&mut self) {
+        for receiver in self.random_alive_peers(IMMEDIATE_GOSSIP_PEERS, InstanceId::default()) {
             self.send_gossip(receiver);
         }
     }
 
     /// Sends updates without waiting for a ping, on a sync page without members.
     pub(super) fn send_gossip(&mut self, receiver: InstanceId) {
-        self.send(receiver, &Message::SyncPage { last: false, members: Vec::new() });
+        self.send(receiver, &Message::SyncPage { is_last: false, members: Vec::new() });
     }
 }
--- a/crates/alderstile-cluster/src/membership/suspicion.rs
+++ b/crates/alderstile-cluster/src/membership/suspicion.rs
@@ -18,7 +18,7 @@
 const MAX_TIMEOUT_FACTOR: f64 = 2.0;
 /// Of all members so many ping a suspect once more before they declare it dead, so that lost gossip makes no live
 /// member dead.
-const FINAL_PROBERS: f64 = 8.0;
+const MEAN_FINAL_PROBERS: f64 = 8.0;
 /// The others give them this many periods for it.
 const FINAL_PROBE_GRACE_PERIODS: f64 = 2.0;
 
@@ -37,14 +37,14 @@
     }
 
     fn begin_suspicion(&mut self, instance: InstanceId, incarnation: u64, reporter: InstanceId) {
-        let final_probe = self.draw_final_probe();
+        let final_probe = self.choose_final_probe();
         // The peer may have stated more since than has come here: the reporter's incarnation counts.
         let Some(peer) = self.peers.mark_suspect(instance, incarnation, self.now) else { return };
         peer.reporters = vec![reporter];
         peer.final_probe = final_probe;
         self.gossip.push(MemberUpdate::Suspect { instance, incarnation, reporter });
         self.report(MembershipChange::Suspected(instance));
-        if reporter != self.local.instance && self.draws_early_probe() {
+        if reporter != self.local.instance && self.should_probe_early() {
             self.prober.probe_out_of_turn(instance);
         }
     }
@@ -58,14 +58,14 @@
     }
 
     /// A few of all members, by chance, probe a suspect finally.
-    fn draw_final_probe(&mut self) -> FinalProbe {
-        let chance = FINAL_PROBERS / self.live_count() as f64;
-        if self.rng.random::<f64>() < chance { FinalProbe::Due } else { FinalProbe::ByOthers }
+    fn choose_final_probe(&mut self) -> FinalProbe {
+        let chance = MEAN_FINAL_PROBERS / self.live_count() as f64;
+        if self.rng.random::<f64>() < chance { FinalProbe::Scheduled } else { FinalProbe::ByOthers }
     }
 
     /// Whether this member is among the few that probe a suspect out of turn: it hears of the suspicion soon, and others
     /// confirm it soon.
-    fn draws_early_probe(&mut self) -> bool {
+    fn should_probe_early(&mut self) -> bool {
         let peers = self.peers.live_count().max(1) as f64;
         self.rng.random::<f64>() < (MAX_CONFIRMATIONS + 1) as f64 / peers
     }
@@ -73,9 +73,9 @@
     /// When a suspect is to be probed finally or declared dead.
     pub(super) fn suspicion_deadline(&self, instance: InstanceId) -> Micros {
         let Some(peer) = self.peers.get(instance) else { return self.now };
-        let timeout_at = peer.since + self.suspicion_timeout(peer);
+        let timeout_at = peer.state_since + self.suspicion_timeout(peer);
         match peer.final_probe {
-            FinalProbe::Due => timeout_at - self.config.period.scale(PROBE_TIMEOUT_PERIODS),
+            FinalProbe::Scheduled => timeout_at - self.config.period.scale(PROBE_TIMEOUT_PERIODS),
             FinalProbe::AwaitingAck(until) => until,
             FinalProbe::ByOthers => timeout_at + self.config.period.scale(FINAL_PROBE_GRACE_PERIODS),
         }
@@ -86,8 +86,8 @@
         let shortest = self.config.min_suspicion_timeout(self.live_count());
         let longest = if self.config.local_health { shortest.scale(MAX_TIMEOUT_FACTOR) } else { shortest };
         let confirmations = suspect.reporters.len().saturating_sub(1).min(MAX_CONFIRMATIONS) as f64;
-        let shortened = (confirmations + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
-        longest - (longest - shortest).scale(shortened)
+        let fraction = (confirmations + 1.0).ln() / (MAX_CONFIRMATIONS as f64 + 1.0).ln();
+        longest - (longest - shortest).scale(fraction)
     }
 
     /// Time in which this process heard nothing does not count.
@@ -95,7 +95,7 @@
         let suspects: Vec<InstanceId> = self.peers.suspects().iter().copied().collect();
         for suspect in suspects {
             if let Some(peer) = self.peers.get_mut(suspect) {
-                peer.since = peer.since + by;
+                peer.state_since = peer.state_since + by;
             }
         }
     }
@@ -109,7 +109,7 @@
             match peer.final_probe {
                 FinalProbe::AwaitingAck(_) => self.apply_dead(suspect, peer.record.incarnation),
                 // Also whom others were to probe: what came of that has not been heard here.
-                FinalProbe::Due | FinalProbe::ByOthers => self.begin_final_probe(suspect),
+                FinalProbe::Scheduled | FinalProbe::ByOthers => self.begin_final_probe(suspect),
             }
         }
     }
--- a/crates/alderstile-cluster/src/membership/timeout.rs
+++ b/crates/alderstile-cluster/src/membership/timeout.rs
@@ -7,7 +7,7 @@
 use super::effect::{MembershipChange, MembershipEffect};
 
 /// A call that comes later than this part of a period means that the process was not scheduled.
-const STALL_PERIODS: f64 = 0.5;
+const STALL_THRESHOLD_PERIODS: f64 = 0.5;
 
 impl Membership {
     /// When [`Membership::handle_timeout`] has something to do next.
@@ -20,10 +20,10 @@
 
     /// Does what is due.
     pub fn handle_timeout(&mut self, now: Micros) -> Vec<MembershipEffect> {
-        let late = now - self.next_timeout();
+        let delay = now - self.next_timeout();
         self.now = self.now.max(now);
-        if late > self.config.period.scale(STALL_PERIODS) {
-            self.recover_from_stall(late);
+        if delay > self.config.period.scale(STALL_THRESHOLD_PERIODS) {
+            self.recover_from_stall(delay);
         }
         self.send_due_nacks();
         self.handle_probe_timeouts();
@@ -36,12 +36,12 @@
 
     /// Guards against a process that was stopped, or whose machine slept: what it did not hear in that time says nothing
     /// about others.
-    fn recover_from_stall(&mut self, late: Micros) {
+    fn recover_from_stall(&mut self, delay: Micros) {
         self.prober.cancel_pending();
         self.relayed_pings.clear();
         self.local_health.degrade(1);
-        self.extend_suspicions(late);
-        self.report(MembershipChange::Stalled(late));
+        self.extend_suspicions(delay);
+        self.report(MembershipChange::Stalled(delay));
     }
 
     fn begin_period(&mut self) {
@@ -49,12 +49,12 @@
         self.next_period_at = self.now + self.config.period;
         self.transmitter.begin_period();
         self.anti_entropy.begin_period();
-        self.forget_gone_peers();
+        self.remove_expired_peers();
         if self.leaving {
             return;
         }
         self.contact_seeds();
-        self.probe_a_dead_peer();
+        self.probe_dead_peer();
         if !self.anti_entropy.is_complete() || self.periods.is_multiple_of(SYNC_INTERVAL_PERIODS) {
             self.request_sync_page();
         }
@@ -62,12 +62,12 @@
     }
 
     /// The dead and those that left are remembered for a while, so that late gossip does not bring them back.
-    fn forget_gone_peers(&mut self) {
+    fn remove_expired_peers(&mut self) {
         if !self.periods.is_multiple_of(SYNC_INTERVAL_PERIODS) {
             return;
         }
-        for instance in self.peers.gone_before(self.now - self.config.dead_retention) {
-            self.peers.forget(instance);
+        for instance in self.peers.dead_or_left_before(self.now - self.config.dead_retention) {
+            self.peers.remove(instance);
             self.gossip.remove(instance);
         }
     }
--- a/crates/alderstile-cluster/src/membership/transmit.rs
+++ b/crates/alderstile-cluster/src/membership/transmit.rs
@@ -60,12 +60,12 @@
         };
         let header = DatagramHeader { sender: self.local.instance, receiver, sequence };
         let suspicion = self.suspicion_of(receiver);
-        let selected = if may_be_nobody(receiver, message, suspicion.as_ref()) {
+        let selected = if receiver_may_be_absent(receiver, message, suspicion.as_ref()) {
             Vec::new()
         } else {
             self.gossip.select(MAX_UPDATES)
         };
-        let updates: Vec<&MemberUpdate> = suspicion.iter().chain(self.gossip.at(&selected)).collect();
+        let updates: Vec<&MemberUpdate> = suspicion.iter().chain(self.gossip.updates_at(&selected)).collect();
         let (datagram, written) = self.codec.encode(header, message, &updates);
         let written_gossip = written.saturating_sub(usize::from(suspicion.is_some()));
         self.gossip.mark_sent(&selected[..written_gossip], retransmit_limit(self.live_count()));
@@ -89,7 +89,7 @@
 }
 
 /// Whether perhaps nobody receives a datagram: gossip on it would count as sent and be lost.
-fn may_be_nobody(receiver: InstanceId, message: &Message, suspicion: Option<&MemberUpdate>) -> bool {
+fn receiver_may_be_absent(receiver: InstanceId, message: &Message, suspicion: Option<&MemberUpdate>) -> bool {
     let is_dead = matches!(suspicion, Some(MemberUpdate::Dead { .. }));
     receiver == InstanceId::default() || matches!(message, Message::Ping { .. }) && is_dead
 }
--- a/crates/alderstile-cluster/src/membership/update.rs
+++ b/crates/alderstile-cluster/src/membership/update.rs
@@ -60,10 +60,10 @@
             return;
         }
         // Members that hear of it together must not probe together for whether it is back.
-        let probed_ago = probe_interval.scale(self.rng.random::<f64>());
+        let elapsed_since_probe = probe_interval.scale(self.rng.random::<f64>());
         self.peers.mark_dead(instance, incarnation, self.now);
         if let Some(peer) = self.peers.get_mut(instance) {
-            peer.rejoin_probed_at = self.now - probed_ago;
+            peer.rejoin_probed_at = self.now - elapsed_since_probe;
         }
         self.gossip.push(MemberUpdate::Dead { instance, incarnation });
         self.report(MembershipChange::Died(instance));
--- a/crates/alderstile-cluster/src/subsetting/node_subset.rs
+++ b/crates/alderstile-cluster/src/subsetting/node_subset.rs
@@ -10,7 +10,7 @@
 
 /// A node that can't reach the hosts of more than this part of its traffic adds others. Below that the rest of its hosts do:
 /// what hosts lose that are down for all is in the list soon.
-const MAX_LOST_SHARE: f64 = 0.5;
+const MAX_UNREACHABLE_SHARE: f64 = 0.5;
 /// The least part of the retention after which an added host is given up; the rest, up to one and a half of it, is drawn.
 const MIN_RETENTION_FACTOR: f64 = 0.5;
 
@@ -44,7 +44,7 @@
     node: SubsetNode,
     added_host_retention: Micros,
     shares: TrafficShares,
-    order: Vec<ServerId>,
+    preferred_hosts: Vec<ServerId>,
     /// Hosts beyond the table's, and when each was last needed.
     added: BTreeMap<ServerId, Micros>,
 }
@@ -57,21 +57,21 @@
             node,
             added_host_retention,
             shares: TrafficShares::new(),
-            order: Vec::new(),
+            preferred_hosts: Vec::new(),
             added: BTreeMap::new(),
         }
     }
 
     /// Takes in the other nodes, and the hosts that may receive new work.
-    pub fn update(&mut self, others: &[SubsetNode], hosts: &[SubsetHost]) {
-        self.update_shares(node_shares(self.params, &self.node, others, hosts), hosts);
+    pub fn update(&mut self, other_nodes: &[SubsetNode], hosts: &[SubsetHost]) {
+        self.update_shares(node_shares(self.params, &self.node, other_nodes, hosts), hosts);
     }
 
     /// The same, with the node's row of the table from elsewhere.
     pub fn update_shares(&mut self, shares: TrafficShares, hosts: &[SubsetHost]) {
         self.shares = shares;
-        self.order = preference_order(self.params, &self.node, hosts);
-        self.added.retain(|id, _| self.order.contains(id));
+        self.preferred_hosts = preference_order(self.params, &self.node, hosts);
+        self.added.retain(|id, _| self.preferred_hosts.contains(id));
     }
 
     /// How this node treats each host that may receive new work, given those that it can't reach now, and those that are warming
@@ -79,22 +79,24 @@
     pub fn host_uses(
         &mut self,
         now: Micros,
-        unreached: &BTreeSet<ServerId>,
+        unreachable: &BTreeSet<ServerId>,
         warming_up: &BTreeSet<ServerId>,
     ) -> BTreeMap<ServerId, HostUse> {
-        let lost: Vec<f64> = self.lost_shares(unreached);
-        let lost_share: f64 = lost.iter().sum();
-        let to_replace = if lost_share > MAX_LOST_SHARE { lost.len() } else { 0 };
-        self.add_hosts(to_replace, now, unreached, warming_up);
-        self.give_up_unneeded_hosts(now);
+        let unreachable_shares: Vec<f64> = self.unreachable_shares(unreachable);
+        let unreachable_share: f64 = unreachable_shares.iter().sum();
+        let replacement_count =
+            if unreachable_share > MAX_UNREACHABLE_SHARE { unreachable_shares.len() } else { 0 };
+        self.add_replacements(replacement_count, now, unreachable, warming_up);
+        self.remove_expired_hosts(now);
         let mean_share = 1.0 / self.shares.len().max(1) as f64;
-        let added_share = if to_replace > 0 { lost_share / to_replace as f64 } else { mean_share };
+        let added_share =
+            if replacement_count > 0 { unreachable_share / replacement_count as f64 } else { mean_share };
         let host_use = |id: &ServerId| match self.shares.get(id) {
             Some(share) => HostUse::Assigned(*share),
             None if self.added.contains_key(id) => HostUse::Assigned(added_share),
             None => HostUse::Cordoned,
         };
-        self.order.iter().map(|id| (*id, host_use(id))).collect()
+        self.preferred_hosts.iter().map(|id| (*id, host_use(id))).collect()
     }
 
     /// How many hosts the subset has.
@@ -103,34 +105,36 @@
     }
 
     /// The shares of the hosts that can't be reached.
-    fn lost_shares(&self, unreached: &BTreeSet<ServerId>) -> Vec<f64> {
-        let lost = self.shares.iter().filter(|(id, _)| unreached.contains(id));
-        lost.map(|(_, share)| *share).collect()
+    fn unreachable_shares(&self, unreachable: &BTreeSet<ServerId>) -> Vec<f64> {
+        let unreachable_shares = self.shares.iter().filter(|(id, _)| unreachable.contains(id));
+        unreachable_shares.map(|(_, share)| *share).collect()
     }
 
     /// Adds so many hosts, the first of the order that may stand in for others, or notes that they are needed still.
-    fn add_hosts(
+    fn add_replacements(
         &mut self,
         count: usize,
         now: Micros,
-        unreached: &BTreeSet<ServerId>,
+        unreachable: &BTreeSet<ServerId>,
         warming_up: &BTreeSet<ServerId>,
     ) {
-        let may_stand_in = |id: &&ServerId| {
-            !self.shares.contains_key(id) && !unreached.contains(id) && !warming_up.contains(id)
+        let is_candidate = |id: &&ServerId| {
+            !self.shares.contains_key(id) && !unreachable.contains(id) && !warming_up.contains(id)
         };
-        for id in self.order.iter().filter(may_stand_in).take(count) {
+        for id in self.preferred_hosts.iter().filter(is_candidate).take(count) {
             self.added.insert(*id, now);
         }
     }
 
-    fn give_up_unneeded_hosts(&mut self, now: Micros) {
+    fn remove_expired_hosts(&mut self, now: Micros) {
         let node_hash = name_hash(&self.node.name);
         let retention = |id: &ServerId| {
             let host = SubsetHost { id: *id, weight: 1.0, zone: 0, failure_group: 0 };
-            let drawn = (-rendezvous_rank(node_hash, &host)).exp();
-            self.added_host_retention.scale(MIN_RETENTION_FACTOR + drawn)
+            let jitter = (-rendezvous_rank(node_hash, &host)).exp();
+            self.added_host_retention.scale(MIN_RETENTION_FACTOR + jitter)
         };
-        self.added.retain(|id, needed_at| now <= *needed_at + retention(id) && !self.shares.contains_key(id));
+        self.added.retain(|id, last_needed_at| {
+            now <= *last_needed_at + retention(id) && !self.shares.contains_key(id)
+        });
     }
 }
--- a/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
+++ b/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
@@ -23,21 +23,21 @@
     preferences: &[Preferences],
 ) -> Vec<TrafficShares> {
     let traffic: Vec<f64> = nodes.iter().map(|node| bounded_weight(node.traffic)).collect();
-    let dues = host_dues(hosts, traffic.iter().sum());
+    let target_loads = host_target_loads(hosts, traffic.iter().sum());
     let mut rows = initial_rows(params, nodes, hosts, preferences);
     for _ in 0..MAX_ITERATIONS {
         scale_rows(&mut rows, &traffic);
         let received = column_sums(&rows, hosts.len());
-        if max_deviation(&received, &dues) < TOLERANCE {
+        if max_deviation(&received, &target_loads) < TOLERANCE {
             break;
         }
-        scale_columns(&mut rows, &received, &dues);
+        scale_columns(&mut rows, &received, &target_loads);
     }
     rows.into_iter().map(|row| normalized(row, hosts)).collect()
 }
 
 /// The part of all traffic that is due to each host, by its weight.
-fn host_dues(hosts: &[SubsetHost], total_traffic: f64) -> Vec<f64> {
+fn host_target_loads(hosts: &[SubsetHost], total_traffic: f64) -> Vec<f64> {
     let total_weight: f64 = hosts.iter().map(|host| bounded_weight(host.weight)).sum();
     hosts.iter().map(|host| bounded_weight(host.weight) / total_weight * total_traffic).collect()
 }
@@ -49,8 +49,8 @@
     preferences: &[Preferences],
 ) -> Vec<Row> {
     let initial_weight = |node: &SubsetNode, host: &SubsetHost| {
-        let is_far = params.prefer_own_zone && host.zone != node.zone;
-        bounded_weight(host.weight) * if is_far { OTHER_ZONE_WEIGHT } else { 1.0 }
+        let is_other_zone = params.prefer_own_zone && host.zone != node.zone;
+        bounded_weight(host.weight) * if is_other_zone { OTHER_ZONE_WEIGHT } else { 1.0 }
     };
     let row = |(node, preferences): (&&SubsetNode, &Preferences)| {
         let cell =
@@ -67,8 +67,8 @@
     }
 }
 
-fn scale_columns(rows: &mut [Row], received: &[f64], dues: &[f64]) {
-    rows.iter_mut().flatten().for_each(|(host, cell)| *cell *= dues[*host] / received[*host]);
+fn scale_columns(rows: &mut [Row], received: &[f64], target_loads: &[f64]) {
+    rows.iter_mut().flatten().for_each(|(host, cell)| *cell *= target_loads[*host] / received[*host]);
 }
 
 fn column_sums(rows: &[Row], hosts: usize) -> Vec<f64> {
@@ -77,8 +77,12 @@
     sums
 }
 
-fn max_deviation(received: &[f64], dues: &[f64]) -> f64 {
-    received.iter().zip(dues).map(|(received, due)| (received / due - 1.0).abs()).fold(0.0, f64::max)
+fn max_deviation(received: &[f64], target_loads: &[f64]) -> f64 {
+    received
+        .iter()
+        .zip(target_loads)
+        .map(|(received, target)| (received / target - 1.0).abs())
+        .fold(0.0, f64::max)
 }
 
 fn normalized(row: Row, hosts: &[SubsetHost]) -> TrafficShares {
--- a/crates/alderstile-cluster/src/subsetting/rendezvous.rs
+++ b/crates/alderstile-cluster/src/subsetting/rendezvous.rs
@@ -11,7 +11,7 @@
 /// take most of a node's hosts.
 const MAX_GROUP_FACTOR: f64 = 2.0;
 /// With the own zone first, the part of a subset that is in other zones, for what the own one can't take.
-const OTHER_ZONES_PART: f64 = 0.25;
+const OTHER_ZONES_FRACTION: f64 = 0.25;
 
 /// The rank of a host at the node with this hash: the lowest is preferred, and a heavier host is first as much more often
 /// (exponential draws).
@@ -27,25 +27,27 @@
 /// All hosts in the order in which a node would use them: by rank, but no failure group with more than twice its part of a
 /// subset before all others have had theirs, and the own zone first where that is asked for.
 pub fn preference_order(params: SubsettingParams, node: &SubsetNode, hosts: &[SubsetHost]) -> Vec<ServerId> {
-    let mut group_room = failure_group_room(params, hosts);
-    let (mut near, mut far, mut beyond_room) = (Vec::new(), Vec::new(), Vec::new());
+    let mut group_quotas = failure_group_quotas(params, hosts);
+    let (mut own_zone, mut other_zones, mut over_quota) = (Vec::new(), Vec::new(), Vec::new());
     for host in by_rank(node, hosts) {
         // At least one of each group has room.
-        let room = group_room.entry(host.failure_group).or_default();
-        *room -= 1.0;
-        if *room <= -1.0 {
-            beyond_room.push(host.id);
+        let quota = group_quotas.entry(host.failure_group).or_default();
+        *quota -= 1.0;
+        if *quota <= -1.0 {
+            over_quota.push(host.id);
         } else if !params.prefer_own_zone || host.zone == node.zone {
-            near.push(host.id);
+            own_zone.push(host.id);
         } else {
-            far.push(host.id);
+            other_zones.push(host.id);
         }
     }
     // Most from the own zone, some from others, the rest of the own, the rest of the others.
-    let far_first = ((params.hosts_per_node as f64 * OTHER_ZONES_PART).ceil() as usize).min(far.len());
-    let near_first = params.hosts_per_node.saturating_sub(far_first).min(near.len());
-    let (near_rest, far_rest) = (near.split_off(near_first), far.split_off(far_first));
-    [near, far, near_rest, far_rest, beyond_room].concat()
+    let other_zones_count =
+        ((params.hosts_per_node as f64 * OTHER_ZONES_FRACTION).ceil() as usize).min(other_zones.len());
+    let own_zone_count = params.hosts_per_node.saturating_sub(other_zones_count).min(own_zone.len());
+    let (own_zone_rest, other_zones_rest) =
+        (own_zone.split_off(own_zone_count), other_zones.split_off(other_zones_count));
+    [own_zone, other_zones, own_zone_rest, other_zones_rest, over_quota].concat()
 }
 
 fn by_rank<'a>(node: &SubsetNode, hosts: &'a [SubsetHost]) -> impl Iterator<Item = &'a SubsetHost> {
@@ -57,12 +59,12 @@
 }
 
 /// How many hosts of each failure group a subset takes before all others.
-fn failure_group_room(params: SubsettingParams, hosts: &[SubsetHost]) -> BTreeMap<u16, f64> {
+fn failure_group_quotas(params: SubsettingParams, hosts: &[SubsetHost]) -> BTreeMap<u16, f64> {
     let total_weight: f64 = hosts.iter().map(|host| bounded_weight(host.weight)).sum();
-    let mut room: BTreeMap<u16, f64> = BTreeMap::new();
+    let mut quotas: BTreeMap<u16, f64> = BTreeMap::new();
     for host in hosts {
-        *room.entry(host.failure_group).or_default() +=
+        *quotas.entry(host.failure_group).or_default() +=
             MAX_GROUP_FACTOR * params.hosts_per_node as f64 * bounded_weight(host.weight) / total_weight;
     }
-    room
+    quotas
 }
--- a/crates/alderstile-cluster/src/subsetting/share_table.rs
+++ b/crates/alderstile-cluster/src/subsetting/share_table.rs
@@ -34,11 +34,11 @@
 pub fn node_shares(
     params: SubsettingParams,
     node: &SubsetNode,
-    others: &[SubsetNode],
+    other_nodes: &[SubsetNode],
     hosts: &[SubsetHost],
 ) -> TrafficShares {
     let mut nodes = vec![node.clone()];
-    nodes.extend(others.iter().filter(|other| other.name != node.name).cloned());
+    nodes.extend(other_nodes.iter().filter(|other| other.name != node.name).cloned());
     share_table(params, &nodes, hosts).swap_remove(0)
 }
 
@@ -48,13 +48,15 @@
     nodes: &[&SubsetNode],
     hosts: &[SubsetHost],
 ) -> Vec<Preferences> {
-    let place: BTreeMap<ServerId, usize> =
-        hosts.iter().enumerate().map(|(place, host)| (host.id, place)).collect();
-    let size = params.hosts_per_node.max(1);
+    let host_indices: BTreeMap<ServerId, usize> =
+        hosts.iter().enumerate().map(|(index, host)| (host.id, index)).collect();
+    let subset_size = params.hosts_per_node.max(1);
     let preferences_of = |node: &&SubsetNode| {
         let order = preference_order(params, node, hosts);
-        let used = order.iter().take(size).enumerate();
-        used.filter_map(|(rank, id)| Some((*place.get(id)?, preference(rank, size)))).collect()
+        let selected = order.iter().take(subset_size).enumerate();
+        selected
+            .filter_map(|(rank, id)| Some((*host_indices.get(id)?, preference_weight(rank, subset_size))))
+            .collect()
     };
     nodes.iter().map(preferences_of).collect()
 }
@@ -67,17 +69,17 @@
     preferences: &mut [Preferences],
 ) {
     let node_hashes: Vec<u64> = nodes.iter().map(|node| name_hash(&node.name)).collect();
-    let users = params.nodes_per_host.min(nodes.len());
-    for (place, host) in hosts.iter().enumerate() {
-        for (rank, node) in first_nodes(host, &node_hashes, users).into_iter().enumerate() {
-            let known = preferences[node].entry(place).or_default();
-            *known = known.max(preference(rank, users));
+    let node_count = params.nodes_per_host.min(nodes.len());
+    for (index, host) in hosts.iter().enumerate() {
+        for (rank, node) in top_ranked_nodes(host, &node_hashes, node_count).into_iter().enumerate() {
+            let weight = preferences[node].entry(index).or_default();
+            *weight = weight.max(preference_weight(rank, node_count));
         }
     }
 }
 
 /// The places of so many nodes that prefer a host most, the first one first.
-fn first_nodes(host: &SubsetHost, node_hashes: &[u64], count: usize) -> Vec<usize> {
+fn top_ranked_nodes(host: &SubsetHost, node_hashes: &[u64], count: usize) -> Vec<usize> {
     let ranks = node_hashes.iter().enumerate().map(|(node, hash)| (rendezvous_rank(*hash, host), node));
     let mut ranks: Vec<(f64, usize)> = ranks.collect();
     let by_rank = |a: &(f64, usize), b: &(f64, usize)| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1));
@@ -90,6 +92,6 @@
 }
 
 /// What a place in an order counts: the last hardly anything, so that who comes or goes there moves little traffic.
-fn preference(rank: usize, of: usize) -> f64 {
-    (of - rank) as f64 / of as f64
+fn preference_weight(rank: usize, count: usize) -> f64 {
+    (count - rank) as f64 / count as f64
 }
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -46,13 +46,12 @@
 
 /// Each kind of datagram and of gossip, by the name of its file.
 fn datagrams() -> Vec<(&'static str, Datagram)> {
-    let one = InstanceId(0x3132_3334_3536_3738);
-    let header =
-        DatagramHeader { sender: record(1).instance, receiver: one, sequence: 0x4142_4344_4546_4748 };
+    let receiver = InstanceId(0x3132_3334_3536_3738);
+    let header = DatagramHeader { sender: record(1).instance, receiver, sequence: 0x4142_4344_4546_4748 };
     let nonce = 0x5152_5354_5556_5758;
     let incarnation = 0x6162_6364_6566_6768;
-    let of_body = |body| Datagram { header, message: body, updates: Vec::new() };
-    let of_updates = |updates| Datagram { header, message: Message::Ack { nonce }, updates };
+    let with_message = |message| Datagram { header, message, updates: Vec::new() };
+    let with_updates = |updates| Datagram { header, message: Message::Ack { nonce }, updates };
     let page = vec![
         (MemberState::Alive, record(2)),
         (MemberState::Suspect, record(3)),
@@ -60,90 +59,97 @@
         (MemberState::Left, record(4)),
     ];
     vec![
-        ("ping.bin", of_body(Message::Ping { nonce, record: record(1) })),
-        ("ping_ipv6.bin", of_body(Message::Ping { nonce, record: ipv6_record() })),
-        ("ack.bin", of_body(Message::Ack { nonce })),
+        ("ping.bin", with_message(Message::Ping { nonce, record: record(1) })),
+        ("ping_ipv6.bin", with_message(Message::Ping { nonce, record: ipv6_record() })),
+        ("ack.bin", with_message(Message::Ack { nonce })),
         (
             "ping_request.bin",
-            of_body(Message::PingRequest { nonce, target: record(2).instance, address: record(2).address }),
+            with_message(Message::PingRequest {
+                nonce,
+                target: record(2).instance,
+                address: record(2).address,
+            }),
         ),
         (
             "ping_request_ipv6.bin",
-            of_body(Message::PingRequest {
+            with_message(Message::PingRequest {
                 nonce,
                 target: record(7).instance,
                 address: ipv6_record().address,
             }),
         ),
-        ("nack.bin", of_body(Message::Nack { nonce })),
-        ("handshake.bin", of_body(Message::Identify { record: record(1) })),
-        ("sync_request.bin", of_body(Message::SyncRequest { after: record(2).instance, record: record(1) })),
-        ("sync_page.bin", of_body(Message::SyncPage { last: false, members: page.clone() })),
-        ("sync_last_page.bin", of_body(Message::SyncPage { last: true, members: page })),
-        ("sync_empty_page.bin", of_body(Message::SyncPage { last: false, members: Vec::new() })),
-        ("gossip_alive.bin", of_updates(vec![MemberUpdate::Alive(record(2))])),
+        ("nack.bin", with_message(Message::Nack { nonce })),
+        ("handshake.bin", with_message(Message::Identify { record: record(1) })),
+        (
+            "sync_request.bin",
+            with_message(Message::SyncRequest { after: record(2).instance, record: record(1) }),
+        ),
+        ("sync_page.bin", with_message(Message::SyncPage { is_last: false, members: page.clone() })),
+        ("sync_last_page.bin", with_message(Message::SyncPage { is_last: true, members: page })),
+        ("sync_empty_page.bin", with_message(Message::SyncPage { is_last: false, members: Vec::new() })),
+        ("gossip_alive.bin", with_updates(vec![MemberUpdate::Alive(record(2))])),
         (
             "gossip_suspect.bin",
-            of_updates(vec![MemberUpdate::Suspect {
+            with_updates(vec![MemberUpdate::Suspect {
                 instance: record(2).instance,
                 incarnation,
-                reporter: one,
+                reporter: receiver,
             }]),
         ),
         (
             "gossip_dead.bin",
-            of_updates(vec![MemberUpdate::Dead { instance: record(2).instance, incarnation }]),
+            with_updates(vec![MemberUpdate::Dead { instance: record(2).instance, incarnation }]),
         ),
         (
             "gossip_left.bin",
-            of_updates(vec![MemberUpdate::Left { instance: record(2).instance, incarnation }]),
+            with_updates(vec![MemberUpdate::Left { instance: record(2).instance, incarnation }]),
         ),
         (
             "gossip_several.bin",
-            of_updates(vec![
+            with_updates(vec![
                 MemberUpdate::Left { instance: record(5).instance, incarnation },
                 MemberUpdate::Alive(ipv6_record()),
                 MemberUpdate::Dead { instance: record(3).instance, incarnation },
-                MemberUpdate::Suspect { instance: record(2).instance, incarnation, reporter: one },
+                MemberUpdate::Suspect { instance: record(2).instance, incarnation, reporter: receiver },
             ]),
         ),
     ]
 }
 
 #[test]
-fn each_kind_of_datagram_is_read_and_written_as_by_the_version_before() {
+fn each_datagram_kind_is_decoded_and_encoded_as_recorded() {
     for (name, datagram) in datagrams() {
         let bytes = fixture(name);
-        assert_eq!(codec().decode(&bytes).as_ref(), Ok(&datagram), "{name} is read");
+        assert_eq!(codec().decode(&bytes).as_ref(), Ok(&datagram), "decoded {name}");
         let updates: Vec<&MemberUpdate> = datagram.updates.iter().collect();
         let written = codec().encode(datagram.header, &datagram.message, &updates);
-        assert_eq!(written, (bytes, datagram.updates.len()), "{name} is written");
+        assert_eq!(written, (bytes, datagram.updates.len()), "encoded {name}");
     }
 }
 
 #[test]
-fn each_datagram_that_was_kept_is_tested() {
+fn each_recorded_datagram_is_tested() {
     let tested: BTreeSet<String> = datagrams().iter().map(|(name, _)| (*name).to_owned()).collect();
-    let files = std::fs::read_dir(fixtures()).expect("the folder of fixtures");
+    let files = std::fs::read_dir(fixtures()).expect("the fixtures directory");
     let names = files.map(|file| file.expect("a file").file_name().into_string().expect("a name"));
-    let kept: BTreeSet<String> = names.filter(|name| name.ends_with(".bin")).collect();
-    assert_eq!(tested, kept);
+    let fixture_names: BTreeSet<String> = names.filter(|name| name.ends_with(".bin")).collect();
+    assert_eq!(tested, fixture_names);
 }
 
 /// Members that find each other, lose datagrams, die, stand still, are split, leave and come back.
-struct Played {
+struct Simulation {
     members: Vec<Option<Membership>>,
     now: Micros,
     datagrams: u64,
     /// All that the members wanted done, in a running digest, and how much that was.
     digest: u64,
-    effects: u64,
+    effect_count: u64,
 }
 
 const MEMBERS: u64 = 12;
 
 /// A change by a number for its kind, as the kinds' names are no part of what is kept.
-fn described(change: &MembershipChange) -> String {
+fn describe_change(change: &MembershipChange) -> String {
     match change {
         MembershipChange::Joined(instance) => format!("0 {instance}"),
         MembershipChange::Suspected(instance) => format!("1 {instance}"),
@@ -158,18 +164,19 @@
     }
 }
 
-impl Played {
+impl Simulation {
     fn new() -> Self {
-        let mut played = Played { members: Vec::new(), now: Micros(0), datagrams: 0, digest: 0, effects: 0 };
+        let mut simulation =
+            Simulation { members: Vec::new(), now: Micros(0), datagrams: 0, digest: 0, effect_count: 0 };
         for number in 1..=MEMBERS {
-            played.members.push(None);
-            played.start(number, number);
+            simulation.members.push(None);
+            simulation.start(number, number);
         }
-        played
+        simulation
     }
 
     fn start(&mut self, number: u64, instance: u64) {
-        let me = MemberRecord {
+        let local = MemberRecord {
             instance: InstanceId(instance * 7_919),
             incarnation: 1,
             name: format!("edge-{number}").into(),
@@ -179,26 +186,27 @@
             metadata: [].into(),
         };
         let seeds = [1, 2, 99].map(|seed| ([127, 0, 0, seed], 7_946).into()).to_vec();
-        let settings = MembershipConfig::with_period(Micros::from_millis(1_000));
-        let member = Membership::new(settings, codec(), me, seeds, instance, self.now);
+        let config = MembershipConfig::with_period(Micros::from_millis(1_000));
+        let member = Membership::new(config, codec(), local, seeds, instance, self.now);
         self.members[number as usize - 1] = Some(member);
     }
 
-    fn note(&mut self, by: usize, out: &MembershipEffect) {
-        let text = match out {
+    fn record_effect(&mut self, sender: usize, effect: &MembershipEffect) {
+        let text = match effect {
             MembershipEffect::Send { to, datagram: bytes } => format!("{} {to} {bytes:?}", self.now.0),
-            MembershipEffect::Changed(change) => format!("{} {}", self.now.0, described(change)),
+            MembershipEffect::Changed(change) => format!("{} {}", self.now.0, describe_change(change)),
         };
-        self.effects += 1;
-        self.digest = alderstile_cluster::content_digest(format!("{} {by} {text}", self.digest).as_bytes());
+        self.effect_count += 1;
+        self.digest =
+            alderstile_cluster::content_digest(format!("{} {sender} {text}", self.digest).as_bytes());
     }
 
     /// Carries what is sent; every seventh datagram is lost, and those between the sides of a split.
-    fn carry(&mut self, by: usize, out: Vec<MembershipEffect>, apart: &[u64]) {
-        let mut waiting = vec![(by, out)];
-        while let Some((by, out)) = waiting.pop() {
-            for effect in out {
-                self.note(by, &effect);
+    fn deliver(&mut self, sender: usize, effects: Vec<MembershipEffect>, partition: &[u64]) {
+        let mut pending = vec![(sender, effects)];
+        while let Some((sender, effects)) = pending.pop() {
+            for effect in effects {
+                self.record_effect(sender, &effect);
                 let MembershipEffect::Send { to, datagram: bytes } = effect else { continue };
                 self.datagrams += 1;
                 let receiver = self
@@ -206,28 +214,28 @@
                     .iter()
                     .position(|other| other.as_ref().is_some_and(|other| other.local().address == to));
                 let Some(receiver) = receiver.filter(|_| !self.datagrams.is_multiple_of(7)) else { continue };
-                let side = |number: usize| apart.contains(&(number as u64 + 1));
-                if side(by) != side(receiver) {
+                let is_in_partition = |number: usize| partition.contains(&(number as u64 + 1));
+                if is_in_partition(sender) != is_in_partition(receiver) {
                     continue;
                 }
-                let from = ([127, 0, 0, by as u8 + 1], 7_946).into();
+                let from = ([127, 0, 0, sender as u8 + 1], 7_946).into();
                 if let Some(member) = &mut self.members[receiver] {
-                    waiting.push((receiver, member.handle_datagram(self.now, from, &bytes)));
+                    pending.push((receiver, member.handle_datagram(self.now, from, &bytes)));
                 }
             }
         }
     }
 
-    fn pass(&mut self, seconds: u64, still: Option<u64>, apart: &[u64]) {
+    fn run_for(&mut self, seconds: u64, paused: Option<u64>, partition: &[u64]) {
         let until = self.now + Micros::from_millis(seconds * 1_000);
         loop {
-            let running = self.members.iter().enumerate().filter(|(i, _)| still != Some(*i as u64 + 1));
+            let running = self.members.iter().enumerate().filter(|(i, _)| paused != Some(*i as u64 + 1));
             let due = running.filter_map(|(i, member)| Some((member.as_ref()?.next_timeout(), i))).min();
             let Some((at, i)) = due.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
-            let out =
+            let effects =
                 self.members[i].as_mut().map(|member| member.handle_timeout(self.now)).unwrap_or_default();
-            self.carry(i, out, apart);
+            self.deliver(i, effects, partition);
         }
         self.now = until;
     }
@@ -235,33 +243,33 @@
 
 /// The order of random draws and of iteration is in each byte that is sent.
 #[test]
-fn a_played_schedule_sends_the_same_bytes_as_the_version_before() {
-    let mut played = Played::new();
-    played.pass(40, None, &[]);
-    played.members[4] = None;
-    played.pass(30, None, &[]);
-    played.start(5, 105);
-    played.pass(20, Some(6), &[]);
-    played.pass(20, None, &[]);
-    played.pass(60, None, &[7, 8, 9]);
-    played.pass(60, None, &[]);
-    if let Some(member) = &mut played.members[9] {
-        let out = member.leave(played.now);
-        played.carry(9, out, &[]);
+fn a_simulated_schedule_sends_the_recorded_bytes() {
+    let mut simulation = Simulation::new();
+    simulation.run_for(40, None, &[]);
+    simulation.members[4] = None;
+    simulation.run_for(30, None, &[]);
+    simulation.start(5, 105);
+    simulation.run_for(20, Some(6), &[]);
+    simulation.run_for(20, None, &[]);
+    simulation.run_for(60, None, &[7, 8, 9]);
+    simulation.run_for(60, None, &[]);
+    if let Some(member) = &mut simulation.members[9] {
+        let effects = member.leave(simulation.now);
+        simulation.deliver(9, effects, &[]);
     }
-    played.pass(2, None, &[]);
-    played.members[9] = None;
-    if let Some(member) = &mut played.members[0] {
+    simulation.run_for(2, None, &[]);
+    simulation.members[9] = None;
+    if let Some(member) = &mut simulation.members[0] {
         member.set_config_digest(8);
         member.set_metadata(b't', &[42]).expect("it fits");
     }
-    played.pass(400, None, &[1, 2]);
-    played.pass(100, None, &[]);
-    let living: usize = played.members.iter().flatten().map(Membership::live_count).sum();
+    simulation.run_for(400, None, &[1, 2]);
+    simulation.run_for(100, None, &[]);
+    let live_members: usize = simulation.members.iter().flatten().map(Membership::live_count).sum();
     let summary = format!(
-        "{:016x} digest, {} effects, {} datagrams, {living} members in all views\n",
-        played.digest, played.effects, played.datagrams
+        "{:016x} digest, {} effects, {} datagrams, {live_members} members in all views\n",
+        simulation.digest, simulation.effect_count, simulation.datagrams
     );
-    let before = String::from_utf8(fixture("schedule.txt")).expect("text");
-    assert_eq!(summary, before);
+    let recorded = String::from_utf8(fixture("schedule.txt")).expect("text");
+    assert_eq!(summary, recorded);
 }
--- a/crates/alderstile-cluster/tests/membership_datagrams.rs
+++ b/crates/alderstile-cluster/tests/membership_datagrams.rs
@@ -11,67 +11,66 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-use support::members::{KEY, address, codec, member, member_with, pass, period, record, state};
+use support::members::{KEY, address, advance, codec, member, member_with, period, record, state};
 
 #[test]
 fn rejected_datagrams_change_nothing_and_are_counted() {
-    let mut one = member(1, &[2]);
-    let ping = |to: u64, counter, codec: &DatagramCodec| {
-        let header =
-            DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(to), sequence: counter };
+    let mut receiver = member(1, &[2]);
+    let ping = |to: u64, sequence, codec: &DatagramCodec| {
+        let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(to), sequence };
         // It would bring a member that nobody knows.
-        let news = MemberUpdate::Alive(record(9));
-        codec.encode(header, &Message::Ping { nonce: 1, record: record(2) }, &[&news]).0
+        let update = MemberUpdate::Alive(record(9));
+        codec.encode(header, &Message::Ping { nonce: 1, record: record(2) }, &[&update]).0
     };
-    let take = |one: &mut Membership, bytes: &[u8]| one.handle_datagram(Micros(0), address(2), bytes);
+    let receive =
+        |receiver: &mut Membership, bytes: &[u8]| receiver.handle_datagram(Micros(0), address(2), bytes);
     let other_key = DatagramCodec::new("test", &[b"another key of a length".to_vec()]).expect("a codec");
     let other_name = DatagramCodec::new("other", &[KEY.to_vec()]).expect("a codec");
     for codec in [&other_key, &other_name] {
-        assert_eq!(take(&mut one, &ping(1_000, 1, codec)), []);
+        assert_eq!(receive(&mut receiver, &ping(1_000, 1, codec)), []);
     }
-    assert_eq!(one.counters().unauthenticated, 2);
-    let good = ping(1_000, 1, &codec());
-    let mut newer = good.clone();
+    assert_eq!(receiver.counters().unauthenticated, 2);
+    let valid = ping(1_000, 1, &codec());
+    let mut newer = valid.clone();
     newer[2] = 9;
-    assert_eq!(take(&mut one, &newer), []);
-    assert_eq!(one.counters().unsupported_format, 1);
-    for i in 0..good.len() {
-        let mut bad = good.clone();
-        bad[i] ^= 1;
-        assert_eq!(take(&mut one, &bad), [], "byte {i}");
-        assert_eq!(take(&mut one, &good[..i]), [], "cut at {i}");
+    assert_eq!(receive(&mut receiver, &newer), []);
+    assert_eq!(receiver.counters().unsupported_format, 1);
+    for i in 0..valid.len() {
+        let mut corrupted = valid.clone();
+        corrupted[i] ^= 1;
+        assert_eq!(receive(&mut receiver, &corrupted), [], "byte {i}");
+        assert_eq!(receive(&mut receiver, &valid[..i]), [], "truncated to {i} bytes");
     }
     // Made for another process here: it is told who is here, and nothing else.
-    let told = take(&mut one, &ping(77, 1, &codec()));
-    assert!(matches!(told[..], [MembershipEffect::Send { .. }]), "{told:?}");
-    assert_eq!((one.counters().wrong_instance, one.counters().accepted), (1, 0));
-    assert_eq!(state(&one, InstanceId(9_000)), None, "nothing was believed so far");
-    take(&mut one, &good);
-    assert_eq!(state(&one, InstanceId(9_000)), Some(MemberState::Alive));
-    assert_eq!(take(&mut one, &good), [], "a second time");
-    assert_eq!((one.counters().replayed, one.counters().accepted), (1, 1));
+    let reply = receive(&mut receiver, &ping(77, 1, &codec()));
+    assert!(matches!(reply[..], [MembershipEffect::Send { .. }]), "{reply:?}");
+    assert_eq!((receiver.counters().wrong_instance, receiver.counters().accepted), (1, 0));
+    assert_eq!(state(&receiver, InstanceId(9_000)), None, "no rejected update was applied");
+    receive(&mut receiver, &valid);
+    assert_eq!(state(&receiver, InstanceId(9_000)), Some(MemberState::Alive));
+    assert_eq!(receive(&mut receiver, &valid), [], "the same datagram again");
+    assert_eq!((receiver.counters().replayed, receiver.counters().accepted), (1, 1));
 }
 
 #[test]
 fn each_sequence_number_is_accepted_once_in_any_order() {
-    let mut one = member(1, &[2]);
-    // Whether a datagram with that number is taken in.
-    let mut take = |counter: u64| {
-        let header =
-            DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: counter };
+    let mut receiver = member(1, &[2]);
+    // Whether a datagram with that number is accepted in.
+    let mut receive = |sequence: u64| {
+        let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence };
         let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[]);
-        let before = one.counters();
-        one.handle_datagram(Micros(0), address(2), &bytes);
-        let (taken, replayed) =
-            (one.counters().accepted - before.accepted, one.counters().replayed - before.replayed);
-        assert_eq!(taken + replayed, 1, "number {counter}");
-        taken == 1
+        let before = receiver.counters();
+        receiver.handle_datagram(Micros(0), address(2), &bytes);
+        let (accepted, replayed) =
+            (receiver.counters().accepted - before.accepted, receiver.counters().replayed - before.replayed);
+        assert_eq!(accepted + replayed, 1, "sequence number {sequence}");
+        accepted == 1
     };
     let order = [5, 3, 9, 4, 60, 70, 69, 10, 200, 140, 137];
-    assert!(order.iter().all(|&n| take(n)));
-    assert!(order.iter().all(|&n| !take(n)));
-    assert!(!take(136), "too old to tell");
-    assert!(take(u64::MAX) && !take(u64::MAX) && !take(200));
+    assert!(order.iter().all(|&n| receive(n)));
+    assert!(order.iter().all(|&n| !receive(n)));
+    assert!(!receive(136), "below the replay window");
+    assert!(receive(u64::MAX) && !receive(u64::MAX) && !receive(200));
 }
 
 #[test]
@@ -81,7 +80,7 @@
     for pair in codecs.windows(2) {
         let codec = |keys| DatagramCodec::new("test", keys).expect("a codec");
         let mut members = vec![member_with(1, codec(&pair[0]), &[2]), member_with(2, codec(&pair[1]), &[1])];
-        pass(&mut members, &mut Micros(0), Micros::from_millis(5_000));
+        advance(&mut members, &mut Micros(0), Micros::from_millis(5_000));
         assert!(members.iter().all(|m| m.counters().unauthenticated == 0 && m.counters().accepted > 3));
     }
     let error = |cluster, keys: &[Vec<u8>]| DatagramCodec::new(cluster, keys).err();
@@ -91,22 +90,21 @@
 }
 
 #[test]
-fn datagrams_sent_in_a_period_are_bounded_whatever_comes() {
-    let mut one = member(1, &[2]);
+fn datagrams_sent_in_a_period_are_bounded_for_any_input() {
+    let mut receiver = member(1, &[2]);
     let mut sent = 0;
-    for counter in 1..5_000 {
-        let header =
-            DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: counter };
-        let ping = codec().encode(header, &Message::Ping { nonce: counter, record: record(2) }, &[]).0;
-        let out = one.handle_datagram(Micros(10), address(2), &ping);
-        for one in &out {
-            let MembershipEffect::Send { datagram: bytes, .. } = one else { continue };
+    for sequence in 1..5_000 {
+        let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence };
+        let ping = codec().encode(header, &Message::Ping { nonce: sequence, record: record(2) }, &[]).0;
+        let effects = receiver.handle_datagram(Micros(10), address(2), &ping);
+        for effect in &effects {
+            let MembershipEffect::Send { datagram: bytes, .. } = effect else { continue };
             sent += 1;
             assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
         }
     }
     assert_eq!(sent, MembershipConfig::with_period(period()).max_datagrams_per_period);
-    assert!(one.counters().rate_limited > 0);
+    assert!(receiver.counters().rate_limited > 0);
 }
 
 fn any_record() -> impl Strategy<Value = MemberRecord> {
@@ -131,19 +129,19 @@
 }
 
 fn any_update() -> impl Strategy<Value = MemberUpdate> {
-    let few = || 1..6u64;
+    let small = || 1..6u64;
     prop_oneof![
         any_record().prop_map(MemberUpdate::Alive),
-        (few(), any::<u64>(), few()).prop_map(|(s, incarnation, by)| {
+        (small(), any::<u64>(), small()).prop_map(|(s, incarnation, by)| {
             MemberUpdate::Suspect {
                 instance: InstanceId(s * 1_000),
                 incarnation,
                 reporter: InstanceId(by * 1_000),
             }
         }),
-        (few(), 0..4u64)
+        (small(), 0..4u64)
             .prop_map(|(s, incarnation)| MemberUpdate::Dead { instance: InstanceId(s * 1_000), incarnation }),
-        (few(), any::<u64>())
+        (small(), any::<u64>())
             .prop_map(|(s, incarnation)| MemberUpdate::Left { instance: InstanceId(s * 1_000), incarnation }),
     ]
 }
@@ -166,10 +164,10 @@
             Message::Nack { nonce: 4 },
             Message::Identify { record: record.clone() },
             Message::SyncRequest { after: InstanceId(8), record: record.clone() },
-            Message::SyncPage { last: true, members: vec![(MemberState::Suspect, record.clone())] },
+            Message::SyncPage { is_last: true, members: vec![(MemberState::Suspect, record.clone())] },
         ] {
-            let refs: Vec<&MemberUpdate> = updates.iter().collect();
-            let (bytes, written) = codec().encode(header, &message, &refs);
+            let update_refs: Vec<&MemberUpdate> = updates.iter().collect();
+            let (bytes, written) = codec().encode(header, &message, &update_refs);
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             let read = codec().decode(&bytes).expect("read");
             prop_assert_eq!((read.header, &read.message, &read.updates[..]), (header, &message, &updates[..written]));
@@ -178,29 +176,29 @@
 
     #[test]
     fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1_400)) {
-        let mut one = member(1, &[2]);
-        prop_assert_eq!(one.handle_datagram(Micros(0), address(2), &bytes), []);
+        let mut receiver = member(1, &[2]);
+        prop_assert_eq!(receiver.handle_datagram(Micros(0), address(2), &bytes), []);
         // The same from a broken member that has the key.
-        one.handle_datagram(Micros(0), address(2), &codec().sign_payload(&bytes));
-        prop_assert_eq!(one.live_count(), one.peers().filter(|other| other.state.is_live()).count() + 1);
+        receiver.handle_datagram(Micros(0), address(2), &codec().sign_payload(&bytes));
+        prop_assert_eq!(receiver.live_count(), receiver.peers().filter(|other| other.state.is_live()).count() + 1);
     }
 
     /// Whatever members with the key say: no panic, no more than is allowed is sent, the sums hold.
     #[test]
     fn no_update_breaks_the_member_counts(
-        words in prop::collection::vec((any_update(), any::<u64>(), 0..3_000u64), 1..60),
+        steps in prop::collection::vec((any_update(), any::<u64>(), 0..3_000u64), 1..60),
     ) {
-        let mut one = member(1, &[2, 3, 4]);
+        let mut receiver = member(1, &[2, 3, 4]);
         let mut now = Micros(0);
-        for (counter, (update, nonce, late)) in words.into_iter().enumerate() {
-            now = now + Micros::from_millis(late);
-            let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: counter as u64 + 1 };
+        for (sequence, (update, nonce, elapsed_ms)) in steps.into_iter().enumerate() {
+            now = now + Micros::from_millis(elapsed_ms);
+            let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: sequence as u64 + 1 };
             let (bytes, _) = codec().encode(header, &Message::Nack { nonce }, &[&update]);
-            one.handle_datagram(now, address(2), &bytes);
-            one.handle_timeout(now);
-            let living = one.peers().filter(|member| member.state.is_live()).count();
-            prop_assert_eq!(one.live_count(), living + 1);
-            prop_assert!(one.next_timeout() > now, "all that was due is done");
+            receiver.handle_datagram(now, address(2), &bytes);
+            receiver.handle_timeout(now);
+            let live_members = receiver.peers().filter(|member| member.state.is_live()).count();
+            prop_assert_eq!(receiver.live_count(), live_members + 1);
+            prop_assert!(receiver.next_timeout() > now, "no deadline is left in the past");
         }
     }
 }
--- a/crates/alderstile-cluster/tests/membership_identity.rs
+++ b/crates/alderstile-cluster/tests/membership_identity.rs
@@ -8,16 +8,16 @@
     MembershipChange, Message, RecordError,
 };
 
-use support::members::{address, codec, member, newcomer, pass, record, state};
+use support::members::{address, advance, codec, joining_member, member, record, state};
 
 #[test]
 fn a_restarted_member_replaces_its_earlier_instance() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3])];
     // Number 3 returns as another process at the same address; the others still hold the old one alive.
-    let again = MemberRecord { instance: InstanceId(33), ..record(3) };
-    members.push(newcomer(again, 9, Micros(0)));
+    let restarted = MemberRecord { instance: InstanceId(33), ..record(3) };
+    members.push(joining_member(restarted, 9, Micros(0)));
     let mut now = Micros(0);
-    let changes = pass(&mut members, &mut now, Micros::from_millis(5_000));
+    let changes = advance(&mut members, &mut now, Micros::from_millis(5_000));
     assert!(
         changes.iter().any(|(_, change)| *change == MembershipChange::Replaced(InstanceId(3_000))),
         "{changes:?}"
@@ -28,55 +28,58 @@
 }
 
 #[test]
-fn a_name_conflict_is_reported_and_neither_member_is_believed_over_the_other() {
+fn a_name_conflict_is_reported_and_both_members_stay_alive() {
     let mut members = vec![member(1, &[2]), member(2, &[1])];
-    let other = MemberRecord { name: "n2".into(), ..record(5) };
-    members.push(newcomer(other, 5, Micros(0)));
+    let namesake = MemberRecord { name: "n2".into(), ..record(5) };
+    members.push(joining_member(namesake, 5, Micros(0)));
     let mut now = Micros(0);
-    let changes = pass(&mut members, &mut now, Micros::from_millis(5_000));
-    for (by, member) in members.iter().enumerate() {
-        assert!(changes.contains(&(by, MembershipChange::NameConflict("n2".into()))), "{by}: {changes:?}");
+    let changes = advance(&mut members, &mut now, Micros::from_millis(5_000));
+    for (i, member) in members.iter().enumerate() {
+        assert!(
+            changes.contains(&(i, MembershipChange::NameConflict("n2".into()))),
+            "member {i}: {changes:?}"
+        );
         assert!(member.name_conflicts().contains("n2"));
     }
     assert_eq!(state(&members[0], InstanceId(2_000)), Some(MemberState::Alive));
     assert_eq!(state(&members[0], InstanceId(5_000)), Some(MemberState::Alive));
     // When one of them has gone the other has the name.
     members.pop();
-    let changes = pass(&mut members, &mut now, Micros::from_millis(20_000));
+    let changes = advance(&mut members, &mut now, Micros::from_millis(20_000));
     assert!(changes.contains(&(0, MembershipChange::NameConflictResolved("n2".into()))), "{changes:?}");
 }
 
 #[test]
-fn metadata_and_digests_reach_the_others_within_their_bounds() {
+fn metadata_within_its_bound_and_config_digests_reach_other_members() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3]), member(3, &[1, 2])];
     members[0].set_metadata(4, b"cold").expect("it fits");
     members[0].set_config_digest(99);
     assert_eq!(members[0].set_metadata(5, &[0; MAX_METADATA_BYTES]), Err(RecordError::MetadataLength));
     let mut now = Micros(0);
-    pass(&mut members, &mut now, Micros::from_millis(5_000));
-    let seen = &members[2].peer(InstanceId(1_000)).expect("known").record;
+    advance(&mut members, &mut now, Micros::from_millis(5_000));
+    let received = &members[2].peer(InstanceId(1_000)).expect("known").record;
     assert_eq!(
-        (seen.metadata_value(4), seen.metadata_value(5), seen.config_digest),
+        (received.metadata_value(4), received.metadata_value(5), received.config_digest),
         (Some(&b"cold"[..]), None, 99)
     );
-    members[0].set_metadata(4, b"").expect("taken away");
-    pass(&mut members, &mut now, Micros::from_millis(5_000));
+    members[0].set_metadata(4, b"").expect("removal fits");
+    advance(&mut members, &mut now, Micros::from_millis(5_000));
     assert_eq!(members[2].peer(InstanceId(1_000)).expect("known").record.metadata_value(4), None);
 }
 
 #[test]
 fn the_highest_incarnation_does_not_overflow() {
     // The next incarnation would overflow: a panic where overflows are checked.
-    let mut one = member(1, &[2]);
+    let mut receiver = member(1, &[2]);
     let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: 1 };
-    let top = MemberUpdate::Suspect {
+    let highest = MemberUpdate::Suspect {
         instance: InstanceId(1_000),
         incarnation: u64::MAX,
         reporter: InstanceId(2_000),
     };
-    let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[&top]);
-    one.handle_datagram(Micros(0), address(2), &bytes);
-    one.set_config_digest(8);
-    one.leave(Micros(1));
-    assert_eq!(one.local().incarnation, u64::MAX);
+    let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[&highest]);
+    receiver.handle_datagram(Micros(0), address(2), &bytes);
+    receiver.set_config_digest(8);
+    receiver.leave(Micros(1));
+    assert_eq!(receiver.local().incarnation, u64::MAX);
 }
--- a/crates/alderstile-cluster/tests/membership_model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -15,17 +15,17 @@
 const NODES: usize = 5;
 /// After this long without a change all views are to be right, as `docs/cluster.md` derives it for five members: until two that
 /// can reach each other again have asked, a round at the worst health, a probe that waits as long, a suspicion and its check.
-const SETTLED: Micros = Micros::from_millis(36_000);
+const CONVERGENCE_TIME: Micros = Micros::from_millis(36_000);
 /// Views are looked at each so often meanwhile.
-const STEP: Micros = Micros::from_millis(500);
+const CHECK_INTERVAL: Micros = Micros::from_millis(500);
 /// The longest time after which a view was still wrong.
-static LONGEST_MS: AtomicU64 = AtomicU64::new(0);
+static MAX_CONVERGENCE_MS: AtomicU64 = AtomicU64::new(0);
 
 /// Who runs, and who is on the other side of a split.
 #[derive(Clone, Debug)]
-struct World {
-    runs: [bool; NODES],
-    apart: [bool; NODES],
+struct ModelState {
+    running: [bool; NODES],
+    partition: [bool; NODES],
 }
 
 #[derive(Clone, Debug)]
@@ -33,54 +33,54 @@
     Kill(usize),
     Leave(usize),
     Start(usize),
-    Split([bool; NODES]),
+    Partition([bool; NODES]),
     Heal,
     /// A process stands still for that long.
     Pause(usize, u64),
-    Pass(u64),
+    Advance(u64),
     Settle,
 }
 
 struct Model;
 
 impl ReferenceStateMachine for Model {
-    type State = World;
+    type State = ModelState;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<World> {
-        Just(World { runs: [true; NODES], apart: [false; NODES] }).boxed()
+    fn init_state() -> BoxedStrategy<ModelState> {
+        Just(ModelState { running: [true; NODES], partition: [false; NODES] }).boxed()
     }
 
-    fn transitions(_: &World) -> BoxedStrategy<Step> {
+    fn transitions(_: &ModelState) -> BoxedStrategy<Step> {
         prop_oneof![
             1 => (0..NODES).prop_map(Step::Kill),
             1 => (0..NODES).prop_map(Step::Leave),
             2 => (0..NODES).prop_map(Step::Start),
-            1 => any::<[bool; NODES]>().prop_map(Step::Split),
+            1 => any::<[bool; NODES]>().prop_map(Step::Partition),
             2 => Just(Step::Heal),
             1 => (0..NODES, 1..30_000u64).prop_map(|(node, ms)| Step::Pause(node, ms)),
-            3 => (1..8_000u64).prop_map(Step::Pass),
+            3 => (1..8_000u64).prop_map(Step::Advance),
             2 => Just(Step::Settle),
         ]
         .boxed()
     }
 
-    fn apply(mut world: World, step: &Step) -> World {
+    fn apply(mut model: ModelState, step: &Step) -> ModelState {
         match step {
-            Step::Kill(node) | Step::Leave(node) => world.runs[*node] = false,
-            Step::Start(node) => world.runs[*node] = true,
-            Step::Split(apart) => world.apart = *apart,
-            Step::Heal => world.apart = [false; NODES],
-            Step::Pause(..) | Step::Pass(_) | Step::Settle => {}
+            Step::Kill(node) | Step::Leave(node) => model.running[*node] = false,
+            Step::Start(node) => model.running[*node] = true,
+            Step::Partition(partition) => model.partition = *partition,
+            Step::Heal => model.partition = [false; NODES],
+            Step::Pause(..) | Step::Advance(_) | Step::Settle => {}
         }
-        world
+        model
     }
 
     /// A member that is the last one cannot be asked by anyone; the rest is allowed at any time.
-    fn preconditions(world: &World, step: &Step) -> bool {
+    fn preconditions(model: &ModelState, step: &Step) -> bool {
         match step {
-            Step::Kill(node) | Step::Leave(node) | Step::Pause(node, _) => world.runs[*node],
-            Step::Start(node) => !world.runs[*node],
+            Step::Kill(node) | Step::Leave(node) | Step::Pause(node, _) => model.running[*node],
+            Step::Start(node) => !model.running[*node],
             _ => true,
         }
     }
@@ -99,7 +99,7 @@
 impl Cluster {
     fn start(&mut self, node: usize) {
         self.instances += 1;
-        let me = MemberRecord {
+        let local = MemberRecord {
             instance: InstanceId(self.instances * 7_919),
             incarnation: 1,
             name: format!("n{node}").into(),
@@ -109,72 +109,76 @@
             metadata: [].into(),
         };
         let codec = DatagramCodec::new("model", &[b"a key that is long enough".to_vec()]).expect("a codec");
-        let settings = MembershipConfig::with_period(Micros::from_millis(1_000));
+        let config = MembershipConfig::with_period(Micros::from_millis(1_000));
         let seeds = (0..NODES).map(address).collect();
-        self.members[node] = Some(Membership::new(settings, codec, me, seeds, self.instances, self.now));
+        self.members[node] = Some(Membership::new(config, codec, local, seeds, self.instances, self.now));
     }
 
     /// Carries what is sent, to those that run and are on the same side.
-    fn carry(&mut self, world: &World, by: usize, out: Vec<MembershipEffect>) {
-        let mut waiting: Vec<(usize, Vec<MembershipEffect>)> = vec![(by, out)];
-        while let Some((by, out)) = waiting.pop() {
-            for sent in out {
+    fn deliver(&mut self, model: &ModelState, sender: usize, effects: Vec<MembershipEffect>) {
+        let mut pending: Vec<(usize, Vec<MembershipEffect>)> = vec![(sender, effects)];
+        while let Some((sender, effects)) = pending.pop() {
+            for sent in effects {
                 let MembershipEffect::Send { to, datagram: bytes } = sent else { continue };
                 let to = (0..NODES).find(|node| address(*node) == to).expect("a node");
-                if let Some(member) = self.members[to].as_mut().filter(|_| world.apart[by] == world.apart[to])
+                if let Some(member) =
+                    self.members[to].as_mut().filter(|_| model.partition[sender] == model.partition[to])
                 {
-                    let answer = member.handle_datagram(self.now, address(by), &bytes);
-                    waiting.push((to, answer));
+                    let answer = member.handle_datagram(self.now, address(sender), &bytes);
+                    pending.push((to, answer));
                 }
             }
         }
     }
 
     /// Lets time pass for all but one that stands still.
-    fn pass(&mut self, world: &World, span: Micros, still: Option<usize>) {
+    fn advance(&mut self, model: &ModelState, span: Micros, paused: Option<usize>) {
         let until = self.now + span;
         loop {
-            let running = self.members.iter().enumerate().filter(|(node, _)| Some(*node) != still);
+            let running = self.members.iter().enumerate().filter(|(node, _)| Some(*node) != paused);
             let due = running.filter_map(|(node, m)| Some((m.as_ref()?.next_timeout(), node))).min();
             let Some((at, node)) = due.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
-            let out =
+            let effects =
                 self.members[node].as_mut().map(|member| member.handle_timeout(self.now)).unwrap_or_default();
-            self.carry(world, node, out);
+            self.deliver(model, node, effects);
         }
         self.now = until;
     }
 
     /// The views that are wrong: by whom, whom it sees, whom it should see.
-    fn wrong(&self, world: &World) -> Vec<(usize, Vec<String>, Vec<String>)> {
-        let mut wrong = Vec::new();
+    fn incorrect_views(&self, model: &ModelState) -> Vec<(usize, Vec<String>, Vec<String>)> {
+        let mut incorrect_views = Vec::new();
         for (node, member) in self.members.iter().enumerate() {
             let Some(member) = member else { continue };
-            let living = member.peers().filter(|other| other.state.is_live());
-            let mut seen: Vec<String> = living.map(|other| other.record.name.to_string()).collect();
+            let live_peers = member.peers().filter(|other| other.state.is_live());
+            let mut seen: Vec<String> = live_peers.map(|other| other.record.name.to_string()).collect();
             seen.sort();
-            let reached = |other: &usize| {
-                *other != node && world.runs[*other] && world.apart[*other] == world.apart[node]
+            let is_reachable = |other: &usize| {
+                *other != node && model.running[*other] && model.partition[*other] == model.partition[node]
             };
-            let there: Vec<String> = (0..NODES).filter(reached).map(|n| format!("n{n}")).collect();
-            if seen != there {
-                wrong.push((node, seen, there));
+            let expected: Vec<String> = (0..NODES).filter(is_reachable).map(|n| format!("n{n}")).collect();
+            if seen != expected {
+                incorrect_views.push((node, seen, expected));
             }
         }
-        wrong
+        incorrect_views
     }
 
     /// Lets the time pass that views have, and looks when they were wrong last.
-    fn settle(&mut self, world: &World) {
+    fn settle(&mut self, model: &ModelState) {
         let begin = self.now;
-        while self.now < begin + SETTLED {
-            self.pass(world, STEP, None);
-            if !self.wrong(world).is_empty() {
-                LONGEST_MS.fetch_max((self.now - begin).0 / 1_000, Ordering::Relaxed);
+        while self.now < begin + CONVERGENCE_TIME {
+            self.advance(model, CHECK_INTERVAL, None);
+            if !self.incorrect_views(model).is_empty() {
+                MAX_CONVERGENCE_MS.fetch_max((self.now - begin).0 / 1_000, Ordering::Relaxed);
             }
         }
-        let wrong = self.wrong(world);
-        assert!(wrong.is_empty(), "who, whom it sees, who is there: {wrong:?}");
+        let incorrect_views = self.incorrect_views(model);
+        assert!(
+            incorrect_views.is_empty(),
+            "incorrect views (node, observed, expected): {incorrect_views:?}"
+        );
     }
 }
 
@@ -182,113 +186,125 @@
     type SystemUnderTest = Self;
     type Reference = Model;
 
-    fn init_test(_: &World) -> Self {
+    fn init_test(_: &ModelState) -> Self {
         let mut cluster =
             Cluster { members: (0..NODES).map(|_| None).collect(), now: Micros(0), instances: 0 };
         (0..NODES).for_each(|node| cluster.start(node));
         cluster
     }
 
-    fn apply(mut cluster: Self, world: &World, step: Step) -> Self {
+    fn apply(mut cluster: Self, model: &ModelState, step: Step) -> Self {
         match step {
             Step::Kill(node) => cluster.members[node] = None,
             Step::Leave(node) => {
-                let out = cluster.members[node]
+                let effects = cluster.members[node]
                     .as_mut()
                     .map(|member| member.leave(cluster.now))
                     .unwrap_or_default();
-                cluster.carry(world, node, out);
+                cluster.deliver(model, node, effects);
                 cluster.members[node] = None;
             }
             Step::Start(node) => cluster.start(node),
-            Step::Split(_) | Step::Heal => {}
+            Step::Partition(_) | Step::Heal => {}
             Step::Pause(node, ms) => {
                 let stopped = cluster.members[node].take();
-                cluster.pass(world, Micros::from_millis(ms), Some(node));
+                cluster.advance(model, Micros::from_millis(ms), Some(node));
                 cluster.members[node] = stopped;
             }
-            Step::Pass(ms) => cluster.pass(world, Micros::from_millis(ms), None),
-            Step::Settle => cluster.settle(world),
+            Step::Advance(ms) => cluster.advance(model, Micros::from_millis(ms), None),
+            Step::Settle => cluster.settle(model),
         }
         cluster
     }
 
-    fn check_invariants(cluster: &Self, _: &World) {
+    fn check_invariants(cluster: &Self, _: &ModelState) {
         for member in cluster.members.iter().flatten() {
-            let living = member.peers().filter(|other| other.state.is_live()).count();
-            assert_eq!(member.live_count(), living + 1);
-            assert_eq!(member.stats().alive + member.stats().suspect, living + 1);
-            assert!(member.name_conflicts().is_empty(), "each name has one address here");
+            let live_peers = member.peers().filter(|other| other.state.is_live()).count();
+            assert_eq!(member.live_count(), live_peers + 1);
+            assert_eq!(member.stats().alive + member.stats().suspect, live_peers + 1);
+            assert!(member.name_conflicts().is_empty(), "each name has one address in this test");
         }
     }
 }
 
 /// Plays these steps.
-fn play(steps: &[Step]) {
-    let mut world = World { runs: [true; NODES], apart: [false; NODES] };
-    let mut cluster = Cluster::init_test(&world);
+fn run_steps(steps: &[Step]) {
+    let mut model = ModelState { running: [true; NODES], partition: [false; NODES] };
+    let mut cluster = Cluster::init_test(&model);
     for step in steps {
-        assert!(Model::preconditions(&world, step), "{step:?} is not possible");
-        world = Model::apply(world, step);
-        cluster = Cluster::apply(cluster, &world, step.clone());
-        Cluster::check_invariants(&cluster, &world);
+        assert!(Model::preconditions(&model, step), "{step:?} is not allowed in this state");
+        model = Model::apply(model, step);
+        cluster = Cluster::apply(cluster, &model, step.clone());
+        Cluster::check_invariants(&cluster, &model);
     }
 }
 
 /// Members by their numbers.
-fn these(members: &[usize]) -> [bool; NODES] {
+fn partition_of(members: &[usize]) -> [bool; NODES] {
     std::array::from_fn(|node| members.contains(&node))
 }
 
 #[test]
-fn a_newcomer_and_another_member_find_each_other_in_a_partition() {
+fn a_new_member_and_an_existing_one_find_each_other_in_a_partition() {
     // Neither knows the other: only their seeds tell them.
-    play(&[Step::Kill(3), Step::Start(3), Step::Pass(5_361), Step::Split(these(&[1, 3])), Step::Settle]);
+    run_steps(&[
+        Step::Kill(3),
+        Step::Start(3),
+        Step::Advance(5_361),
+        Step::Partition(partition_of(&[1, 3])),
+        Step::Settle,
+    ]);
 }
 
 #[test]
-fn two_newcomers_find_each_other_in_a_partition() {
-    for two in [[0, 2], [0, 4], [1, 2], [1, 3], [3, 4]] {
-        play(&[Step::Pass(1_225), Step::Split(these(&two)), Step::Settle]);
+fn two_new_members_find_each_other_in_a_partition() {
+    for pair in [[0, 2], [0, 4], [1, 2], [1, 3], [3, 4]] {
+        run_steps(&[Step::Advance(1_225), Step::Partition(partition_of(&pair)), Step::Settle]);
     }
 }
 
 #[test]
-fn a_member_cut_off_alone_sees_it_though_two_others_die_too() {
-    play(&[Step::Pass(1_225), Step::Kill(3), Step::Split(these(&[1])), Step::Kill(2), Step::Settle]);
+fn an_isolated_member_considers_all_others_dead_when_two_of_them_were_killed() {
+    run_steps(&[
+        Step::Advance(1_225),
+        Step::Kill(3),
+        Step::Partition(partition_of(&[1])),
+        Step::Kill(2),
+        Step::Settle,
+    ]);
 }
 
 #[test]
-fn a_member_cut_off_again_sees_it_with_bad_local_health() {
+fn a_member_isolated_again_considers_all_others_dead_despite_degraded_local_health() {
     // Bad local health must not stretch its periods.
-    let alone = Step::Split(these(&[3]));
-    play(&[
-        Step::Pass(40_000),
-        alone.clone(),
-        Step::Pass(1_932),
+    let isolate = Step::Partition(partition_of(&[3]));
+    run_steps(&[
+        Step::Advance(40_000),
+        isolate.clone(),
+        Step::Advance(1_932),
         Step::Heal,
-        Step::Pass(3_199),
-        alone,
+        Step::Advance(3_199),
+        isolate,
         Step::Settle,
     ]);
 }
 
 #[test]
-fn members_find_each_other_when_the_partition_moves() {
+fn members_find_each_other_when_the_partition_changes() {
     // Both hold the other dead: each dead member has to be probed in turn.
-    play(&[
-        Step::Split(these(&[2, 4])),
-        Step::Pass(5_964),
-        Step::Split(these(&[0])),
+    run_steps(&[
+        Step::Partition(partition_of(&[2, 4])),
+        Step::Advance(5_964),
+        Step::Partition(partition_of(&[0])),
         Step::Settle,
-        Step::Pass(3_261),
-        Step::Split(these(&[0, 2])),
+        Step::Advance(3_261),
+        Step::Partition(partition_of(&[0, 2])),
         Step::Settle,
     ]);
 }
 
 /// So many cases by chance from this seed on.
-fn search(cases: u32, seed: u64) {
+fn run_random_cases(cases: u32, seed: u64) {
     let config = ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(seed),
@@ -299,35 +315,37 @@
     };
     let mut runner = TestRunner::new(config.clone());
     let steps = Model::sequential_strategy(1..40);
-    let played = runner.run(&steps, |(world, steps, seen)| {
-        Cluster::test_sequential(config.clone(), world, steps, seen);
+    let result = runner.run(&steps, |(model, steps, seen)| {
+        Cluster::test_sequential(config.clone(), model, steps, seen);
         Ok(())
     });
-    if let Err(failed) = played {
+    if let Err(failed) = result {
         panic!("seed {seed}: {failed}");
     }
 }
 
 #[test]
-fn views_come_right_whatever_happened() {
-    search(128, 48);
+fn views_converge_after_any_sequence_of_steps() {
+    run_random_cases(128, 48);
 }
 
 /// A longer search, by hand: `VIEWS_CASES=10000 VIEWS_SEED=1 cargo test --release -p alderstile-cluster --test membership_model --
 /// --ignored --nocapture`; each of four threads plays a quarter of the cases with a seed of its own.
 #[test]
-#[ignore = "a search by chance, run by hand"]
-fn search_views() {
-    let number = |name: &str, or: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(or);
-    let (cases, seed) = (number("VIEWS_CASES", 10_000), number("VIEWS_SEED", 1));
-    let threads: Vec<_> =
-        (0..4).map(|i| std::thread::spawn(move || search(cases.div_ceil(4) as u32, seed * 4 + i))).collect();
+#[ignore = "long random search, run by hand"]
+fn long_random_search() {
+    let env_number =
+        |name: &str, default: u64| std::env::var(name).ok().and_then(|n| n.parse().ok()).unwrap_or(default);
+    let (cases, seed) = (env_number("VIEWS_CASES", 10_000), env_number("VIEWS_SEED", 1));
+    let threads: Vec<_> = (0..4)
+        .map(|i| std::thread::spawn(move || run_random_cases(cases.div_ceil(4) as u32, seed * 4 + i)))
+        .collect();
     let failed: Vec<_> = threads.into_iter().filter_map(|thread| thread.join().err()).collect();
-    println!("{cases} cases from seed {seed}, {} of 4 threads found one that fails", failed.len());
+    println!("{cases} cases from seed {seed}, {} of 4 threads found a failing case", failed.len());
     println!(
-        "views right after {} ms at most of {} s",
-        LONGEST_MS.load(Ordering::Relaxed),
-        SETTLED.as_secs_f64()
+        "views converged within {} ms; the limit is {} s",
+        MAX_CONVERGENCE_MS.load(Ordering::Relaxed),
+        CONVERGENCE_TIME.as_secs_f64()
     );
     assert!(failed.is_empty());
 }
--- a/crates/alderstile-cluster/tests/replicated_config_faults.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_faults.rs
@@ -14,7 +14,7 @@
     let count = voters + chance.random_range(3..10);
     let settings =
         ReplicationSettings { drift, ..ReplicationSettings::new((0..voters).map(address).collect(), None) };
-    let mut cluster = SimulatedCluster::with(seed, count, true, settings);
+    let mut cluster = SimulatedCluster::with_settings(seed, count, true, settings);
     (cluster.loss, cluster.duplication) = (chance.random_range(0.0..0.25), chance.random_range(0.0..0.2));
     cluster.crash_between_effects = chance.random_range(0..2) == 0;
     cluster.run(chance.random_range(0.0..6.0));
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -34,47 +34,51 @@
 }
 
 #[test]
-fn shares_and_orders_are_those_of_the_version_before() {
+fn shares_and_preference_orders_are_as_recorded() {
     let mut lines = String::new();
     for (nodes_count, hosts_count) in [(1, 6), (3, 30), (20, 30), (60, 90), (7, 1)] {
-        for (size, users, zones) in [(20, 4, false), (6, 2, true), (0, 0, false), (8, 3, true)] {
-            let rule =
-                SubsettingParams { hosts_per_node: size, nodes_per_host: users, prefer_own_zone: zones };
+        for (hosts_per_node, nodes_per_host, prefer_own_zone) in
+            [(20, 4, false), (6, 2, true), (0, 0, false), (8, 3, true)]
+        {
+            let params = SubsettingParams { hosts_per_node, nodes_per_host, prefer_own_zone };
             let (nodes, hosts) = (nodes(nodes_count), hosts(hosts_count));
             let mut shares = String::new();
-            for (row, node) in share_table(rule, &nodes, &hosts).iter().zip(&nodes) {
+            for (row, node) in share_table(params, &nodes, &hosts).iter().zip(&nodes) {
                 row.iter().for_each(|(id, share)| shares += &format!("{} {share:.9} ", id.0));
                 shares += &format!(
                     "{:?}\n",
-                    preference_order(rule, node, &hosts).iter().map(|id| id.0).collect::<Vec<_>>()
+                    preference_order(params, node, &hosts).iter().map(|id| id.0).collect::<Vec<_>>()
                 );
             }
-            lines += &format!("{nodes_count} {hosts_count} {size} {users} {zones} {}\n", digest(&shares));
+            lines += &format!(
+                "{nodes_count} {hosts_count} {hosts_per_node} {nodes_per_host} {prefer_own_zone} {}\n",
+                digest(&shares)
+            );
         }
     }
     assert_eq!(lines, fixture("shares.txt"));
 }
 
 #[test]
-fn a_subset_is_widened_and_narrowed_as_by_the_version_before() {
+fn a_subset_is_widened_and_narrowed_as_recorded() {
     let (nodes, hosts) = (nodes(30), hosts(60));
-    let rule = SubsettingParams { hosts_per_node: 8, ..SubsettingParams::default() };
-    let mut subset = NodeSubset::new(rule, nodes[4].clone(), Micros::from_millis(30_000));
+    let params = SubsettingParams { hosts_per_node: 8, ..SubsettingParams::default() };
+    let mut subset = NodeSubset::new(params, nodes[4].clone(), Micros::from_millis(30_000));
     subset.update(&nodes, &hosts);
-    let cold: BTreeSet<ServerId> = hosts.iter().take(5).map(|host| host.id).collect();
-    let mut away = BTreeSet::new();
+    let warming_up: BTreeSet<ServerId> = hosts.iter().take(5).map(|host| host.id).collect();
+    let mut unreachable = BTreeSet::new();
     let mut lines = String::new();
     for second in 0..80u64 {
         match second {
-            10 => away = hosts.iter().step_by(2).map(|host| host.id).collect(),
-            12 => away = hosts.iter().map(|host| host.id).collect(),
-            14 => away.clear(),
+            10 => unreachable = hosts.iter().step_by(2).map(|host| host.id).collect(),
+            12 => unreachable = hosts.iter().map(|host| host.id).collect(),
+            14 => unreachable.clear(),
             _ => {}
         }
-        let places = subset.host_uses(Micros::from_millis(second * 1_000), &away, &cold);
-        let text: Vec<String> = places
+        let uses = subset.host_uses(Micros::from_millis(second * 1_000), &unreachable, &warming_up);
+        let text: Vec<String> = uses
             .iter()
-            .map(|(id, place)| match place {
+            .map(|(id, host_use)| match host_use {
                 HostUse::Assigned(share) => format!("{} {share:.9}", id.0),
                 HostUse::Cordoned => format!("{} -", id.0),
             })
@@ -85,16 +89,16 @@
 }
 
 #[test]
-fn assigned_hosts_are_those_of_the_version_before() {
-    let parts = HostAssignmentConfig {
+fn assigned_hosts_are_as_recorded() {
+    let config = HostAssignmentConfig {
         subsetting: Some(SubsettingParams { hosts_per_node: 6, nodes_per_host: 2, prefer_own_zone: true }),
         added_host_retention: Micros::from_millis(20_000),
         warm_up: Micros::from_millis(5_000),
     };
     let mut nodes = nodes(12);
-    let me = nodes.swap_remove(3);
-    let mut assigned = HostAssignment::new(parts, me, true);
-    let entry = |host: &SubsetHost| Endpoint {
+    let local_node = nodes.swap_remove(3);
+    let mut assigned = HostAssignment::new(config, local_node, true);
+    let endpoint = |host: &SubsetHost| Endpoint {
         id: host.id,
         zone: host.zone,
         cell: host.failure_group,
@@ -102,28 +106,30 @@
         state: EndpointState::Ready,
         ..Endpoint::default()
     };
-    let listed: Vec<Endpoint> = hosts(30).iter().map(entry).collect();
+    let listed: Vec<Endpoint> = hosts(30).iter().map(endpoint).collect();
     let mut lines = String::new();
-    let shown = |entries: Vec<Endpoint>| {
-        let one = |entry: &Endpoint| {
-            let state = match entry.state {
+    let summary = |endpoints: Vec<Endpoint>| {
+        let line = |endpoint: &Endpoint| {
+            let state = match endpoint.state {
                 EndpointState::Ready => 0,
                 EndpointState::Draining => 1,
                 EndpointState::Gone => 2,
                 EndpointState::Cordoned => 3,
             };
-            let joined = entry.joined.map(|at| at.0);
-            format!("{} {state} {:.9} {joined:?}", entry.id.0, entry.weight)
+            let joined = endpoint.joined.map(|at| at.0);
+            format!("{} {state} {:.9} {joined:?}", endpoint.id.0, endpoint.weight)
         };
-        let text: Vec<String> = entries.iter().map(one).collect();
-        format!("{} {}", entries.len(), digest(&text.join("\n")))
+        let text: Vec<String> = endpoints.iter().map(line).collect();
+        format!("{} {}", endpoints.len(), digest(&text.join("\n")))
     };
     for second in 0..60u64 {
         let now = Micros::from_millis(second * 1_000);
         match second {
             1 => {
-                lines +=
-                    &format!("full {}\n", shown(assigned.apply_list(EndpointListKind::Full, listed.clone())))
+                lines += &format!(
+                    "full {}\n",
+                    summary(assigned.apply_list(EndpointListKind::Full, listed.clone()))
+                )
             }
             5 => {
                 nodes.iter_mut().step_by(2).for_each(|node| node.traffic = 0.0);
@@ -131,29 +137,32 @@
             }
             9 => {
                 let gone = Endpoint { state: EndpointState::Gone, ..listed[4] };
-                let cold = Endpoint { started: Some(now), ..listed[7] };
-                let changes = vec![gone, cold];
+                let warming_up = Endpoint { started: Some(now), ..listed[7] };
+                let changes = vec![gone, warming_up];
                 lines +=
-                    &format!("change {}\n", shown(assigned.apply_list(EndpointListKind::Delta, changes)));
+                    &format!("change {}\n", summary(assigned.apply_list(EndpointListKind::Delta, changes)));
             }
             20 => assigned.set_nodes(nodes[..5].to_vec()),
             _ => {}
         }
-        let away: BTreeSet<ServerId> = if (30..33).contains(&second) {
+        let unreachable: BTreeSet<ServerId> = if (30..33).contains(&second) {
             listed.iter().step_by(2).map(|e| e.id).collect()
         } else {
             BTreeSet::new()
         };
-        let told = assigned.traffic_report(now, (second * second) as usize);
-        let starved = assigned.has_no_ready_host();
-        let changed = shown(assigned.refresh(now, &away));
-        lines += &format!("{second} {told:?} {starved} {:?} {changed}\n", assigned.counts().map(counts));
+        let report = assigned.traffic_report(now, (second * second) as usize);
+        let has_no_ready_host = assigned.has_no_ready_host();
+        let changed = summary(assigned.refresh(now, &unreachable));
+        lines += &format!(
+            "{second} {report:?} {has_no_ready_host} {:?} {changed}\n",
+            assigned.counts().map(counts)
+        );
     }
     assert_eq!(lines, fixture("assignment.txt"));
 }
 
 #[test]
-fn traffic_levels_are_those_of_the_version_before() {
+fn traffic_levels_are_as_recorded() {
     let counts = [0, 1, 2, 3, 10, 99, 1_000, 65_535, 1_999_999];
     let levels: Vec<u8> = counts.map(traffic_level).to_vec();
     let lines: String = levels
--- a/crates/alderstile-cluster/tests/support/members.rs
+++ b/crates/alderstile-cluster/tests/support/members.rs
@@ -29,9 +29,9 @@
 }
 
 pub fn member_with(n: u64, codec: DatagramCodec, known: &[u64]) -> Membership {
-    let set = MembershipConfig::with_period(period());
+    let config = MembershipConfig::with_period(period());
     let seeds = vec![address(1), address(2)];
-    Membership::new(set, codec, record(n), seeds, n, Micros(0))
+    Membership::new(config, codec, record(n), seeds, n, Micros(0))
         .with_known_members(known.iter().map(|n| record(*n)))
 }
 
@@ -40,7 +40,7 @@
 }
 
 /// One that knows nobody and has number 1 as its seed.
-pub fn newcomer(record: MemberRecord, random_seed: u64, now: Micros) -> Membership {
+pub fn joining_member(record: MemberRecord, random_seed: u64, now: Micros) -> Membership {
     let config = MembershipConfig::with_period(period());
     Membership::new(config, codec(), record, vec![address(1)], random_seed, now)
 }
@@ -52,31 +52,31 @@
 }
 
 /// Carries all datagrams between these until nobody has anything to say; returns what changed, by whom.
-pub fn carry(
+pub fn deliver(
     members: &mut [Membership],
     now: Micros,
-    out: Vec<(usize, Vec<MembershipEffect>)>,
+    effects: Vec<(usize, Vec<MembershipEffect>)>,
 ) -> Vec<(usize, MembershipChange)> {
-    carry_watched(members, now, out, &mut |_, _| {})
+    deliver_observed(members, now, effects, &mut |_, _| {})
 }
 
 /// The same; what is sent is shown too, with where it goes.
-pub fn carry_watched(
+pub fn deliver_observed(
     members: &mut [Membership],
     now: Micros,
-    mut out: Vec<(usize, Vec<MembershipEffect>)>,
-    watch: &mut dyn FnMut(SocketAddr, &[u8]),
+    mut effects: Vec<(usize, Vec<MembershipEffect>)>,
+    observe: &mut dyn FnMut(SocketAddr, &[u8]),
 ) -> Vec<(usize, MembershipChange)> {
     let mut changes = Vec::new();
-    while let Some((by, outs)) = out.pop() {
-        for one in outs {
-            match one {
-                MembershipEffect::Changed(change) => changes.push((by, change)),
+    while let Some((sender, member_effects)) = effects.pop() {
+        for effect in member_effects {
+            match effect {
+                MembershipEffect::Changed(change) => changes.push((sender, change)),
                 MembershipEffect::Send { to, datagram: bytes } => {
-                    watch(to, &bytes);
-                    let from = members[by].local().address;
+                    observe(to, &bytes);
+                    let from = members[sender].local().address;
                     if let Some(i) = members.iter().position(|member| member.local().address == to) {
-                        out.push((i, members[i].handle_datagram(now, from, &bytes)));
+                        effects.push((i, members[i].handle_datagram(now, from, &bytes)));
                     }
                 }
             }
@@ -86,7 +86,7 @@
 }
 
 /// Lets time pass for all of them.
-pub fn pass(members: &mut [Membership], now: &mut Micros, span: Micros) -> Vec<(usize, MembershipChange)> {
+pub fn advance(members: &mut [Membership], now: &mut Micros, span: Micros) -> Vec<(usize, MembershipChange)> {
     let until = *now + span;
     let mut changes = Vec::new();
     loop {
@@ -95,13 +95,13 @@
             break;
         }
         *now = (*now).max(due);
-        let out = members[i].handle_timeout(*now);
-        changes.extend(carry(members, *now, vec![(i, out)]));
+        let effects = members[i].handle_timeout(*now);
+        changes.extend(deliver(members, *now, vec![(i, effects)]));
     }
     *now = until;
     changes
 }
 
-pub fn state(of: &Membership, instance: InstanceId) -> Option<MemberState> {
-    of.peer(instance).map(|member| member.state)
+pub fn state(observer: &Membership, instance: InstanceId) -> Option<MemberState> {
+    observer.peer(instance).map(|member| member.state)
 }
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -1,4 +1,4 @@
-//! A simulated cluster: cores of the replicated configuration with clocks, disks and a network that fail, in simulated time.
+//! A simulated cluster: cores of the replicated configuration with_settings clocks, disks and a network that fail, in simulated time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -22,10 +22,10 @@
     format!("10.0.{}.{}:7950", n / 200, n % 200 + 1).parse().expect("an address")
 }
 
-/// Anything but what begins with a `!` is fine.
+/// Anything but what starts with_settings a `!` is fine.
 pub fn validate_document(document: &[u8]) -> Result<(), InvalidDocument> {
     if document.first() == Some(&b'!') {
-        Err(InvalidDocument("the key !: none of ours".to_owned()))
+        Err(InvalidDocument("the key ! is unknown".to_owned()))
     } else {
         Ok(())
     }
@@ -36,8 +36,8 @@
     pub core: Option<ReplicatedConfig>,
     /// When it started, true time, microseconds.
     pub started_at_us: u64,
-    /// The rate of its clock.
-    pub rate: f64,
+    /// The clock_rate of its clock.
+    pub clock_rate: f64,
     /// Counts its starts: wakes of an earlier one don't count.
     pub incarnation: u64,
     pub disk: Option<PersistedState>,
@@ -45,14 +45,14 @@
     pub paused: bool,
     pub backlog: Vec<(SocketAddr, Vec<u8>)>,
     pub region: usize,
-    /// What it acted on, and when.
-    pub acted: Vec<Acted>,
+    /// What it active_spans on, and when.
+    pub active_spans: Vec<ActiveSpan>,
     /// Bytes sent in each second.
     pub sent_bytes_per_second: Vec<u32>,
 }
 
-/// A span in which a process acted on a version, true time, microseconds.
-pub struct Acted {
+/// A span in which a process active_spans on a version, true time, microseconds.
+pub struct ActiveSpan {
     pub version: u64,
     pub from_us: f64,
     pub until_us: f64,
@@ -72,8 +72,8 @@
     pub processes: Vec<Process>,
     pub queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     pub events: Vec<Option<Event>>,
-    pub free: Vec<usize>,
-    pub number: u64,
+    pub free_slots: Vec<usize>,
+    pub last_sequence: u64,
     pub loss: f64,
     pub duplication: f64,
     /// Of regions that don't hear each other.
@@ -88,28 +88,28 @@
 }
 
 impl SimulatedCluster {
-    pub fn new(seed: u64, count: usize, voters: usize, drifting_clocks: bool) -> Self {
-        SimulatedCluster::with(
+    pub fn new(seed: u64, count: usize, voters: usize, clocks_drift: bool) -> Self {
+        SimulatedCluster::with_settings(
             seed,
             count,
-            drifting_clocks,
+            clocks_drift,
             ReplicationSettings::new((0..voters).map(address).collect(), None),
         )
     }
 
-    pub fn with(seed: u64, count: usize, drifting_clocks: bool, settings: ReplicationSettings) -> Self {
+    pub fn with_settings(seed: u64, count: usize, clocks_drift: bool, settings: ReplicationSettings) -> Self {
         let (mut rng, voters) = (Pcg64Mcg::seed_from_u64(seed), settings.voters.len());
         let process = |n: usize, rng: &mut Pcg64Mcg| Process {
             core: None,
             started_at_us: 0,
-            rate: if drifting_clocks { 1.0 + 0.002 * (2.0 * rng.random::<f64>() - 1.0) } else { 1.0 },
+            clock_rate: if clocks_drift { 1.0 + 0.002 * (2.0 * rng.random::<f64>() - 1.0) } else { 1.0 },
             incarnation: 0,
             disk: (n < voters).then(PersistedState::genesis),
             disk_fails: false,
             paused: false,
             backlog: Vec::new(),
             region: n % 2,
-            acted: Vec::new(),
+            active_spans: Vec::new(),
             sent_bytes_per_second: Vec::new(),
         };
         let processes = (0..count).map(|n| process(n, &mut rng)).collect();
@@ -121,8 +121,8 @@
             processes,
             queue: BinaryHeap::new(),
             events: Vec::new(),
-            free: Vec::new(),
-            number: 0,
+            free_slots: Vec::new(),
+            last_sequence: 0,
             loss: 0.0,
             duplication: 0.0,
             partitioned: false,
@@ -140,17 +140,17 @@
 
     pub fn local_time(&self, n: usize) -> Micros {
         let process = &self.processes[n];
-        Micros(((self.now - process.started_at_us) as f64 * process.rate) as u64)
+        Micros(((self.now - process.started_at_us) as f64 * process.clock_rate) as u64)
     }
 
-    pub fn true_time(&self, n: usize, local: Micros) -> f64 {
+    pub fn to_true_time(&self, n: usize, local: Micros) -> f64 {
         let process = &self.processes[n];
-        process.started_at_us as f64 + local.0 as f64 / process.rate
+        process.started_at_us as f64 + local.0 as f64 / process.clock_rate
     }
 
     pub fn start(&mut self, n: usize) {
-        let me = (n < self.voters).then_some(n as u8);
-        let settings = ReplicationSettings { me, ..self.settings.clone() };
+        let voter_index = (n < self.voters).then_some(n as u8);
+        let settings = ReplicationSettings { me: voter_index, ..self.settings.clone() };
         let seed = self.rng.random();
         let disk = self.processes[n].disk.clone();
         let mut core =
@@ -183,19 +183,19 @@
     }
 
     pub fn push(&mut self, at: u64, event: Event) {
-        self.number += 1;
-        let place = self.free.pop().unwrap_or_else(|| {
+        self.last_sequence += 1;
+        let slot = self.free_slots.pop().unwrap_or_else(|| {
             self.events.push(None);
             self.events.len() - 1
         });
-        self.events[place] = Some(event);
-        self.queue.push(Reverse((at, self.number, place)));
+        self.events[slot] = Some(event);
+        self.queue.push(Reverse((at, self.last_sequence, slot)));
     }
 
     pub fn schedule_wake(&mut self, n: usize) {
         let process = &self.processes[n];
         if let Some(core) = &process.core {
-            let at = self.true_time(n, core.next_timeout()).ceil() as u64 + 1;
+            let at = self.to_true_time(n, core.next_timeout()).ceil() as u64 + 1;
             let (at, incarnation) = (at.max(self.now + 100), process.incarnation);
             self.push(at, Event::Wake(n, incarnation));
         }
@@ -204,8 +204,8 @@
     pub fn tick(&mut self, n: usize) {
         let now = self.local_time(n);
         if let Some(core) = &mut self.processes[n].core {
-            let out = core.tick(now);
-            self.carry_out(n, out);
+            let effects = core.tick(now);
+            self.execute_effects(n, effects);
         }
     }
 
@@ -213,10 +213,10 @@
         let now = self.local_time(n);
         if let Some(core) = &mut self.processes[n].core {
             let before = core.next_timeout();
-            let out = core.handle_datagram(now, from, bytes);
-            let sooner = core.next_timeout() < before;
-            self.carry_out(n, out);
-            if sooner {
+            let effects = core.handle_datagram(now, from, bytes);
+            let is_earlier = core.next_timeout() < before;
+            self.execute_effects(n, effects);
+            if is_earlier {
                 self.schedule_wake(n);
             }
         }
@@ -228,20 +228,20 @@
             return;
         }
         if let Some(core) = &mut self.processes[n].core {
-            let out = core.propose(now, nonce, expect, document.to_vec());
-            self.carry_out(n, out);
+            let effects = core.propose(now, nonce, expect, document.to_vec());
+            self.execute_effects(n, effects);
             self.schedule_wake(n);
         }
     }
 
-    pub fn carry_out(&mut self, n: usize, out: Vec<Effect>) {
+    pub fn execute_effects(&mut self, n: usize, effects: Vec<Effect>) {
         let crash = (self.crash_between_effects && self.rng.random_range(0..2_000) == 0)
-            .then(|| self.rng.random_range(0..=out.len()));
-        for (i, out) in out.into_iter().enumerate() {
+            .then(|| self.rng.random_range(0..=effects.len()));
+        for (i, effect) in effects.into_iter().enumerate() {
             if crash == Some(i) {
                 return self.kill(n);
             }
-            match out {
+            match effect {
                 Effect::Persist(state) => {
                     if self.processes[n].disk_fails {
                         let now = self.local_time(n);
@@ -254,36 +254,36 @@
                 }
                 Effect::Send { to, datagram } => self.send(n, to, datagram),
                 Effect::VersionActive { version, document } => {
-                    let known = self.documents.entry(version).or_insert_with(|| document.clone());
-                    assert_eq!(*known, document, "one document for version {version}");
+                    let recorded = self.documents.entry(version).or_insert_with(|| document.clone());
+                    assert_eq!(*recorded, document, "different documents for version {version}");
                     let now = self.now;
                     self.activated_at_us[n].entry(version).or_insert(now);
                 }
                 Effect::VersionCommitted { version, document } => {
-                    let known = self.documents.entry(version).or_insert_with(|| document.clone());
-                    assert_eq!(*known, document, "one document for version {version}");
+                    let recorded = self.documents.entry(version).or_insert_with(|| document.clone());
+                    assert_eq!(*recorded, document, "different documents for version {version}");
                 }
                 Effect::ProposalFinished { nonce, outcome } => {
                     self.outcomes.insert(nonce, outcome);
                 }
                 Effect::RoleChanged(_) => {}
-                Effect::VoterListMismatch { voter } => panic!("voters differ at {voter}"),
+                Effect::VoterListMismatch { voter } => panic!("voter list mismatch at {voter}"),
             }
         }
-        self.record_active(n);
+        self.record_active_version(n);
     }
 
     /// Notes what a process acts on, and until when it does if it hears nothing more.
-    pub fn record_active(&mut self, n: usize) {
+    pub fn record_active_version(&mut self, n: usize) {
         let Some(core) = &self.processes[n].core else { return };
         let version = core.active_version();
-        let Some(until) = core.lease_ends_at().map(|until| self.true_time(n, until)) else { return };
+        let Some(until) = core.lease_ends_at().map(|until| self.to_true_time(n, until)) else { return };
         let now = self.now as f64;
         if until <= now {
             return;
         }
-        let acted = &mut self.processes[n].acted;
-        match acted.last_mut() {
+        let active_spans = &mut self.processes[n].active_spans;
+        match active_spans.last_mut() {
             Some(last) if last.version == version && last.until_us >= now => {
                 last.until_us = last.until_us.max(until);
                 return;
@@ -291,12 +291,12 @@
             Some(last) if last.version != version => last.until_us = last.until_us.min(now),
             _ => {}
         }
-        acted.push(Acted { version, from_us: now, until_us: until });
+        active_spans.push(ActiveSpan { version, from_us: now, until_us: until });
     }
 
     pub fn reachable(&self, a: usize, b: usize) -> bool {
-        let apart = self.partitioned && self.processes[a].region != self.processes[b].region;
-        !apart && !self.isolated[a] && !self.isolated[b]
+        let separated = self.partitioned && self.processes[a].region != self.processes[b].region;
+        !separated && !self.isolated[a] && !self.isolated[b]
     }
 
     pub fn send(&mut self, n: usize, to: SocketAddr, bytes: Vec<u8>) {
@@ -311,23 +311,23 @@
             if self.rng.random::<f64>() < self.loss || !self.reachable(n, to) {
                 continue;
             }
-            let far = self.processes[n].region != self.processes[to].region;
-            let (least, most) = self.delay[usize::from(far)];
-            let at = self.now + self.rng.random_range(least..most);
+            let is_other_region = self.processes[n].region != self.processes[to].region;
+            let (min_delay, max_delay) = self.delay[usize::from(is_other_region)];
+            let at = self.now + self.rng.random_range(min_delay..max_delay);
             self.push(at, Event::Deliver(to, address(n), bytes.clone()));
         }
     }
 
     pub fn run(&mut self, seconds: f64) {
         let until = self.now + (seconds * 1e6) as u64;
-        while let Some(Reverse((at, _, place))) = self.queue.peek().copied() {
+        while let Some(Reverse((at, _, slot))) = self.queue.peek().copied() {
             if at > until {
                 break;
             }
             self.queue.pop();
             self.now = self.now.max(at);
-            self.free.push(place);
-            match self.events[place].take().expect("an event") {
+            self.free_slots.push(slot);
+            match self.events[slot].take().expect("an event in the slot") {
                 Event::Wake(n, incarnation) => {
                     let process = &self.processes[n];
                     if process.core.is_some() && process.incarnation == incarnation {
@@ -371,19 +371,19 @@
         self.processes[n].core.as_ref()
     }
 
-    /// How long a version was acted on after a later one had begun to be, at most, in seconds: none below 0.
+    /// How long a version was active_spans on after a later one had begun to be, at max_delay, in seconds: none below 0.
     pub fn max_version_overlap_seconds(&self) -> f64 {
-        let acted = || self.processes.iter().flat_map(|process| &process.acted);
-        let mut begins: BTreeMap<u64, f64> = BTreeMap::new();
-        for Acted { version, from_us, .. } in acted() {
-            let begin = begins.entry(*version).or_insert(*from_us);
-            *begin = begin.min(*from_us);
+        let active_spans = || self.processes.iter().flat_map(|process| &process.active_spans);
+        let mut starts: BTreeMap<u64, f64> = BTreeMap::new();
+        for ActiveSpan { version, from_us, .. } in active_spans() {
+            let start = starts.entry(*version).or_insert(*from_us);
+            *start = start.min(*from_us);
         }
-        let overlap_us = |span: &Acted| {
-            let later = begins.range(span.version + 1..);
-            later.map(|(_, begin)| span.until_us - begin).fold(0.0, f64::max)
+        let overlap_us = |span: &ActiveSpan| {
+            let later = starts.range(span.version + 1..);
+            later.map(|(_, start)| span.until_us - start).fold(0.0, f64::max)
         };
-        acted().map(overlap_us).fold(0.0, f64::max) / 1e6
+        active_spans().map(overlap_us).fold(0.0, f64::max) / 1e6
     }
 }
 
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -300,7 +300,8 @@
     pub fn status(&self) -> MembershipStatus {
         let members = self.members.borrow();
         let now = self.now();
-        let peers = members.peers().map(|peer| member_status(&peer.record, peer.state, now - peer.since));
+        let peers =
+            members.peers().map(|peer| member_status(&peer.record, peer.state, now - peer.state_since));
         let mut all: Vec<MemberStatus> = peers.collect();
         let local = member_status(members.local(), MemberState::Alive, now);
         all.push(MemberStatus { is_local: true, ..local });
