--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -41,7 +41,7 @@
         let maintenance =
             state_dir.map(|dir| MaintenanceStore::load(dir, &in_force.name)).unwrap_or_default();
         for (host, state) in maintenance.hosts() {
-            decisions.decide(|balancer, now| state.apply(balancer, now, server_id(host)));
+            decisions.with_balancer(|balancer, now| state.apply(balancer, now, server_id(host)));
         }
         AdminService {
             config,
@@ -90,8 +90,8 @@
 
     /// The metrics as statsd text.
     pub fn metrics_text(&self) -> String {
-        let gauges = self.decisions.decide(|balancer, now| Gauges {
-            inflight: self.clients.in_flight(),
+        let gauges = self.decisions.with_balancer(|balancer, now| Gauges {
+            inflight: self.clients.in_flight_count(),
             hosts_listed: balancer.maintenance().listed_count(),
             hosts_down: balancer.unavailable_servers(now),
             subset: self.decisions.assigned_host_counts(),
@@ -109,7 +109,7 @@
     /// The maintenance file can't be written; the decisions go by the new state all the same.
     pub async fn set_host_online(&self, host: &str, online: bool) -> io::Result<bool> {
         let id = server_id(host);
-        let (known, out) = self.decisions.decide(|balancer, _| {
+        let (known, out) = self.decisions.with_balancer(|balancer, _| {
             let hosts = balancer.maintenance();
             (hosts.is_known(id), hosts.is_in_maintenance(id))
         });
@@ -130,7 +130,7 @@
     /// Sets a host's maintenance state here and in the decisions, without writing the file.
     pub fn apply_maintenance(&self, host: &str, state: MaintenanceState) {
         self.maintenance.borrow_mut().set(host, state, self.decisions.clock.now());
-        self.decisions.decide(|balancer, now| state.apply(balancer, now, server_id(host)));
+        self.decisions.with_balancer(|balancer, now| state.apply(balancer, now, server_id(host)));
         match state {
             MaintenanceState::OutOfService => info!(%host, "host taken out of service"),
             MaintenanceState::ReturnedAt(_) => info!(%host, "host returned to service"),
--- a/crates/alderstile-node/src/clock.rs
+++ b/crates/alderstile-node/src/clock.rs
@@ -22,16 +22,16 @@
 impl Clock {
     /// The time now.
     pub fn now(&self) -> Micros {
-        self.at(Instant::now())
+        self.time_at(Instant::now())
     }
 
     /// An instant as a time of this clock.
-    pub fn at(&self, instant: Instant) -> Micros {
+    pub fn time_at(&self, instant: Instant) -> Micros {
         self.origin_unix + micros(instant.saturating_duration_since(self.origin))
     }
 
     /// A time of this clock as an instant.
-    pub fn instant(&self, time: Micros) -> Instant {
+    pub fn instant_at(&self, time: Micros) -> Instant {
         self.origin + Duration::from_micros((time - self.origin_unix).0)
     }
 }
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -115,7 +115,8 @@
     let index = node.config().peers.iter().position(|peer| *peer == from);
     match index.and_then(|index| u32::try_from(index).ok()) {
         Some(index) if message.len() <= MAX_MESSAGE => {
-            node.decisions.decide(|balancer, now| balancer.on_peer_message(now, index, message.to_vec()));
+            node.decisions
+                .with_balancer(|balancer, now| balancer.on_peer_message(now, index, message.to_vec()));
         }
         _ => debug!(bytes = message.len(), %from, "gossip message ignored"),
     }
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -41,8 +41,8 @@
     /// The policy wants a watch of the endpoint list.
     pub list_requested: Notify,
     /// Discovery has a new address.
-    pub discovery_moved: Notify,
-    discovery: Cell<SocketAddr>,
+    pub discovery_address_changed: Notify,
+    discovery_address: Cell<SocketAddr>,
     balancer: RefCell<Balancer>,
     /// The hosts' assignment to the cluster's nodes; none where the cluster's file says nothing of it.
     host_assignment: RefCell<Option<HostAssignment>>,
@@ -69,8 +69,8 @@
             config,
             clock,
             list_requested: Notify::new(),
-            discovery_moved: Notify::new(),
-            discovery: Cell::new(initial.discovery),
+            discovery_address_changed: Notify::new(),
+            discovery_address: Cell::new(initial.discovery),
             balancer: RefCell::new(balancer),
             host_assignment: RefCell::default(),
             endpoints: RefCell::default(),
@@ -82,7 +82,7 @@
     }
 
     /// Asks or reports to the policy at this moment.
-    pub fn decide<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
+    pub fn with_balancer<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
         let mut balancer = self.balancer.borrow_mut();
         let answer = call(&mut balancer, self.clock.now());
         let due = balancer.poll_timeout();
@@ -102,13 +102,13 @@
         };
         let (settings, shadow) = (adapted(&config.settings), config.shadow.as_ref().map(adapted));
         self.lease.borrow_mut().set_push_grace(config.push_drain_grace);
-        self.decide(|balancer, now| balancer.apply_settings(now, settings, shadow));
+        self.with_balancer(|balancer, now| balancer.apply_settings(now, settings, shadow));
     }
 
     /// Gives the policy the list that the node knew before its start.
-    pub fn start_with_cached_list(&self, list: &EndpointList) {
+    pub fn apply_cached_list(&self, list: &EndpointList) {
         self.endpoints.borrow_mut().apply(list);
-        self.decide(|balancer, now| {
+        self.with_balancer(|balancer, now| {
             balancer.on_endpoint_list(now, EndpointListKind::Cached, self.entries(list))
         });
     }
@@ -123,7 +123,7 @@
     /// Reports a list to the policy, or that a call for it failed.
     pub fn report_list(&self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         let mut host_assignment = self.host_assignment.borrow_mut();
-        self.decide(|balancer, now| match &mut *host_assignment {
+        self.with_balancer(|balancer, now| match &mut *host_assignment {
             None => balancer.on_endpoint_list(now, kind, entries),
             Some(assignment) => {
                 let entries = assignment.apply_list(kind, entries);
@@ -175,7 +175,7 @@
         let mut host_assignment = self.host_assignment.borrow_mut();
         let Some(assignment) = &mut *host_assignment else { return };
         assignment.set_nodes(others);
-        self.decide(|balancer, now| {
+        self.with_balancer(|balancer, now| {
             update(assignment, now);
             let changed = assignment.refresh(now, &balancer.unreachable_servers());
             if !changed.is_empty() {
@@ -208,15 +208,15 @@
     pub fn on_watch_ended(&self, ended: WatchEnd) {
         let mut lease = self.lease.borrow_mut();
         if ended.discovery_unreachable {
-            lease.on_discovery_unreachable(self.clock.at(ended.began.into_std()));
+            lease.on_discovery_unreachable(self.clock.time_at(ended.began.into_std()));
         }
         lease.on_watch_ended(self.clock.now());
         self.wake.notify_one();
     }
 
     /// Records that a host accepted a request that was sent to it at `sent`.
-    pub fn on_accepted(&self, host: ServerId, sent: Instant) {
-        self.lease.borrow_mut().on_accepted(host, self.clock.at(sent.into_std()));
+    pub fn on_request_accepted(&self, host: ServerId, sent: Instant) {
+        self.lease.borrow_mut().on_request_accepted(host, self.clock.time_at(sent.into_std()));
     }
 
     /// What remains of the lease on the endpoint list.
@@ -233,7 +233,7 @@
     /// Withholds new work from hosts that may have changed since the lease expired; their clients stay.
     fn withhold_expired(&self) {
         let endpoints = self.endpoints.borrow();
-        let expired = self.lease.borrow_mut().withhold_expired(self.clock.now(), endpoints.up());
+        let expired = self.lease.borrow_mut().withhold_expired(self.clock.now(), endpoints.hosts_up());
         if expired.is_empty() {
             return;
         }
@@ -243,25 +243,27 @@
         let mut entries = self.entries(&changes);
         entries.iter_mut().for_each(|entry| entry.state = EndpointState::Cordoned);
         // Not through the host assignment, which continues with what is listed.
-        self.decide(|balancer, now| balancer.on_endpoint_list(now, EndpointListKind::Delta, entries));
+        self.with_balancer(|balancer, now| balancer.on_endpoint_list(now, EndpointListKind::Delta, entries));
     }
 
     /// Whether a planned attempt may still be sent on the connection made for it.
     pub fn may_send(&self, id: RequestId, host: ServerId, address: SocketAddr) -> bool {
         let (listed, now) = (self.host(host).is_some_and(|host| host.address == address), self.clock.now());
-        listed && self.lease.borrow().allows(now, host) && self.balancer.borrow().may_forward(now, id)
+        listed
+            && self.lease.borrow().allows_new_work(now, host)
+            && self.balancer.borrow().may_forward(now, id)
     }
 
     /// The address of discovery.
-    pub fn discovery(&self) -> SocketAddr {
-        self.discovery.get()
+    pub fn discovery_address(&self) -> SocketAddr {
+        self.discovery_address.get()
     }
 
     /// Changes the address of discovery.
-    pub fn move_discovery(&self, to: SocketAddr) {
-        self.discovery.set(to);
-        self.lease.borrow_mut().on_discovery_moved(self.clock.now());
-        self.discovery_moved.notify_one();
+    pub fn set_discovery_address(&self, to: SocketAddr) {
+        self.discovery_address.set(to);
+        self.lease.borrow_mut().on_discovery_address_changed(self.clock.now());
+        self.discovery_address_changed.notify_one();
     }
 
     /// Whether clients could be served.
@@ -272,7 +274,7 @@
     /// Continues after a successor that was handed the retry budget has ended. What it spent is not known, so no retries are
     /// made until the budget's span has passed.
     pub fn continue_without_successor(&self) {
-        self.decide(|balancer, now| balancer.take_over_retry_budget(now, None, Micros(0)));
+        self.with_balancer(|balancer, now| balancer.take_over_retry_budget(now, None, Micros(0)));
     }
 
     /// What the shadow instance would have done differently so far; none without one.
@@ -297,9 +299,10 @@
             self.do_due_work(&migrate, &broadcast);
             self.withhold_expired();
             let lease_due = self.lease.borrow().next_due(self.clock.now());
-            let due = self.decide(|balancer, _| balancer.poll_timeout()).into_iter().chain(lease_due).min();
+            let due =
+                self.with_balancer(|balancer, _| balancer.poll_timeout()).into_iter().chain(lease_due).min();
             self.next_due.set(due);
-            let due = due.map(|due| self.clock.instant(due).into());
+            let due = due.map(|due| self.clock.instant_at(due).into());
             tokio::select! {
                 () = sleep_until(due) => {}
                 // A report may make something due earlier.
@@ -309,7 +312,7 @@
     }
 
     fn do_due_work(&self, migrate: &impl Fn(RequestId), broadcast: &impl Fn(&[u8])) {
-        let work = self.decide(|balancer, now| balancer.handle_timeout(now));
+        let work = self.with_balancer(|balancer, now| balancer.handle_timeout(now));
         work.migrations.into_iter().for_each(migrate);
         if work.watch_endpoints {
             self.list_requested.notify_one();
--- a/crates/alderstile-node/src/discovery/endpoint_table.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_table.rs
@@ -58,7 +58,7 @@
     }
 
     /// The hosts that may be sent new work by the list.
-    pub fn up(&self) -> impl Iterator<Item = ServerId> {
+    pub fn hosts_up(&self) -> impl Iterator<Item = ServerId> {
         self.endpoints.iter().filter(|(_, (_, endpoint))| endpoint.health == Health::Up).map(|(id, _)| *id)
     }
 
--- a/crates/alderstile-node/src/discovery/lease.rs
+++ b/crates/alderstile-node/src/discovery/lease.rs
@@ -13,7 +13,7 @@
 /// at drains is allowed in addition, and kept as margin.
 const NOTIFICATION_BOUND: Micros = Micros::from_millis(6_000);
 /// The same for what discovery at a new address has, from the configuration that names the address.
-const NOTIFICATION_BOUND_AFTER_MOVE: Micros = Micros::from_millis(4_000);
+const NOTIFICATION_BOUND_NEW_ADDRESS: Micros = Micros::from_millis(4_000);
 
 /// The lease on the endpoint list.
 #[derive(Debug)]
@@ -24,7 +24,7 @@
     /// counts as notified at once while no watch is open.
     push_grace: Option<Micros>,
     /// Discovery has a new address, and has answered nothing there yet.
-    discovery_moved: bool,
+    discovery_address_changed: bool,
     /// When each host was last sent a request that it accepted.
     last_accepted: BTreeMap<ServerId, Micros>,
     /// Hosts that no new work goes to.
@@ -38,7 +38,7 @@
         let mut lease = Lease {
             expires: now,
             push_grace,
-            discovery_moved: false,
+            discovery_address_changed: false,
             last_accepted: BTreeMap::new(),
             withheld: BTreeSet::new(),
         };
@@ -48,7 +48,8 @@
 
     /// How long after discovery had it, and could be reached, a change counts as notified to a node without a watch.
     fn bound_without_watch(&self) -> Micros {
-        let pulled = if self.discovery_moved { NOTIFICATION_BOUND_AFTER_MOVE } else { NOTIFICATION_BOUND };
+        let pulled =
+            if self.discovery_address_changed { NOTIFICATION_BOUND_NEW_ADDRESS } else { NOTIFICATION_BOUND };
         self.push_grace.unwrap_or(pulled)
     }
 
@@ -59,7 +60,7 @@
 
     /// Renews the lease: a complete line of a watch or a complete list has come, so nothing was missed until now.
     pub fn renew(&mut self, now: Micros) {
-        self.discovery_moved = false;
+        self.discovery_address_changed = false;
         self.expires = now + NOTIFICATION_BOUND;
     }
 
@@ -69,8 +70,8 @@
     }
 
     /// Shortens the lease: discovery has a new address.
-    pub fn on_discovery_moved(&mut self, now: Micros) {
-        self.discovery_moved = true;
+    pub fn on_discovery_address_changed(&mut self, now: Micros) {
+        self.discovery_address_changed = true;
         self.expires = self.expires.min(now + self.bound_without_watch());
     }
 
@@ -90,12 +91,12 @@
     }
 
     /// Records that a host accepted a request sent to it at `sent`: it was not draining then.
-    pub fn on_accepted(&mut self, host: ServerId, sent: Micros) {
+    pub fn on_request_accepted(&mut self, host: ServerId, sent: Micros) {
         self.last_accepted.insert(host, sent);
     }
 
     /// Whether new work may go to a host by the list that this node has.
-    pub fn allows(&self, now: Micros, host: ServerId) -> bool {
+    pub fn allows_new_work(&self, now: Micros, host: ServerId) -> bool {
         let proof_expires = |sent: &Micros| *sent + self.bound_without_watch();
         now < self.expires || self.last_accepted.get(&host).is_some_and(|sent| now < proof_expires(sent))
     }
@@ -105,7 +106,7 @@
         let bound = self.bound_without_watch();
         self.last_accepted.retain(|_, sent| now < *sent + bound);
         let expired: Vec<_> =
-            listed.filter(|id| !self.allows(now, *id) && !self.withheld.contains(id)).collect();
+            listed.filter(|id| !self.allows_new_work(now, *id) && !self.withheld.contains(id)).collect();
         self.withheld.extend(&expired);
         expired
     }
--- a/crates/alderstile-node/src/discovery/watch.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -81,7 +81,7 @@
     loop {
         tokio::select! {
             () = decisions.list_requested.notified() => {}
-            () = decisions.discovery_moved.notified() => version = None,
+            () = decisions.discovery_address_changed.notified() => version = None,
         }
         let (began, error) = watch_until_failure(&decisions, &mut version).await;
         let discovery_unreachable = matches!(error, WatchError::Unreachable(_));
@@ -99,7 +99,7 @@
         tokio::select! {
             // If discovery moves in the same moment, the new address is never asked with the old one's version.
             biased;
-            () = decisions.discovery_moved.notified() => *version = None,
+            () = decisions.discovery_address_changed.notified() => *version = None,
             ended = watch(decisions, version) => return (began, ended.err().unwrap_or(WatchError::Ended)),
         }
     }
@@ -158,7 +158,7 @@
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let task = tokio::task::spawn_local(async move { connection.await.unwrap_or_default() });
     let guard = AbortOnDrop(task.abort_handle());
-    let host = decisions.discovery().to_string();
+    let host = decisions.discovery_address().to_string();
     let request = Request::get(path).header("Host", host).body(Empty::<Bytes>::new())?;
     let response = timeout_at(deadline, sender.send_request(request)).await;
     let response = response.map_err(|_| WatchError::AnswerTimeout)??;
@@ -170,7 +170,7 @@
 
 async fn connect(decisions: &Decisions, deadline: Instant) -> Result<TcpStream, WatchError> {
     let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
-    let connected = timeout_at(deadline, TcpStream::connect(decisions.discovery())).await;
+    let connected = timeout_at(deadline, TcpStream::connect(decisions.discovery_address())).await;
     let stream =
         connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())).map_err(WatchError::of_connect)?;
     // A connection that can't be set so is broken, and its first use reports that.
--- a/crates/alderstile-node/src/lifecycle/reload.rs
+++ b/crates/alderstile-node/src/lifecycle/reload.rs
@@ -24,11 +24,11 @@
         Ok(reloaded) => {
             log_reload(node, &reloaded);
             node.apply_config(reloaded.config);
-            node.clients.count(|counters| counters.configs_applied += 1);
+            node.clients.update_counters(|counters| counters.configs_applied += 1);
         }
         Err(error) => {
             error!(%error, "configuration reload rejected, the one in force stays");
-            node.clients.count(|counters| counters.configs_rejected += 1);
+            node.clients.update_counters(|counters| counters.configs_rejected += 1);
         }
     }
 }
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -59,7 +59,7 @@
 /// moment, they could all meet another node that was stopped before this one and has not come back.
 pub async fn run(node: Rc<Node>, accepting: JoinHandle<()>) {
     let schedule = Schedule::starting_now(node.config().shutdown_timeout);
-    info!(clients = node.clients.established(), "shutdown started");
+    info!(clients = node.clients.established_count(), "shutdown started");
     if !node.process.other_serves() {
         node.process.begin_shutdown();
     }
@@ -131,10 +131,10 @@
 }
 
 async fn migrate_gradually(node: &Node, schedule: Schedule) {
-    while node.clients.established() > 0 && Instant::now() < schedule.migrations_end {
+    while node.clients.established_count() > 0 && Instant::now() < schedule.migrations_end {
         let steps_left = (schedule.migrations_end - Instant::now()).as_millis() / STEP.as_millis() + 1;
         let steps_left = usize::try_from(steps_left).unwrap_or(usize::MAX);
-        node.clients.migrate_some(node.clients.established().div_ceil(steps_left));
+        node.clients.migrate_some(node.clients.established_count().div_ceil(steps_left));
         sleep(STEP).await;
     }
 }
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -295,7 +295,7 @@
             node.admin.apply_maintenance(&host, state);
             channel.send(UpgradeMessage::Ack { number });
         }
-        UpgradeMessage::RequestId(id) => node.clients.remember_id(id.as_bytes()),
+        UpgradeMessage::RequestId(id) => node.clients.remember_request_id(id.as_bytes()),
         UpgradeMessage::StoppedAccepting => channel.set_serves(false),
         UpgradeMessage::Ack { number } => channel.on_ack(number),
         UpgradeMessage::Join { .. } | UpgradeMessage::State(_) | UpgradeMessage::AlreadyJoined => {
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -37,7 +37,7 @@
         let (decisions, process) = (Rc::new(Decisions::new(config.clone())), Rc::new(Process::default()));
         let clients = Rc::new(Clients::new(config.clone(), process.clone()));
         let admin = AdminService::new(config.clone(), decisions.clone(), clients.clone(), process.clone());
-        decisions.start_with_cached_list(&cached_endpoints);
+        decisions.apply_cached_list(&cached_endpoints);
         Node { config, decisions, clients, process, admin: Rc::new(admin) }
     }
 
@@ -48,7 +48,7 @@
 
     /// Puts another configuration in force, at all parts in one step.
     pub fn apply_config(&self, config: Config) {
-        self.clients.count(|counters| counters.register_classes(&config.classes));
+        self.clients.update_counters(|counters| counters.register_classes(&config.classes));
         self.decisions.apply_config(&config);
         // A replicated configuration has versions of its own: gossiped as well, each change would be a rumor a member.
         if self.admin.replicated_config().is_none()
@@ -58,8 +58,8 @@
         }
         let discovery = config.discovery;
         self.config.set(config);
-        if discovery != self.decisions.discovery() {
-            self.decisions.move_discovery(discovery);
+        if discovery != self.decisions.discovery_address() {
+            self.decisions.set_discovery_address(discovery);
         }
     }
 
@@ -77,17 +77,17 @@
     /// The state that the successor needs. The retry budget is the successor's from here on: two processes of one node have
     /// one budget.
     pub fn hand_over_state(&self, version: u32) -> UpgradeState {
-        let budget = self.decisions.decide(|balancer, now| balancer.hand_over_retry_budget(now));
+        let budget = self.decisions.with_balancer(|balancer, now| balancer.hand_over_retry_budget(now));
         let config = self.config();
         UpgradeState {
             version,
             name: config.name.clone(),
             config: config.source.clone(),
-            discovery: Some(self.decisions.discovery()),
+            discovery: Some(self.decisions.discovery_address()),
             endpoints: self.decisions.complete_list(),
             lease_remaining_us: Some(self.decisions.lease_remaining().0),
             host_maintenance: self.admin.maintained_hosts(),
-            request_ids: self.clients.known_ids(),
+            request_ids: self.clients.known_request_ids(),
             descriptors_in_use: self.clients.descriptors_in_use(),
             member: self.admin.membership().map(|membership| membership.handover_state()),
             retry_budget: budget.map(|buckets| buckets.into_iter().map(RetryBudgetAges::from).collect()),
@@ -106,9 +106,9 @@
         let budget = state.retry_budget.clone();
         let budget = budget.map(|buckets| buckets.into_iter().map(RetryBudgetBucket::from).collect());
         let max_delay = micros(MESSAGE_TIMEOUT);
-        self.decisions.decide(|balancer, now| balancer.take_over_retry_budget(now, budget, max_delay));
+        self.decisions.with_balancer(|balancer, now| balancer.take_over_retry_budget(now, budget, max_delay));
         for id in &state.request_ids {
-            self.clients.remember_id(id.as_bytes());
+            self.clients.remember_request_id(id.as_bytes());
         }
         if let Some(remaining_us) = state.lease_remaining_us {
             self.decisions.inherit_lease(Micros(remaining_us));
@@ -127,20 +127,20 @@
     }
 
     fn count_reconfiguration(&self, applied: bool) {
-        self.clients.count(|counters| match applied {
+        self.clients.update_counters(|counters| match applied {
             true => counters.configs_applied += 1,
             false => counters.configs_rejected += 1,
         });
     }
 
     fn take_host_out(&self, host: &str) {
-        self.decisions.decide(|balancer, now| balancer.begin_maintenance(now, server_id(host)));
+        self.decisions.with_balancer(|balancer, now| balancer.begin_maintenance(now, server_id(host)));
     }
 
     fn put_host_back(&self, host: &str) {
         let maintenance = self.admin.maintained_hosts().get(host).copied();
         if maintenance != Some(MaintenanceState::OutOfService) {
-            self.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
+            self.decisions.with_balancer(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
         }
     }
 }
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -49,7 +49,7 @@
     }
 
     /// The number of a class that accepts requests.
-    pub fn class(&self, name: &[u8]) -> Option<u16> {
+    pub fn class_index(&self, name: &[u8]) -> Option<u16> {
         let config = self.config.get();
         let open = |class: &String| class.as_bytes() == name && !config.retired_classes.contains(class);
         config.classes.iter().position(open).and_then(|class| u16::try_from(class).ok())
@@ -57,24 +57,24 @@
 
     /// Claims a request's id; none where it is not new, as it is with every connection. Rejects also a request that is open
     /// at another node and comes again and again: hosts that have it would count as failing.
-    pub fn claim_id(&self, id: &[u8]) -> Option<OpenId> {
+    pub fn claim_request_id(&self, id: &[u8]) -> Option<OpenId> {
         let claimed = self.ids.claim(id)?;
         self.process.other().iter().for_each(|channel| channel.send_request_id(id));
         Some(claimed)
     }
 
     /// Remembers an id that the other process has claimed.
-    pub fn remember_id(&self, id: &[u8]) {
+    pub fn remember_request_id(&self, id: &[u8]) {
         self.ids.remember(id);
     }
 
     /// Claims the id of a request that the predecessor has handed over.
-    pub fn claim_handed_over_id(&self, id: &[u8]) -> OpenId {
+    pub fn claim_handed_over_request_id(&self, id: &[u8]) -> OpenId {
         self.ids.claim_handed_over(id)
     }
 
     /// Ids of requests that are open, or ended recently.
-    pub fn known_ids(&self) -> Vec<String> {
+    pub fn known_request_ids(&self) -> Vec<String> {
         self.ids.known()
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// The number of established clients.
-    pub fn established(&self) -> usize {
+    pub fn established_count(&self) -> usize {
         self.established.count()
     }
 
@@ -143,12 +143,12 @@
     }
 
     /// Requests in flight: accepted and not ended.
-    pub fn in_flight(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         self.in_flight.get()
     }
 
     /// Changes the counters.
-    pub fn count(&self, update: impl FnOnce(&mut Counters)) {
+    pub fn update_counters(&self, update: impl FnOnce(&mut Counters)) {
         update(&mut self.counters.borrow_mut());
     }
 
--- a/crates/alderstile-node/src/proxy/protocol.rs
+++ b/crates/alderstile-node/src/proxy/protocol.rs
@@ -57,21 +57,22 @@
     }
 }
 
-fn token<'a>(input: &mut &'a [u8]) -> Parsed<&'a [u8]> {
+fn parse_token<'a>(input: &mut &'a [u8]) -> Parsed<&'a [u8]> {
     take_while(1.., |byte: u8| byte.is_ascii_graphic()).parse_next(input)
 }
 
-fn pair<'a>(input: &mut &'a [u8]) -> Parsed<(&'a [u8], &'a [u8])> {
+fn parse_parameter<'a>(input: &mut &'a [u8]) -> Parsed<(&'a [u8], &'a [u8])> {
     let name = take_while(1.., |byte: u8| byte.is_ascii_graphic() && byte != b'=' && byte != b',');
     let value = take_while(0.., |byte: u8| byte.is_ascii_graphic() && byte != b',');
     (terminated(name, b'='), value).parse_next(input)
 }
 
-fn open<'a>(input: &mut &'a [u8]) -> Parsed<OpenRequest<'a>> {
+fn parse_open_request<'a>(input: &mut &'a [u8]) -> Parsed<OpenRequest<'a>> {
     let line = *input;
-    let (id, flow_key) =
-        preceded(b"OPEN ", (terminated(token, b' '), terminated(token, b' '))).parse_next(input)?;
-    let pairs: Vec<(&[u8], &[u8])> = terminated(separated(1.., pair, b','), eof).parse_next(input)?;
+    let (id, flow_key) = preceded(b"OPEN ", (terminated(parse_token, b' '), terminated(parse_token, b' ')))
+        .parse_next(input)?;
+    let pairs: Vec<(&[u8], &[u8])> =
+        terminated(separated(1.., parse_parameter, b','), eof).parse_next(input)?;
     let mut request = OpenRequest { id, flow_key, ..OpenRequest::default() };
     let (mut class, mut wait) = (None, None);
     for (name, value) in pairs {
@@ -80,36 +81,36 @@
             b"d" => wait = Some(value),
             b"g" => request.group = Some(value),
             b"at" => request.previous_host = Some(value),
-            b"h" => request.expected_load = number(value),
+            b"h" => request.expected_load = parse_number(value),
             _ => {}
         }
     }
     let (Some(class), Some(wait)) = (class, wait) else { return Err(ErrMode::Cut(ContextError::new())) };
     request.class = class;
-    request.wait_ms = wait_ms(wait)?;
-    request.wait_range = range_within(line, wait);
+    request.wait_ms = parse_wait_ms(wait)?;
+    request.wait_range = subslice_range(line, wait);
     Ok(request)
 }
 
-fn wait_ms(value: &[u8]) -> Parsed<u64> {
+fn parse_wait_ms(value: &[u8]) -> Parsed<u64> {
     let mut number = terminated(dec_uint::<_, u64, ContextError>, eof).verify(|ms| *ms <= MAX_WAIT_MS);
     number.parse_next(&mut &*value).map_err(ErrMode::Cut)
 }
 
 /// Where a part of a line is in it.
-fn range_within(line: &[u8], part: &[u8]) -> Range<usize> {
+fn subslice_range(line: &[u8], part: &[u8]) -> Range<usize> {
     let start = part.as_ptr() as usize - line.as_ptr() as usize;
     start..start + part.len()
 }
 
-fn number(bytes: &[u8]) -> Option<f64> {
+fn parse_number(bytes: &[u8]) -> Option<f64> {
     std::str::from_utf8(bytes).ok()?.parse().ok()
 }
 
 /// Reads the first line of a client's connection, without its end; none where it is malformed.
-pub fn client_line(line: &[u8]) -> Option<ClientLine<'_>> {
+pub fn parse_client_line(line: &[u8]) -> Option<ClientLine<'_>> {
     let ping = terminated(b"PING".as_slice(), eof).value(ClientLine::Ping);
-    alt((ping, open.map(ClientLine::Open))).parse(line).ok()
+    alt((ping, parse_open_request.map(ClientLine::Open))).parse(line).ok()
 }
 
 /// A line of a host.
@@ -132,7 +133,7 @@
 }
 
 /// Reads a line of a host, without its end.
-pub fn host_line(line: &[u8]) -> HostLine {
+pub fn parse_host_line(line: &[u8]) -> HostLine {
     let mut input = line;
     let parsed: Parsed<(&[u8], Option<&[u8]>)> =
         (take_while(1.., |byte: u8| byte.is_ascii_uppercase()), opt(preceded(b' ', rest)))
@@ -143,7 +144,7 @@
         Ok((b"MOVE", None)) if input.is_empty() => HostLine::Move,
         Ok((b"ERR", _)) => HostLine::Err,
         Ok((b"BUSY", _)) => HostLine::Busy,
-        Ok((b"LOAD", Some(load))) => number(load).map_or(HostLine::Other, HostLine::Load),
+        Ok((b"LOAD", Some(load))) => parse_number(load).map_or(HostLine::Other, HostLine::Load),
         _ => HostLine::Other,
     }
 }
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -11,7 +11,7 @@
 
 use super::line_stream::{LineStream, ReadError};
 use super::migration::MigrationSignal;
-use super::protocol::{HostLine, host_line};
+use super::protocol::{HostLine, parse_host_line};
 use super::termination_reason::TerminationReason;
 use crate::decisions::{Decisions, sleep_until};
 
@@ -121,12 +121,13 @@
 
     fn on_host_line(&mut self, line: &[u8]) {
         self.parting = None;
-        match host_line(line) {
+        match parse_host_line(line) {
             HostLine::Load(load) => {
                 self.load = Some(load);
                 let ServedRequest { request, host } = self.served;
                 debug!(number = request.0, load, "load report received");
-                self.decisions.decide(|balancer, now| balancer.on_load_report(now, request, host, load));
+                self.decisions
+                    .with_balancer(|balancer, now| balancer.on_load_report(now, request, host, load));
             }
             parting @ (HostLine::Bye | HostLine::Move) => self.parting = Some(parting),
             HostLine::Up => {}
--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -11,7 +11,7 @@
 use super::Session;
 use crate::discovery::endpoint_table::HostAddress;
 use crate::proxy::line_stream::{self, LineStream, ReadError};
-use crate::proxy::protocol::{HostLine, host_line};
+use crate::proxy::protocol::{HostLine, parse_host_line};
 
 /// What came of one attempt.
 pub(super) enum AttemptOutcome {
@@ -85,7 +85,7 @@
             Ok(stream) => stream,
             Err(error) => return error.outcome(Outcome::NotForwarded),
         };
-        self.node.clients.count(|counters| counters.attempts_sent += 1);
+        self.node.clients.update_counters(|counters| counters.attempts_sent += 1);
         match self.read_answer(client, &mut stream, until).await {
             Ok(()) => AttemptOutcome::Established(stream, host.name.clone()),
             Err(error) => error.outcome(Outcome::Timeout),
@@ -171,7 +171,7 @@
             Err(_) => Outcome::Timeout,
             Ok(Err(ReadError::LineTooLong(_))) => Outcome::Error,
             Ok(Err(_)) => Outcome::Reset,
-            Ok(Ok(())) => match host_line(host.buffer.first_line().unwrap_or_default()) {
+            Ok(Ok(())) => match parse_host_line(host.buffer.first_line().unwrap_or_default()) {
                 HostLine::Up => return Ok(()),
                 HostLine::Busy => Outcome::Rejected,
                 HostLine::Move => Outcome::Cancelled,
--- a/crates/alderstile-node/src/proxy/session/first_line.rs
+++ b/crates/alderstile-node/src/proxy/session/first_line.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 use crate::proxy::line_stream::{LineStream, ReadError};
 use crate::proxy::pending_clients::PendingSlot;
-use crate::proxy::protocol::{ClientLine, OpenRequest, client_line};
+use crate::proxy::protocol::{ClientLine, OpenRequest, parse_client_line};
 use crate::proxy::request_ids::OpenId;
 use crate::proxy::termination_reason::TerminationReason;
 
@@ -57,7 +57,7 @@
         })?;
         let line = client.buffer.first_line().unwrap_or_default().to_vec();
         client.buffer.consume_first_line();
-        if client_line(&line) != Some(ClientLine::Ping) {
+        if parse_client_line(&line) != Some(ClientLine::Ping) {
             return Ok(line);
         }
         checked = true;
@@ -81,12 +81,12 @@
 ///
 /// Why the request is rejected.
 pub(super) fn admit<'a>(node: &Node, line: &'a [u8]) -> Result<AdmittedRequest<'a>, TerminationReason> {
-    let Some(ClientLine::Open(request)) = client_line(line) else {
+    let Some(ClientLine::Open(request)) = parse_client_line(line) else {
         return Err(TerminationReason::ClientMalformed);
     };
-    let class = node.clients.class(request.class).ok_or(TerminationReason::ClientUnknownClass)?;
-    let Some(id) = node.clients.claim_id(request.id) else {
-        node.clients.count(|counters| counters.count_outcome(class, RequestOutcome::Failure));
+    let class = node.clients.class_index(request.class).ok_or(TerminationReason::ClientUnknownClass)?;
+    let Some(id) = node.clients.claim_request_id(request.id) else {
+        node.clients.update_counters(|counters| counters.count_outcome(class, RequestOutcome::Failure));
         return Err(TerminationReason::ClientDuplicateId);
     };
     Ok(AdmittedRequest { request, class, _id: id })
--- a/crates/alderstile-node/src/proxy/session/handover.rs
+++ b/crates/alderstile-node/src/proxy/session/handover.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::proxy::line_buffer::LineBuffer;
 use crate::proxy::line_stream::LineStream;
-use crate::proxy::protocol::{ClientLine, client_line};
+use crate::proxy::protocol::{ClientLine, parse_client_line};
 use crate::proxy::relay::RelayState;
 
 fn millis(ms: u128) -> u64 {
@@ -86,18 +86,20 @@
     sockets: Vec<std::net::TcpStream>,
 ) -> Result<(), ResumeError> {
     let line = connection.first_line.as_bytes();
-    let Some(ClientLine::Open(request)) = client_line(line) else { return Err(ResumeError::MalformedLine) };
+    let Some(ClientLine::Open(request)) = parse_client_line(line) else {
+        return Err(ResumeError::MalformedLine);
+    };
     let [client, host] = streams(&connection, sockets)?;
     let _client_descriptor = node.clients.count_handed_over_descriptor();
-    let _id = node.clients.claim_handed_over_id(request.id);
+    let _id = node.clients.claim_handed_over_request_id(request.id);
     // Its class may have been removed: the request gets a number that no class has.
-    let class = node.clients.class(request.class).unwrap_or(u16::MAX);
+    let class = node.clients.class_index(request.class).unwrap_or(u16::MAX);
     let now = Instant::now();
     let arrived = now.checked_sub(Duration::from_millis(connection.age_ms)).unwrap_or(now);
     let (attempts, up_ms) = (connection.attempts, u128::from(connection.up_ms));
     let session = Session { node: node.clone(), line, request, class, arrived, attempts, up_ms };
     let (request, server) = (session.connection_request(Duration::ZERO), server_id(&connection.host));
-    let id = node.decisions.decide(|balancer, now| {
+    let id = node.decisions.with_balancer(|balancer, now| {
         let id = balancer.adopt_connection(now, request, server);
         connection.relay_state.load.iter().for_each(|load| balancer.on_load_report(now, id, server, *load));
         id
--- a/crates/alderstile-node/src/proxy/session/mod.rs
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -114,7 +114,7 @@
     }
 
     fn count(&self, outcome: RequestOutcome) {
-        self.node.clients.count(|counters| counters.count_outcome(self.class, outcome));
+        self.node.clients.update_counters(|counters| counters.count_outcome(self.class, outcome));
     }
 
     fn id(&self) -> String {
@@ -173,7 +173,7 @@
     /// Reports to the policy how an established connection ended.
     fn report_end(&self, id: RequestId, server: ServerId, reason: TerminationReason) {
         use TerminationReason as Reason;
-        self.node.decisions.decide(|balancer, now| match reason {
+        self.node.decisions.with_balancer(|balancer, now| match reason {
             Reason::ClientClosed
             | Reason::ClientReset
             | Reason::ClientLineTooLong
--- a/crates/alderstile-node/src/proxy/session/placement.rs
+++ b/crates/alderstile-node/src/proxy/session/placement.rs
@@ -72,7 +72,7 @@
             return Placement::at_capacity();
         };
         let request = self.connection_request(deadline.saturating_duration_since(Instant::now()));
-        let (id, mut verdict) = node.decisions.decide(|balancer, now| balancer.place(now, request));
+        let (id, mut verdict) = node.decisions.with_balancer(|balancer, now| balancer.place(now, request));
         loop {
             let (server, attempt_timeout) = match verdict {
                 Verdict::Forward(server, attempt_timeout) => (server, attempt_timeout),
@@ -90,14 +90,14 @@
                     return Placement::Established(host);
                 }
                 AttemptOutcome::ClientEnded(error) => {
-                    node.decisions.decide(|balancer, now| balancer.on_client_disconnected(now, id));
+                    node.decisions.with_balancer(|balancer, now| balancer.on_client_disconnected(now, id));
                     return Placement::client_ended(error);
                 }
                 AttemptOutcome::Failed(outcome) => {
                     self.log_failed_attempt(server, outcome, began);
                     verdict = node
                         .decisions
-                        .decide(|balancer, now| balancer.on_attempt_failed(now, id, server, outcome));
+                        .with_balancer(|balancer, now| balancer.on_attempt_failed(now, id, server, outcome));
                 }
             }
         }
@@ -122,8 +122,8 @@
         let latency = began.elapsed();
         self.up_ms = latency.as_millis();
         let decisions = &self.node.decisions;
-        decisions.decide(|balancer, now| balancer.on_established(now, id, micros(latency)));
-        decisions.on_accepted(server, began);
+        decisions.with_balancer(|balancer, now| balancer.on_established(now, id, micros(latency)));
+        decisions.on_request_accepted(server, began);
     }
 
     fn log_failed_attempt(&self, server: ServerId, outcome: Outcome, began: Instant) {
@@ -147,8 +147,8 @@
                 AttemptOutcome::Established(stream, name) => {
                     let request = self.connection_request(Duration::ZERO);
                     let decisions = &self.node.decisions;
-                    let id =
-                        decisions.decide(|balancer, now| balancer.adopt_connection(now, request, server));
+                    let id = decisions
+                        .with_balancer(|balancer, now| balancer.adopt_connection(now, request, server));
                     let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
                     return Placement::Established(host);
                 }
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -119,7 +119,7 @@
             node.setup
                 .node
                 .decisions
-                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1"))),
+                .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1"))),
             "nothing done"
         );
         let call = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(64 << 10));
@@ -159,7 +159,7 @@
             node.setup
                 .node
                 .decisions
-                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
+                .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
         assert_eq!(node.call("GET", "/control/ready").await.0, 200);
         assert!(!out(), "half a call changes nothing");
--- a/crates/alderstile-node/tests/admission.rs
+++ b/crates/alderstile-node/tests/admission.rs
@@ -103,9 +103,9 @@
         assert_eq!(again.line().await.as_deref(), Some("ERR"));
         // What is remembered is bounded: the oldest ids are forgotten.
         for id in 0..2_000_u64 {
-            assert!(setup.node.clients.claim_id(&id.to_le_bytes()).is_some());
+            assert!(setup.node.clients.claim_request_id(&id.to_le_bytes()).is_some());
         }
-        assert!(setup.node.clients.claim_id(b"0000000000000007").is_some());
+        assert!(setup.node.clients.claim_request_id(b"0000000000000007").is_some());
     });
 }
 
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -666,7 +666,7 @@
         let mut old = setup.open(4, "d=20000,at=s-9").await;
         let mut half = setup.client().await;
         half.send("OPEN 00").await;
-        while setup.node.clients.in_flight() < 4 {
+        while setup.node.clients.in_flight_count() < 4 {
             sleep(Duration::from_millis(1)).await;
         }
         let (within, began) = (setup.node.config().shutdown_timeout, Instant::now());
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -70,22 +70,22 @@
 #[test]
 fn what_is_heard_renews_it_and_nothing_else_does() {
     let mut lease = Lease::new(ms(0), None);
-    assert!(lease.allows(ms(5_999), A) && !lease.allows(ms(6_000), A));
+    assert!(lease.allows_new_work(ms(5_999), A) && !lease.allows_new_work(ms(6_000), A));
     lease.renew(ms(10_000));
     lease.on_watch_ended(ms(11_000));
-    assert!(lease.allows(ms(15_999), A) && !lease.allows(ms(16_000), A));
+    assert!(lease.allows_new_work(ms(15_999), A) && !lease.allows_new_work(ms(16_000), A));
     assert_eq!(lease.next_due(ms(11_000)), Some(ms(16_000)));
     lease.set_push_grace(None);
-    assert!(!lease.allows(ms(16_000), A));
+    assert!(!lease.allows_new_work(ms(16_000), A));
 }
 
 #[test]
 fn a_server_that_took_a_request_did_not_drain_when_it_was_asked() {
     let mut lease = Lease::new(ms(0), None);
-    lease.on_accepted(B, ms(4_000));
+    lease.on_request_accepted(B, ms(4_000));
     assert_eq!(lease.withhold_expired(ms(6_000), [A, B].into_iter()), [A]);
     assert_eq!(lease.withhold_expired(ms(6_000), [A, B].into_iter()), []);
-    assert!(lease.allows(ms(9_999), B) && !lease.allows(ms(10_000), B));
+    assert!(lease.allows_new_work(ms(9_999), B) && !lease.allows_new_work(ms(10_000), B));
     assert_eq!(lease.next_due(ms(6_000)), Some(ms(10_000)));
     assert_eq!(lease.withhold_expired(ms(10_000), [A, B].into_iter()), [B]);
     assert_eq!(lease.next_due(ms(10_000)), None);
@@ -99,37 +99,37 @@
 fn what_nobody_can_reach_tells_nobody() {
     let mut lease = Lease::new(ms(0), None);
     lease.on_discovery_unreachable(ms(5_000));
-    assert!(lease.allows(ms(10_999), A) && !lease.allows(ms(11_000), A));
+    assert!(lease.allows_new_work(ms(10_999), A) && !lease.allows_new_work(ms(11_000), A));
     // An earlier call that ends later takes nothing back.
     lease.on_discovery_unreachable(ms(1_000));
-    assert!(lease.allows(ms(10_999), A));
+    assert!(lease.allows_new_work(ms(10_999), A));
 }
 
 #[test]
 fn discovery_at_a_new_place_counts_four_seconds_later() {
     let mut lease = Lease::new(ms(0), None);
     lease.renew(ms(1_000));
-    lease.on_discovery_moved(ms(2_000));
-    assert!(lease.allows(ms(5_999), A) && !lease.allows(ms(6_000), A));
+    lease.on_discovery_address_changed(ms(2_000));
+    assert!(lease.allows_new_work(ms(5_999), A) && !lease.allows_new_work(ms(6_000), A));
     // One that had run out is not made good by the move.
     let mut lease = Lease::new(ms(0), None);
-    lease.on_discovery_moved(ms(7_000));
-    assert!(!lease.allows(ms(7_000), A));
+    lease.on_discovery_address_changed(ms(7_000));
+    assert!(!lease.allows_new_work(ms(7_000), A));
     lease.renew(ms(8_000));
-    assert!(lease.allows(ms(13_999), A));
+    assert!(lease.allows_new_work(ms(13_999), A));
 }
 
 #[test]
 fn where_lists_are_pushed_the_grace_at_drains_is_all_there_is_without_a_watch() {
     let mut lease = Lease::new(ms(0), Some(ms(400)));
-    assert!(lease.allows(ms(399), A) && !lease.allows(ms(400), A));
+    assert!(lease.allows_new_work(ms(399), A) && !lease.allows_new_work(ms(400), A));
     lease.renew(ms(1_000));
     // One clock for silence.
-    assert!(lease.allows(ms(6_999), A) && !lease.allows(ms(7_000), A));
+    assert!(lease.allows_new_work(ms(6_999), A) && !lease.allows_new_work(ms(7_000), A));
     lease.on_watch_ended(ms(2_000));
-    assert!(lease.allows(ms(2_399), A) && !lease.allows(ms(2_400), A));
+    assert!(lease.allows_new_work(ms(2_399), A) && !lease.allows_new_work(ms(2_400), A));
     lease.on_discovery_unreachable(ms(2_300));
-    assert!(lease.allows(ms(2_699), A) && !lease.allows(ms(2_700), A));
+    assert!(lease.allows_new_work(ms(2_699), A) && !lease.allows_new_work(ms(2_700), A));
 }
 
 #[test]
@@ -139,9 +139,9 @@
     assert_eq!(lease.remaining(ms(3_000)), ms(4_000));
     let mut next = Lease::new(ms(3_000), None);
     next.inherit(ms(3_000), ms(4_000));
-    assert!(next.allows(ms(6_999), A) && !next.allows(ms(7_000), A));
+    assert!(next.allows_new_work(ms(6_999), A) && !next.allows_new_work(ms(7_000), A));
     next.inherit(ms(3_000), ms(60_000));
-    assert!(!next.allows(ms(7_000), A));
+    assert!(!next.allows_new_work(ms(7_000), A));
 }
 
 // ---- a fleet at discovery's limit ----
--- a/crates/alderstile-node/tests/peers.rs
+++ b/crates/alderstile-node/tests/peers.rs
@@ -36,7 +36,7 @@
         peers.broadcast(b"again");
         let (len, _) = all.recv_from(&mut data).await.expect("a message");
         assert_eq!(&data[..len], b"again");
-        assert!(node.decisions.decide(|balancer, _| balancer.poll_timeout()).is_some());
+        assert!(node.decisions.with_balancer(|balancer, _| balancer.poll_timeout()).is_some());
     });
 }
 
--- a/crates/alderstile-node/tests/protocol.rs
+++ b/crates/alderstile-node/tests/protocol.rs
@@ -1,33 +1,33 @@
 //! The lines of clients and hosts.
 
-use alderstile_node::proxy::protocol::{ClientLine, HostLine, client_line, host_line};
+use alderstile_node::proxy::protocol::{ClientLine, HostLine, parse_client_line, parse_host_line};
 use proptest::prelude::*;
 
 const OPEN: &[u8] = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59";
 
 #[test]
 fn a_first_line_is_read() {
-    let Some(ClientLine::Open(open)) = client_line(OPEN) else { panic!("not read") };
+    let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not read") };
     assert_eq!((open.id, open.flow_key), (&b"9b1f03aa5c7e2d41"[..], &b"7f3a9c21e0b4d655"[..]));
     assert_eq!((open.class, open.wait_ms), (&b"chat"[..], 2_000));
     assert_eq!(
         (open.group, open.previous_host, open.expected_load),
         (Some(&b"5c0f6e1a2b3d4c59"[..]), None, None)
     );
-    assert_eq!(client_line(b"PING"), Some(ClientLine::Ping));
+    assert_eq!(parse_client_line(b"PING"), Some(ClientLine::Ping));
 }
 
 #[test]
 fn names_that_are_not_known_are_passed_by() {
     let line = b"OPEN a b x=,h=12.5,again=1,r=1,d=7,at=s-5be2a07c,c=p";
-    let Some(ClientLine::Open(open)) = client_line(line) else { panic!("not read") };
+    let Some(ClientLine::Open(open)) = parse_client_line(line) else { panic!("not read") };
     assert_eq!((open.class, open.wait_ms), (&b"p"[..], 7));
     assert_eq!((open.previous_host, open.expected_load), (Some(&b"s-5be2a07c"[..]), Some(12.5)));
 }
 
 #[test]
 fn a_host_is_sent_the_line_with_nothing_changed_but_the_time() {
-    let Some(ClientLine::Open(open)) = client_line(OPEN) else { panic!("not read") };
+    let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not read") };
     let sent = open.forwarded_line(OPEN, 987);
     let wanted = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=987,g=5c0f6e1a2b3d4c59\r\n";
     assert_eq!(sent, wanted);
@@ -52,7 +52,7 @@
         b"OPEN  b c=chat,d=2000",
     ];
     for line in lines {
-        assert_eq!(client_line(line), None, "{:?}", String::from_utf8_lossy(line));
+        assert_eq!(parse_client_line(line), None, "{:?}", String::from_utf8_lossy(line));
     }
 }
 
@@ -75,22 +75,22 @@
         (b"", HostLine::Other),
     ];
     for (line, wanted) in lines {
-        assert_eq!(host_line(line), wanted, "{:?}", String::from_utf8_lossy(line));
+        assert_eq!(parse_host_line(line), wanted, "{:?}", String::from_utf8_lossy(line));
     }
 }
 
 proptest! {
     #[test]
     fn no_bytes_upset_the_parsers(line in prop::collection::vec(any::<u8>(), 0..200)) {
-        client_line(&line);
-        host_line(&line);
-        client_line(&[b"OPEN ", line.as_slice()].concat());
+        parse_client_line(&line);
+        parse_host_line(&line);
+        parse_client_line(&[b"OPEN ", line.as_slice()].concat());
     }
 
     #[test]
     fn a_valid_line_is_read_whatever_its_values(id in "[!-~]{1,20}", key in "[!-~]{1,20}", wait in 0..u64::from(u32::MAX)) {
         let line = format!("OPEN {id} {key} c=chat,d={wait}").into_bytes();
-        let read = client_line(&line);
+        let read = parse_client_line(&line);
         prop_assert!(matches!(&read, Some(ClientLine::Open(open)) if open.wait_ms == wait), "{:?}", read);
     }
 }
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -84,12 +84,12 @@
     run(async {
         let host = Host::new("s-1").await;
         let (setup, mut watch) = serving(&[&host]).await;
-        let before = setup.node.decisions.discovery();
+        let before = setup.node.decisions.discovery_address();
         let mut faulty = config("127.0.0.1:0", "127.0.0.1:1");
         faulty["limits"]["sockets"] = "many".into();
         for path in [file("faulty", &faulty), file("none", &Value::Null), PathBuf::from("/nonexistent")] {
             reload(&setup.node, Some(&path), |_| None);
-            assert_eq!(setup.node.decisions.discovery(), before);
+            assert_eq!(setup.node.decisions.discovery_address(), before);
         }
         chunk(&mut watch, &list(2, false, &[])).await;
         setup.up(1, &host).await;
@@ -293,7 +293,7 @@
     run(async {
         let host = Host::new("s-1").await;
         let (setup, mut watch) = serving(&[&host]).await;
-        let before = setup.node.decisions.discovery();
+        let before = setup.node.decisions.discovery_address();
         let good = told(&setup);
         let mut bad: Vec<(String, String)> = Vec::new();
         let mut all = Vec::new();
@@ -348,7 +348,7 @@
             // What else is new in it must not count either.
             std::fs::write(&path, text.replace(&before.to_string(), "127.0.0.1:1")).expect("written");
             reload(&setup.node, Some(&path), |_| None);
-            assert_eq!(setup.node.decisions.discovery(), before, "{what}");
+            assert_eq!(setup.node.decisions.discovery_address(), before, "{what}");
             let failed = format!("{}|c", number + 1);
             assert_eq!(figure(&setup, "reconfig_failed"), Some(failed), "{what}");
         }
--- a/crates/alderstile-node/tests/replicated_config_applied.rs
+++ b/crates/alderstile-node/tests/replicated_config_applied.rs
@@ -17,7 +17,7 @@
             setup
                 .node
                 .decisions
-                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id(host)))
+                .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id(host)))
         };
         let most = || setup.node.config().settings.max_attempts;
         let both = document(|document| {
@@ -64,7 +64,7 @@
             setup
                 .node
                 .decisions
-                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
+                .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
         propose_until_committed(&control, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
         wait_until_active(&control, 1).await;
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -247,14 +247,14 @@
 
     /// Waits until a client waits for a host.
     pub async fn until_waiting(&self) {
-        while self.node.clients.in_flight() == 0 {
+        while self.node.clients.in_flight_count() == 0 {
             tokio::task::yield_now().await;
         }
     }
 
     /// Waits until no client waits or is served any more.
     pub async fn until_none(&self) {
-        while self.node.clients.in_flight() > 0 {
+        while self.node.clients.in_flight_count() > 0 {
             sleep(Duration::from_millis(1)).await;
         }
     }
