--- a/crates/alderstile-cluster/src/replicated_config/activation.rs
+++ b/crates/alderstile-cluster/src/replicated_config/activation.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
     /// No version was heard of since the start.
-    NeverHeard,
+    Unknown,
     /// The node acts on the version.
     Valid,
     /// It has run out, and a later version is committed but not active yet.
@@ -78,7 +78,7 @@
     }
 
     /// How long ago the latest version is known to have been the latest.
-    pub fn news_age(&self, now: Micros) -> Option<Micros> {
+    pub fn staleness(&self, now: Micros) -> Option<Micros> {
         self.committed.latest_at.map(|latest_at| now - latest_at)
     }
 
@@ -86,7 +86,7 @@
     pub fn lease_state(&self, now: Micros) -> LeaseState {
         let Some(latest_at) = self.active.latest_at else {
             let heard = self.committed.latest_at.is_some();
-            return if heard { LeaseState::Superseded } else { LeaseState::NeverHeard };
+            return if heard { LeaseState::Superseded } else { LeaseState::Unknown };
         };
         if now < latest_at + self.settings.lease {
             LeaseState::Valid
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -88,7 +88,7 @@
             documents.hold(stored.document, &[]);
             stored.hard_state
         });
-        let raft = settings.me.map(|me| {
+        let raft = settings.local_voter.map(|me| {
             let rng = Pcg64Mcg::seed_from_u64(rng.random());
             Raft::new(me, settings.voters.len(), settings.heartbeat, hard_state, rng, now)
         });
--- a/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
@@ -69,7 +69,7 @@
     }
 
     fn send_raft_messages(&mut self, messages: Vec<RaftMessage>, effects: &mut Vec<Effect>) {
-        let (voters_digest, from) = (self.voters_digest, self.settings.me.unwrap_or_default());
+        let (voters_digest, from) = (self.voters_digest, self.settings.local_voter.unwrap_or_default());
         for RaftMessage { peer, term, payload } in messages {
             if let Some(to) = self.settings.voter(peer) {
                 self.send(effects, to, &Message::Raft { voters_digest, from, term, payload });
--- a/crates/alderstile-cluster/src/replicated_config/settings.rs
+++ b/crates/alderstile-cluster/src/replicated_config/settings.rs
@@ -13,13 +13,13 @@
 const DEFAULT_DRIFT: f64 = 0.002;
 const DEFAULT_FANOUT: usize = 4;
 
-/// Parameters of the replication, the same at all nodes but for `me`.
+/// Parameters of the replication, the same at all nodes except `local_voter`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReplicationSettings {
     /// Addresses of the voters, the same list in the same order at all members.
     pub voters: Vec<SocketAddr>,
     /// This node's place among them, if it is one.
-    pub me: Option<u8>,
+    pub local_voter: Option<u8>,
     /// Interval of a leader's appends.
     pub heartbeat: Micros,
     /// How long a version may be acted on after a time at which it was the latest.
@@ -32,10 +32,10 @@
 
 impl ReplicationSettings {
     /// The default parameters for these voters.
-    pub fn new(voters: Vec<SocketAddr>, me: Option<u8>) -> Self {
+    pub fn new(voters: Vec<SocketAddr>, local_voter: Option<u8>) -> Self {
         ReplicationSettings {
             voters,
-            me,
+            local_voter,
             heartbeat: DEFAULT_HEARTBEAT,
             lease: DEFAULT_LEASE,
             drift: DEFAULT_DRIFT,
--- a/crates/alderstile-cluster/src/replicated_config/subscription.rs
+++ b/crates/alderstile-cluster/src/replicated_config/subscription.rs
@@ -97,7 +97,7 @@
     }
 
     fn draw_voter(&mut self) -> Option<SocketAddr> {
-        let me = self.settings.me.map(usize::from);
+        let me = self.settings.local_voter.map(usize::from);
         let others: Vec<usize> = (0..self.settings.voters.len()).filter(|voter| Some(*voter) != me).collect();
         if others.is_empty() {
             return None;
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -149,8 +149,8 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        let me = (n < self.voters).then_some(n as u8);
-        let settings = ReplicationSettings { me, ..self.settings.clone() };
+        let local_voter = (n < self.voters).then_some(n as u8);
+        let settings = ReplicationSettings { local_voter, ..self.settings.clone() };
         let seed = self.rng.random();
         let disk = self.processes[n].disk.clone();
         let mut core = ReplicatedConfig::new(settings, codec(), disk, Box::new(check), seed, Micros(0));
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -56,7 +56,7 @@
 
     /// Whether new clients may be sent to this process.
     pub fn is_ready(&self) -> bool {
-        let config_known = self.replicated_config().is_none_or(|replica| replica.ready());
+        let config_known = self.replicated_config().is_none_or(|replica| replica.is_ready());
         config_known
             && self.decisions.can_serve()
             && self.process.listener().is_some()
--- a/crates/alderstile-node/src/commands/settings.rs
+++ b/crates/alderstile-node/src/commands/settings.rs
@@ -62,7 +62,7 @@
     let name = files.load_config()?.name;
     let replication = files.load_cluster()?.and_then(|cluster| cluster.replication);
     let replication = replication.ok_or(CommandError::NoReplication)?;
-    let (Some(_), Some(dir)) = (replication.settings.me, &replication.state_dir) else {
+    let (Some(_), Some(dir)) = (replication.settings.local_voter, &replication.state_dir) else {
         return Err(CommandError::NotAVoter(replication.listen));
     };
     let path = VoterStore::path(dir, &name);
--- a/crates/alderstile-node/src/control/configured_node.rs
+++ b/crates/alderstile-node/src/control/configured_node.rs
@@ -16,8 +16,8 @@
     fn count_reconfiguration(&self, applied: bool);
 
     /// Sends nothing new to a host.
-    fn take_host_out(&self, host: &str);
+    fn take_host_out_of_service(&self, host: &str);
 
     /// Sends new work to a host again, unless an operator took it out at this node.
-    fn put_host_back(&self, host: &str);
+    fn return_host_to_service(&self, host: &str);
 }
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -233,7 +233,7 @@
     }
 
     /// Tells the others the digest of another configuration.
-    pub fn config_changed(&self, config: &Config) {
+    pub fn update_config_digest(&self, config: &Config) {
         self.members.borrow_mut().set_config_digest(settings_digest(config));
     }
 
--- a/crates/alderstile-node/src/control/replicated_config/apply.rs
+++ b/crates/alderstile-node/src/control/replicated_config/apply.rs
@@ -93,7 +93,7 @@
         for host in hosts {
             if self.hosts_out.borrow_mut().insert(host.clone()) {
                 info!(host = %host, "host taken out by the replicated configuration");
-                node.take_host_out(host);
+                node.take_host_out_of_service(host);
             }
         }
     }
@@ -104,7 +104,7 @@
         for host in back {
             self.hosts_out.borrow_mut().remove(&host);
             info!(host = %host, "host put back by the replicated configuration");
-            node.put_host_back(&host);
+            node.return_host_to_service(&host);
         }
     }
 
--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -124,7 +124,7 @@
                 let address = SocketAddr::new(listen.ip(), port);
                 info!(%address, voter = votes, "listening for configuration versions");
             }
-            let waits_for_store = self.config.settings.me.is_some() && !votes;
+            let waits_for_store = self.config.settings.local_voter.is_some() && !votes;
             let until = waits_for_store.then(|| Instant::now() + STORE_RETRY_INTERVAL);
             self.serve(&socket, port, &cluster, until).await;
         }
@@ -133,7 +133,7 @@
     /// Opens a voter's store; whether this process has it, and so may vote.
     fn open_store(&self) -> Result<bool, ReplicaError> {
         let (Some(me), Some(dir), Some(node)) =
-            (self.config.settings.me, &self.config.state_dir, self.node.upgrade())
+            (self.config.settings.local_voter, &self.config.state_dir, self.node.upgrade())
         else {
             return Ok(false);
         };
@@ -332,13 +332,13 @@
 
     /// Whether this node may take clients: not in its first lease before it has heard which version is active, nor, if the cluster's
     /// file says so, while it is cut off.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let (core, now) = (self.core.borrow(), self.now());
         let refuses = self.config.when_isolated == IsolationPolicy::StopAdmitting;
         let lease = self.config.settings.lease;
         match core.lease_state(now) {
             LeaseState::Valid => true,
-            LeaseState::NeverHeard => now >= lease && !refuses,
+            LeaseState::Unknown => now >= lease && !refuses,
             LeaseState::Superseded => {
                 let follows_a_version = self.applied.version() > 0 || core.committed_version() == 0;
                 follows_a_version || now >= lease.scale(MAX_SUPERSEDED_LEASES)
@@ -365,7 +365,7 @@
 fn new_core(
     config: &ReplicationConfig,
     node: &Weak<dyn ConfiguredNode>,
-    me: Option<u8>,
+    local_voter: Option<u8>,
     stored: Option<PersistedState>,
     now: Micros,
 ) -> ReplicatedConfig {
@@ -376,7 +376,7 @@
             .and_then(|document| document.validate(&node.config()))
             .map_err(|error| InvalidDocument(error.to_string()))
     };
-    let settings = ReplicationSettings { me, ..config.settings.clone() };
+    let settings = ReplicationSettings { local_voter, ..config.settings.clone() };
     // Another seed at each start: what an earlier process was told must not count for this one.
     ReplicatedConfig::new(settings, config.codec.clone(), stored, Box::new(validate), random_seed(), now)
 }
--- a/crates/alderstile-node/src/control/replicated_config/status.rs
+++ b/crates/alderstile-node/src/control/replicated_config/status.rs
@@ -26,7 +26,7 @@
     pub activates_in_ms: u64,
     /// How long ago it is known to have been the latest, milliseconds.
     #[serde(rename = "age_ms")]
-    pub news_age_ms: Option<u64>,
+    pub staleness_ms: Option<u64>,
     /// `leader`, `follower`, `candidate` or `learner`; none at a node that is no voter.
     #[serde(rename = "voter")]
     pub role: Option<String>,
@@ -44,7 +44,7 @@
 /// The admin interface's name for the state of a lease.
 pub fn lease_state_name(state: LeaseState) -> &'static str {
     match state {
-        LeaseState::NeverHeard => "unheard",
+        LeaseState::Unknown => "unheard",
         LeaseState::Valid => "counts",
         LeaseState::Superseded => "between",
         LeaseState::Expired => "cut off",
@@ -71,7 +71,7 @@
             lease_state: lease_state_name(core.lease_state(now)).to_owned(),
             committed_version: core.committed_version(),
             activates_in_ms: core.activates_in().0 / 1_000,
-            news_age_ms: core.news_age(now).map(|age| age.0 / 1_000),
+            staleness_ms: core.staleness(now).map(|age| age.0 / 1_000),
             role: core.role().map(|role| role_name(role).to_owned()),
             leader: core.leader().and_then(|leader| self.config.settings.voter(leader)),
             rejection: self.applied.rejection(),
@@ -92,7 +92,7 @@
         line("known", core.committed_version(), 'g');
         line("cut_off", u64::from(core.lease_state(now) == LeaseState::Expired), 'g');
         line("refused", u64::from(self.applied.rejection().is_some()), 'g');
-        line("age_ms", core.news_age(now).map_or(0, |age| age.0 / 1_000), 'g');
+        line("age_ms", core.staleness(now).map_or(0, |age| age.0 / 1_000), 'g');
         line("told", core.subscriber_count() as u64, 'g');
         let traffic = core.traffic();
         line("sent", traffic.sent, 'c');
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -54,7 +54,7 @@
         if self.admin.replicated_config().is_none()
             && let Some(membership) = self.admin.membership()
         {
-            membership.config_changed(&config);
+            membership.update_config_digest(&config);
         }
         let discovery = config.discovery;
         self.config.set(config);
@@ -133,11 +133,11 @@
         });
     }
 
-    fn take_host_out(&self, host: &str) {
+    fn take_host_out_of_service(&self, host: &str) {
         self.decisions.decide(|balancer, now| balancer.begin_maintenance(now, server_id(host)));
     }
 
-    fn put_host_back(&self, host: &str) {
+    fn return_host_to_service(&self, host: &str) {
         let maintenance = self.admin.maintained_hosts().get(host).copied();
         if maintenance != Some(MaintenanceState::OutOfService) {
             self.decisions.decide(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -130,7 +130,7 @@
     assert_eq!((subsets.prefer_own_zone, subsets.added_host_retention.0), (true, 12_500_000));
     let control = config.replication.expect("a table");
     assert_eq!((control.listen.port(), control.settings.voters.len()), (19950, 2));
-    assert_eq!(control.settings.me, Some(0));
+    assert_eq!(control.settings.local_voter, Some(0));
     assert_eq!(control.state_dir.as_deref(), Some(Path::new("/var/lib/alderstile")));
     assert_eq!((control.settings.heartbeat.0, control.settings.lease.0), (40_000, 750_000));
     assert_eq!((control.settings.drift, control.settings.fanout), (0.02, 5));
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -66,7 +66,7 @@
         lease_state: "cut off".to_owned(),
         committed_version: 9,
         activates_in_ms: 1_250,
-        news_age_ms: Some(321),
+        staleness_ms: Some(321),
         role: Some("follower".to_owned()),
         leader: Some("10.0.0.2:7950".parse().expect("an address")),
         rejection: Some("the key x: faulty".to_owned()),
@@ -89,7 +89,7 @@
 
 #[test]
 fn states_and_roles_keep_the_admin_interface_s_names() {
-    let states = [LeaseState::NeverHeard, LeaseState::Valid, LeaseState::Superseded, LeaseState::Expired];
+    let states = [LeaseState::Unknown, LeaseState::Valid, LeaseState::Superseded, LeaseState::Expired];
     assert_eq!(states.map(lease_state_name), ["unheard", "counts", "between", "cut off"]);
     let roles = [Role::Learner, Role::Follower, Role::PreCandidate, Role::Candidate, Role::Leader];
     assert_eq!(roles.map(role_name), ["learner", "follower", "candidate", "candidate", "leader"]);
--- a/crates/alderstile-node/tests/replicated_config_table.rs
+++ b/crates/alderstile-node/tests/replicated_config_table.rs
@@ -12,7 +12,7 @@
          voters = [\"127.0.0.2:7950\", \"127.0.0.3:7950\"]\n"
     );
     let config = ClusterConfig::parse("c.toml", &fine).expect("fine").replication.expect("a table");
-    assert_eq!((config.settings.me, config.settings.lease.0), (None, 2_500_000));
+    assert_eq!((config.settings.local_voter, config.settings.lease.0), (None, 2_500_000));
     for (from, to, key) in [
         ("127.0.0.1:7950", "127.0.0.1:0", "control.listen"),
         ("127.0.0.1:7950", "127.0.0.2:7950", "control.state_dir"),
