--- a/crates/alderstile-node/src/admin/server.rs
+++ b/crates/alderstile-node/src/admin/server.rs
@@ -23,7 +23,7 @@
 use alderstile_cluster::replicated_config::MAX_DOCUMENT;
 
 use crate::admin::service::AdminService;
-use crate::config::MAX_ADMIN_CALLS;
+use crate::config::MAX_ADMIN_CONNECTIONS;
 use crate::control::replicated_config::{ConfigReplica, ProposalResult};
 
 /// A call that is not finished by then is dropped: callers wait no longer than 1 s for their answer.
@@ -59,7 +59,7 @@
 /// Drops the oldest call where the limit is reached.
 fn make_room(calls: &mut VecDeque<JoinHandle<()>>) {
     calls.retain(|call| !call.is_finished());
-    if calls.len() >= MAX_ADMIN_CALLS
+    if calls.len() >= MAX_ADMIN_CONNECTIONS
         && let Some(oldest) = calls.pop_front()
     {
         oldest.abort();
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -120,7 +120,7 @@
             };
             self.apply_maintenance(host, state);
             self.save_maintenance()?;
-            if let Some(other) = self.process.other() {
+            if let Some(other) = self.process.other_process() {
                 other.send_host_maintenance(host, state).await;
             }
         }
--- a/crates/alderstile-node/src/commands/serve.rs
+++ b/crates/alderstile-node/src/commands/serve.rs
@@ -197,7 +197,7 @@
 }
 
 async fn run_membership_after_predecessor(node: Rc<Node>, membership: Rc<ClusterMembership>) {
-    match membership.bind(|| node.process.other().is_some()).await {
+    match membership.bind(|| node.process.other_process().is_some()).await {
         Ok(socket) => membership.run(socket).await,
         Err(error) => warn!(%error, "membership socket not bound, serving without the other members"),
     }
@@ -239,7 +239,7 @@
         sleep(READINESS_POLL_INTERVAL).await;
     }
     receive_connections(&node);
-    if let Some(other) = node.process.other() {
+    if let Some(other) = node.process.other_process() {
         other.request_listener().await;
         // It was sent before the answer; this process may not have read it.
         sleep(READINESS_POLL_INTERVAL).await;
@@ -249,7 +249,7 @@
         Err(error) => return error!(%error, "clients' socket not bound, no clients accepted"),
     };
     // Before anyone hears that this process is ready: the other one may be told to stop for it.
-    if let Some(other) = node.process.other() {
+    if let Some(other) = node.process.other_process() {
         other.send_ready().await;
     }
     listener::run(node, listener).await;
--- a/crates/alderstile-node/src/config/mod.rs
+++ b/crates/alderstile-node/src/config/mod.rs
@@ -30,7 +30,7 @@
 /// Descriptors that are no connections of clients or to hosts: the runtime's, the listeners, discovery, gossip, logs.
 const OWN_DESCRIPTORS: usize = 24;
 /// The most calls of the admin server at once; their descriptors are reserved.
-pub const MAX_ADMIN_CALLS: usize = 8;
+pub const MAX_ADMIN_CONNECTIONS: usize = 8;
 
 /// Environment variables that stand above the file, each with the key that it replaces.
 const OVERRIDES: [(&str, &str); 4] = [
@@ -181,8 +181,8 @@
     }
 
     /// Descriptors that are reserved for the node itself.
-    pub fn own_descriptors(&self) -> usize {
-        OWN_DESCRIPTORS + self.admin_addr.map_or(0, |_| MAX_ADMIN_CALLS)
+    pub fn reserved_descriptors(&self) -> usize {
+        OWN_DESCRIPTORS + self.admin_addr.map_or(0, |_| MAX_ADMIN_CONNECTIONS)
     }
 }
 
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -108,7 +108,7 @@
             instance = predecessor.session;
             incarnation = predecessor.incarnation.saturating_add(TAKEOVER_GAP);
             sequence = predecessor.counter.saturating_add(TAKEOVER_GAP);
-            seeds.extend(&predecessor.known);
+            seeds.extend(&predecessor.alive_members);
         }
         let local = local_record(config, cluster, instance, incarnation);
         local.validate()?;
@@ -287,7 +287,7 @@
             session: members.local().instance.0,
             incarnation: members.local().incarnation,
             counter: members.last_sequence(),
-            known: alive.map(|member| member.record.address).take(MAX_HANDED_OVER_PEERS).collect(),
+            alive_members: alive.map(|member| member.record.address).take(MAX_HANDED_OVER_PEERS).collect(),
         }
     }
 
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -48,7 +48,9 @@
             match GossipSocket::bind(&node).await {
                 Ok(None) => return,
                 Ok(Some(socket)) => return self.run(node, socket).await,
-                Err(error) if error.kind() == io::ErrorKind::AddrInUse && node.process.other().is_some() => {
+                Err(error)
+                    if error.kind() == io::ErrorKind::AddrInUse && node.process.other_process().is_some() =>
+                {
                     tokio::time::sleep(BIND_RETRY_DELAY).await;
                 }
                 Err(error) => {
--- a/crates/alderstile-node/src/lifecycle/connection_handover.rs
+++ b/crates/alderstile-node/src/lifecycle/connection_handover.rs
@@ -52,7 +52,8 @@
     /// How many attempts it took.
     pub attempts: u32,
     /// How many milliseconds the attempt took that was established.
-    pub up_ms: u64,
+    #[serde(rename = "up_ms")]
+    pub setup_ms: u64,
     /// How many milliseconds ago the request came.
     pub age_ms: u64,
     /// The number under which the successor acknowledges the connection. A process of an older version gives none.
--- a/crates/alderstile-node/src/lifecycle/process.rs
+++ b/crates/alderstile-node/src/lifecycle/process.rs
@@ -18,8 +18,8 @@
     /// The other process has the sockets that only one of the two may have: this one is to close its own.
     pub release_sockets: Notify,
     shutting_down: Cell<bool>,
-    last_call_made: Cell<bool>,
-    last_call: Notify,
+    cutoff_reached: Cell<bool>,
+    cutoff: Notify,
     listener: RefCell<Option<Rc<TcpListener>>>,
     shared_listener: RefCell<Option<std::net::TcpListener>>,
     other: RefCell<Option<Rc<UpgradeChannel>>>,
@@ -47,18 +47,18 @@
     }
 
     /// The channel to the other process of this node, while there is one.
-    pub fn other(&self) -> Option<Rc<UpgradeChannel>> {
+    pub fn other_process(&self) -> Option<Rc<UpgradeChannel>> {
         self.other.borrow().clone()
     }
 
     /// Sets the channel to the other process of this node, or that there is none any more.
-    pub fn set_other(&self, other: Option<Rc<UpgradeChannel>>) {
+    pub fn set_other_process(&self, other: Option<Rc<UpgradeChannel>>) {
         self.other.replace(other);
     }
 
     /// Whether another process of this node accepts clients too, so that this one may end.
-    pub fn other_serves(&self) -> bool {
-        self.other().is_some_and(|other| other.serves())
+    pub fn other_process_serves(&self) -> bool {
+        self.other_process().is_some_and(|other| other.serves())
     }
 
     /// Begins the shutdown: from now on the process is not ready, so that the front sends no more clients.
@@ -72,17 +72,17 @@
     }
 
     /// Ends all waiting: the time for the shutdown is nearly over, and who still waits is to be answered now.
-    pub fn make_last_call(&self) {
-        self.last_call_made.set(true);
-        self.last_call.notify_waiters();
+    pub fn cut_off_pending(&self) {
+        self.cutoff_reached.set(true);
+        self.cutoff.notify_waiters();
     }
 
     /// Waits until the time for the shutdown is nearly over.
-    pub async fn last_call(&self) {
+    pub async fn pending_cutoff(&self) {
         // Created before the check, so that it is notified of a call made after it.
-        let called = self.last_call.notified();
-        if !self.last_call_made.get() {
-            called.await;
+        let reached = self.cutoff.notified();
+        if !self.cutoff_reached.get() {
+            reached.await;
         }
     }
 }
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -18,7 +18,7 @@
 /// How long before the shutdown's end those that still wait for a host are answered, and those without a first line closed.
 /// A request that came up to 0.4 s after the shutdown began has had all of its time by then: the shutdown's time is that of
 /// the longest request and 0.7 s. For hosts that hang, and requests that may wait longer than a shutdown.
-const LAST_CALL: Duration = Duration::from_millis(250);
+const PENDING_CUTOFF_MARGIN: Duration = Duration::from_millis(250);
 /// How long before the shutdown's end the process ends, whatever is still open.
 const END_MARGIN: Duration = Duration::from_millis(50);
 /// How often some clients are migrated, and it is checked whether all have gone.
@@ -34,7 +34,7 @@
     migrations_start: Instant,
     /// All clients are told to migrate by then.
     migrations_end: Instant,
-    last_call: Instant,
+    pending_cutoff: Instant,
     end: Instant,
 }
 
@@ -46,7 +46,7 @@
             start,
             migrations_start: migrations_end.min(start + duration / 2),
             migrations_end,
-            last_call: start + duration.saturating_sub(LAST_CALL),
+            pending_cutoff: start + duration.saturating_sub(PENDING_CUTOFF_MARGIN),
             end: start + duration,
         }
     }
@@ -60,14 +60,14 @@
 pub async fn run(node: Rc<Node>, accepting: JoinHandle<()>) {
     let schedule = Schedule::starting_now(node.config().shutdown_timeout);
     info!(clients = node.clients.established(), "shutdown started");
-    if !node.process.other_serves() {
+    if !node.process.other_process_serves() {
         node.process.begin_shutdown();
     }
-    let _last_call = spawn_last_call(&node, schedule);
-    while !node.process.other_serves() && Instant::now() < schedule.migrations_start {
+    let _cutoff_task = spawn_pending_cutoff(&node, schedule);
+    while !node.process.other_process_serves() && Instant::now() < schedule.migrations_start {
         sleep(STEP).await;
     }
-    if node.process.other_serves() {
+    if node.process.other_process_serves() {
         leave_to_other_process(&node, &accepting, schedule).await;
     }
     migrate_gradually(&node, schedule).await;
@@ -75,7 +75,7 @@
     if node.clients.handover_socket().is_none() {
         node.clients.migrate_all();
     }
-    if !node.process.other_serves() {
+    if !node.process.other_process_serves() {
         sleep_until(schedule.start + LATE_ARRIVALS).await;
     }
     // The task that has the listener closes it, in the step in which nobody is queued: whom the system has accepted is a
@@ -89,19 +89,19 @@
 }
 
 /// Starts the task that makes the last call at its time; dropping the result cancels it.
-fn spawn_last_call(node: &Node, schedule: Schedule) -> JoinSet<()> {
+fn spawn_pending_cutoff(node: &Node, schedule: Schedule) -> JoinSet<()> {
     let process = node.process.clone();
     let mut task = JoinSet::new();
     task.spawn_local(async move {
-        sleep_until(schedule.last_call).await;
-        process.make_last_call();
+        sleep_until(schedule.pending_cutoff).await;
+        process.cut_off_pending();
     });
     task
 }
 
 /// Leaves the cluster, unless another process continues as the same member.
 async fn leave_cluster(node: &Node) {
-    if !node.process.other_serves()
+    if !node.process.other_process_serves()
         && let Some(cluster) = node.admin.membership()
     {
         cluster.leave().await;
@@ -119,7 +119,7 @@
     node.process.begin_shutdown();
     node.process.release_sockets.notify_one();
     node.admin.membership().iter().for_each(|cluster| cluster.release_socket());
-    let Some(other) = node.process.other() else { return };
+    let Some(other) = node.process.other_process() else { return };
     other.send_stopped_accepting();
     // A successor that is stopped first has nobody to hand connections over to: its predecessor takes none back.
     if other.is_successor {
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -150,7 +150,7 @@
     let Predecessor { state, stream } = predecessor;
     let (outgoing, messages) = mpsc::unbounded_channel();
     let channel = UpgradeChannel::to_predecessor(outgoing, state.descriptors_in_use);
-    node.process.set_other(Some(channel.clone()));
+    node.process.set_other_process(Some(channel.clone()));
     let node = node.clone();
     async move {
         exchange_messages(&node, &channel, stream, messages).await;
@@ -194,7 +194,7 @@
 
 async fn serve_successor(node: Rc<Node>, mut stream: MessageStream) {
     let error = match stream.read_in_time().await {
-        Ok(UpgradeMessage::Join { .. }) if node.process.other().is_some() => {
+        Ok(UpgradeMessage::Join { .. }) if node.process.other_process().is_some() => {
             warn!("a third process wants to join and is rejected");
             // It ends with or without the message.
             return stream.write(&UpgradeMessage::AlreadyJoined).await.unwrap_or_default();
@@ -216,10 +216,10 @@
     let (outgoing, messages) = mpsc::unbounded_channel();
     let channel = UpgradeChannel::to_successor(outgoing);
     // Set first, so that what is sent from here on comes after the state.
-    node.process.set_other(Some(channel.clone()));
+    node.process.set_other_process(Some(channel.clone()));
     let state = UpgradeMessage::State(Box::new(node.hand_over_state(VERSION)));
     if let Err(error) = stream.write(&state).await {
-        node.process.set_other(None);
+        node.process.set_other_process(None);
         node.decisions.continue_without_successor();
         return Err(error);
     }
@@ -250,7 +250,7 @@
     if let Err(error) = ended {
         warn!(%error, "upgrade channel broken");
     }
-    node.process.set_other(None);
+    node.process.set_other_process(None);
     channel.close();
 }
 
--- a/crates/alderstile-node/src/lifecycle/upgrade_state.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -102,5 +102,6 @@
     /// The counter of its last datagram.
     pub counter: u64,
     /// Addresses of members that are alive.
-    pub known: Vec<SocketAddr>,
+    #[serde(rename = "known")]
+    pub alive_members: Vec<SocketAddr>,
 }
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -65,7 +65,7 @@
 
     /// Whether clients may be sent to the clients' address, where another process of this node may serve.
     pub fn accepts_clients(&self) -> bool {
-        self.admin.is_ready() || self.process.other_serves()
+        self.admin.is_ready() || self.process.other_process_serves()
     }
 
     /// Carries out what the decisions ask for, for as long as the node runs; `broadcast` sends a message to all other nodes.
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -36,7 +36,9 @@
         let mut counters = Counters::default();
         counters.register_classes(&initial.classes);
         Clients {
-            pending: PendingClients::new(initial.max_descriptors.saturating_sub(initial.own_descriptors())),
+            pending: PendingClients::new(
+                initial.max_descriptors.saturating_sub(initial.reserved_descriptors()),
+            ),
             config,
             process,
             ids: RequestIds::default(),
@@ -59,7 +61,7 @@
     /// at another node and comes again and again: hosts that have it would count as failing.
     pub fn claim_id(&self, id: &[u8]) -> Option<OpenId> {
         let claimed = self.ids.claim(id)?;
-        self.process.other().iter().for_each(|channel| channel.send_request_id(id));
+        self.process.other_process().iter().for_each(|channel| channel.send_request_id(id));
         Some(claimed)
     }
 
@@ -122,14 +124,14 @@
     /// Acquires a descriptor, unless fewer than `spare` more would be left.
     pub fn acquire_descriptor(&self, spare: usize) -> Option<CountGuard> {
         // Two processes of one node share its limit.
-        let others = self.process.other().map_or(0, |channel| channel.descriptors_in_use.get());
+        let others = self.process.other_process().map_or(0, |channel| channel.descriptors_in_use.get());
         let available = self.descriptors_in_use() + others + spare < self.config.get().max_descriptors;
         available.then(|| self.descriptors.acquire())
     }
 
     /// Descriptors that this process uses, or that are reserved for it.
     pub fn descriptors_in_use(&self) -> usize {
-        self.descriptors.get() + self.config.get().own_descriptors()
+        self.descriptors.get() + self.config.get().reserved_descriptors()
     }
 
     /// Descriptors of connections.
--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -67,7 +67,7 @@
             tokio::select! {
                 biased;
                 more = client.wait_for_bytes() => more?,
-                () = self.node.process.last_call() => return Err(AbortCause::LastCall),
+                () = self.node.process.pending_cutoff() => return Err(AbortCause::LastCall),
                 done = &mut step => return Ok(done),
             }
         }
--- a/crates/alderstile-node/src/proxy/session/first_line.rs
+++ b/crates/alderstile-node/src/proxy/session/first_line.rs
@@ -42,7 +42,7 @@
             tokio::task::yield_now().await;
         } => Err(TerminationReason::ClientEvicted),
         // It has asked for nothing, and the process can't wait for it.
-        () = node.process.last_call() => Err(TerminationReason::ShuttingDown),
+        () = node.process.pending_cutoff() => Err(TerminationReason::ShuttingDown),
     }
 }
 
--- a/crates/alderstile-node/src/proxy/session/handover.rs
+++ b/crates/alderstile-node/src/proxy/session/handover.rs
@@ -37,7 +37,7 @@
         state: RelayState,
     ) -> io::Result<()> {
         let to = self.node.clients.handover_socket().ok_or(io::ErrorKind::NotConnected)?;
-        let ack = self.node.process.other().map(|other| other.expect_ack());
+        let ack = self.node.process.other_process().map(|other| other.expect_ack());
         let connection = HandedOverConnection {
             first_line: String::from_utf8_lossy(self.line).into_owned(),
             host: host_name.to_owned(),
@@ -45,7 +45,7 @@
             from_host: host.buffer.bytes().to_vec(),
             relay_state: state,
             attempts: self.attempts,
-            up_ms: millis(self.up_ms),
+            setup_ms: millis(self.up_ms),
             age_ms: millis(self.arrived.elapsed().as_millis()),
             ack_number: ack.as_ref().map(|ack| ack.number),
         };
@@ -94,7 +94,7 @@
     let class = node.clients.class(request.class).unwrap_or(u16::MAX);
     let now = Instant::now();
     let arrived = now.checked_sub(Duration::from_millis(connection.age_ms)).unwrap_or(now);
-    let (attempts, up_ms) = (connection.attempts, u128::from(connection.up_ms));
+    let (attempts, up_ms) = (connection.attempts, u128::from(connection.setup_ms));
     let session = Session { node: node.clone(), line, request, class, arrived, attempts, up_ms };
     let (request, server) = (session.connection_request(Duration::ZERO), server_id(&connection.host));
     let id = node.decisions.decide(|balancer, now| {
@@ -102,7 +102,7 @@
         connection.relay_state.load.iter().for_each(|load| balancer.on_load_report(now, id, server, *load));
         id
     });
-    if let Some((other, number)) = node.process.other().zip(connection.ack_number) {
+    if let Some((other, number)) = node.process.other_process().zip(connection.ack_number) {
         other.send(UpgradeMessage::Ack { number });
     }
     let name = connection.host.as_str().into();
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -6,7 +6,7 @@
 
 use alderstile_node::admin::maintenance_store::{MaintenanceState, MaintenanceStore};
 use alderstile_node::admin::server;
-use alderstile_node::config::MAX_ADMIN_CALLS;
+use alderstile_node::config::MAX_ADMIN_CONNECTIONS;
 use alderstile_node::discovery::endpoint_list::server_id;
 use alderstile_node::proxy::listener;
 use std::net::SocketAddr;
@@ -186,7 +186,7 @@
             crowd.push(TcpStream::connect(node.setup.address).await.expect("connected"));
         }
         let mut silent = Vec::new();
-        for _ in 0..3 * MAX_ADMIN_CALLS {
+        for _ in 0..3 * MAX_ADMIN_CONNECTIONS {
             let mut caller = TcpStream::connect(node.admin).await.expect("connected");
             caller.write_all(b"GET /con").await.expect("sent");
             silent.push(caller);
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -86,7 +86,7 @@
     let member = hello.member.expect("a member");
     assert_eq!((member.session, member.incarnation, member.counter), (0x1122_3344_5566_7788, 9, 1234));
     let known = ["127.0.0.1:7946", "[::1]:7947"].map(|address| address.parse().expect("an address"));
-    assert_eq!(member.known, known);
+    assert_eq!(member.alive_members, known);
 }
 
 #[test]
@@ -162,7 +162,7 @@
             full.first_line,
             "OPEN 00000000000000a1 00000000000000b2 c=chat,d=5000,g=00000000000000c3,h=1200.5"
         );
-        assert_eq!((full.host.as_str(), full.attempts, full.up_ms), ("s-1", 2, 17));
+        assert_eq!((full.host.as_str(), full.attempts, full.setup_ms), ("s-1", 2, 17));
         assert_eq!((full.age_ms, full.ack_number), (86_400_123, Some(12)));
         assert_eq!(
             (full.from_client.as_slice(), full.from_host.as_slice()),
