--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -22,11 +22,11 @@
 struct Operated {
     setup: Setup,
     admin: SocketAddr,
-    _watch: Peer,
+    _watch: LineConnection,
 }
 
-async fn operated(hosts: &[&Host], change: impl FnOnce(&mut serde_json::Value)) -> Operated {
-    let (setup, watch) = serving_with(hosts, |value| {
+async fn operated(hosts: &[&StubHost], change: impl FnOnce(&mut serde_json::Value)) -> Operated {
+    let (setup, watch) = start_ready_node_with(hosts, |value| {
         value["admin_addr"] = "127.0.0.1:0".into();
         change(value);
     })
@@ -83,7 +83,7 @@
 #[test]
 fn calls_are_answered_by_their_method_and_path() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = operated(&[&host], |_| {}).await;
         let (status, text) = node.call("GET", "/control/ready").await;
         assert_eq!(status, 200);
@@ -134,20 +134,20 @@
 #[test]
 fn not_ready_is_said_so() {
     run(async {
-        let setup = start(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
+        let setup = start_node(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
         let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let admin = listener.local_addr().expect("bound");
         spawn_local(server::run(setup.node.admin.clone(), listener));
-        let mut caller = Peer::connect(admin).await;
+        let mut caller = LineConnection::connect(admin).await;
         caller.send("GET /control/ready HTTP/1.1\r\n\r\n").await;
-        assert_eq!(caller.line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
+        assert_eq!(caller.read_line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
     });
 }
 
 #[test]
 fn a_call_in_pieces_is_one_call_and_a_cut_one_is_none() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = operated(&[&host], |_| {}).await;
         let call = b"POST /control/hosts/s-1/offline HTTP/1.1\r\nHost: n1\r\nContent-Length: 0\r\n\r\n";
         for cut in 0..call.len() {
@@ -179,7 +179,7 @@
 #[test]
 fn neither_silent_callers_nor_a_crowd_of_clients_keep_a_caller_out() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = operated(&[&host], |value| value["limits"]["sockets"] = 60.into()).await;
         let mut crowd = Vec::new();
         for _ in 0..100 {
@@ -206,7 +206,7 @@
 #[test]
 fn each_outcome_is_counted_once() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = operated(&[&host], |_| {}).await;
         let names = ["success.chat", "busy.chat", "failure.chat", "backend_calls", "inflight"];
         assert_eq!(node.figures(&names).await, [0, 0, 0, 0, 0]);
@@ -215,11 +215,11 @@
             node.figures(&["hosts_listed", "hosts_down", "reconfig_ok", "reconfig_failed"]).await,
             [1, 0, 0, 0]
         );
-        let (client, server) = node.setup.up(1, &host).await;
+        let (client, server) = node.setup.establish(1, &host).await;
         assert_eq!(node.figures(&names).await, [1, 0, 0, 1, 1]);
         // An id that is open.
-        let mut twin = node.setup.open(1, "d=20000").await;
-        assert_eq!(twin.line().await.as_deref(), Some("ERR"));
+        let mut twin = node.setup.send_request(1, "d=20000").await;
+        assert_eq!(twin.read_line().await.as_deref(), Some("ERR"));
         assert_eq!(node.figures(&names).await, [1, 0, 1, 1, 1]);
         drop(client);
         while node.figure("inflight").await > 0 {
@@ -227,28 +227,28 @@
         }
         drop(server);
         // Abandoned: it had an attempt, and no outcome.
-        let client = node.setup.open(2, "d=20000").await;
+        let client = node.setup.send_request(2, "d=20000").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         assert_eq!(node.figures(&names).await, [1, 0, 1, 2, 1]);
         drop(client);
-        assert_eq!(server.line().await, None);
+        assert_eq!(server.read_line().await, None);
         while node.figure("inflight").await > 0 {
             sleep(Duration::from_millis(1)).await;
         }
         // A line that is none, and a class that nobody has, are of no class.
         for line in ["HELO\r\n", "OPEN 5 5 c=other,d=100\r\n"] {
-            let mut client = node.setup.client().await;
+            let mut client = node.setup.connect().await;
             client.send(line).await;
-            assert_eq!(client.line().await.as_deref(), Some("ERR"));
+            assert_eq!(client.read_line().await.as_deref(), Some("ERR"));
         }
         assert_eq!(node.figures(&names).await, [1, 0, 1, 2, 0]);
         // Turned away by the only host: three attempts at most, and the host is avoided.
-        let mut client = node.setup.open(3, "d=20000").await;
+        let mut client = node.setup.send_request(3, "d=20000").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         server.send("BUSY\r\n").await;
-        assert!(client.line().await.is_some_and(|line| line.starts_with("BUSY")));
+        assert!(client.read_line().await.is_some_and(|line| line.starts_with("BUSY")));
         assert_eq!(node.figures(&names).await, [1, 1, 1, 3, 0]);
         assert_eq!(node.figure("hosts_down").await, 1);
     });
@@ -257,7 +257,7 @@
 #[test]
 fn a_host_out_by_hand_gets_nothing_until_it_is_back_whatever_the_list_says() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let mut open = Vec::new();
         let mut node = operated(&[&hosts[0], &hosts[1]], |_| {}).await;
         assert!(node.setup.node.config().state_dir.is_none(), "nothing is kept where no folder is named");
@@ -266,12 +266,12 @@
         }
         assert_eq!(node.figures(&["hosts_listed", "hosts_down"]).await, [2, 1]);
         for (seq, health) in [(2, "removed"), (3, "up"), (4, "up")] {
-            chunk(&mut node._watch, &list(seq, false, &[hosts[0].entry(health)])).await;
+            send_chunk(&mut node._watch, &list_line(seq, false, &[hosts[0].list_entry(health)])).await;
             let wanted = if health == "removed" { 1 } else { 2 };
             while node.figure("hosts_listed").await != wanted {
                 sleep(Duration::from_millis(1)).await;
             }
-            open.push(node.setup.up(seq, &hosts[1]).await);
+            open.push(node.setup.establish(seq, &hosts[1]).await);
         }
         assert_eq!(node.call("POST", "/control/hosts/s-1/online").await.0, 200);
         assert_eq!(node.figure("hosts_down").await, 0);
@@ -308,10 +308,9 @@
     // And a node starts with what was left.
     kept.save(&dir, "n1").expect("saved");
     run(async {
-        let mut value = config("127.0.0.1:0", "127.0.0.1:1");
+        let mut value = node_config("127.0.0.1:0", "127.0.0.1:1");
         value["admin_addr"] = "127.0.0.1:0".into();
-        value["known"] =
-            serde_json::json!({"seq": 1, "whole": true, "hosts": [Host::new("s-1").await.entry("up")]});
+        value["known"] = serde_json::json!({"seq": 1, "whole": true, "hosts": [StubHost::new("s-1").await.list_entry("up")]});
         let mut config = alderstile_node::config::Config::parse(value).expect("fine");
         config.state_dir = Some(dir);
         let node = Rc::new(alderstile_node::node::Node::new(config));
--- a/crates/alderstile-node/tests/cluster.rs
+++ b/crates/alderstile-node/tests/cluster.rs
@@ -54,7 +54,7 @@
 #[test]
 fn without_a_cluster_there_is_no_such_path_and_no_figure() {
     run(async {
-        let setup = start(|_| {}).await;
+        let setup = start_node(|_| {}).await;
         assert!(setup.node.admin.membership().is_none());
         assert!(!setup.node.admin.metrics_text().contains("members"));
     });
@@ -76,7 +76,7 @@
     std::fs::create_dir_all(&dir).expect("a folder");
     let program = || Command::new(env!("CARGO_BIN_EXE_alderstile"));
     let begin = |n: u8| {
-        let mut file = config(&format!("127.0.77.{n}:19000"), "127.0.0.1:1");
+        let mut file = node_config(&format!("127.0.77.{n}:19000"), "127.0.0.1:1");
         (file["name"], file["admin_addr"]) = (format!("n{n}").into(), format!("127.0.77.{n}:19001").into());
         let (path, cluster) = (dir.join(format!("{n}.json")), dir.join(format!("{n}.toml")));
         std::fs::write(&path, file.to_string()).expect("written");
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -177,7 +177,7 @@
 
 /// The files of a node alone in its cluster, and its only voter.
 fn write_files(dir: &Path) {
-    let mut file = config(LISTEN, "127.0.0.1:1");
+    let mut file = node_config(LISTEN, "127.0.0.1:1");
     (file["name"], file["admin_addr"]) = ("n/1".into(), ADMIN.into());
     file["settings"]["classes"][1]["name"] = "a:b|c d".into();
     std::fs::write(dir.join("config.json"), file.to_string()).expect("written");
@@ -207,7 +207,7 @@
 
 /// All of an answer, its date masked, and its length where that may differ.
 async fn call(method: &str, path: &str, body: &str) -> String {
-    let mut peer = Peer::connect(ADMIN.parse().expect("an address")).await;
+    let mut peer = LineConnection::connect(ADMIN.parse().expect("an address")).await;
     let length = body.len();
     peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
         .await;
@@ -305,7 +305,7 @@
     run(async {
         let dir = folder("compatibility");
         write_files(&dir);
-        let discovery = Discovery::new().await;
+        let discovery = StubDiscovery::new().await;
         let at = discovery.0.local_addr().expect("bound");
         let print = |words: &[&str]| printed(&dir, at, words);
         let mut commands = print(&["check-config"]);
@@ -316,9 +316,9 @@
         until_reachable().await;
         let unready = call("GET", "/control/ready", "").await;
         same("not_ready.txt", &unready);
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let entries: Vec<Value> = hosts.iter().map(|host| host.entry("up")).collect();
-        let _watch = discovery.watch(&[&list(1, true, &entries)]).await;
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
+        let entries: Vec<Value> = hosts.iter().map(|host| host.list_entry("up")).collect();
+        let _watch = discovery.accept_watch(&[&list_line(1, true, &entries)]).await;
         until("200").await;
         same("admin.txt", &answers().await);
         same("metric_names.txt", &metric_names(&call("GET", "/control/counters", "").await));
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 mod support;
-use support::config;
+use support::node_config;
 
 fn error(value: Value) -> String {
     Config::parse(value).expect_err("a faulty configuration").to_string()
@@ -14,7 +14,7 @@
 
 #[test]
 fn a_whole_configuration_is_read() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     value["known"] = json!({"seq": 41, "whole": true, "hosts": [
         {"host": "s-1", "dial": "127.0.0.1:9000", "site": "b", "class": "m2", "block": 3, "health": "draining",
          "share": 1.0, "born_ms": 7}]});
@@ -32,7 +32,7 @@
 #[test]
 fn the_faulty_key_is_named() {
     for key in ["name", "listen", "discovery"] {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         value.as_object_mut().and_then(|fields| fields.remove(key));
         assert_eq!(error(value), format!("the key {key} is missing"));
     }
@@ -54,7 +54,7 @@
         ("/known", json!({"seq": "x"}), "the key known"),
     ];
     for (place, bad, wanted) in faults {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         *value.pointer_mut(place).expect("a key of the configuration") = bad;
         let told = error(value);
         assert!(told.contains(wanted), "{place}: {told}");
@@ -63,7 +63,7 @@
 
 #[test]
 fn what_may_be_left_out_has_a_default() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     for key in ["limits", "peers", "seed", "known"] {
         value.as_object_mut().and_then(|fields| fields.remove(key));
     }
@@ -96,7 +96,7 @@
 #[test]
 fn the_environment_stands_above_the_file() {
     let path = std::env::temp_dir().join(format!("alderstile-config-{}.json", std::process::id()));
-    std::fs::write(&path, config("127.0.0.1:1", "127.0.0.1:2").to_string()).expect("written");
+    std::fs::write(&path, node_config("127.0.0.1:1", "127.0.0.1:2").to_string()).expect("written");
     let env = |name: &str| match name {
         "ROUTER_CONFIG" => Some(path.display().to_string()),
         "ROUTER_LISTEN" => Some("127.0.0.9:90".to_owned()),
@@ -110,7 +110,7 @@
 
 #[test]
 fn the_watching_instance_is_off_unless_asked_for_and_takes_what_it_is_not_told_from_the_deciding_one() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     assert!(Config::parse(value.clone()).expect("fine").shadow.is_none());
     value["shadow"] = json!({"settings": {"balancers": 50}});
     assert!(Config::parse(value.clone()).expect("fine").shadow.is_none(), "named, but not on");
@@ -148,25 +148,25 @@
         ),
     ];
     for (section, wanted) in faults {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         value["shadow"] = section.clone();
         let told = error(value);
         assert!(told.contains(wanted), "{section}: {told}");
     }
     for bad in [json!(-1), json!("inf"), json!("three"), json!([1, 2])] {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         value["settings"]["extra"] = group_load(bad.clone());
         let told = error(value);
         assert!(told.contains("the key settings.extra.group_load has the value"), "{bad}: {told}");
     }
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     value["settings"]["extra"]["unheard_of"] = json!(3);
     assert!(Config::parse(value).is_ok(), "the platform hands over many keys");
 }
 
 #[test]
 fn the_operators_address_is_off_unless_named_and_the_environment_stands_above_the_file() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     let env = |name: &str| match name {
         "ROUTER_ADMIN_ADDR" => Some("127.0.0.1:7".to_owned()),
         "TMPDIR" => Some("/of/its/own".to_owned()),
@@ -192,7 +192,7 @@
 #[test]
 fn a_faulty_budget_or_doubt_of_clocks_is_refused_by_its_name() {
     let with = |told: Value| {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         let obligations = value.pointer_mut("/settings/obligations").and_then(Value::as_object_mut);
         obligations.expect("obligations").extend(told.as_object().cloned().expect("an object"));
         value
--- a/crates/alderstile-node/tests/descriptors.rs
+++ b/crates/alderstile-node/tests/descriptors.rs
@@ -15,26 +15,26 @@
 /// A client waits this long for its answer.
 const PATIENCE: Duration = Duration::from_millis(1_000);
 
-async fn client(address: SocketAddr, id: u64) -> Peer {
-    let mut client = Peer::connect(address).await;
+async fn client(address: SocketAddr, id: u64) -> LineConnection {
+    let mut client = LineConnection::connect(address).await;
     client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=1000\r\n")).await;
     client
 }
 
 /// Clients that are served and stay, until one is turned away.
-async fn fill(address: SocketAddr, host: &Host) -> Vec<(Peer, Peer)> {
+async fn fill(address: SocketAddr, host: &StubHost) -> Vec<(LineConnection, LineConnection)> {
     let mut open = Vec::new();
     loop {
         let mut next = client(address, open.len() as u64 + 1).await;
         tokio::select! {
-            answer = next.line() => {
+            answer = next.read_line() => {
                 assert_eq!(answer.as_deref(), Some("BUSY"));
                 return open;
             }
             mut server = host.accept() => {
-                server.line().await.expect("the first line");
+                server.read_line().await.expect("the first line");
                 server.send("UP 00ff\r\n").await;
-                assert_eq!(next.line().await.as_deref(), Some("UP 00ff"));
+                assert_eq!(next.read_line().await.as_deref(), Some("UP 00ff"));
                 open.push((next, server));
             }
         }
@@ -42,10 +42,10 @@
 }
 
 /// So many that connect and say nothing.
-async fn idle(address: SocketAddr, number: usize) -> Vec<Peer> {
+async fn idle(address: SocketAddr, number: usize) -> Vec<LineConnection> {
     let mut idle = Vec::new();
     for _ in 0..number {
-        idle.push(Peer::connect(address).await);
+        idle.push(LineConnection::connect(address).await);
     }
     idle
 }
@@ -53,14 +53,15 @@
 #[test]
 fn who_comes_while_idle_clients_hold_all_there_is_has_an_answer_in_its_time() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving_with(&[&host], |value| value["limits"]["sockets"] = 200.into()).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) =
+            start_ready_node_with(&[&host], |value| value["limits"]["sockets"] = 200.into()).await;
         let open = fill(setup.address, &host).await;
         assert!(open.len() > 60, "{} are served", open.len());
         for round in 0..3 {
             let _idle = idle(setup.address, 300).await;
             let mut late = client(setup.address, 1_000 + round).await;
-            let answer = timeout(PATIENCE, late.line()).await.expect("an answer in its time");
+            let answer = timeout(PATIENCE, late.read_line()).await.expect("an answer in its time");
             assert_eq!(answer.as_deref(), Some("BUSY"));
         }
     });
@@ -69,11 +70,11 @@
 #[test]
 fn a_node_that_the_system_allows_few_descriptors_hears_of_discoverys_return_and_serves_again() {
     run(async {
-        let (host, other) = (Host::new("s-1").await, Host::new("s-2").await);
-        let discovery = Discovery::new().await;
+        let (host, other) = (StubHost::new("s-1").await, StubHost::new("s-2").await);
+        let discovery = StubDiscovery::new().await;
         let place = discovery.0.local_addr().expect("bound");
         let address = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
-        let mut value = config(&address.to_string(), &place.to_string());
+        let mut value = node_config(&address.to_string(), &place.to_string());
         value["settings"]["allowed"]["may_tell"] = false.into();
         // More than the system allows.
         value["limits"]["sockets"] = json!(100_000);
@@ -88,22 +89,23 @@
             .kill_on_drop(true)
             .spawn()
             .expect("started");
-        let mut watch = discovery.watch(&[&list(1, true, &[host.entry("up")])]).await;
-        until_pong(address).await;
+        let mut watch = discovery.accept_watch(&[&list_line(1, true, &[host.list_entry("up")])]).await;
+        wait_until_pong(address).await;
         let mut open = fill(address, &host).await;
         assert!(open.len() > 10, "{} are served", open.len());
-        chunk(&mut watch, "\n").await;
+        send_chunk(&mut watch, "\n").await;
         // Discovery is down while idle clients come on top.
         drop((watch, discovery));
         let mut crowd = idle(address, 200).await;
         let mut late = client(address, 1_000).await;
-        let answer = timeout(PATIENCE, late.line()).await.expect("an answer in its time");
+        let answer = timeout(PATIENCE, late.read_line()).await.expect("an answer in its time");
         assert_eq!(answer.as_deref(), Some("BUSY"));
         // It is back; the crowd stays.
-        let back = Discovery(TcpListener::bind(place).await.expect("its port again"));
+        let back = StubDiscovery(TcpListener::bind(place).await.expect("its port again"));
         let returned = Instant::now();
-        let change = list(2, false, &[host.entry("draining"), other.entry("up")]);
-        let _watch = timeout(Duration::from_secs(6), back.watch(&[&change])).await.expect("asked in time");
+        let change = list_line(2, false, &[host.list_entry("draining"), other.list_entry("up")]);
+        let _watch =
+            timeout(Duration::from_secs(6), back.accept_watch(&[&change])).await.expect("asked in time");
         assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
         crowd.extend(idle(address, 200).await);
         // Some of those served go: there is room for their like again, at the host that is up now.
@@ -117,11 +119,11 @@
                     crowd.push(next);
                     break server;
                 }
-                answer = next.line() => assert!(answer.is_none_or(|line| line.starts_with("BUSY"))),
+                answer = next.read_line() => assert!(answer.is_none_or(|line| line.starts_with("BUSY"))),
                 _ = host.accept() => panic!("it drains"),
             }
             sleep(Duration::from_millis(20)).await;
         };
-        assert!(server.line().await.is_some_and(|line| line.starts_with("OPEN")));
+        assert!(server.read_line().await.is_some_and(|line| line.starts_with("OPEN")));
     });
 }
--- a/crates/alderstile-node/tests/endpoint_watch.rs
+++ b/crates/alderstile-node/tests/endpoint_watch.rs
@@ -11,52 +11,52 @@
 #[test]
 fn ready_only_when_a_list_has_come_in_however_many_pieces() {
     run(async {
-        let host = Host::new("s-1").await;
-        let setup = start(|_| {}).await;
-        let (first, mut watch) = setup.discovery.call().await;
+        let host = StubHost::new("s-1").await;
+        let setup = start_node(|_| {}).await;
+        let (first, mut watch) = setup.discovery.accept_call().await;
         assert_eq!(first, "GET /catalog/members?stream=1&index=0 HTTP/1.1");
         assert_eq!(setup.ping().await, None, "no list yet");
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-        let line = list(3, true, &[host.entry("up")]);
+        let line = list_line(3, true, &[host.list_entry("up")]);
         let (head, tail) = line.split_at(25);
         for piece in ["\n", head, tail, "\n"] {
-            chunk(&mut watch, piece).await;
+            send_chunk(&mut watch, piece).await;
         }
-        setup.until_ready().await;
-        setup.up(1, &host).await;
+        setup.wait_until_ready().await;
+        setup.establish(1, &host).await;
     });
 }
 
 #[test]
 fn without_discovery_it_serves_by_the_list_it_knew() {
     run(async {
-        let host = Host::new("s-1").await;
-        let known = serde_json::json!({"seq": 5, "whole": true, "hosts": [host.entry("up")]});
-        let setup = start(|value| value["known"] = known).await;
-        let (first, mut call) = setup.discovery.call().await;
+        let host = StubHost::new("s-1").await;
+        let known = serde_json::json!({"seq": 5, "whole": true, "hosts": [host.list_entry("up")]});
+        let setup = start_node(|value| value["known"] = known).await;
+        let (first, mut call) = setup.discovery.accept_call().await;
         assert!(first.contains("index=5"), "{first}");
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
-        setup.until_ready().await;
-        setup.up(1, &host).await;
+        setup.wait_until_ready().await;
+        setup.establish(1, &host).await;
         // And asks again by itself.
-        setup.discovery.call().await;
+        setup.discovery.accept_call().await;
     });
 }
 
 #[test]
 fn a_watch_goes_on_from_the_version_held_and_old_changes_undo_nothing() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let (setup, mut watch) = serving(&[&hosts[0]]).await;
-        chunk(&mut watch, &list(7, false, &[hosts[1].entry("up")])).await;
-        chunk(&mut watch, &list(3, false, &[hosts[1].entry("removed")])).await;
-        chunk(&mut watch, &list(8, false, &[hosts[0].entry("removed")])).await;
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
+        let (setup, mut watch) = start_ready_node(&[&hosts[0]]).await;
+        send_chunk(&mut watch, &list_line(7, false, &[hosts[1].list_entry("up")])).await;
+        send_chunk(&mut watch, &list_line(3, false, &[hosts[1].list_entry("removed")])).await;
+        send_chunk(&mut watch, &list_line(8, false, &[hosts[0].list_entry("removed")])).await;
         while setup.node.decisions.host(server_id("s-1")).is_some() {
             sleep(Duration::from_millis(1)).await;
         }
-        setup.up(1, &hosts[1]).await;
+        setup.establish(1, &hosts[1]).await;
         drop(watch);
-        let (first, _call) = setup.discovery.call().await;
+        let (first, _call) = setup.discovery.accept_call().await;
         assert!(first.contains("index=8"), "{first}");
     });
 }
--- a/crates/alderstile-node/tests/exhausted.rs
+++ b/crates/alderstile-node/tests/exhausted.rs
@@ -13,12 +13,12 @@
 #[test]
 fn a_host_is_not_blamed_for_a_connection_that_this_process_has_no_descriptor_for() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
         // The front's connections go first: the end of this one is seen, and those before it have ended by then.
-        let mut front = setup.client().await;
+        let mut front = setup.connect().await;
         front.0.get_mut().shutdown().await.expect("ended");
-        assert_eq!(front.line().await, None);
+        assert_eq!(front.read_line().await, None);
         drop(front);
         let limit = Rlimit { current: Some(100), ..getrlimit(Resource::Nofile) };
         setrlimit(Resource::Nofile, limit).expect("set");
@@ -28,12 +28,12 @@
         }
         // One for the client's side and one for the node's.
         taken.truncate(taken.len() - 2);
-        let mut client = setup.open(1, "d=20000").await;
-        let answer = timeout(Duration::from_secs(5), client.line()).await.expect("an answer at once");
+        let mut client = setup.send_request(1, "d=20000").await;
+        let answer = timeout(Duration::from_secs(5), client.read_line()).await.expect("an answer at once");
         assert!(answer.is_some_and(|line| line.starts_with("BUSY")));
         drop((client, taken));
-        setup.until_none().await;
+        setup.wait_until_idle().await;
         // A host that could not be reached would rest for a second and more.
-        timeout(Duration::from_millis(500), setup.up(2, &host)).await.expect("served at once");
+        timeout(Duration::from_millis(500), setup.establish(2, &host)).await.expect("served at once");
     });
 }
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -33,22 +33,22 @@
 }
 
 /// A client is served by this host.
-async fn served(setup: &Setup, id: u64, host: &Host) {
-    timeout(Duration::from_secs(5), setup.up(id, host)).await.expect("served");
+async fn served(setup: &Setup, id: u64, host: &StubHost) {
+    timeout(Duration::from_secs(5), setup.establish(id, host)).await.expect("served");
 }
 
 /// A client is refused at once, and nobody is asked to take it.
-async fn refused(setup: &Setup, id: u64, host: &Host) {
-    let mut client = setup.open(id, "d=20000").await;
-    let answer = timeout(Duration::from_secs(5), client.line()).await.expect("an answer at once");
+async fn refused(setup: &Setup, id: u64, host: &StubHost) {
+    let mut client = setup.send_request(id, "d=20000").await;
+    let answer = timeout(Duration::from_secs(5), client.read_line()).await.expect("an answer at once");
     assert!(answer.is_some_and(|line| line.starts_with("BUSY")), "refused");
     assert!(timeout(Duration::from_millis(50), host.accept()).await.is_err(), "asked all the same");
 }
 
 /// Answers each call with 503 after this long, as one that has too many callers does.
-async fn turn_away(discovery: &Discovery, after: Duration) {
+async fn turn_away(discovery: &StubDiscovery, after: Duration) {
     loop {
-        let (_, mut call) = discovery.call().await;
+        let (_, mut call) = discovery.accept_call().await;
         spawn_local(async move {
             tokio::time::sleep(after).await;
             let answer = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
@@ -161,7 +161,7 @@
 /// node had its list, in milliseconds after the watches brought their last line or, where discovery was down, after that.
 fn fleet(nodes: u32, calls_a_second: u64, lost: Lost) -> Vec<u64> {
     const GIVEN_UP: u64 = 2_000;
-    let mut value = config("127.0.0.1:1", "127.0.0.1:1");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:1");
     value["settings"]["balancers"] = json!(nodes);
     let told = Config::from_file_value(value, |_| None).expect("a fine configuration");
     let mut fleet: Vec<Balancer> =
@@ -254,8 +254,8 @@
 #[test]
 fn nothing_new_goes_to_what_may_have_changed_while_discovery_turns_calls_away() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let (setup, watch) = serving(&[&hosts[0]]).await;
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
+        let (setup, watch) = start_ready_node(&[&hosts[0]]).await;
         let heard = Instant::now();
         drop(watch);
         let _stays = beside(turn_away(&setup.discovery, Duration::from_millis(700)), async {
@@ -264,23 +264,24 @@
             sleep_until(heard + Duration::from_millis(6_100)).await;
             refused(&setup, 2, &hosts[0]).await;
             // Who is served stays, and who stood there before comes back.
-            let mut old = setup.open(3, "d=20000,at=s-1").await;
+            let mut old = setup.send_request(3, "d=20000,at=s-1").await;
             let mut server = hosts[0].accept().await;
-            server.line().await.expect("the first line");
+            server.read_line().await.expect("the first line");
             server.send("UP 03\r\n").await;
-            assert_eq!(old.line().await.as_deref(), Some("UP 03"));
+            assert_eq!(old.read_line().await.as_deref(), Some("UP 03"));
             // A host that drops all it holds would rest when it is given back.
             (old, server)
         })
         .await;
         // Its list comes, and it serves again, the host of before included.
-        let _watch = setup.discovery.watch(&[&list(2, false, &[hosts[1].entry("up")])]).await;
-        setup.until_listed("s-2").await;
+        let _watch =
+            setup.discovery.accept_watch(&[&list_line(2, false, &[hosts[1].list_entry("up")])]).await;
+        setup.wait_until_listed("s-2").await;
         let mut open = Vec::new();
         let mut asked = [false, false];
         for id in 10..18 {
-            let client = setup.open(id, "d=20000").await;
-            let (mut server, other) = attempt_at(&hosts).await;
+            let client = setup.send_request(id, "d=20000").await;
+            let (mut server, other) = accept_attempt(&hosts).await;
             server.send("UP 01\r\n").await;
             asked[1 - other] = true;
             open.push((client, server));
@@ -292,30 +293,30 @@
 #[test]
 fn a_host_that_takes_requests_gets_more_while_the_others_may_have_changed() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let (setup, mut watch) = serving(&[&hosts[0]]).await;
-        chunk(&mut watch, "\n").await;
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
+        let (setup, mut watch) = start_ready_node(&[&hosts[0]]).await;
+        send_chunk(&mut watch, "\n").await;
         let heard = Instant::now();
         beside(turn_away(&setup.discovery, Duration::from_millis(700)), async {
             // The watch falls silent, and stays open.
             sleep_until(heard + Duration::from_millis(1_000)).await;
             let mut open = Vec::new();
-            open.push(setup.up(1, &hosts[0]).await);
-            chunk(&mut watch, &list(2, false, &[hosts[1].entry("up")])).await;
-            setup.until_listed("s-2").await;
+            open.push(setup.establish(1, &hosts[0]).await);
+            send_chunk(&mut watch, &list_line(2, false, &[hosts[1].list_entry("up")])).await;
+            setup.wait_until_listed("s-2").await;
             let heard = Instant::now();
             sleep_until(heard + Duration::from_millis(4_000)).await;
-            let mut client = setup.open(2, "d=20000").await;
+            let mut client = setup.send_request(2, "d=20000").await;
             // The empty one comes first.
             let mut server = hosts[1].accept().await;
-            server.line().await.expect("the first line");
+            server.read_line().await.expect("the first line");
             server.send("UP 02\r\n").await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 02"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 02"));
             open.push((client, server));
             sleep_until(heard + Duration::from_millis(6_200)).await;
             for id in 3..9 {
                 // By load half of these would go to the first one.
-                open.push(setup.up(id, &hosts[1]).await);
+                open.push(setup.establish(id, &hosts[1]).await);
             }
             assert!(timeout(Duration::from_millis(50), hosts[0].accept()).await.is_err(), "may have changed");
         })
@@ -326,15 +327,15 @@
 #[test]
 fn while_nobody_can_reach_discovery_the_list_held_goes_on_and_no_longer() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, watch) = serving(&[&host]).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, watch) = start_ready_node(&[&host]).await;
         let Setup { node, address, accepting, discovery } = setup;
         let place = discovery.0.local_addr().expect("bound");
         // Its machine refuses connections.
         drop((watch, discovery));
         let down = Instant::now();
         sleep_until(down + Duration::from_millis(8_000)).await;
-        let back = Discovery(tokio::net::TcpListener::bind(place).await.expect("its port again"));
+        let back = StubDiscovery(tokio::net::TcpListener::bind(place).await.expect("its port again"));
         let setup = Setup { node, address, accepting, discovery: back };
         served(&setup, 1, &host).await;
         assert!(setup.node.decisions.lease_remaining() > Micros(0), "nothing can have been told");
@@ -348,15 +349,15 @@
 #[test]
 fn where_lists_are_pushed_nothing_new_goes_out_once_the_agent_may_have_more() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, watch) = serving_with(&[&host], pushed).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, watch) = start_ready_node_with(&[&host], pushed).await;
         drop(watch);
         // It takes the call in and says nothing.
-        let (_, mut call) = setup.discovery.call().await;
+        let (_, mut call) = setup.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
         refused(&setup, 1, &host).await;
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-        chunk(&mut call, "\n").await;
+        send_chunk(&mut call, "\n").await;
         while setup.node.decisions.lease_remaining() == Micros(0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -367,17 +368,17 @@
 #[test]
 fn where_lists_are_pushed_a_new_process_sends_nothing_by_the_list_of_before() {
     run(async {
-        let host = Host::new("s-1").await;
-        let entry = host.entry("up");
-        let setup = start(|value| {
+        let host = StubHost::new("s-1").await;
+        let entry = host.list_entry("up");
+        let setup = start_node(|value| {
             pushed(value);
             value["known"] = json!({"seq": 1, "whole": true, "hosts": [entry]});
         })
         .await;
         tokio::time::sleep(Duration::from_millis(450)).await;
         refused(&setup, 1, &host).await;
-        let _watch = setup.discovery.watch(&["\n"]).await;
-        setup.until_ready().await;
+        let _watch = setup.discovery.accept_watch(&["\n"]).await;
+        setup.wait_until_ready().await;
         served(&setup, 2, &host).await;
     });
 }
@@ -385,36 +386,36 @@
 #[test]
 fn a_line_is_not_sent_where_the_lease_ran_out_while_the_connection_came_up() {
     run(async {
-        let held = Host::held("s-1").await;
-        let (setup, watch) = serving_with(&[&held], |value| {
+        let held = StubHost::with_full_queue("s-1").await;
+        let (setup, watch) = start_ready_node_with(&[&held], |value| {
             pushed(value);
             patient(value);
         })
         .await;
-        let mut client = setup.open(1, "d=20000").await;
-        setup.until_waiting().await;
+        let mut client = setup.send_request(1, "d=20000").await;
+        setup.wait_until_in_flight().await;
         drop(watch);
-        let (_, _call) = setup.discovery.call().await;
+        let (_, _call) = setup.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
-        held.release().await;
+        held.free_queue().await;
         let mut late = held.accept().await;
-        assert_eq!(late.line().await, None, "sent all the same");
-        assert!(client.line().await.is_some_and(|line| line.starts_with("BUSY")));
+        assert_eq!(late.read_line().await, None, "sent all the same");
+        assert!(client.read_line().await.is_some_and(|line| line.starts_with("BUSY")));
     });
 }
 
 #[test]
 fn what_is_asked_in_the_moment_the_lease_runs_out_is_not_sent() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, watch) = serving_with(&[&host], pushed).await;
-        let mut client = setup.client().await;
+        let host = StubHost::new("s-1").await;
+        let (setup, watch) = start_ready_node_with(&[&host], pushed).await;
+        let mut client = setup.connect().await;
         drop(watch);
-        let (_, _call) = setup.discovery.call().await;
+        let (_, _call) = setup.discovery.accept_call().await;
         // Nothing else runs on this thread meanwhile: the line has come, and the hosts are not set aside yet.
         client.0.get_ref().try_write(b"OPEN 01 01 c=chat,d=20000\r\n").expect("sent");
         std::thread::sleep(Duration::from_millis(450));
-        assert!(client.line().await.is_some_and(|line| line.starts_with("BUSY")));
+        assert!(client.read_line().await.is_some_and(|line| line.starts_with("BUSY")));
         assert!(timeout(Duration::from_millis(50), host.accept()).await.is_err(), "asked all the same");
     });
 }
@@ -422,16 +423,16 @@
 #[test]
 fn operators_take_hosts_out_and_back_while_the_lease_is_over() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, watch) = serving_with(&[&host], pushed).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, watch) = start_ready_node_with(&[&host], pushed).await;
         drop(watch);
-        let (_, mut call) = setup.discovery.call().await;
+        let (_, mut call) = setup.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
         refused(&setup, 1, &host).await;
         let admin = &setup.node.admin;
         assert!(admin.set_host_online("s-1", false).await.expect("done"), "the list names it");
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-        chunk(&mut call, "\n").await;
+        send_chunk(&mut call, "\n").await;
         while setup.node.decisions.lease_remaining() == Micros(0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
@@ -444,15 +445,15 @@
 fn where_gone_is_advice_nothing_new_goes_to_what_may_drain_either() {
     // The decisions go on with hosts that are called gone where connections stand: here these may drain.
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, watch) = serving_with(&[&host], |value| {
+        let host = StubHost::new("s-1").await;
+        let (setup, watch) = start_ready_node_with(&[&host], |value| {
             pushed(value);
             value["settings"]["obligations"]["gone_is_advice"] = json!(true);
         })
         .await;
-        let _open = setup.up(1, &host).await;
+        let _open = setup.establish(1, &host).await;
         drop(watch);
-        let (_, _call) = setup.discovery.call().await;
+        let (_, _call) = setup.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
         refused(&setup, 2, &host).await;
     });
@@ -461,9 +462,9 @@
 #[test]
 fn after_a_move_of_discovery_the_list_of_before_holds_for_four_seconds() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
-        let other = Discovery::new().await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let other = StubDiscovery::new().await;
         let mut told = setup.node.config().source.clone();
         told["discovery"] = json!(other.0.local_addr().expect("bound").to_string());
         let moved = Instant::now();
@@ -478,8 +479,8 @@
 #[test]
 fn the_lease_goes_over_to_the_process_that_takes_over() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
         let handshake = setup.node.hand_over_state(1);
         let left = setup.node.decisions.lease_remaining();
--- a/crates/alderstile-node/tests/peers.rs
+++ b/crates/alderstile-node/tests/peers.rs
@@ -9,7 +9,7 @@
 use tokio::task::spawn_local;
 
 mod support;
-use support::{config, run};
+use support::{node_config, run};
 
 #[test]
 fn messages_go_to_all_nodes_and_rubbish_harms_nobody() {
@@ -17,7 +17,7 @@
         let all = UdpSocket::bind("127.0.0.1:0").expect("a port");
         all.set_nonblocking(true).expect("set");
         let all = tokio::net::UdpSocket::from_std(all).expect("a socket");
-        let mut value = config("127.0.0.1:0", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:0", "127.0.0.1:2");
         value["peer_listen"] = "127.0.0.1:0".into();
         value["peers_all"] = all.local_addr().expect("bound").to_string().into();
         value["peers"] = serde_json::json!([all.local_addr().expect("bound").to_string()]);
@@ -43,7 +43,7 @@
 #[test]
 fn nodes_that_may_not_talk_open_no_socket() {
     run(async {
-        let mut value = config("127.0.0.1:0", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:0", "127.0.0.1:2");
         value["peer_listen"] = "127.0.0.1:0".into();
         value["peers_all"] = "127.0.0.1:9".into();
         value["settings"]["allowed"]["may_tell"] = false.into();
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -22,85 +22,85 @@
     path
 }
 
-fn address(discovery: &Discovery) -> String {
+fn address(discovery: &StubDiscovery) -> String {
     discovery.0.local_addr().expect("bound").to_string()
 }
 
 /// Answers a call for the whole list.
-async fn whole(discovery: &Discovery, seq: u64, hosts: &[&Host]) {
-    let (first, mut call) = discovery.call().await;
+async fn whole(discovery: &StubDiscovery, seq: u64, hosts: &[&StubHost]) {
+    let (first, mut call) = discovery.accept_call().await;
     // A watch from a version of the old discovery's, or from none, may begin with changes alone.
     assert_eq!(first, "GET /catalog/members HTTP/1.1");
-    let body = list(seq, true, &hosts.iter().map(|host| host.entry("up")).collect::<Vec<_>>());
+    let body = list_line(seq, true, &hosts.iter().map(|host| host.list_entry("up")).collect::<Vec<_>>());
     call.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())).await;
 }
 
 #[test]
 fn the_list_comes_from_the_new_discovery_at_once_and_connections_live_on() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let (setup, mut old) = serving(&[&hosts[0]]).await;
-        chunk(&mut old, &list(90, false, &[])).await;
-        let (mut client, mut server) = setup.up(1, &hosts[0]).await;
-        let new = Discovery::new().await;
-        let path = file("moved", &config("127.0.0.1:0", &address(&new)));
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
+        let (setup, mut old) = start_ready_node(&[&hosts[0]]).await;
+        send_chunk(&mut old, &list_line(90, false, &[])).await;
+        let (mut client, mut server) = setup.establish(1, &hosts[0]).await;
+        let new = StubDiscovery::new().await;
+        let path = file("moved", &node_config("127.0.0.1:0", &address(&new)));
         // The environment's word is that of the start.
         reload(&setup.node, Some(&path), |name| {
             (name == "ROUTER_DISCOVERY").then(|| address(&setup.discovery))
         });
-        assert_eq!(old.line().await, None, "the old watch is dropped");
+        assert_eq!(old.read_line().await, None, "the old watch is dropped");
         // Its versions are its own, and lower.
         whole(&new, 3, &[&hosts[1]]).await;
-        let (first, mut watch) = new.call().await;
+        let (first, mut watch) = new.accept_call().await;
         assert!(first.contains("stream=1&index=3"), "{first}");
         assert!(setup.node.decisions.host(server_id("s-1")).is_none());
-        setup.up(2, &hosts[1]).await;
+        setup.establish(2, &hosts[1]).await;
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-        chunk(&mut watch, &list(4, false, &[hosts[0].entry("up")])).await;
-        setup.until_listed("s-1").await;
+        send_chunk(&mut watch, &list_line(4, false, &[hosts[0].list_entry("up")])).await;
+        setup.wait_until_listed("s-1").await;
         client.send("M 1\r\n").await;
-        assert_eq!(server.line().await.as_deref(), Some("M 1"));
+        assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
     });
 }
 
 #[test]
 fn a_call_that_is_out_is_dropped_too() {
     run(async {
-        let host = Host::new("s-1").await;
-        let setup = start(|_| {}).await;
-        let (_, mut pending) = setup.discovery.call().await;
-        let new = Discovery::new().await;
-        let path = file("pending", &config("127.0.0.1:0", &address(&new)));
+        let host = StubHost::new("s-1").await;
+        let setup = start_node(|_| {}).await;
+        let (_, mut pending) = setup.discovery.accept_call().await;
+        let new = StubDiscovery::new().await;
+        let path = file("pending", &node_config("127.0.0.1:0", &address(&new)));
         reload(&setup.node, Some(&path), |_| None);
-        assert_eq!(pending.line().await, None);
+        assert_eq!(pending.read_line().await, None);
         whole(&new, 1, &[&host]).await;
-        setup.until_ready().await;
-        setup.up(1, &host).await;
+        setup.wait_until_ready().await;
+        setup.establish(1, &host).await;
     });
 }
 
 #[test]
 fn a_faulty_file_changes_nothing() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, mut watch) = serving(&[&host]).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, mut watch) = start_ready_node(&[&host]).await;
         let before = setup.node.decisions.discovery_address();
-        let mut faulty = config("127.0.0.1:0", "127.0.0.1:1");
+        let mut faulty = node_config("127.0.0.1:0", "127.0.0.1:1");
         faulty["limits"]["sockets"] = "many".into();
         for path in [file("faulty", &faulty), file("none", &Value::Null), PathBuf::from("/nonexistent")] {
             reload(&setup.node, Some(&path), |_| None);
             assert_eq!(setup.node.decisions.discovery_address(), before);
         }
-        chunk(&mut watch, &list(2, false, &[])).await;
-        setup.up(1, &host).await;
+        send_chunk(&mut watch, &list_line(2, false, &[])).await;
+        setup.establish(1, &host).await;
     });
 }
 
 #[test]
 fn sighup_reads_the_file_again_and_ends_nothing() {
     run(async {
-        let (old, new) = (Discovery::new().await, Discovery::new().await);
-        let mut value = config("127.0.0.1:0", &address(&old));
+        let (old, new) = (StubDiscovery::new().await, StubDiscovery::new().await);
+        let mut value = node_config("127.0.0.1:0", &address(&old));
         value["settings"]["allowed"]["may_tell"] = false.into();
         let path = file("sighup", &value);
         let mut node = Command::new(env!("CARGO_BIN_EXE_alderstile"))
@@ -113,7 +113,7 @@
             .spawn()
             .expect("started");
         let mut log = BufReader::new(node.stderr.take().expect("a log")).lines();
-        old.call().await;
+        old.accept_call().await;
         let hangup = async || {
             let pid = node.id().expect("still there").to_string();
             assert!(Command::new("kill").args(["-HUP", &pid]).status().await.expect("sent").success());
@@ -131,7 +131,7 @@
         value["discovery"] = address(&new).into();
         file("sighup", &value);
         hangup().await;
-        new.call().await;
+        new.accept_call().await;
         assert_eq!(node.try_wait().expect("asked"), None, "it lives on");
     });
 }
@@ -139,10 +139,10 @@
 #[test]
 fn sighup_counts_during_a_stop_and_a_second_sigterm_changes_nothing() {
     run(async {
-        let (old, new) = (Discovery::new().await, Discovery::new().await);
+        let (old, new) = (StubDiscovery::new().await, StubDiscovery::new().await);
         let listen =
             tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
-        let mut value = config(&listen.to_string(), &address(&old));
+        let mut value = node_config(&listen.to_string(), &address(&old));
         value["settings"]["allowed"]["may_tell"] = false.into();
         let path = file("stop", &value);
         let mut node = Command::new(env!("CARGO_BIN_EXE_alderstile"))
@@ -157,24 +157,24 @@
             let pid = node.id().expect("still there").to_string();
             assert!(Command::new("kill").args([name, &pid]).status().await.expect("sent").success());
         };
-        let host = Host::new("s-1").await;
-        let mut watch = old.watch(&[&list(1, true, &[host.entry("up")])]).await;
+        let host = StubHost::new("s-1").await;
+        let mut watch = old.accept_watch(&[&list_line(1, true, &[host.list_entry("up")])]).await;
         let mut client = loop {
-            let mut front = Peer::connect(listen).await;
+            let mut front = LineConnection::connect(listen).await;
             front.send("PING\r\n").await;
-            if front.line().await.is_some() {
-                break Peer::connect(listen).await;
+            if front.read_line().await.is_some() {
+                break LineConnection::connect(listen).await;
             }
         };
         client.send("OPEN 1 1 c=chat,d=1000\r\n").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         // The stop has begun once it is not ready any more.
         signal("-TERM").await;
         loop {
-            let mut front = Peer::connect(listen).await;
+            let mut front = LineConnection::connect(listen).await;
             front.send("PING\r\n").await;
-            if front.line().await.is_none() {
+            if front.read_line().await.is_none() {
                 break;
             }
         }
@@ -182,11 +182,11 @@
         value["discovery"] = address(&new).into();
         file("stop", &value);
         signal("-HUP").await;
-        assert_eq!(watch.line().await, None, "the old watch is dropped");
+        assert_eq!(watch.read_line().await, None, "the old watch is dropped");
         whole(&new, 1, &[&host]).await;
         server.send("UP 01\r\n").await;
-        assert_eq!(client.line().await.as_deref(), Some("UP 01"));
-        assert_eq!(client.line().await.as_deref(), Some("MOVE"));
+        assert_eq!(client.read_line().await.as_deref(), Some("UP 01"));
+        assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
         assert!(node.wait().await.expect("ended").success());
     });
 }
@@ -203,17 +203,17 @@
 }
 
 async fn answer(setup: &Setup, id: u64, class: &str) -> Option<String> {
-    let mut client = setup.client().await;
+    let mut client = setup.connect().await;
     client.send(&format!("OPEN {id:016x} {id:016x} c={class},d=20000\r\n")).await;
-    client.line().await
+    client.read_line().await
 }
 
 #[test]
 fn classes_come_and_go_and_connections_under_way_keep_theirs() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
-        let (mut client, mut server) = setup.up(1, &host).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = setup.establish(1, &host).await;
         let mut value = told(&setup);
         let mut class = value["settings"]["classes"][1].take();
         class["name"] = "video".into();
@@ -224,13 +224,13 @@
         assert_eq!(figure(&setup, "success.video").as_deref(), Some("0|c"));
         assert_eq!(answer(&setup, 2, "chat").await.as_deref(), Some("ERR"), "it takes nothing new");
         client.send("M 1\r\n").await;
-        assert_eq!(server.line().await.as_deref(), Some("M 1"), "and what is under way goes on");
-        let mut new = setup.client().await;
+        assert_eq!(server.read_line().await.as_deref(), Some("M 1"), "and what is under way goes on");
+        let mut new = setup.connect().await;
         new.send("OPEN 3 3 c=video,d=20000\r\n").await;
         let mut at = host.accept().await;
-        at.line().await.expect("the first line");
+        at.read_line().await.expect("the first line");
         at.send("UP 00ff\r\n").await;
-        assert_eq!(new.line().await.as_deref(), Some("UP 00ff"));
+        assert_eq!(new.read_line().await.as_deref(), Some("UP 00ff"));
         assert_eq!(figure(&setup, "success.video").as_deref(), Some("1|c"));
         // And back, under its old number.
         value["settings"]["classes"] = presence;
@@ -245,27 +245,27 @@
 #[test]
 fn fewer_attempts_and_a_stricter_effect_count_for_the_next_attempt() {
     run(async {
-        let host = Host::new("s-1").await;
-        let other = Host::new("s-2").await;
-        let (setup, _watch) = serving(&[&host, &other]).await;
+        let host = StubHost::new("s-1").await;
+        let other = StubHost::new("s-2").await;
+        let (setup, _watch) = start_ready_node(&[&host, &other]).await;
         // A request is out when the word comes that it may not be repeated: it broke, and may have run.
-        let mut client = setup.open(1, "d=20000").await;
+        let mut client = setup.send_request(1, "d=20000").await;
         let mut first = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
-        first.line().await.expect("the first line");
+        first.read_line().await.expect("the first line");
         let mut value = told(&setup);
         value["settings"]["classes"][0]["semantics"] = "fragile".into();
         reload(&setup.node, Some(&file("stricter", &value)), |_| None);
         drop(first);
-        assert_eq!(client.line().await.as_deref(), Some("FAILED"));
+        assert_eq!(client.read_line().await.as_deref(), Some("FAILED"));
         value["settings"]["allowed"]["max_attempts"] = 1.into();
         value["settings"]["classes"][0]["semantics"] = "retryable".into();
         reload(&setup.node, Some(&file("stricter", &value)), |_| None);
-        let mut client = setup.open(2, "d=20000").await;
+        let mut client = setup.send_request(2, "d=20000").await;
         let mut only = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
-        only.line().await.expect("the first line");
+        only.read_line().await.expect("the first line");
         only.send("BUSY\r\n").await;
         assert!(
-            client.line().await.is_some_and(|line| line.starts_with("BUSY ")),
+            client.read_line().await.is_some_and(|line| line.starts_with("BUSY ")),
             "one attempt, and when to return"
         );
         assert_eq!(figure(&setup, "backend_calls").as_deref(), Some("2|c"));
@@ -291,8 +291,8 @@
 #[test]
 fn a_file_that_lacks_a_key_or_holds_a_bad_count_is_turned_down_whole() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, mut watch) = serving(&[&host]).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, mut watch) = start_ready_node(&[&host]).await;
         let before = setup.node.decisions.discovery_address();
         let good = told(&setup);
         let mut bad: Vec<(String, String)> = Vec::new();
@@ -356,14 +356,14 @@
         reload(&setup.node, Some(&path), |_| None);
         assert_eq!(figure(&setup, "reconfig_ok").as_deref(), Some("0|c"));
         assert_eq!(told(&setup), good);
-        chunk(&mut watch, &list(2, false, &[])).await;
-        setup.up(1, &host).await;
+        send_chunk(&mut watch, &list_line(2, false, &[])).await;
+        setup.establish(1, &host).await;
     });
 }
 
 #[test]
 fn what_waits_for_the_next_start_is_named() {
-    let value = config("127.0.0.1:9000", "127.0.0.1:8500");
+    let value = node_config("127.0.0.1:9000", "127.0.0.1:8500");
     let config = Config::from_file_value(value.clone(), |_| None).expect("fine");
     let mut new = value;
     new["limits"]["sockets"] = 300.into();
@@ -378,7 +378,7 @@
 
 #[test]
 fn a_process_that_takes_over_goes_by_the_file_in_force_where_its_own_was_turned_down() {
-    let value = config("127.0.0.1:9000", "127.0.0.1:8500");
+    let value = node_config("127.0.0.1:9000", "127.0.0.1:8500");
     let handshake = UpgradeState {
         config: value.clone(),
         discovery: Some("127.0.0.1:8507".parse().expect("an address")),
@@ -408,7 +408,7 @@
     #[test]
     fn classes_keep_their_numbers(files in prop::collection::vec(prop::collection::btree_set(0..6_u8, 1..5), 1..8)) {
         let of = |classes: &std::collections::BTreeSet<u8>| {
-            let mut value = config("127.0.0.1:9000", "127.0.0.1:8500");
+            let mut value = node_config("127.0.0.1:9000", "127.0.0.1:8500");
             let class = value["settings"]["classes"][0].clone();
             value["settings"]["extra"]["message_aim"] = serde_json::json!(vec![1e5; classes.len()]);
             value["settings"]["classes"] = classes.iter().rev().map(|number| {
--- a/crates/alderstile-node/tests/replicated_config_applied.rs
+++ b/crates/alderstile-node/tests/replicated_config_applied.rs
@@ -6,12 +6,12 @@
 
 mod support;
 use support::replicated_config::{document, propose_until_committed, single_voter_node, wait_until_active};
-use support::{Host, run, start};
+use support::{StubHost, run, start_node};
 
 #[test]
 fn an_active_version_applies_and_until_then_the_stricter_of_both() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let (setup, _watch, control, dir) = single_voter_node(86, &[&hosts[0], &hosts[1]]).await;
         let out = |host: &str| {
             setup
@@ -58,7 +58,7 @@
 #[test]
 fn a_host_taken_out_by_an_operator_stays_out_when_the_document_puts_it_back() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let (setup, _watch, control, dir) = single_voter_node(87, &[&host]).await;
         let out = || {
             setup
@@ -82,7 +82,7 @@
 #[test]
 fn without_the_table_there_is_no_replica_and_no_metric() {
     run(async {
-        let setup = start(|_| {}).await;
+        let setup = start_node(|_| {}).await;
         assert!(setup.node.admin.replicated_config().is_none());
         assert!(!setup.node.admin.metrics_text().contains("agreed"));
     });
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -17,7 +17,7 @@
 
 mod support;
 use support::replicated_config::{document, folder, single_voter_node, wait_until_active};
-use support::{Host, Peer, run};
+use support::{LineConnection, StubHost, run};
 
 fn fixture(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests/fixtures/replicated_config", name].iter().collect()
@@ -96,12 +96,12 @@
 }
 
 async fn call(to: std::net::SocketAddr, method: &str, path: &str, body: &str) -> (String, String) {
-    let mut peer = Peer::connect(to).await;
+    let mut peer = LineConnection::connect(to).await;
     let length = body.len();
     peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
         .await;
-    let mut status = peer.line().await.expect("a status line");
-    while peer.line().await.is_some_and(|line| !line.is_empty()) {}
+    let mut status = peer.read_line().await.expect("a status line");
+    while peer.read_line().await.is_some_and(|line| !line.is_empty()) {}
     let mut text = String::new();
     tokio::io::AsyncReadExt::read_to_string(&mut peer.0, &mut text).await.expect("a body");
     status.truncate(12);
@@ -127,7 +127,7 @@
 
 /// What a node that is the only voter answers before and after a version, each under the name of its fixture.
 async fn answers() -> Vec<(&'static str, String)> {
-    let host = Host::new("s-1").await;
+    let host = StubHost::new("s-1").await;
     let (setup, _watch, control, dir) = single_voter_node(89, &[&host]).await;
     let before = serde_json::to_string(&control.status()).expect("JSON");
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
--- a/crates/alderstile-node/tests/replicated_config_store.rs
+++ b/crates/alderstile-node/tests/replicated_config_store.rs
@@ -11,7 +11,7 @@
 use proptest::test_runner::RngSeed;
 
 mod support;
-use support::config;
+use support::node_config;
 use support::replicated_config::folder;
 
 fn state(version: u64, document: &[u8]) -> PersistedState {
@@ -103,7 +103,7 @@
         text in "[{}a-z\":,0-9\\[\\] ]{0,60}",
     ) {
         prop_assert_eq!(decode(&bytes), None);
-        let file = Config::from_file_value(config("127.0.0.1:9000", "127.0.0.1:8500"), |_| None).expect("fine");
+        let file = Config::from_file_value(node_config("127.0.0.1:9000", "127.0.0.1:8500"), |_| None).expect("fine");
         for document in [ConfigDocument::parse(&bytes), ConfigDocument::parse(text.as_bytes())].into_iter().flatten() {
             prop_assert!(document.validate(&file).is_err());
         }
--- a/crates/alderstile-node/tests/restarts.rs
+++ b/crates/alderstile-node/tests/restarts.rs
@@ -26,13 +26,14 @@
 const EACH_TENTH: Duration = Duration::from_millis(500);
 
 /// Works through calls in turn, one each [`A_CALL`]; a watch stays open and brings an empty line every 2 s.
-fn scarce(discovery: Discovery, whole: String) {
-    let queue: Rc<RefCell<VecDeque<(Instant, Peer)>>> = Rc::default();
+fn scarce(discovery: StubDiscovery, whole: String) {
+    let queue: Rc<RefCell<VecDeque<(Instant, LineConnection)>>> = Rc::default();
     let calls = queue.clone();
     spawn_local(async move {
         loop {
             // One that a process had begun when it was told to stop is none.
-            let mut call = Peer(tokio::io::BufReader::new(discovery.0.accept().await.expect("a call").0));
+            let mut call =
+                LineConnection(tokio::io::BufReader::new(discovery.0.accept().await.expect("a call").0));
             let mut begun = [0; 3];
             let asked = call.0.get_mut().read_exact(&mut begun);
             if matches!(timeout(GIVEN_UP, asked).await, Ok(Ok(_))) {
@@ -84,16 +85,16 @@
 #[test]
 fn nine_in_ten_restarted_processes_are_ready_within_ten_seconds_while_calls_are_scarce() {
     run(async {
-        let host = Host::new("s-1").await;
-        let whole = list(1, true, &[host.entry("up")]);
-        let discovery = Discovery::new().await;
+        let host = StubHost::new("s-1").await;
+        let whole = list_line(1, true, &[host.list_entry("up")]);
+        let discovery = StubDiscovery::new().await;
         let place = discovery.0.local_addr().expect("bound").to_string();
         scarce(discovery, whole.clone());
         let mut nodes: Vec<(PathBuf, SocketAddr, Child)> = Vec::new();
         for number in 0..NODES {
             let free = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = free.local_addr().expect("bound");
-            let mut value = config(&address.to_string(), &place);
+            let mut value = node_config(&address.to_string(), &place);
             value["name"] = json!(format!("n{number}"));
             value["seed"] = json!(format!("{number:x}"));
             value["settings"]["allowed"]["may_tell"] = json!(false);
@@ -108,7 +109,7 @@
             nodes.push((path, address, child));
         }
         for (_, address, _) in &nodes {
-            until_pong(*address).await;
+            wait_until_pong(*address).await;
         }
         let mut restarts = Vec::new();
         for (number, (path, address, mut child)) in nodes.into_iter().enumerate() {
@@ -120,7 +121,7 @@
                 assert!(sent.success());
                 assert!(child.wait().await.expect("ended").success());
                 let _child = begin(&path);
-                let took = until_pong(address).await;
+                let took = wait_until_pong(address).await;
                 std::fs::remove_file(path).unwrap_or_default();
                 took
             }));
--- a/crates/alderstile-node/tests/shadow.rs
+++ b/crates/alderstile-node/tests/shadow.rs
@@ -6,22 +6,22 @@
 #[test]
 fn a_watching_instance_counts_where_groups_would_have_gone_and_changes_nothing() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         for on in [false, true] {
             let section =
                 serde_json::json!({"on": on, "settings": {"balancers": 50, "extra": {"groups": true}}});
             let (setup, _watch) =
-                serving_with(&[&hosts[0], &hosts[1]], |value| value["shadow"] = section).await;
+                start_ready_node_with(&[&hosts[0], &hosts[1]], |value| value["shadow"] = section).await;
             let (mut held, mut at) = (Vec::new(), [0, 0]);
             for id in 1..=6 {
-                let mut client = setup.open(id, "d=20000,g=5c0f6e1a2b3d4c59").await;
+                let mut client = setup.send_request(id, "d=20000,g=5c0f6e1a2b3d4c59").await;
                 let (mut server, i) = tokio::select! {
                     server = hosts[0].accept() => (server, 0),
                     server = hosts[1].accept() => (server, 1),
                 };
-                server.line().await.expect("the first line");
+                server.read_line().await.expect("the first line");
                 server.send("UP 00ff\r\n").await;
-                assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+                assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
                 at[i] += 1;
                 held.push((client, server));
             }
--- a/crates/alderstile-node/tests/shutdown.rs
+++ b/crates/alderstile-node/tests/shutdown.rs
@@ -15,20 +15,20 @@
 #[test]
 fn clients_are_told_to_move_before_the_node_leaves_and_new_ones_are_still_answered() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
-        let (mut client, mut server) = setup.up(1, &host).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = setup.establish(1, &host).await;
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         while setup.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
         // Only half a line has come: MOVE must not stand inside it.
         server.send("M 1\r\nhalf").await;
-        assert_eq!(client.line().await.as_deref(), Some("M 1"));
-        assert_eq!(client.line().await.as_deref(), Some("MOVE"));
-        assert_eq!(client.line().await, None);
+        assert_eq!(client.read_line().await.as_deref(), Some("M 1"));
+        assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
+        assert_eq!(client.read_line().await, None);
         drop(client);
-        assert_eq!(server.line().await, None);
+        assert_eq!(server.read_line().await, None);
         leaving.await.expect("left");
         assert!(tokio::net::TcpStream::connect(setup.address).await.is_err());
     });
@@ -39,7 +39,7 @@
     // Found in the lab (rolling, seed 4): a client whose connection the system had taken in during the last millisecond
     // of a stop was closed with no answer.
     run(async {
-        let setup = start(|config| config["settings"]["classes"][0]["give_up"] = json!(1000)).await;
+        let setup = start_node(|config| config["settings"]["classes"][0]["give_up"] = json!(1000)).await;
         // With nobody to be moved it ends half-way.
         let last = setup.node.config().shutdown_timeout / 2;
         let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
@@ -55,7 +55,7 @@
         std::thread::sleep(Duration::from_millis(60));
         for client in waiting {
             let client = tokio::net::TcpStream::from_std(client).expect("a stream");
-            assert!(Peer(BufReader::new(client)).line().await.is_some(), "answered");
+            assert!(LineConnection(BufReader::new(client)).read_line().await.is_some(), "answered");
         }
         leaving.await.expect("left");
     });
@@ -64,32 +64,32 @@
 #[test]
 fn a_node_that_leaves_serves_on_those_that_it_has_not_told_to_move() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
-        let (mut first, _first) = setup.up(1, &host).await;
-        let (mut last, mut server) = setup.up(2, &host).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (mut first, _first) = setup.establish(1, &host).await;
+        let (mut last, mut server) = setup.establish(2, &host).await;
         setup.node.process.begin_shutdown();
         setup.node.clients.migrate_some(1);
-        assert_eq!(first.line().await.as_deref(), Some("MOVE"));
+        assert_eq!(first.read_line().await.as_deref(), Some("MOVE"));
         last.send("M 1\r\n").await;
-        assert_eq!(server.line().await.as_deref(), Some("M 1"));
+        assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
         // One that has been told does not count again, whether or not it has gone.
         setup.node.clients.migrate_some(1);
-        assert_eq!(last.line().await.as_deref(), Some("MOVE"));
+        assert_eq!(last.read_line().await.as_deref(), Some("MOVE"));
     });
 }
 
 #[test]
 fn a_client_that_comes_up_while_the_node_leaves_is_told_to_move() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
-        let mut client = setup.open(1, "d=20000").await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let mut client = setup.send_request(1, "d=20000").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         setup.node.clients.migrate_all();
         server.send("UP 00ff\r\n").await;
-        assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
-        assert_eq!(client.line().await.as_deref(), Some("MOVE"));
+        assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
+        assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
     });
 }
--- a/crates/alderstile-node/tests/support/fleet.rs
+++ b/crates/alderstile-node/tests/support/fleet.rs
@@ -8,7 +8,7 @@
 use alderstile_node::control::replicated_config::store::VoterStore;
 use serde_json::Value;
 
-use super::config;
+use super::node_config;
 use super::replicated_config::{KEY, folder};
 
 /// Several nodes' processes on loopback addresses of their own, the first of them voters.
@@ -24,7 +24,7 @@
         let dir = folder(&format!("fleet-{net}"));
         let mut fleet = Fleet { dir, net, voters, running: (0..count).map(|_| None).collect() };
         for n in 1..=count {
-            let mut file = config(&fleet.address(n, 19_000), "127.0.0.1:1");
+            let mut file = node_config(&fleet.address(n, 19_000), "127.0.0.1:1");
             (file["name"], file["admin_addr"]) = (format!("n{n}").into(), fleet.address(n, 19_001).into());
             std::fs::write(fleet.file(n, "json"), file.to_string()).expect("written");
             fleet.write_cluster_file(n, KEY);
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -23,7 +23,7 @@
 pub mod replicated_config;
 
 /// A configuration as the platform writes it.
-pub fn config(listen: &str, discovery: &str) -> Value {
+pub fn node_config(listen: &str, discovery: &str) -> Value {
     let class = |name: &str| {
         json!({"name": name, "aim": 300000, "give_up": 1200000, "group": "all", "semantics": "retryable",
                "stream": true, "window": 5000000, "worth": 2.0})
@@ -54,11 +54,11 @@
 }
 
 /// One end of a connection that speaks lines.
-pub struct Peer(pub BufReader<TcpStream>);
+pub struct LineConnection(pub BufReader<TcpStream>);
 
-impl Peer {
+impl LineConnection {
     pub async fn connect(to: SocketAddr) -> Self {
-        Peer(BufReader::new(TcpStream::connect(to).await.expect("connected")))
+        LineConnection(BufReader::new(TcpStream::connect(to).await.expect("connected")))
     }
 
     pub async fn send(&mut self, text: &str) {
@@ -66,7 +66,7 @@
     }
 
     /// The next line without its end; none at the end of the connection.
-    pub async fn line(&mut self) -> Option<String> {
+    pub async fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.0.read_line(&mut line).await {
             Ok(0) | Err(_) => None,
@@ -86,22 +86,22 @@
 }
 
 /// A host: the test answers for it.
-pub struct Host {
+pub struct StubHost {
     pub listener: TcpListener,
     pub name: String,
 }
 
-impl Host {
+impl StubHost {
     pub async fn new(name: &str) -> Self {
-        Host { listener: TcpListener::bind("127.0.0.1:0").await.expect("a port"), name: name.to_owned() }
+        StubHost { listener: TcpListener::bind("127.0.0.1:0").await.expect("a port"), name: name.to_owned() }
     }
 
     /// One whose connections don't come up until [`Host::release`]: the system's queue for it is full, and what knocks
     /// meanwhile knocks again after a second.
-    pub async fn held(name: &str) -> Self {
+    pub async fn with_full_queue(name: &str) -> Self {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
-        let host = Host { listener: socket.listen(0).expect("a queue of one"), name: name.to_owned() };
+        let host = StubHost { listener: socket.listen(0).expect("a queue of one"), name: name.to_owned() };
         let filler = TcpStream::connect(host.listener.local_addr().expect("bound")).await.expect("queued");
         // It stays open, unaccepted, until the release.
         std::mem::forget(filler);
@@ -109,22 +109,22 @@
     }
 
     /// Lets the connections of [`Host::held`] come up.
-    pub async fn release(&self) {
+    pub async fn free_queue(&self) {
         self.listener.accept().await.expect("the one that fills the queue");
     }
 
     /// Whether somebody connects and says something within this long.
-    pub async fn is_sent_something(&self, within: Duration) -> bool {
-        let sent = async { while self.accept().await.line().await.is_none() {} };
+    pub async fn receives_line_within(&self, within: Duration) -> bool {
+        let sent = async { while self.accept().await.read_line().await.is_none() {} };
         timeout(within, sent).await.is_ok()
     }
 
-    pub async fn accept(&self) -> Peer {
-        Peer(BufReader::new(self.listener.accept().await.expect("a connection").0))
+    pub async fn accept(&self) -> LineConnection {
+        LineConnection(BufReader::new(self.listener.accept().await.expect("a connection").0))
     }
 
     /// Its line of the list.
-    pub fn entry(&self, health: &str) -> Value {
+    pub fn list_entry(&self, health: &str) -> Value {
         let dial = self.listener.local_addr().expect("bound").to_string();
         json!({"host": self.name, "dial": dial, "site": "a", "class": "m", "block": 0, "health": health,
                "share": 1.0, "born_ms": 0})
@@ -132,48 +132,48 @@
 }
 
 /// The attempt of a client, at whichever of two hosts it comes, with its first line taken; and which the other host is.
-pub async fn attempt_at(hosts: &[Host; 2]) -> (Peer, usize) {
+pub async fn accept_attempt(hosts: &[StubHost; 2]) -> (LineConnection, usize) {
     let (mut server, other) = tokio::select! {
         server = hosts[0].accept() => (server, 1),
         server = hosts[1].accept() => (server, 0),
     };
-    server.line().await.expect("the first line");
+    server.read_line().await.expect("the first line");
     (server, other)
 }
 
 /// A line of the watch.
-pub fn list(seq: u64, whole: bool, hosts: &[Value]) -> String {
+pub fn list_line(seq: u64, whole: bool, hosts: &[Value]) -> String {
     format!("{}\n", json!({"seq": seq, "whole": whole, "hosts": hosts}))
 }
 
 /// Discovery: the test writes its answers.
-pub struct Discovery(pub TcpListener);
+pub struct StubDiscovery(pub TcpListener);
 
-impl Discovery {
+impl StubDiscovery {
     pub async fn new() -> Self {
-        Discovery(TcpListener::bind("127.0.0.1:0").await.expect("a port"))
+        StubDiscovery(TcpListener::bind("127.0.0.1:0").await.expect("a port"))
     }
 
     /// Takes a call in; returns its first line and the connection, with nothing answered yet.
-    pub async fn call(&self) -> (String, Peer) {
-        let mut peer = Peer(BufReader::new(self.0.accept().await.expect("a call").0));
-        let first = peer.line().await.expect("a request");
-        while peer.line().await.is_some_and(|line| !line.is_empty()) {}
+    pub async fn accept_call(&self) -> (String, LineConnection) {
+        let mut peer = LineConnection(BufReader::new(self.0.accept().await.expect("a call").0));
+        let first = peer.read_line().await.expect("a request");
+        while peer.read_line().await.is_some_and(|line| !line.is_empty()) {}
         (first, peer)
     }
 
     /// Takes a call in and begins a watch with these pieces, each a chunk of its own.
-    pub async fn watch(&self, pieces: &[&str]) -> Peer {
-        let (_, mut peer) = self.call().await;
+    pub async fn accept_watch(&self, pieces: &[&str]) -> LineConnection {
+        let (_, mut peer) = self.accept_call().await;
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         for piece in pieces {
-            chunk(&mut peer, piece).await;
+            send_chunk(&mut peer, piece).await;
         }
         peer
     }
 }
 
-pub async fn chunk(peer: &mut Peer, text: &str) {
+pub async fn send_chunk(peer: &mut LineConnection, text: &str) {
     peer.send(&format!("{:x}\r\n{text}\r\n", text.len())).await;
 }
 
@@ -182,14 +182,14 @@
     pub node: Rc<Node>,
     pub address: SocketAddr,
     pub accepting: JoinHandle<()>,
-    pub discovery: Discovery,
+    pub discovery: StubDiscovery,
 }
 
 /// Starts a node; `change` may change its configuration.
-pub async fn start(change: impl FnOnce(&mut Value)) -> Setup {
-    let discovery = Discovery::new().await;
+pub async fn start_node(change: impl FnOnce(&mut Value)) -> Setup {
+    let discovery = StubDiscovery::new().await;
     let at = discovery.0.local_addr().expect("bound").to_string();
-    let mut value = config("127.0.0.1:0", &at);
+    let mut value = node_config("127.0.0.1:0", &at);
     change(&mut value);
     let node = Rc::new(Node::new(Config::from_file_value(value, |_| None).expect("a fine configuration")));
     let listener = listener::bind(node.config().listen).expect("a port");
@@ -201,83 +201,86 @@
 }
 
 /// A node that is ready, with these hosts; the watch stays open as long as what is returned with it.
-pub async fn serving(hosts: &[&Host]) -> (Setup, Peer) {
-    serving_with(hosts, |_| {}).await
+pub async fn start_ready_node(hosts: &[&StubHost]) -> (Setup, LineConnection) {
+    start_ready_node_with(hosts, |_| {}).await
 }
 
-pub async fn serving_with(hosts: &[&Host], change: impl FnOnce(&mut Value)) -> (Setup, Peer) {
-    let setup = start(change).await;
-    let entries: Vec<Value> = hosts.iter().map(|host| host.entry("up")).collect();
-    let watch = setup.discovery.watch(&[&list(1, true, &entries)]).await;
-    setup.until_ready().await;
+pub async fn start_ready_node_with(
+    hosts: &[&StubHost],
+    change: impl FnOnce(&mut Value),
+) -> (Setup, LineConnection) {
+    let setup = start_node(change).await;
+    let entries: Vec<Value> = hosts.iter().map(|host| host.list_entry("up")).collect();
+    let watch = setup.discovery.accept_watch(&[&list_line(1, true, &entries)]).await;
+    setup.wait_until_ready().await;
     (setup, watch)
 }
 
 impl Setup {
-    pub async fn client(&self) -> Peer {
-        Peer::connect(self.address).await
+    pub async fn connect(&self) -> LineConnection {
+        LineConnection::connect(self.address).await
     }
 
     /// Asks as the front does.
     pub async fn ping(&self) -> Option<String> {
-        let mut front = self.client().await;
+        let mut front = self.connect().await;
         front.send("PING\r\n").await;
-        front.line().await
+        front.read_line().await
     }
 
-    pub async fn until_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         while self.ping().await.is_none() {
             sleep(Duration::from_millis(5)).await;
         }
     }
 
     /// A client that has said its first line.
-    pub async fn open(&self, id: u64, more: &str) -> Peer {
-        let mut client = self.client().await;
+    pub async fn send_request(&self, id: u64, more: &str) -> LineConnection {
+        let mut client = self.connect().await;
         client.send(&format!("OPEN {id:016x} {id:016x} c=chat,{more}\r\n")).await;
         client
     }
 
     /// Waits until the node knows where a host is reached.
-    pub async fn until_listed(&self, host: &str) {
+    pub async fn wait_until_listed(&self, host: &str) {
         while self.node.decisions.host(server_id(host)).is_none() {
             sleep(Duration::from_millis(1)).await;
         }
     }
 
     /// Waits until a client waits for a host.
-    pub async fn until_waiting(&self) {
+    pub async fn wait_until_in_flight(&self) {
         while self.node.clients.in_flight_count() == 0 {
             tokio::task::yield_now().await;
         }
     }
 
     /// Waits until no client waits or is served any more.
-    pub async fn until_none(&self) {
+    pub async fn wait_until_idle(&self) {
         while self.node.clients.in_flight_count() > 0 {
             sleep(Duration::from_millis(1)).await;
         }
     }
 
     /// A client that is up at this host.
-    pub async fn up(&self, id: u64, host: &Host) -> (Peer, Peer) {
-        let mut client = self.open(id, "d=20000").await;
+    pub async fn establish(&self, id: u64, host: &StubHost) -> (LineConnection, LineConnection) {
+        let mut client = self.send_request(id, "d=20000").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         server.send("UP 00ff\r\n").await;
-        assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+        assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
         (client, server)
     }
 }
 
 /// Asks a process as the front does until its answer is yes; returns how long that took.
-pub async fn until_pong(address: SocketAddr) -> Duration {
+pub async fn wait_until_pong(address: SocketAddr) -> Duration {
     let began = tokio::time::Instant::now();
     loop {
         if let Ok(front) = TcpStream::connect(address).await {
-            let mut front = Peer(BufReader::new(front));
+            let mut front = LineConnection(BufReader::new(front));
             let asked = front.0.get_mut().write_all(b"PING\r\n").await;
-            if asked.is_ok() && front.line().await.as_deref() == Some("PONG") {
+            if asked.is_ok() && front.read_line().await.as_deref() == Some("PONG") {
                 return began.elapsed();
             }
         }
--- a/crates/alderstile-node/tests/support/processes.rs
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::{Discovery, Host, Peer, config, list};
+use super::{LineConnection, StubDiscovery, StubHost, list_line, node_config};
 
 /// A folder of its own, by a short path: the stream's address must fit in it.
 pub fn folder(name: &str) -> PathBuf {
@@ -30,27 +30,27 @@
 }
 
 /// Answers every call with this list, and every watch with nothing after it.
-pub fn serve_list(discovery: Discovery, entries: Vec<Value>) {
+pub fn serve_list(discovery: StubDiscovery, entries: Vec<Value>) {
     spawn_local(async move {
         let mut open = Vec::new();
         loop {
-            open.push(discovery.watch(&[&list(1, true, &entries)]).await);
+            open.push(discovery.accept_watch(&[&list_line(1, true, &entries)]).await);
         }
     });
 }
 
 /// Brings up whoever comes, and counts them by their ids.
-pub fn serve_host(host: Host, seen: Rc<RefCell<BTreeMap<String, u32>>>) {
+pub fn serve_host(host: StubHost, seen: Rc<RefCell<BTreeMap<String, u32>>>) {
     spawn_local(async move {
         loop {
             let mut peer = host.accept().await;
             let seen = seen.clone();
             spawn_local(async move {
-                let Some(line) = peer.line().await else { return };
+                let Some(line) = peer.read_line().await else { return };
                 let id = line.split(' ').nth(1).expect("an id").to_owned();
                 *seen.borrow_mut().entry(id).or_default() += 1;
                 let _gone = peer.0.get_mut().write_all(b"UP 00ff\r\n").await;
-                while let Some(line) = peer.line().await {
+                while let Some(line) = peer.read_line().await {
                     let _gone = peer.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
                 }
             });
@@ -119,9 +119,9 @@
 }
 
 /// A configuration of a node that can be replaced.
-pub async fn replaceable(discovery: &Discovery) -> Value {
+pub async fn replaceable(discovery: &StubDiscovery) -> Value {
     let listen = free_address().await.to_string();
-    let mut value = config(&listen, &discovery.0.local_addr().expect("bound").to_string());
+    let mut value = node_config(&listen, &discovery.0.local_addr().expect("bound").to_string());
     value["settings"]["allowed"]["may_tell"] = false.into();
     value["settings"]["balancers"] = 1.into();
     value
@@ -151,17 +151,17 @@
                 seen.borrow_mut().other.push(format!("{id:x} refused"));
                 continue;
             };
-            let mut client = Peer(tokio::io::BufReader::new(stream));
+            let mut client = LineConnection(tokio::io::BufReader::new(stream));
             let line = format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n");
             if client.0.get_mut().write_all(line.as_bytes()).await.is_err() {
                 seen.borrow_mut().other.push(format!("{id:x} reset"));
                 continue;
             }
-            match client.line().await.as_deref() {
+            match client.read_line().await.as_deref() {
                 Some("UP 00ff") => seen.borrow_mut().up += 1,
                 other => seen.borrow_mut().other.push(format!("{id:x} {other:?}")),
             }
-            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * lane), client.line()).await {
+            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * lane), client.read_line()).await {
                 assert_eq!(line, "MOVE");
                 seen.borrow_mut().moved += 1;
             }
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
-use super::{Host, Peer, Setup, config, serving};
+use super::{LineConnection, Setup, StubHost, node_config, start_ready_node};
 
 pub const KEY: &str = "00112233445566778899aabbccddeeff";
 
@@ -25,7 +25,7 @@
 
 /// The settings that all nodes of the tests have alike, as a document.
 pub fn document(change: impl FnOnce(&mut Value)) -> Value {
-    let mut settings = config("127.0.0.1:1", "127.0.0.1:1")["settings"].take();
+    let mut settings = node_config("127.0.0.1:1", "127.0.0.1:1")["settings"].take();
     settings.as_object_mut().expect("an object").remove("my_zone");
     let mut document = json!({ "settings": settings });
     change(&mut document);
@@ -33,8 +33,11 @@
 }
 
 /// A node that is the only voter, in this process.
-pub async fn single_voter_node(net: u8, hosts: &[&Host]) -> (Setup, Peer, Rc<ConfigReplica>, PathBuf) {
-    let (setup, watch) = serving(hosts).await;
+pub async fn single_voter_node(
+    net: u8,
+    hosts: &[&StubHost],
+) -> (Setup, LineConnection, Rc<ConfigReplica>, PathBuf) {
+    let (setup, watch) = start_ready_node(hosts).await;
     let dir = folder(&format!("alone-{net}"));
     let text = format!(
         "name = \"edge\"\nlisten = \"127.0.{net}.1:19002\"\nkeys = [\"{KEY}\"]\n[control]\n\
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -19,10 +19,10 @@
 #[test]
 fn two_processes_are_one_node_and_no_client_meets_a_closed_door() {
     run(async {
-        let (dir, discovery) = (folder("one"), Discovery::new().await);
+        let (dir, discovery) = (folder("one"), StubDiscovery::new().await);
         let value = replaceable(&discovery).await;
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await, Host::new("s-3").await];
-        serve_list(discovery, hosts.iter().map(|host| host.entry("up")).collect());
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await, StubHost::new("s-3").await];
+        serve_list(discovery, hosts.iter().map(|host| host.list_entry("up")).collect());
         let served: Vec<Rc<RefCell<BTreeMap<String, u32>>>> = (0..3).map(|_| Rc::default()).collect();
         hosts.into_iter().zip(&served).for_each(|(host, seen)| serve_host(host, seen.clone()));
         let mut old = Process::start(&value, &dir).await;
@@ -85,31 +85,31 @@
 #[test]
 fn connections_are_passed_on_with_what_is_under_way() {
     run(async {
-        let (dir, discovery) = (folder("pass"), Discovery::new().await);
+        let (dir, discovery) = (folder("pass"), StubDiscovery::new().await);
         let value = replaceable(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_list(discovery, vec![host.list_entry("up")]);
         let mut old = Process::start(&value, &dir).await;
         old.until_ready().await;
         let address = listens_at(&value);
         let mut pairs = Vec::new();
         for id in 1..=30 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
             let mut server = host.accept().await;
-            server.line().await.expect("the first line");
+            server.read_line().await.expect("the first line");
             server.send("UP 00ff\r\nA 1\r\nA ").await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
-            assert_eq!(client.line().await.as_deref(), Some("A 1"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("A 1"));
             client.send("M 1\r\nM ").await;
-            assert_eq!(server.line().await.as_deref(), Some("M 1"));
+            assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
             pairs.push((client, server));
         }
         // One whose attempt is out meanwhile.
-        let mut late = Peer::connect(address).await;
+        let mut late = LineConnection::connect(address).await;
         late.send("OPEN 99 99 c=chat,d=1500\r\n").await;
         let mut late_server = host.accept().await;
-        late_server.line().await.expect("the first line");
+        late_server.read_line().await.expect("the first line");
         let new = Process::start(&value, &dir).await;
         new.until_ready().await;
         old.signal("-TERM").await;
@@ -119,37 +119,37 @@
         // The old one has nothing left but this.
         sleep(Duration::from_millis(200)).await;
         late_server.send("UP 00aa\r\n").await;
-        assert_eq!(late.line().await.as_deref(), Some("UP 00aa"));
+        assert_eq!(late.read_line().await.as_deref(), Some("UP 00aa"));
         let status =
             timeout(Duration::from_secs(5), old.child.wait()).await.expect("in time").expect("ended");
         assert!(status.success());
         for (client, server) in &mut pairs {
             client.send("2\r\n").await;
-            assert_eq!(server.line().await.as_deref(), Some("M 2"));
+            assert_eq!(server.read_line().await.as_deref(), Some("M 2"));
             server.send("2\r\nLOAD 3000\r\n").await;
-            assert_eq!(client.line().await.as_deref(), Some("A 2"));
-            assert_eq!(client.line().await.as_deref(), Some("LOAD 3000"));
+            assert_eq!(client.read_line().await.as_deref(), Some("A 2"));
+            assert_eq!(client.read_line().await.as_deref(), Some("LOAD 3000"));
         }
         late.send("M 1\r\n").await;
-        assert_eq!(late_server.line().await.as_deref(), Some("M 1"));
+        assert_eq!(late_server.read_line().await.as_deref(), Some("M 1"));
         assert_eq!(
             (new.figure("inflight").await, new.figure("success.chat").await),
             (31, 0),
             "counted where it came up"
         );
         // An id that is open goes on being known.
-        let mut twin = Peer::connect(address).await;
+        let mut twin = LineConnection::connect(address).await;
         twin.send("OPEN 99 99 c=chat,d=1500\r\n").await;
-        assert_eq!(twin.line().await.as_deref(), Some("ERR"));
+        assert_eq!(twin.read_line().await.as_deref(), Some("ERR"));
         let (mut client, mut server) = pairs.pop().expect("one");
         server.send("BYE\r\n").await;
         drop(server);
-        assert_eq!(client.line().await.as_deref(), Some("BYE"));
-        assert_eq!(client.line().await, None);
+        assert_eq!(client.read_line().await.as_deref(), Some("BYE"));
+        assert_eq!(client.read_line().await, None);
         // And the decisions know of them: a host that is taken out loses them.
         assert_eq!(new.call("POST", "/control/hosts/s-1/offline").await.expect("an answer").0, 200);
         for (client, _) in &mut pairs {
-            assert_eq!(client.line().await.as_deref(), Some("MOVE"));
+            assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
         }
     });
 }
@@ -157,10 +157,10 @@
 #[test]
 fn a_successor_that_is_told_to_leave_first_moves_its_clients_and_the_old_one_serves_on() {
     run(async {
-        let (dir, discovery) = (folder("first"), Discovery::new().await);
+        let (dir, discovery) = (folder("first"), StubDiscovery::new().await);
         let value = replaceable(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_list(discovery, vec![host.list_entry("up")]);
         serve_host(host, Rc::default());
         let old = Process::start(&value, &dir).await;
         old.until_ready().await;
@@ -169,25 +169,25 @@
         let address = listens_at(&value);
         let mut clients = Vec::new();
         while new.figure("success.chat").await < 5 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             let id = clients.len();
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             clients.push(client);
         }
         let before = old.figure("inflight").await;
         new.signal("-TERM").await;
         for number in 0..20 {
-            let mut front = Peer::connect(address).await;
+            let mut front = LineConnection::connect(address).await;
             front.send("PING\r\n").await;
-            assert_eq!(front.line().await.as_deref(), Some("PONG"), "the node goes on, at try {number}");
+            assert_eq!(front.read_line().await.as_deref(), Some("PONG"), "the node goes on, at try {number}");
         }
         let status =
             timeout(Duration::from_secs(5), new.child.wait()).await.expect("in time").expect("ended");
         assert!(status.success());
         let mut moved = 0;
         for client in &mut clients {
-            moved += u64::from(timeout(Duration::from_millis(20), client.line()).await.is_ok());
+            moved += u64::from(timeout(Duration::from_millis(20), client.read_line()).await.is_ok());
         }
         assert_eq!(moved, clients.len() as u64 - before, "those of the one that left were told to move");
         assert_eq!(old.figure("inflight").await, before);
@@ -197,16 +197,16 @@
 #[test]
 fn a_successor_that_cannot_serve_yet_leaves_the_old_one_serving() {
     run(async {
-        let (dir, discovery) = (folder("waits"), Discovery::new().await);
+        let (dir, discovery) = (folder("waits"), StubDiscovery::new().await);
         let value = replaceable(&discovery).await;
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         // The first call is answered, all others wait.
-        let watch = async { discovery.watch(&[&list(1, true, &[host.entry("up")])]).await };
+        let watch = async { discovery.accept_watch(&[&list_line(1, true, &[host.list_entry("up")])]).await };
         let old = Process::start(&value, &dir).await;
         let _watch = watch.await;
         old.until_ready().await;
         let mut new = Process::start(&value, &dir).await;
-        let _unanswered = discovery.call().await;
+        let _unanswered = discovery.accept_call().await;
         assert_eq!(new.call("GET", "/control/ready").await.expect("an answer").0, 503);
         assert_eq!(old.call("GET", "/control/ready").await.expect("an answer").0, 200);
         new.signal("-TERM").await;
@@ -215,19 +215,19 @@
         assert!(status.success());
         serve_host(host, Rc::default());
         let address = listens_at(&value);
-        let mut client = Peer::connect(address).await;
+        let mut client = LineConnection::connect(address).await;
         client.send("OPEN 1 1 c=chat,d=5000\r\n").await;
-        assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+        assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
     });
 }
 
 #[test]
 fn a_successor_that_dies_and_a_third_process_do_no_harm() {
     run(async {
-        let (dir, discovery) = (folder("dies"), Discovery::new().await);
+        let (dir, discovery) = (folder("dies"), StubDiscovery::new().await);
         let value = replaceable(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_list(discovery, vec![host.list_entry("up")]);
         serve_host(host, Rc::default());
         let mut old = Process::start(&value, &dir).await;
         old.until_ready().await;
@@ -240,23 +240,23 @@
         new.child.kill().await.expect("killed");
         let address = listens_at(&value);
         for id in 0..20 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
         }
         // And another one may take over. Ids are known to both, whichever takes the request.
         let new = Process::start(&value, &dir).await;
         new.until_ready().await;
         for id in 100..110 {
             let line = format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n");
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&line).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             // Told within a look.
             sleep(Duration::from_millis(50)).await;
-            let mut twin = Peer::connect(address).await;
+            let mut twin = LineConnection::connect(address).await;
             twin.send(&line).await;
-            assert_eq!(twin.line().await.as_deref(), Some("ERR"));
+            assert_eq!(twin.read_line().await.as_deref(), Some("ERR"));
         }
         old.signal("-TERM").await;
         let status =
@@ -277,18 +277,18 @@
     // The system closes what lies unread at a process that ends: the one before holds both sides until it is told that
     // they have been taken.
     run(async {
-        let (dir, discovery) = (folder("unread"), Discovery::new().await);
+        let (dir, discovery) = (folder("unread"), StubDiscovery::new().await);
         let value = replaceable(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_list(discovery, vec![host.list_entry("up")]);
         serve_host(host, Rc::default());
         let old = Process::start(&value, &dir).await;
         old.until_ready().await;
         let mut clients = Vec::new();
         for id in 0..5 {
-            let mut client = Peer::connect(listens_at(&value)).await;
+            let mut client = LineConnection::connect(listens_at(&value)).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             clients.push(client);
         }
         // A successor that says that it serves, and then takes nothing.
@@ -311,8 +311,8 @@
         passed.readable().await.expect("passed on");
         drop((passed, stream));
         for client in &mut clients {
-            assert_eq!(client.line().await.as_deref(), Some("MOVE"));
-            assert_eq!(client.line().await, None);
+            assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
+            assert_eq!(client.read_line().await, None);
         }
     });
 }
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -131,7 +131,7 @@
 /// What the code makes of handed-over connections, given their datagrams.
 async fn received(names: &[&str]) -> Vec<HandedOverConnection> {
     let node = Rc::new(Node::new(
-        Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+        Config::from_file_value(node_config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
             .expect("a fine configuration"),
     ));
     let (to, from) = UnixDatagram::pair().expect("a pair");
@@ -198,7 +198,7 @@
         handover::share_listener(&to, &listener).await.expect("sent");
         assert_eq!(datagram(&from).await.as_bytes(), fixture("handover/door.json"));
         let node = Rc::new(Node::new(
-            Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+            Config::from_file_value(node_config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
                 .expect("a fine configuration"),
         ));
         send_datagram(&to, &fixture("handover/door.json"), &[listener.as_fd()]);
@@ -228,13 +228,13 @@
         return println!("not run: ALDERSTILE_BEFORE names no program of the version before");
     };
     run(async {
-        let (dir, discovery) = (folder("versions"), Discovery::new().await);
+        let (dir, discovery) = (folder("versions"), StubDiscovery::new().await);
         let value = replaceable(&discovery).await;
         let mut hosts = Vec::new();
         for name in ["s-1", "s-2", "s-3", "s-4", "s-5"] {
-            hosts.push(Host::new(name).await);
+            hosts.push(StubHost::new(name).await);
         }
-        serve_list(discovery, hosts.iter().map(|host| host.entry("up")).collect());
+        serve_list(discovery, hosts.iter().map(|host| host.list_entry("up")).collect());
         let served: Vec<Rc<RefCell<BTreeMap<String, u32>>>> = (0..5).map(|_| Rc::default()).collect();
         hosts.into_iter().zip(&served).for_each(|(host, seen)| serve_host(host, seen.clone()));
         let old = Process::start_program(&before, &value, &dir).await;
@@ -247,9 +247,9 @@
         let address = listens_at(&value);
         let mut open = Vec::new();
         for id in 0..10 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             client.send("M ").await;
             open.push(client);
         }
@@ -283,7 +283,7 @@
         assert!(seen.up > 50, "{} came up", seen.up);
         for client in &mut open {
             client.send("1\r\n").await;
-            assert_eq!(client.line().await.as_deref(), Some("M 1"));
+            assert_eq!(client.read_line().await.as_deref(), Some("M 1"));
         }
         assert_eq!(served[4].borrow().len(), 0, "the host that stayed out got nothing");
         let all: BTreeMap<_, _> = served.iter().flat_map(|seen| seen.borrow().clone()).collect();
