--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -113,7 +113,7 @@
             let state = match endpoint.state {
                 EndpointState::Ready => 0,
                 EndpointState::Draining => 1,
-                EndpointState::Gone => 2,
+                EndpointState::Removed => 2,
                 EndpointState::Cordoned => 3,
             };
             let joined = endpoint.joined.map(|at| at.0);
@@ -136,9 +136,9 @@
                 assigned.set_nodes(nodes.clone());
             }
             9 => {
-                let gone = Endpoint { state: EndpointState::Gone, ..listed[4] };
+                let removed = Endpoint { state: EndpointState::Removed, ..listed[4] };
                 let warming_up = Endpoint { started: Some(now), ..listed[7] };
-                let changes = vec![gone, warming_up];
+                let changes = vec![removed, warming_up];
                 lines +=
                     &format!("change {}\n", summary(assigned.apply_list(EndpointListKind::Delta, changes)));
             }
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -149,8 +149,8 @@
     }
 
     pub fn start(&mut self, n: usize) {
-        let voter_index = (n < self.voters).then_some(n as u8);
-        let settings = ReplicationSettings { me: voter_index, ..self.settings.clone() };
+        let local_voter = (n < self.voters).then_some(n as u8);
+        let settings = ReplicationSettings { local_voter, ..self.settings.clone() };
         let seed = self.rng.random();
         let disk = self.processes[n].disk.clone();
         let mut core =
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -108,7 +108,7 @@
             instance = predecessor.session;
             incarnation = predecessor.incarnation.saturating_add(TAKEOVER_GAP);
             sequence = predecessor.counter.saturating_add(TAKEOVER_GAP);
-            seeds.extend(&predecessor.known);
+            seeds.extend(&predecessor.alive_members);
         }
         let local = local_record(config, cluster, instance, incarnation);
         local.validate()?;
@@ -233,7 +233,7 @@
     }
 
     /// Tells the others the digest of another configuration.
-    pub fn config_changed(&self, config: &Config) {
+    pub fn update_config_digest(&self, config: &Config) {
         self.members.borrow_mut().set_config_digest(settings_digest(config));
     }
 
@@ -287,7 +287,7 @@
             session: members.local().instance.0,
             incarnation: members.local().incarnation,
             counter: members.last_sequence(),
-            known: alive.map(|member| member.record.address).take(MAX_HANDED_OVER_PEERS).collect(),
+            alive_members: alive.map(|member| member.record.address).take(MAX_HANDED_OVER_PEERS).collect(),
         }
     }
 
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -48,7 +48,9 @@
             match GossipSocket::bind(&node).await {
                 Ok(None) => return,
                 Ok(Some(socket)) => return self.run(node, socket).await,
-                Err(error) if error.kind() == io::ErrorKind::AddrInUse && node.process.other().is_some() => {
+                Err(error)
+                    if error.kind() == io::ErrorKind::AddrInUse && node.process.other_process().is_some() =>
+                {
                     tokio::time::sleep(BIND_RETRY_DELAY).await;
                 }
                 Err(error) => {
@@ -115,7 +117,8 @@
     let index = node.config().peers.iter().position(|peer| *peer == from);
     match index.and_then(|index| u32::try_from(index).ok()) {
         Some(index) if message.len() <= MAX_MESSAGE => {
-            node.decisions.decide(|balancer, now| balancer.on_peer_message(now, index, message.to_vec()));
+            node.decisions
+                .with_balancer(|balancer, now| balancer.on_peer_message(now, index, message.to_vec()));
         }
         _ => debug!(bytes = message.len(), %from, "gossip message ignored"),
     }
--- a/crates/alderstile-node/src/proxy/session/handover.rs
+++ b/crates/alderstile-node/src/proxy/session/handover.rs
@@ -16,7 +16,7 @@
 use crate::node::Node;
 use crate::proxy::line_buffer::LineBuffer;
 use crate::proxy::line_stream::LineStream;
-use crate::proxy::protocol::{ClientLine, client_line};
+use crate::proxy::protocol::{ClientLine, parse_client_line};
 use crate::proxy::relay::RelayState;
 
 fn millis(ms: u128) -> u64 {
@@ -37,7 +37,7 @@
         state: RelayState,
     ) -> io::Result<()> {
         let to = self.node.clients.handover_socket().ok_or(io::ErrorKind::NotConnected)?;
-        let ack = self.node.process.other().map(|other| other.expect_ack());
+        let ack = self.node.process.other_process().map(|other| other.expect_ack());
         let connection = HandedOverConnection {
             first_line: String::from_utf8_lossy(self.line).into_owned(),
             host: host_name.to_owned(),
@@ -45,7 +45,7 @@
             from_host: host.buffer.bytes().to_vec(),
             relay_state: state,
             attempts: self.attempts,
-            up_ms: millis(self.up_ms),
+            setup_ms: millis(self.up_ms),
             age_ms: millis(self.arrived.elapsed().as_millis()),
             ack_number: ack.as_ref().map(|ack| ack.number),
         };
@@ -86,23 +86,25 @@
     sockets: Vec<std::net::TcpStream>,
 ) -> Result<(), ResumeError> {
     let line = connection.first_line.as_bytes();
-    let Some(ClientLine::Open(request)) = client_line(line) else { return Err(ResumeError::MalformedLine) };
+    let Some(ClientLine::Open(request)) = parse_client_line(line) else {
+        return Err(ResumeError::MalformedLine);
+    };
     let [client, host] = streams(&connection, sockets)?;
     let _client_descriptor = node.clients.count_handed_over_descriptor();
-    let _id = node.clients.claim_handed_over_id(request.id);
+    let _id = node.clients.claim_handed_over_request_id(request.id);
     // Its class may have been removed: the request gets a number that no class has.
-    let class = node.clients.class(request.class).unwrap_or(u16::MAX);
+    let class = node.clients.class_index(request.class).unwrap_or(u16::MAX);
     let now = Instant::now();
     let arrived = now.checked_sub(Duration::from_millis(connection.age_ms)).unwrap_or(now);
-    let (attempts, up_ms) = (connection.attempts, u128::from(connection.up_ms));
+    let (attempts, up_ms) = (connection.attempts, u128::from(connection.setup_ms));
     let session = Session { node: node.clone(), line, request, class, arrived, attempts, up_ms };
     let (request, server) = (session.connection_request(Duration::ZERO), server_id(&connection.host));
-    let id = node.decisions.decide(|balancer, now| {
+    let id = node.decisions.with_balancer(|balancer, now| {
         let id = balancer.adopt_connection(now, request, server);
         connection.relay_state.load.iter().for_each(|load| balancer.on_load_report(now, id, server, *load));
         id
     });
-    if let Some((other, number)) = node.process.other().zip(connection.ack_number) {
+    if let Some((other, number)) = node.process.other_process().zip(connection.ack_number) {
         other.send(UpgradeMessage::Ack { number });
     }
     let name = connection.host.as_str().into();
