--- a/crates/alderstile-cluster/src/replicated_config/activation.rs
+++ b/crates/alderstile-cluster/src/replicated_config/activation.rs
@@ -1,4 +1,5 @@
-//! When a version is active: the latest committed one, the delay after its commit, and the lease on the one that is active.
+//! Activation of versions: the latest committed version, the activation delay after its commit, and the lease
+//! on the active version.
 
 use alderstile::types::Micros;
 
@@ -6,39 +7,39 @@
 use super::effect::Effect;
 use super::message::VersionHeader;
 
-/// The lease on a node's active version.
+/// State of the lease on a node's active version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaseState {
-    /// No version was heard of since the start.
+    /// No announcement has been received since the process started, so the latest version is unknown.
     Unknown,
-    /// The node acts on the version.
+    /// The lease is valid and the node acts on the version.
     Valid,
-    /// It has run out, and a later version is committed but not active yet.
+    /// The lease has expired, and a later version is committed but not active yet.
     Superseded,
-    /// It has run out, and no later version was heard of: the node is cut off.
+    /// The lease has expired and no later version is known: the node is isolated from the voters.
     Expired,
 }
 
-/// For how long a version had been committed, at least, when that was learnt.
+/// Lower bound on the time since a version was committed, as of the time it was observed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CommitAge {
     pub age: Micros,
-    pub learnt_at: Micros,
+    pub observed_at: Micros,
 }
 
 impl CommitAge {
     fn at(self, now: Micros) -> Micros {
-        self.age + (now - self.learnt_at)
+        self.age + (now - self.observed_at)
     }
 }
 
-/// The latest version that is known to be committed.
+/// The latest version known to be committed.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct CommittedVersion {
     pub header: VersionHeader,
-    /// None for version 0, which was never proposed.
+    /// `None` for version 0, which is never proposed.
     pub age: Option<CommitAge>,
-    /// The last time at which it is known to have been the latest.
+    /// The last time at which this version is known to have been the latest.
     pub latest_at: Option<Micros>,
 }
 
@@ -52,41 +53,41 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveVersion {
     pub header: VersionHeader,
-    /// The lease runs from here; none before any version was heard of.
+    /// Start of the lease; `None` until an announcement has been received.
     pub latest_at: Option<Micros>,
 }
 
 impl ReplicatedConfig {
-    /// The active version; 0 before any.
+    /// Returns the active version, or 0 if none has become active.
     pub fn active_version(&self) -> u64 {
         self.active.header.position.version
     }
 
-    /// The active document: empty for version 0, which sets nothing.
+    /// Returns the active document. It is empty for version 0, which sets nothing.
     pub fn active_document(&self) -> &[u8] {
         self.documents.get(self.active.header.digest).unwrap_or_default()
     }
 
-    /// The latest version that is known to be committed.
+    /// Returns the latest version known to be committed.
     pub fn committed_version(&self) -> u64 {
         self.committed.header.position.version
     }
 
-    /// How long the latest version has yet to wait until it is active.
+    /// Returns the remaining time until the latest version becomes active.
     pub fn activates_in(&self) -> Micros {
         self.committed_for().map_or(Micros(0), |age| self.settings.activation_delay() - age)
     }
 
-    /// How long ago the latest version is known to have been the latest.
+    /// Returns the time since the latest version was last known to be the latest.
     pub fn staleness(&self, now: Micros) -> Option<Micros> {
         self.committed.latest_at.map(|latest_at| now - latest_at)
     }
 
-    /// The lease on the active version.
+    /// Returns the state of the lease on the active version.
     pub fn lease_state(&self, now: Micros) -> LeaseState {
         let Some(latest_at) = self.active.latest_at else {
-            let heard = self.committed.latest_at.is_some();
-            return if heard { LeaseState::Superseded } else { LeaseState::Unknown };
+            let received = self.committed.latest_at.is_some();
+            return if received { LeaseState::Superseded } else { LeaseState::Unknown };
         };
         if now < latest_at + self.settings.lease {
             LeaseState::Valid
@@ -97,25 +98,28 @@
         }
     }
 
-    /// When the lease on the active version ends, if nothing more is heard; none before any version was heard of.
+    /// Returns when the lease on the active version expires unless it is renewed, or `None` if no
+    /// announcement has been received.
     pub fn lease_ends_at(&self) -> Option<Micros> {
         self.active.latest_at.map(|latest_at| latest_at + self.settings.lease)
     }
 
-    /// How long the latest version has been committed, at least.
+    /// Returns a lower bound on the time since the latest version was committed.
     pub(super) fn committed_for(&self) -> Option<Micros> {
         self.committed.age.map(|age| age.at(self.now))
     }
 
-    /// When the latest version becomes active; none unless it is newer than the active one and its document is held.
+    /// Returns when the latest version becomes active. Returns `None` unless it is newer than the active
+    /// version and its document is stored.
     pub(super) fn activates_at(&self) -> Option<Micros> {
         let newer = self.committed_version() > self.active_version();
-        let held = self.documents.holds(self.committed.header.digest);
-        let age = self.committed.age.filter(|_| newer && held)?;
-        Some(age.learnt_at + (self.settings.activation_delay() - age.age))
+        let document_stored = self.documents.contains(self.committed.header.digest);
+        let age = self.committed.age.filter(|_| newer && document_stored)?;
+        Some(age.observed_at + (self.settings.activation_delay() - age.age))
     }
 
-    /// Reports the latest version once its document is held, and makes it active when its time has come.
+    /// Reports the latest version once its document is stored, and activates it once the activation delay has
+    /// elapsed.
     pub(super) fn activate(&mut self, effects: &mut Vec<Effect>) {
         let header = self.committed.header;
         let version = header.position.version;
@@ -132,8 +136,8 @@
         }
     }
 
-    /// Takes in that a version is committed, for how long at least, and when it was the latest.
-    pub(super) fn learn_committed(
+    /// Records that a version is committed, the minimum time since its commit, and when it was the latest.
+    pub(super) fn record_committed(
         &mut self,
         effects: &mut Vec<Effect>,
         header: VersionHeader,
@@ -147,7 +151,7 @@
         if version > known {
             self.committed = CommittedVersion::new(header);
         } else if header.digest != self.committed.header.digest {
-            // A version is committed once; believed, another document would split the fleet.
+            // A version is committed only once. Accepting a different document would split the fleet.
             self.traffic.conflicting += 1;
             return;
         } else {
@@ -157,7 +161,7 @@
         self.raise_commit_age(committed_for);
         let renewed = self.renew_lease(latest_at);
         self.activate(effects);
-        if (version > known || renewed) && self.documents.holds(self.committed.header.digest) {
+        if (version > known || renewed) && self.documents.contains(self.committed.header.digest) {
             self.announce_to_subscribers(effects);
         }
     }
@@ -165,11 +169,12 @@
     fn raise_commit_age(&mut self, age: Micros) {
         let proposed = self.committed_version() > 0;
         if proposed && self.committed_for().is_none_or(|known| known < age) {
-            self.committed.age = Some(CommitAge { age, learnt_at: self.now });
+            self.committed.age = Some(CommitAge { age, observed_at: self.now });
         }
     }
 
-    /// Renews the lease if the latest version is the active one; whether this was news.
+    /// Renews the lease if the latest version is the active one. Returns whether `latest_at` is newer than
+    /// the known time.
     fn renew_lease(&mut self, latest_at: Option<Micros>) -> bool {
         if latest_at <= self.committed.latest_at {
             return false;
--- a/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
+++ b/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
@@ -1,4 +1,4 @@
-//! Transfer of documents in chunks: those held, by their digest, and those that are being fetched.
+//! Chunked transfer of documents: stored documents by digest, and fetches in progress.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -8,124 +8,128 @@
 use super::delta::{apply_delta, encode_delta};
 use super::message::{Chunk, ChunkRequest, MAX_CHUNK, MAX_DOCUMENT};
 
-/// Documents held, with those in use: the last ones serve as bases of deltas.
-const MAX_HELD_DOCUMENTS: usize = 8;
-/// Documents fetched at once: bounds the memory that announcements of many digests can take.
+/// Maximum number of stored documents, including those in use. The most recent ones serve as bases for
+/// deltas.
+const MAX_CACHED_DOCUMENTS: usize = 8;
+/// Maximum number of concurrent fetches. Bounds the memory that announcements of many digests can consume.
 const MAX_FETCHES: usize = 4;
-/// Chunks sent for one request, so that a document of some kilobytes needs one round trip.
+/// Chunks sent per request, so that a document of a few kilobytes needs one round trip.
 const CHUNKS_PER_REQUEST: usize = 4;
-/// An unanswered request is repeated after this; a round trip between regions fits.
+/// Time after which an unanswered request is retransmitted. Exceeds a round trip between regions.
 const REQUEST_TIMEOUT: Micros = Micros::from_millis(300);
-/// A fetch is given up after so many requests in a row without an answer: its sender may be gone.
+/// Number of consecutive unanswered requests after which a fetch is abandoned, as its sender may be gone.
 const MAX_UNANSWERED_REQUESTS: u32 = 6;
 
-/// A document on its way here.
+/// A document that is being fetched.
 struct Fetch {
     from: SocketAddr,
     base: u64,
     total: Option<u32>,
-    /// What has arrived from the beginning on, without a gap.
+    /// The contiguous bytes received so far, from the start.
     bytes: Vec<u8>,
-    /// Chunks that arrived before those in front of them, by their offset.
-    ahead: BTreeMap<u32, Vec<u8>>,
-    repeat_at: Micros,
+    /// Chunks received ahead of a gap, by offset.
+    out_of_order: BTreeMap<u32, Vec<u8>>,
+    retransmit_at: Micros,
     unanswered: u32,
 }
 
 impl Fetch {
-    fn new(from: SocketAddr, base: u64, repeat_at: Micros) -> Self {
-        let (bytes, ahead) = (Vec::new(), BTreeMap::new());
-        Fetch { from, base, total: None, bytes, ahead, repeat_at, unanswered: 0 }
+    fn new(from: SocketAddr, base: u64, retransmit_at: Micros) -> Self {
+        let (bytes, out_of_order) = (Vec::new(), BTreeMap::new());
+        Fetch { from, base, total: None, bytes, out_of_order, retransmit_at, unanswered: 0 }
     }
 
-    /// Whether a chunk is of what is fetched. The first one decides: its sender may hold no such base, or no longer.
+    /// Returns whether a chunk belongs to this fetch. The first chunk determines the base, because the sender
+    /// may not store the requested one.
     fn accepts(&mut self, chunk: &Chunk) -> bool {
         if (self.base, self.total) == (chunk.base, Some(chunk.total)) {
             return true;
         }
-        let begun = self.bytes.len() + self.ahead.len() > 0;
-        if begun || (chunk.base != 0 && chunk.base != self.base) {
+        let has_started = self.bytes.len() + self.out_of_order.len() > 0;
+        if has_started || (chunk.base != 0 && chunk.base != self.base) {
             return false;
         }
         (self.base, self.total) = (chunk.base, Some(chunk.total));
         true
     }
 
-    /// Adds a chunk; whether the part without a gap has grown.
+    /// Adds a chunk. Returns whether the contiguous part has grown.
     fn add(&mut self, chunk: &Chunk) -> bool {
-        let (offset, here) = (chunk.offset as usize, self.bytes.len());
-        if offset > here {
-            if self.ahead.len() < CHUNKS_PER_REQUEST {
-                self.ahead.insert(chunk.offset, chunk.bytes.clone());
+        let (offset, received) = (chunk.offset as usize, self.bytes.len());
+        if offset > received {
+            if self.out_of_order.len() < CHUNKS_PER_REQUEST {
+                self.out_of_order.insert(chunk.offset, chunk.bytes.clone());
             }
             return false;
         }
-        if offset < here || chunk.bytes.is_empty() {
+        if offset < received || chunk.bytes.is_empty() {
             return false;
         }
         self.bytes.extend(&chunk.bytes);
-        while let Some(next) = self.ahead.remove(&(self.bytes.len() as u32)) {
+        while let Some(next) = self.out_of_order.remove(&(self.bytes.len() as u32)) {
             self.bytes.extend(next);
         }
         true
     }
 
-    /// The request for what is missing.
+    /// Returns the request for the missing bytes.
     fn request(&self, digest: u64) -> (SocketAddr, ChunkRequest) {
         (self.from, ChunkRequest { digest, base: self.base, offset: self.bytes.len() as u32 })
     }
 
-    /// Whether all chunks of the last request are here.
+    /// Returns whether all chunks of the last request have been received.
     fn request_is_answered(&self) -> bool {
         let chunks = (self.bytes.len() as u32).div_ceil(MAX_CHUNK as u32);
         chunks.is_multiple_of(CHUNKS_PER_REQUEST as u32)
     }
 }
 
-/// What a chunk led to.
+/// Result of handling a chunk.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ChunkOutcome {
-    /// The document, where the chunk completed it.
+    /// The document, if the chunk completed it.
     pub document: Option<Vec<u8>>,
-    /// The request for what follows, and whom to send it to.
+    /// The next request and its destination.
     pub request: Option<(SocketAddr, ChunkRequest)>,
 }
 
-/// The documents that a node holds or fetches.
+/// The documents that a node stores or fetches.
 #[derive(Default)]
 pub struct ChunkedTransfer {
-    held: BTreeMap<u64, Vec<u8>>,
-    /// Digests of those held, the oldest first.
-    order: VecDeque<u64>,
+    documents: BTreeMap<u64, Vec<u8>>,
+    /// Digests of the stored documents, oldest first.
+    insertion_order: VecDeque<u64>,
     fetches: BTreeMap<u64, Fetch>,
 }
 
 impl ChunkedTransfer {
-    /// A document that is held.
+    /// Returns a stored document.
     pub fn get(&self, digest: u64) -> Option<&[u8]> {
-        self.held.get(&digest).map(Vec::as_slice)
+        self.documents.get(&digest).map(Vec::as_slice)
     }
 
-    /// Whether a document is held.
-    pub fn holds(&self, digest: u64) -> bool {
-        self.held.contains_key(&digest)
+    /// Returns whether a document is stored.
+    pub fn contains(&self, digest: u64) -> bool {
+        self.documents.contains_key(&digest)
     }
 
-    /// Holds a document, and lets go of the oldest ones that are not in use; returns its digest.
-    pub fn hold(&mut self, document: Vec<u8>, in_use: &[u64]) -> u64 {
+    /// Stores a document and evicts the oldest ones that are not in use. Returns its digest.
+    pub fn insert(&mut self, document: Vec<u8>, in_use: &[u64]) -> u64 {
         let digest = crate::content_digest(&document);
-        self.order.retain(|other| *other != digest);
-        self.order.push_back(digest);
-        self.held.insert(digest, document);
-        while self.order.len() > MAX_HELD_DOCUMENTS
-            && let Some(at) = self.order.iter().position(|other| !in_use.contains(other) && *other != digest)
+        self.insertion_order.retain(|other| *other != digest);
+        self.insertion_order.push_back(digest);
+        self.documents.insert(digest, document);
+        while self.insertion_order.len() > MAX_CACHED_DOCUMENTS
+            && let Some(at) =
+                self.insertion_order.iter().position(|other| !in_use.contains(other) && *other != digest)
         {
-            self.order.remove(at).map(|old| self.held.remove(&old));
+            self.insertion_order.remove(at).map(|old| self.documents.remove(&old));
         }
         digest
     }
 
-    /// Begins to fetch a document, as a delta to `base` where that is held; none if it is held or being fetched.
+    /// Starts fetching a document, as a delta against `base` if that is stored. Returns `None` if the
+    /// document is already stored or being fetched.
     pub fn fetch(
         &mut self,
         now: Micros,
@@ -133,36 +137,37 @@
         base: u64,
         from: SocketAddr,
     ) -> Option<(SocketAddr, ChunkRequest)> {
-        if self.held.contains_key(&digest) || self.fetches.contains_key(&digest) {
+        if self.documents.contains_key(&digest) || self.fetches.contains_key(&digest) {
             return None;
         }
         if self.fetches.len() >= MAX_FETCHES {
             self.fetches.pop_first();
         }
-        let base = if self.held.contains_key(&base) { base } else { 0 };
+        let base = if self.documents.contains_key(&base) { base } else { 0 };
         let fetch = Fetch::new(from, base, now + REQUEST_TIMEOUT);
         let request = fetch.request(digest);
         self.fetches.insert(digest, fetch);
         Some(request)
     }
 
-    /// The requests that are due to be repeated.
+    /// Returns the requests that are due for retransmission.
     pub fn tick(&mut self, now: Micros) -> Vec<(SocketAddr, ChunkRequest)> {
-        self.fetches.retain(|_, fetch| fetch.repeat_at > now || fetch.unanswered < MAX_UNANSWERED_REQUESTS);
-        let due = self.fetches.iter_mut().filter(|(_, fetch)| fetch.repeat_at <= now);
+        self.fetches
+            .retain(|_, fetch| fetch.retransmit_at > now || fetch.unanswered < MAX_UNANSWERED_REQUESTS);
+        let due = self.fetches.iter_mut().filter(|(_, fetch)| fetch.retransmit_at <= now);
         due.map(|(digest, fetch)| {
-            (fetch.unanswered, fetch.repeat_at) = (fetch.unanswered + 1, now + REQUEST_TIMEOUT);
+            (fetch.unanswered, fetch.retransmit_at) = (fetch.unanswered + 1, now + REQUEST_TIMEOUT);
             fetch.request(*digest)
         })
         .collect()
     }
 
-    /// When [`ChunkedTransfer::tick`] has something to do next.
+    /// Returns when [`ChunkedTransfer::tick`] is next due.
     pub fn next_timeout(&self) -> Option<Micros> {
-        self.fetches.values().map(|fetch| fetch.repeat_at).min()
+        self.fetches.values().map(|fetch| fetch.retransmit_at).min()
     }
 
-    /// The chunks that answer a request: of a delta, where that is shorter than the document.
+    /// Returns the chunks that answer a request. They carry a delta if that is shorter than the document.
     pub fn chunks(&self, request: ChunkRequest) -> Vec<Chunk> {
         let ChunkRequest { digest, base, offset } = request;
         let Some(new) = self.get(digest) else { return Vec::new() };
@@ -171,7 +176,7 @@
             _ => (0, new.to_vec()),
         };
         let total = bytes.len() as u32;
-        let rest = bytes.get(offset as usize..).unwrap_or_default();
+        let remaining = bytes.get(offset as usize..).unwrap_or_default();
         let chunk = |(i, chunk): (usize, &[u8])| Chunk {
             digest,
             base,
@@ -179,16 +184,16 @@
             offset: offset + (i * MAX_CHUNK) as u32,
             bytes: chunk.to_vec(),
         };
-        rest.chunks(MAX_CHUNK).take(CHUNKS_PER_REQUEST).enumerate().map(chunk).collect()
+        remaining.chunks(MAX_CHUNK).take(CHUNKS_PER_REQUEST).enumerate().map(chunk).collect()
     }
 
-    /// Takes in a chunk.
+    /// Handles a received chunk.
     pub fn handle_chunk(&mut self, now: Micros, chunk: &Chunk) -> ChunkOutcome {
         let Some(fetch) = self.fetches.get_mut(&chunk.digest) else { return ChunkOutcome::default() };
         if !fetch.accepts(chunk) || !fetch.add(chunk) {
             return ChunkOutcome::default();
         }
-        (fetch.unanswered, fetch.repeat_at) = (0, now + REQUEST_TIMEOUT);
+        (fetch.unanswered, fetch.retransmit_at) = (0, now + REQUEST_TIMEOUT);
         if fetch.bytes.len() < chunk.total as usize {
             let request = fetch.request_is_answered().then(|| fetch.request(chunk.digest));
             return ChunkOutcome { document: None, request };
@@ -196,7 +201,7 @@
         ChunkOutcome { document: self.complete(chunk.digest), request: None }
     }
 
-    /// Ends a fetch; its document, unless what arrived doesn't have the digest that was asked for.
+    /// Completes a fetch and returns its document, or `None` if its digest or length is invalid.
     fn complete(&mut self, digest: u64) -> Option<Vec<u8>> {
         let fetch = self.fetches.remove(&digest)?;
         let document = match fetch.base {
--- a/crates/alderstile-cluster/src/replicated_config/codec/decode.rs
+++ b/crates/alderstile-cluster/src/replicated_config/codec/decode.rs
@@ -1,4 +1,4 @@
-//! Reads messages from bytes that may be anything.
+//! Decoding of messages from untrusted bytes.
 
 use winnow::Parser;
 use winnow::binary::{le_u16, le_u32, le_u64, length_take, u8};
@@ -12,12 +12,12 @@
     MAX_REASON, Message, ProposalOutcome, ProposalRequest, RaftPayload, VersionHeader,
 };
 
-/// What a delta's lengths at front and end add to a document, bytes.
-const DELTA_HEAD: usize = 8;
+/// Length of a delta's header, which holds its prefix and suffix lengths, bytes.
+const DELTA_HEADER_BYTES: usize = 8;
 
 type Decoded<T> = Result<T, ErrMode<ContextError>>;
 
-/// Reads the inside of a datagram: one message and nothing behind it.
+/// Decodes a datagram's payload: exactly one message without trailing bytes.
 pub fn decode_message(input: &mut &[u8]) -> Decoded<Message> {
     let message = match u8.parse_next(input)? {
         message_tag::RAFT => raft(input)?,
@@ -116,7 +116,7 @@
     let (digest, base) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
     let (total, offset) = (le_u32.parse_next(input)?, le_u32.parse_next(input)?);
     let bytes: &[u8] = rest.parse_next(input)?;
-    if bytes.len() > MAX_CHUNK || total as usize > MAX_DOCUMENT + DELTA_HEAD {
+    if bytes.len() > MAX_CHUNK || total as usize > MAX_DOCUMENT + DELTA_HEADER_BYTES {
         return malformed();
     }
     Ok(Chunk { digest, base, total, offset, bytes: bytes.to_vec() })
--- a/crates/alderstile-cluster/src/replicated_config/codec/encode.rs
+++ b/crates/alderstile-cluster/src/replicated_config/codec/encode.rs
@@ -1,11 +1,11 @@
-//! Writes messages as bytes.
+//! Encoding of messages.
 
 use super::{message_tag, outcome_tag, raft_tag};
 use crate::replicated_config::message::{
     AppendEntry, Chunk, LogPosition, MAX_REASON, Message, ProposalOutcome, RaftPayload, VersionHeader,
 };
 
-/// Appends a message to the head of its datagram.
+/// Appends the encoded message to `bytes`, which hold the datagram's prefix.
 pub fn encode_message(bytes: &mut Vec<u8>, message: &Message) {
     match message {
         Message::Raft { voters_digest, from, term, payload } => {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Cuts a reason to its longest form on the wire, between two characters.
+/// Truncates a reason to [`MAX_REASON`] bytes at a character boundary.
 fn truncated(mut reason: &str) -> &str {
     while reason.len() > MAX_REASON {
         reason = &reason[..reason.char_indices().next_back().map_or(0, |(at, _)| at)];
--- a/crates/alderstile-cluster/src/replicated_config/codec/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/codec/mod.rs
@@ -1,6 +1,7 @@
-//! The inside of a datagram as bytes: the kind of message, then its fields. Numbers are little-endian.
+//! Encoding of a datagram's payload: a message tag followed by the message's fields. Integers are
+//! little-endian.
 //!
-//! The tags below are the wire format, shared with older versions of the program.
+//! The tags below are part of the wire format, which other versions of the program read and write.
 
 mod decode;
 mod encode;
@@ -19,7 +20,7 @@
     pub const PROPOSE_REPLY: u8 = 7;
 }
 
-/// First byte of what voters send each other, behind voters, term and sender.
+/// First byte of a Raft payload, after the voter list digest, the term and the sender.
 mod raft_tag {
     pub const PRE_VOTE: u8 = 0;
     pub const PRE_VOTE_REPLY: u8 = 1;
@@ -31,7 +32,7 @@
     pub const HARD_STATE_REPLY: u8 = 7;
 }
 
-/// First byte of how a proposal ended.
+/// First byte of a proposal outcome.
 mod outcome_tag {
     pub const COMMITTED: u8 = 0;
     pub const REJECTED: u8 = 1;
--- a/crates/alderstile-cluster/src/replicated_config/delta.rs
+++ b/crates/alderstile-cluster/src/replicated_config/delta.rs
@@ -1,25 +1,34 @@
-//! Deltas between two documents: a change of a few settings is sent in some tens of bytes.
+//! Deltas between two documents: a change of a few settings takes some tens of bytes.
 //!
-//! A delta is the number of bytes kept at the front, the number kept at the end (both 4 bytes, little-endian), and what stands between.
+//! A delta consists of the length of the common prefix, the length of the common suffix (4 bytes each,
+//! little-endian), and the bytes between the two.
 
 use super::message::MAX_DOCUMENT;
 
-/// The delta that makes `new` of `base`.
+/// Encodes the delta that turns `base` into `new`.
 pub fn encode_delta(base: &[u8], new: &[u8]) -> Vec<u8> {
-    let most = base.len().min(new.len());
-    let front = base.iter().zip(new).take_while(|(a, b)| a == b).count();
-    let back = base.iter().rev().zip(new.iter().rev()).take(most - front).take_while(|(a, b)| a == b).count();
-    let mut delta = [(front as u32).to_le_bytes(), (back as u32).to_le_bytes()].concat();
-    delta.extend(&new[front..new.len() - back]);
+    let max_len = base.len().min(new.len());
+    let prefix_len = base.iter().zip(new).take_while(|(a, b)| a == b).count();
+    let suffix_len = base
+        .iter()
+        .rev()
+        .zip(new.iter().rev())
+        .take(max_len - prefix_len)
+        .take_while(|(a, b)| a == b)
+        .count();
+    let mut delta = [(prefix_len as u32).to_le_bytes(), (suffix_len as u32).to_le_bytes()].concat();
+    delta.extend(&new[prefix_len..new.len() - suffix_len]);
     delta
 }
 
-/// The document that a delta makes of `base`; none where the two don't fit.
+/// Applies a delta to `base`. Returns `None` if the delta does not fit `base` or the result exceeds
+/// [`MAX_DOCUMENT`].
 pub fn apply_delta(base: &[u8], delta: &[u8]) -> Option<Vec<u8>> {
-    let (front, rest) = delta.split_first_chunk::<4>()?;
-    let (back, between) = rest.split_first_chunk::<4>()?;
-    let (front, back) = (u32::from_le_bytes(*front) as usize, u32::from_le_bytes(*back) as usize);
-    let back_start = base.len().checked_sub(back).filter(|start| *start >= front)?;
-    let new = [&base[..front], between, &base[back_start..]].concat();
+    let (prefix_len, rest) = delta.split_first_chunk::<4>()?;
+    let (suffix_len, middle) = rest.split_first_chunk::<4>()?;
+    let (prefix_len, suffix_len) =
+        (u32::from_le_bytes(*prefix_len) as usize, u32::from_le_bytes(*suffix_len) as usize);
+    let suffix_start = base.len().checked_sub(suffix_len).filter(|start| *start >= prefix_len)?;
+    let new = [&base[..prefix_len], middle, &base[suffix_start..]].concat();
     (new.len() <= MAX_DOCUMENT).then_some(new)
 }
--- a/crates/alderstile-cluster/src/replicated_config/effect.rs
+++ b/crates/alderstile-cluster/src/replicated_config/effect.rs
@@ -1,86 +1,86 @@
-//! What a call of the core wants its caller to do, and what it counts.
+//! Effects that the core returns to its caller, and its traffic counters.
 
 use std::net::SocketAddr;
 
 use super::message::ProposalOutcome;
 use super::raft::{HardState, Role};
 
-/// What a voter keeps on disk: its hard state, and the document of its entry.
+/// The state that a voter persists: its hard state and the document of its log entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PersistedState {
-    /// The hard state.
+    /// The voter's hard state.
     pub hard_state: HardState,
-    /// The document.
+    /// The document of the hard state's log entry.
     pub document: Vec<u8>,
 }
 
 impl PersistedState {
-    /// The state before anything was committed: version 0, an empty document.
+    /// Returns the state before the first commit: version 0 with an empty document.
     pub fn genesis() -> Self {
         PersistedState { hard_state: HardState::genesis(), document: Vec::new() }
     }
 }
 
-/// What a call of the core wants done, in the order of the list that it returns.
+/// An action that the core requests from its caller. The actions of one call are executed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Sync this to disk before any effect behind it. If that fails none of those may be carried out, and
-    /// [`super::ReplicatedConfig::handle_persist_failure`] is to be called.
+    /// Syncs this state to disk before any later effect is executed. If that fails, the caller executes no
+    /// later effect and calls [`super::ReplicatedConfig::handle_persist_failure`].
     Persist(PersistedState),
-    /// Send a datagram.
+    /// Sends a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
-        /// Its bytes.
+        /// Encoded datagram.
         datagram: Vec<u8>,
     },
-    /// A version was committed and is not active yet.
+    /// A version is committed but not active yet.
     VersionCommitted {
-        /// The version.
+        /// Number of the version.
         version: u64,
-        /// Its document.
+        /// Document of the version.
         document: Vec<u8>,
     },
     /// A version has become active.
     VersionActive {
-        /// The version.
+        /// Number of the version.
         version: u64,
-        /// Its document.
+        /// Document of the version.
         document: Vec<u8>,
     },
-    /// A proposal of this node has ended.
+    /// A proposal of this node has finished.
     ProposalFinished {
-        /// Which, as named at the proposal.
+        /// Nonce given when the document was proposed.
         nonce: u64,
-        /// How.
+        /// Result of the proposal.
         outcome: ProposalOutcome,
     },
-    /// This voter has another role.
+    /// The role of this voter has changed.
     RoleChanged(Role),
-    /// A message of a voter with another list of voters was dropped.
+    /// A message was dropped because its sender has a different voter list.
     VoterListMismatch {
-        /// Its place in its own list.
+        /// Index of the sender in its own voter list.
         voter: u8,
     },
 }
 
-/// Counts of datagrams since the process started.
+/// Datagram counters since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TrafficCounters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes sent.
     pub sent_bytes: u64,
-    /// Datagrams received and read.
+    /// Datagrams received and decoded.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams received and decoded.
     pub received_bytes: u64,
-    /// Of another cluster, with another key, or with another list of voters.
+    /// Datagrams dropped because they are of another cluster, key or voter list.
     pub foreign: u64,
-    /// In no known format.
+    /// Datagrams dropped because they are malformed.
     pub malformed: u64,
-    /// In a newer format.
+    /// Datagrams dropped because their format is newer.
     pub newer_format: u64,
-    /// Announcements of a known version with another document: dropped.
+    /// Announcements dropped because they give a known version a different document.
     pub conflicting: u64,
 }
--- a/crates/alderstile-cluster/src/replicated_config/message.rs
+++ b/crates/alderstile-cluster/src/replicated_config/message.rs
@@ -1,15 +1,18 @@
-//! The messages that nodes of a cluster send each other to replicate the configuration.
+//! Messages that the nodes of a cluster exchange to replicate the configuration.
 //!
-//! Clock readings are microseconds of the clock of whoever is named; each process's clock starts at a random offset.
+//! Clock readings are in microseconds of the named node's clock. Each process's clock starts at a random
+//! offset.
 
-/// The longest document, bytes.
+/// Maximum length of a document, bytes.
 pub const MAX_DOCUMENT: usize = 32 << 10;
-/// The longest reason that the answer to a proposal carries, bytes.
+/// Maximum length of the reason in the reply to a proposal, bytes.
 pub const MAX_REASON: usize = 400;
-/// Bytes of a document or delta in one datagram: with everything else below [`crate::authentication::MAX_DATAGRAM_BYTES`].
+/// Maximum bytes of a document or delta in one datagram. With its headers, the datagram stays below
+/// [`crate::authentication::MAX_DATAGRAM_BYTES`].
 pub const MAX_CHUNK: usize = 1_000;
 
-/// The position of a log entry: ordered by term, then by version (Raft, section 5.4.1, with the version for the index).
+/// Position of a log entry, ordered by term, then by version (Raft, section 5.4.1, with the version as the
+/// index).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LogPosition {
     /// Term of the leader that wrote the entry.
@@ -18,10 +21,10 @@
     pub version: u64,
 }
 
-/// A version of the document without its text: a log entry.
+/// A log entry: a version's metadata without its document.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VersionHeader {
-    /// Its position in the log.
+    /// Position in the log.
     pub position: LogPosition,
     /// Digest of the document.
     pub digest: u64,
@@ -29,67 +32,67 @@
     pub length: u32,
 }
 
-/// What a leader sends to each other voter at every heartbeat.
+/// An append, which the leader sends to each other voter at every heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendEntry {
     /// Number of the heartbeat round, counted by the leader.
     pub round: u64,
     /// The leader's log entry.
     pub entry: VersionHeader,
-    /// The committed version, where that is another one than `entry`.
+    /// The committed version, if it differs from `entry`.
     pub committed: Option<VersionHeader>,
-    /// That version was committed at least this long ago, microseconds.
+    /// Minimum time since the committed version was committed, microseconds.
     pub committed_for_us: u64,
-    /// It was the latest at this reading of the receiver's clock; 0 if the leader can't tell.
+    /// Reading of the receiver's clock at which that version was the latest; 0 if unknown to the leader.
     pub latest_at_us: u64,
 }
 
-/// What a voter answers to an append.
+/// A voter's reply to an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppendReply {
-    /// Round of the append; 0 if it was of an older term.
+    /// Round of the append; 0 if the append was of an older term.
     pub round: u64,
-    /// Position of the entry that the voter has on disk.
+    /// Position of the entry that the voter has persisted.
     pub stored: LogPosition,
-    /// The voter's clock.
+    /// Reading of the voter's clock.
     pub clock_us: u64,
 }
 
-/// What voters send each other.
+/// Payload of a message between voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RaftPayload {
-    /// Would the receiver vote for the sender in this term?
+    /// Asks whether the receiver would vote for the sender in this term.
     PreVote {
-        /// The sender's log entry.
+        /// Position of the sender's log entry.
         last_entry: LogPosition,
     },
-    /// Answers a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// Whether the sender would vote so.
+        /// Whether the replying voter would grant its vote.
         granted: bool,
     },
-    /// Asks for a vote.
+    /// Requests a vote.
     RequestVote {
-        /// The sender's log entry.
+        /// Position of the sender's log entry.
         last_entry: LogPosition,
     },
-    /// Answers a request for a vote.
+    /// Reply to a vote request.
     VoteReply {
-        /// Whether the sender has voted so.
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The leader's heartbeat, with its log entry.
+    /// The leader's heartbeat with its log entry.
     AppendEntry(AppendEntry),
-    /// Answers an append.
+    /// Reply to an append.
     AppendReply(AppendReply),
-    /// A voter that has lost its hard state asks for the others'.
+    /// Requests the hard states of the other voters, after the sender has lost its own.
     HardStateRequest {
-        /// Drawn when the sender lost its hard state: replies to an earlier request don't count.
+        /// Drawn when the sender lost its hard state, so that replies to an earlier request are ignored.
         nonce: u64,
     },
-    /// Answers with the sender's hard state; its term is the message's.
+    /// Reply with the sender's hard state. Its term is the term of the message.
     HardStateReply {
-        /// Of the request.
+        /// Nonce of the request.
         nonce: u64,
         /// The sender's log entry.
         entry: VersionHeader,
@@ -99,29 +102,29 @@
 /// A message to or from another voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RaftMessage {
-    /// The other voter: its place in the list of voters.
+    /// Index of the other voter in the voter list.
     pub peer: u8,
-    /// The sender's term, or the term that it would begin.
+    /// The sender's term, or the term that it would start.
     pub term: u64,
-    /// What is said.
+    /// Payload of the message.
     pub payload: RaftPayload,
 }
 
-/// How a proposal ended.
+/// Result of a proposal.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// It was committed as this version.
+    /// The document is committed as this version.
     Committed(u64),
-    /// It changes nothing, for this reason.
+    /// The proposal changes nothing, for this reason.
     Rejected(String),
-    /// The sender is not the leader, this voter may be.
+    /// The sender is not the leader. The leader may be the voter with this index.
     NotLeader(u8),
 }
 
-/// A document that is proposed; who proposes it hands it out in chunks.
+/// A proposal of a document. The proposer serves the document in chunks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProposalRequest {
-    /// Names the proposal in the answer to it.
+    /// Identifies the proposal in its reply.
     pub nonce: u64,
     /// The version that the document is to follow.
     pub expected_version: u64,
@@ -131,77 +134,77 @@
     pub length: u32,
 }
 
-/// The latest committed version, as told to a subscriber.
+/// The latest committed version, as announced to a subscriber.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Announcement {
-    /// The version.
+    /// Header of the version.
     pub header: VersionHeader,
-    /// It was committed at least this long ago, microseconds.
+    /// Minimum time since the version was committed, microseconds.
     pub committed_for_us: u64,
-    /// It was the latest at this reading of the receiver's clock; 0 if the sender can't tell.
+    /// Reading of the receiver's clock at which the version was the latest; 0 if unknown to the sender.
     pub latest_at_us: u64,
 }
 
-/// Asks for the chunks of a document from an offset on.
+/// Request for the chunks of a document, starting at an offset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ChunkRequest {
     /// Digest of the document.
     pub digest: u64,
-    /// A document that the sender holds, to be sent a delta to; 0 for the whole document.
+    /// Digest of a document stored by the sender, against which a delta may be sent; 0 for the full document.
     pub base: u64,
-    /// Where the first chunk is to begin, bytes.
+    /// Offset of the first chunk, bytes.
     pub offset: u32,
 }
 
-/// A chunk of a document, or of a delta that makes it.
+/// A chunk of a document or of a delta that produces it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chunk {
     /// Digest of the document.
     pub digest: u64,
-    /// The document that the delta is to; 0 for the whole document.
+    /// Digest of the document that the delta applies to; 0 for the full document.
     pub base: u64,
-    /// Length of the whole document or delta, bytes.
+    /// Length of the full document or delta, bytes.
     pub total: u32,
-    /// Where this chunk begins, bytes.
+    /// Offset of this chunk, bytes.
     pub offset: u32,
-    /// Its bytes.
+    /// Content of the chunk.
     pub bytes: Vec<u8>,
 }
 
-/// One datagram.
+/// The message in one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Between voters.
+    /// A message between voters.
     Raft {
-        /// Digest of the sender's list of voters, which has to be the same at all nodes.
+        /// Digest of the sender's voter list, which must be the same at all nodes.
         voters_digest: u64,
-        /// The sender's place in that list.
+        /// Index of the sender in that list.
         from: u8,
-        /// The sender's term, or the term that it would begin.
+        /// The sender's term, or the term that it would start.
         term: u64,
-        /// What is said.
+        /// Payload of the message.
         payload: RaftPayload,
     },
-    /// Asks for announcements from now on.
+    /// Subscribes to announcements.
     Subscribe {
-        /// The sender's clock.
+        /// Reading of the sender's clock.
         clock_us: u64,
         /// The version that is active at the sender.
         active_version: u64,
     },
     /// Announces the latest committed version to a subscriber.
     Announce(Announcement),
-    /// Asks for a document.
+    /// Requests a document.
     ChunkRequest(ChunkRequest),
-    /// A part of a document.
+    /// A chunk of a document.
     Chunk(Chunk),
     /// Proposes a document.
     Propose(ProposalRequest),
-    /// Answers a proposal.
+    /// Reply to a proposal.
     ProposeReply {
-        /// Of the proposal.
+        /// Nonce of the proposal.
         nonce: u64,
-        /// How it ended.
+        /// Result of the proposal.
         outcome: ProposalOutcome,
     },
 }
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -1,14 +1,15 @@
-//! Replicated, versioned configuration: one document, committed by the voters and spread to all members, with at most one version of it
-//! acted on at any time.
+//! Replicated, versioned configuration: one document that the voters commit and all members receive, with at
+//! most one version in use at any time.
 //!
-//! A core without I/O: time, datagrams and randomness are arguments, and [`Effect`]s are returned. [`Raft`] commits versions, a tree over
-//! the members spreads them, and leases (Gray and Cheriton 1989) say when a version is active; `docs/replicated-config.md` has the design
-//! and derives the bounds.
+//! The core does no I/O: time, datagrams and randomness are arguments, and [`Effect`]s are returned. [`Raft`]
+//! commits versions, a tree over the members distributes them, and leases (Gray and Cheriton 1989) determine
+//! when a version is active. `docs/replicated-config.md` describes the design and derives the bounds.
 //!
-//! A node *acts on* a version from when it becomes active there until the lease on it has run out, or a later one becomes active. The
-//! lease runs for [`ReplicationSettings::lease`] from a time at which that version was the latest, by this node's clock: whoever tells it
-//! echoes the receiver's own clock, so that neither transit times nor differences between clocks matter. A version becomes active
-//! [`ReplicationSettings::activation_delay`] after its commit, by which time every lease on the version before has run out.
+//! A node *acts on* a version from its activation at that node until its lease expires or a later version
+//! becomes active. The lease lasts [`ReplicationSettings::lease`] from a time at which that version was the
+//! latest, on this node's clock: the sender of an announcement echoes the receiver's own clock, so neither
+//! transit times nor clock offsets matter. A version becomes active [`ReplicationSettings::activation_delay`]
+//! after its commit. By then, every lease on the previous version has expired.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -49,7 +50,7 @@
 use proposal::Proposals;
 use subscription::{Subscriber, Upstream};
 
-/// One node's part in the replication.
+/// One node's replica of the configuration.
 pub struct ReplicatedConfig {
     settings: ReplicationSettings,
     voters_digest: u64,
@@ -57,13 +58,14 @@
     validate: ValidateDocument,
     rng: Pcg64Mcg,
     now: Micros,
-    /// Added to the clock that others are told: what was told to an earlier process of this node never fits this one's.
+    /// Added to this process's clock in messages, so that echoes of an earlier process's clock are never
+    /// valid.
     clock_offset_us: u64,
     raft: Option<Raft>,
     documents: ChunkedTransfer,
     committed: CommittedVersion,
     active: ActiveVersion,
-    /// The last version that was returned as [`Effect::VersionCommitted`].
+    /// The last version returned as [`Effect::VersionCommitted`].
     reported_version: u64,
     upstream: Upstream,
     subscribers: BTreeMap<SocketAddr, Subscriber>,
@@ -72,7 +74,7 @@
 }
 
 impl ReplicatedConfig {
-    /// A node that knows of no version, or a voter with its hard state and the document of its entry.
+    /// Creates a node that knows no version, or a voter with its persisted state.
     pub fn new(
         settings: ReplicationSettings,
         codec: DatagramCodec,
@@ -83,9 +85,9 @@
     ) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut documents = ChunkedTransfer::default();
-        documents.hold(Vec::new(), &[]);
+        documents.insert(Vec::new(), &[]);
         let hard_state = stored.map(|stored| {
-            documents.hold(stored.document, &[]);
+            documents.insert(stored.document, &[]);
             stored.hard_state
         });
         let raft = settings.local_voter.map(|me| {
@@ -116,37 +118,37 @@
         }
     }
 
-    /// This voter's role; none of a node that is no voter.
+    /// Returns this voter's role, or `None` if this node is not a voter.
     pub fn role(&self) -> Option<Role> {
         self.raft.as_ref().map(Raft::role)
     }
 
-    /// The leader, as far as this voter knows.
+    /// Returns the index of the leader, if this voter knows it.
     pub fn leader(&self) -> Option<u8> {
         self.raft.as_ref().and_then(Raft::leader)
     }
 
-    /// This voter's hard state.
+    /// Returns this voter's hard state.
     pub fn hard_state(&self) -> Option<&HardState> {
         self.raft.as_ref().and_then(Raft::hard_state)
     }
 
-    /// Nodes that this one sends announcements to.
+    /// Returns the number of nodes that this one sends announcements to.
     pub fn subscriber_count(&self) -> usize {
         self.subscribers.len()
     }
 
-    /// Counts of datagrams.
+    /// Returns the datagram counters.
     pub fn traffic(&self) -> TrafficCounters {
         self.traffic
     }
 
-    /// Uses other keys from now on.
+    /// Replaces the codec, and with it the authentication keys.
     pub fn set_codec(&mut self, codec: DatagramCodec) {
         self.codec = codec;
     }
 
-    /// A hard state could not be persisted: this voter goes on as one that has lost it.
+    /// Handles a failure to persist the hard state: the voter becomes a learner, as if the state were lost.
     pub fn handle_persist_failure(&mut self, now: Micros) {
         let now = self.now.max(now);
         if let Some(raft) = &mut self.raft {
@@ -154,23 +156,23 @@
         }
     }
 
-    /// When [`ReplicatedConfig::tick`] has something to do next.
+    /// Returns when [`ReplicatedConfig::tick`] is next due.
     pub fn next_timeout(&self) -> Micros {
         let raft = self.raft.as_ref().map(Raft::next_timeout);
-        let proposal = self.proposals.repeat_at();
+        let proposal = self.proposals.retransmit_at();
         let activation = self.activates_at();
-        let subscribe = (!self.votes()).then_some(self.upstream.subscribe_at());
+        let subscribe = (!self.receives_appends()).then_some(self.upstream.subscribe_at());
         let timeouts = raft
             .into_iter()
             .chain(proposal)
             .chain(activation)
             .chain(subscribe)
             .chain(self.documents.next_timeout());
-        // Without any, the caller looks again after a lease.
+        // Without any timeout, the caller checks again after a lease.
         timeouts.min().unwrap_or(self.now + self.settings.lease)
     }
 
-    /// Does what is due. A clock that goes back stands still until it is where it was.
+    /// Runs everything that is due. If `now` goes backwards, the core's time stays where it is.
     pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
         self.now = self.now.max(now);
         let mut effects = Vec::new();
@@ -178,17 +180,17 @@
         for (to, request) in self.documents.tick(self.now) {
             self.send(&mut effects, to, &Message::ChunkRequest(request));
         }
-        if self.proposals.repeat_at().is_some_and(|repeat_at| repeat_at <= self.now) {
+        if self.proposals.retransmit_at().is_some_and(|retransmit_at| retransmit_at <= self.now) {
             self.submit_proposal(&mut effects);
         }
-        if !self.votes() && self.upstream.subscribe_at() <= self.now {
+        if !self.receives_appends() && self.upstream.subscribe_at() <= self.now {
             self.subscribe(&mut effects);
         }
         self.activate(&mut effects);
         effects
     }
 
-    /// Takes in a datagram.
+    /// Handles a received datagram.
     pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<Effect> {
         self.now = self.now.max(now);
         let mut effects = Vec::new();
@@ -237,29 +239,29 @@
         }
     }
 
-    /// Uses a document that has arrived for whatever waited for it.
+    /// Passes a fetched document to everything that waits for it.
     fn handle_document(&mut self, document: Vec<u8>, effects: &mut Vec<Effect>) {
-        let digest = self.hold(document);
+        let digest = self.store_document(document);
         self.drive_raft(effects, |raft, time, _, raft_effects| {
-            raft.handle_document_held(time, digest, raft_effects);
+            raft.handle_document_available(time, digest, raft_effects);
         });
         if digest == self.committed.header.digest {
             self.activate(effects);
             self.announce_to_subscribers(effects);
         }
-        self.consider_fetched(digest, effects);
+        self.process_fetched_proposal(digest, effects);
     }
 
-    /// Holds a document; those in use stay.
-    fn hold(&mut self, document: Vec<u8>) -> u64 {
+    /// Stores a document without evicting those in use.
+    fn store_document(&mut self, document: Vec<u8>) -> u64 {
         let entry = self.hard_state().map(|hard_state| hard_state.entry.digest);
         let own = self.proposals.own_digest();
         let in_use = [Some(self.committed.header.digest), Some(self.active.header.digest), entry, own];
         let in_use: Vec<u64> = in_use.into_iter().flatten().collect();
-        self.documents.hold(document, &in_use)
+        self.documents.insert(document, &in_use)
     }
 
-    /// Fetches a document, as a delta to the latest one where that is another.
+    /// Fetches a document, as a delta against the latest one if it is a different document.
     fn fetch(&mut self, effects: &mut Vec<Effect>, digest: u64, from: SocketAddr) {
         let latest = self.committed.header.digest;
         let base = if latest == digest { self.active.header.digest } else { latest };
@@ -281,17 +283,18 @@
         effects.push(Effect::Send { to, datagram });
     }
 
-    /// Whether this voter hears of versions by appends; a learner and any other node subscribe.
-    fn votes(&self) -> bool {
+    /// Returns whether this node receives versions by appends. Learners and nodes that are not voters
+    /// subscribe.
+    fn receives_appends(&self) -> bool {
         self.role().is_some_and(|role| role != Role::Learner)
     }
 
-    /// This process's clock as others are told it.
+    /// Returns this process's clock as sent to other nodes.
     fn clock_us(&self) -> u64 {
         self.clock_offset_us + self.now.0
     }
 
-    /// A time of this clock that another node has echoed; none where it can't be one.
+    /// Converts an echoed reading of this process's clock. Returns `None` if it is not a valid past reading.
     fn echoed_time(&self, clock_us: u64) -> Option<Micros> {
         clock_us.checked_sub(self.clock_offset_us).map(Micros).filter(|time| *time <= self.now)
     }
--- a/crates/alderstile-cluster/src/replicated_config/proposal.rs
+++ b/crates/alderstile-cluster/src/replicated_config/proposal.rs
@@ -1,4 +1,4 @@
-//! Proposals of a new version: this node's own, and at the leader those of all nodes.
+//! Proposals of a new version: this node's own and, at the leader, those of all nodes.
 
 use std::net::SocketAddr;
 
@@ -10,20 +10,21 @@
 use super::message::{MAX_DOCUMENT, Message, ProposalOutcome, ProposalRequest};
 use super::raft::{Raft, Role};
 
-/// An unanswered proposal is sent again after this.
-const REPEAT_INTERVAL: Micros = Micros::from_millis(400);
-/// Proposals that a leader fetches or waits for: bounds its memory.
-const MAX_PENDING: usize = 8;
+/// Time after which an unanswered proposal is retransmitted.
+const RETRANSMIT_INTERVAL: Micros = Micros::from_millis(400);
+/// Maximum number of proposals that a leader keeps while it fetches their documents or commits them. Bounds
+/// its memory.
+const MAX_PENDING_PROPOSALS: usize = 8;
 
-/// Why a document can't be used.
+/// Error that describes why a document is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{0}")]
 pub struct InvalidDocument(pub String);
 
-/// Checks a document.
+/// Validates a document.
 pub type ValidateDocument = Box<dyn Fn(&[u8]) -> Result<(), InvalidDocument>>;
 
-/// Why a proposal is rejected; the text is sent to the proposer.
+/// Reason for rejecting a proposal. Its text is sent to the proposer.
 #[derive(Clone, Debug, PartialEq, Error)]
 enum Rejection {
     #[error("{0} bytes: 1 to {MAX_DOCUMENT} are wanted")]
@@ -47,22 +48,22 @@
 /// This node's own proposal.
 struct OwnProposal {
     request: ProposalRequest,
-    repeat_at: Micros,
+    retransmit_at: Micros,
 }
 
 /// A proposal at the leader.
 struct PendingProposal {
-    /// Who is answered; none for this node's own.
+    /// Address of the proposer; `None` for this node's own proposal.
     from: Option<SocketAddr>,
     request: ProposalRequest,
-    /// The version that it would be; none while its document is fetched.
+    /// The version that the document is written as; `None` while its document is being fetched.
     version: Option<u64>,
 }
 
-/// The proposals that a node deals with.
+/// The proposals that a node tracks.
 pub(super) struct Proposals {
     own: Option<OwnProposal>,
-    /// The voter that is asked next.
+    /// The voter that the next request is sent to.
     presumed_leader: u8,
     pending: Vec<PendingProposal>,
 }
@@ -72,35 +73,35 @@
         Proposals { own: None, presumed_leader, pending: Vec::new() }
     }
 
-    /// When this node's own proposal is sent again.
-    pub fn repeat_at(&self) -> Option<Micros> {
-        self.own.as_ref().map(|own| own.repeat_at)
+    /// Returns when this node's own proposal is retransmitted.
+    pub fn retransmit_at(&self) -> Option<Micros> {
+        self.own.as_ref().map(|own| own.retransmit_at)
     }
 
-    /// Digest of the document that this node proposes.
+    /// Returns the digest of the document that this node proposes.
     pub fn own_digest(&self) -> Option<u64> {
         self.own.as_ref().map(|own| own.request.digest)
     }
 
-    /// Forgets proposals of others: who no longer leads can't tell how they end.
-    pub fn forget_pending(&mut self) {
+    /// Discards other nodes' proposals: a voter that is no longer leader cannot determine their outcome.
+    pub fn discard_pending(&mut self) {
         self.pending.clear();
     }
 
-    /// Forgets a proposal whose document is or was to be fetched.
-    fn forget_fetched(&mut self, digest: u64) {
+    /// Discards pending proposals of this document that are not written yet.
+    fn discard_awaiting_document(&mut self, digest: u64) {
         self.pending.retain(|pending| pending.version.is_some() || pending.request.digest != digest);
     }
 
-    /// A proposal of the same document that is written but not committed yet.
-    fn written(&mut self, digest: u64) -> Option<&mut PendingProposal> {
+    /// Finds a proposal of the same document that is written but not committed yet.
+    fn find_written(&mut self, digest: u64) -> Option<&mut PendingProposal> {
         self.pending.iter_mut().find(|pending| pending.request.digest == digest && pending.version.is_some())
     }
 }
 
 impl ReplicatedConfig {
-    /// Proposes a document as the version after `expected_version`; [`Effect::ProposalFinished`] names the nonce. One at a time: another
-    /// one takes the place of this node's own proposal before.
+    /// Proposes a document as the version after `expected_version`. [`Effect::ProposalFinished`] reports the
+    /// outcome with `nonce`. A node has one proposal at a time: a new one replaces the previous one.
     pub fn propose(
         &mut self,
         now: Micros,
@@ -113,9 +114,9 @@
             return vec![Effect::ProposalFinished { nonce, outcome: rejection.into() }];
         }
         let length = document.len() as u32;
-        let digest = self.hold(document);
+        let digest = self.store_document(document);
         let request = ProposalRequest { nonce, expected_version, digest, length };
-        self.proposals.own = Some(OwnProposal { request, repeat_at: self.now });
+        self.proposals.own = Some(OwnProposal { request, retransmit_at: self.now });
         let mut effects = Vec::new();
         self.submit_proposal(&mut effects);
         effects
@@ -128,26 +129,26 @@
         Ok((self.validate)(document)?)
     }
 
-    /// Stops repeating this node's proposal. It may still be committed: the latest version shows it.
+    /// Stops retransmitting this node's proposal. It may still be committed, which the latest version shows.
     pub fn abandon_proposal(&mut self, nonce: u64) {
         self.proposals.own.take_if(|own| own.request.nonce == nonce);
     }
 
-    /// Submits this node's own proposal: here, or to the voter that is presumed to lead.
+    /// Submits this node's own proposal, locally if it is the leader, otherwise to the presumed leader.
     pub(super) fn submit_proposal(&mut self, effects: &mut Vec<Effect>) {
         let now = self.now;
         let Some(own) = &mut self.proposals.own else { return };
-        own.repeat_at = now + REPEAT_INTERVAL;
+        own.retransmit_at = now + RETRANSMIT_INTERVAL;
         let request = own.request;
         if self.role() == Some(Role::Leader) {
-            return self.consider(PendingProposal { from: None, request, version: None }, effects);
+            return self.process_proposal(PendingProposal { from: None, request, version: None }, effects);
         }
         if let Some(leader) = self.leader() {
             self.proposals.presumed_leader = leader;
         }
         let presumed_leader = self.proposals.presumed_leader;
         let Some(to) = self.settings.voter(presumed_leader) else { return };
-        // If this one doesn't answer, the next one is asked.
+        // If this voter does not reply, the next one is tried.
         self.proposals.presumed_leader = (presumed_leader + 1) % self.settings.voters.len().max(1) as u8;
         self.send(effects, to, &Message::Propose(request));
     }
@@ -160,15 +161,15 @@
     ) {
         if self.role() != Some(Role::Leader) {
             if let Some(leader) = self.leader() {
-                self.answer(effects, Some(from), request.nonce, ProposalOutcome::NotLeader(leader));
+                self.reply(effects, Some(from), request.nonce, ProposalOutcome::NotLeader(leader));
             }
             return;
         }
         let pending = PendingProposal { from: Some(from), request, version: None };
-        if self.documents.holds(request.digest) {
-            self.consider(pending, effects);
-        } else if request.length > 0 && self.proposals.pending.len() < MAX_PENDING {
-            self.proposals.forget_fetched(request.digest);
+        if self.documents.contains(request.digest) {
+            self.process_proposal(pending, effects);
+        } else if request.length > 0 && self.proposals.pending.len() < MAX_PENDING_PROPOSALS {
+            self.proposals.discard_awaiting_document(request.digest);
             self.proposals.pending.push(pending);
             self.fetch(effects, request.digest, from);
         }
@@ -184,13 +185,14 @@
             return;
         }
         match outcome {
-            ProposalOutcome::NotLeader(voter) => self.submit_elsewhere(voter, effects),
-            outcome => self.finish_own(nonce, outcome, effects),
+            ProposalOutcome::NotLeader(voter) => self.resubmit_to_leader(voter, effects),
+            outcome => self.finish_own_proposal(nonce, outcome, effects),
         }
     }
 
-    /// Submits to the voter that is said to lead, unless it was the one just asked: two that name each other must not make a loop.
-    fn submit_elsewhere(&mut self, voter: u8, effects: &mut Vec<Effect>) {
+    /// Resubmits the proposal to the reported leader, unless it was the voter just asked: two voters that
+    /// name each other as leader must not cause a loop.
+    fn resubmit_to_leader(&mut self, voter: u8, effects: &mut Vec<Effect>) {
         let count = self.settings.voters.len();
         let just_asked = (usize::from(self.proposals.presumed_leader) + count - 1) % count.max(1);
         if usize::from(voter) < count && usize::from(voter) != just_asked {
@@ -199,12 +201,12 @@
         }
     }
 
-    fn finish_own(&mut self, nonce: u64, outcome: ProposalOutcome, effects: &mut Vec<Effect>) {
+    fn finish_own_proposal(&mut self, nonce: u64, outcome: ProposalOutcome, effects: &mut Vec<Effect>) {
         self.abandon_proposal(nonce);
         effects.push(Effect::ProposalFinished { nonce, outcome });
     }
 
-    fn answer(
+    fn reply(
         &mut self,
         effects: &mut Vec<Effect>,
         from: Option<SocketAddr>,
@@ -213,46 +215,47 @@
     ) {
         match from {
             Some(to) => self.send(effects, to, &Message::ProposeReply { nonce, outcome }),
-            None => self.finish_own(nonce, outcome, effects),
+            None => self.finish_own_proposal(nonce, outcome, effects),
         }
     }
 
-    /// At the leader: writes a proposal as the next version, or answers why not. Its document is held.
-    fn consider(&mut self, proposal: PendingProposal, effects: &mut Vec<Effect>) {
+    /// At the leader: writes a proposal whose document is stored as the next version, or replies with the
+    /// reason for rejecting it.
+    fn process_proposal(&mut self, proposal: PendingProposal, effects: &mut Vec<Effect>) {
         let PendingProposal { from, request, .. } = proposal;
-        if !self.documents.holds(request.digest) {
+        if !self.documents.contains(request.digest) {
             return;
         }
         let latest = self.committed.header;
         let version = latest.position.version;
         if latest.digest == request.digest && version == request.expected_version.saturating_add(1) {
-            // It was committed before, and that answer was lost.
-            return self.answer(effects, from, request.nonce, ProposalOutcome::Committed(version));
+            // The document is already committed and the earlier reply was lost.
+            return self.reply(effects, from, request.nonce, ProposalOutcome::Committed(version));
         }
-        if let Some(written) = self.proposals.written(request.digest) {
-            // The same again: it is answered when it is committed.
+        if let Some(written) = self.proposals.find_written(request.digest) {
+            // A retransmission: the reply is sent on commit.
             (written.from, written.request.nonce) = (from, request.nonce);
             return;
         }
-        match self.check_acceptable(&request) {
+        match self.check_proposal(&request) {
             Ok(()) => self.write_proposal(proposal, effects),
-            Err(rejection) => self.answer(effects, from, request.nonce, rejection.into()),
+            Err(rejection) => self.reply(effects, from, request.nonce, rejection.into()),
         }
     }
 
-    /// Whether the leader may write a proposal now.
-    fn check_acceptable(&self, request: &ProposalRequest) -> Result<(), Rejection> {
+    /// Checks whether the leader may write a proposal now.
+    fn check_proposal(&self, request: &ProposalRequest) -> Result<(), Rejection> {
         let latest = self.committed.header;
-        let (committed, wait) = (latest.position.version, self.activates_in());
-        let settled = self.raft.as_ref().and_then(Raft::committed) == Some(latest);
-        if !settled || self.hard_state().is_none_or(|hard_state| hard_state.entry != latest) {
+        let (committed, activates_in) = (latest.position.version, self.activates_in());
+        let is_settled = self.raft.as_ref().and_then(Raft::committed) == Some(latest);
+        if !is_settled || self.hard_state().is_none_or(|hard_state| hard_state.entry != latest) {
             return Err(Rejection::Busy);
         }
         if committed != request.expected_version {
             return Err(Rejection::Conflict { committed, expected: request.expected_version });
         }
-        if wait > Micros(0) {
-            return Err(Rejection::NotActiveYet { version: committed, seconds: wait.as_secs_f64() });
+        if activates_in > Micros(0) {
+            return Err(Rejection::NotActiveYet { version: committed, seconds: activates_in.as_secs_f64() });
         }
         let document = self.documents.get(request.digest).unwrap_or_default();
         Ok((self.validate)(document)?)
@@ -262,36 +265,37 @@
         let digest = proposal.request.digest;
         let length = self.documents.get(digest).unwrap_or_default().len() as u32;
         let next = self.committed_version().saturating_add(1);
-        self.proposals.forget_fetched(digest);
+        self.proposals.discard_awaiting_document(digest);
         self.proposals.pending.push(PendingProposal { version: Some(next), ..proposal });
         let mut version = None;
         self.drive_raft(effects, |raft, time, _, raft_effects| {
             version = raft.propose(time, digest, length, raft_effects);
         });
         if version.is_none() {
-            self.proposals.forget_pending();
+            self.proposals.discard_pending();
         }
     }
 
-    /// Considers the proposal whose document has just arrived, if this node still leads.
-    pub(super) fn consider_fetched(&mut self, digest: u64, effects: &mut Vec<Effect>) {
-        let waits = |pending: &PendingProposal| pending.request.digest == digest && pending.version.is_none();
+    /// Processes the proposal whose document has just been fetched, if this node is still the leader.
+    pub(super) fn process_fetched_proposal(&mut self, digest: u64, effects: &mut Vec<Effect>) {
+        let awaits_document =
+            |pending: &PendingProposal| pending.request.digest == digest && pending.version.is_none();
         if self.role() == Some(Role::Leader)
-            && let Some(at) = self.proposals.pending.iter().position(waits)
+            && let Some(at) = self.proposals.pending.iter().position(awaits_document)
         {
             let proposal = self.proposals.pending.remove(at);
-            self.consider(proposal, effects);
+            self.process_proposal(proposal, effects);
         }
     }
 
-    /// Answers the proposal that has just been committed.
-    pub(super) fn answer_committed(&mut self, effects: &mut Vec<Effect>) {
+    /// Replies to the proposal that has just been committed.
+    pub(super) fn reply_to_committed(&mut self, effects: &mut Vec<Effect>) {
         let latest = self.committed.header;
         let version = latest.position.version;
         for pending in std::mem::take(&mut self.proposals.pending) {
             if pending.version == Some(version) && pending.request.digest == latest.digest {
                 let outcome = ProposalOutcome::Committed(version);
-                self.answer(effects, pending.from, pending.request.nonce, outcome);
+                self.reply(effects, pending.from, pending.request.nonce, outcome);
             } else {
                 self.proposals.pending.push(pending);
             }
--- a/crates/alderstile-cluster/src/replicated_config/raft/election.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and a candidate that becomes the leader.
+//! Elections: pre-vote, vote, and the transition from candidate to leader.
 
 use alderstile::types::Micros;
 
@@ -6,7 +6,8 @@
 use crate::replicated_config::message::{LogPosition, RaftMessage, RaftPayload};
 
 impl Raft {
-    /// Asks the others whether they would elect this voter: one that was cut off must not raise the term when it is back.
+    /// Asks the other voters whether they would elect this one, so that a voter that returns from a partition
+    /// does not raise the term.
     pub(super) fn start_pre_vote(
         &mut self,
         time: StepTime,
@@ -15,14 +16,14 @@
     ) {
         self.role = Role::PreCandidate;
         self.leader = None;
-        self.votes = 1 << self.me;
+        self.votes = 1 << self.id;
         self.reset_election_timer(time.now);
         let last_entry = hard_state.entry.position;
         self.broadcast(effects, hard_state.term.saturating_add(1), RaftPayload::PreVote { last_entry });
         self.count_votes(time, effects);
     }
 
-    /// Goes on to the next stage of the election for as long as a majority is for this voter: it alone may be one.
+    /// Advances the election while a majority supports this voter. A single voter is a majority by itself.
     fn count_votes(&mut self, time: StepTime, effects: &mut RaftEffects) {
         while self.votes.count_ones() as usize >= self.majority() {
             match self.role {
@@ -35,9 +36,9 @@
 
     fn become_candidate(&mut self, now: Micros, effects: &mut RaftEffects) {
         self.role = Role::Candidate;
-        self.votes = 1 << self.me;
+        self.votes = 1 << self.id;
         let Some(hard_state) = &mut self.hard_state else { return };
-        (hard_state.term, hard_state.vote) = (hard_state.term.saturating_add(1), Some(self.me));
+        (hard_state.term, hard_state.vote) = (hard_state.term.saturating_add(1), Some(self.id));
         let (term, last_entry) = (hard_state.term, hard_state.entry.position);
         effects.persist = true;
         self.reset_election_timer(now);
@@ -49,9 +50,9 @@
         hard_state.entry.position.term = hard_state.term;
         effects.persist = true;
         self.role = Role::Leader;
-        self.leader = Some(self.me);
-        self.led_since = time.now;
-        (self.confirmed_at, self.committed, self.offered) = (None, None, None);
+        self.leader = Some(self.id);
+        self.leader_since = time.now;
+        (self.confirmed_at, self.committed, self.pending_entry) = (None, None, None);
         self.rounds.clear();
         for progress in &mut self.progress {
             (progress.stored, progress.clock) = (LogPosition::default(), None);
@@ -59,9 +60,10 @@
         self.broadcast_append(time, effects);
     }
 
-    /// Whether this voter leads or has just heard the leader: then it listens to no candidate (section 6), so that one that
-    /// doesn't hear the leader can't depose it.
-    pub(super) fn hears_leader(&self, now: Micros) -> bool {
+    /// Returns whether this voter is the leader or has recently received an append from it. Such a voter
+    /// ignores candidates (section 6), so that a voter that receives nothing from the leader cannot depose
+    /// it.
+    pub(super) fn has_leader_contact(&self, now: Micros) -> bool {
         let timeout = self.heartbeats(ELECTION_TIMEOUT_HEARTBEATS);
         let heard = self.leader_contact_at.is_some_and(|received_at| now < received_at + timeout);
         self.role == Role::Leader || (self.leader.is_some() && heard)
@@ -76,9 +78,11 @@
         effects: &mut RaftEffects,
     ) {
         let Some(hard_state) = self.hard_state else { return };
-        let granted =
-            !self.hears_leader(now) && term > hard_state.term && last_entry >= hard_state.entry.position;
-        // A refusal carries this voter's own term, which tells a candidate that is behind where it stands.
+        let granted = !self.has_leader_contact(now)
+            && term > hard_state.term
+            && last_entry >= hard_state.entry.position;
+        // A refusal carries this voter's own term, so that a candidate with an older term learns the current
+        // one.
         let term = if granted { term } else { hard_state.term };
         effects.messages.push(RaftMessage { peer, term, payload: RaftPayload::PreVoteReply { granted } });
     }
@@ -106,8 +110,8 @@
         effects: &mut RaftEffects,
     ) {
         let Some(hard_state) = &mut self.hard_state else { return };
-        let free = hard_state.vote.is_none_or(|vote| vote == peer);
-        let granted = term == hard_state.term && free && last_entry >= hard_state.entry.position;
+        let may_vote = hard_state.vote.is_none_or(|vote| vote == peer);
+        let granted = term == hard_state.term && may_vote && last_entry >= hard_state.entry.position;
         let own_term = hard_state.term;
         if granted {
             hard_state.vote = Some(peer);
--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -1,12 +1,14 @@
-//! Raft (Ongaro and Ousterhout 2014) with pre-vote and check-quorum (Ongaro's thesis 2014, sections 9.6 and 6.2), on a log of one
-//! entry.
+//! Raft (Ongaro and Ousterhout 2014) with pre-vote and check-quorum (Ongaro's thesis 2014, sections 9.6 and
+//! 6.2), on a log of one entry.
 //!
-//! Each entry would hold a whole document, which replaces all before it, so the log is always compacted to its last entry. Its index is
-//! the version, and its order the [`LogPosition`]: term, then version. An append carries the entry's header; a follower acknowledges
-//! it once it has the document on disk. A new leader begins by writing its entry again under its own term, as Raft's empty entry does
-//! (section 8), and announces nothing as committed before a majority has that.
+//! Each entry holds a full document that replaces all earlier ones, so the log is always compacted to its
+//! last entry. The entry's index is its version, and entries are ordered by [`LogPosition`]: term, then
+//! version. An append carries the entry's header; a follower acknowledges it once the document is persisted.
+//! A new leader first rewrites its entry under its own term, in place of Raft's empty entry (section 8), and
+//! announces nothing as committed until a majority has stored that entry.
 //!
-//! A voter that has lost its hard state is a learner: it neither votes nor acknowledges. `recovery` says how it comes back.
+//! A voter that has lost its hard state is a learner: it neither votes nor acknowledges entries. The
+//! `recovery` module describes how it becomes a voter again.
 
 use std::collections::VecDeque;
 
@@ -20,91 +22,92 @@
 mod recovery;
 mod replication;
 
-/// Election timeout, in heartbeats that have to be missed; a random time of up to as long is added, so that votes don't split.
+/// Election timeout, in missed heartbeats. A random time of up to the same length is added, so that votes do
+/// not split.
 const ELECTION_TIMEOUT_HEARTBEATS: u64 = 3;
 
-/// What a voter must not forget: synced to disk before any message that rests on it is sent.
+/// The state that a voter must not lose. It is synced to disk before any message that depends on it is sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
     /// The highest term seen.
     pub term: u64,
-    /// Whom it voted for in that term.
+    /// The voter it voted for in that term.
     pub vote: Option<u8>,
     /// Its log entry.
     pub entry: VersionHeader,
 }
 
 impl HardState {
-    /// The state before anything was committed: version 0, an empty document.
+    /// Returns the state before the first commit: version 0 with an empty document.
     pub fn genesis() -> Self {
         let entry = VersionHeader { digest: crate::content_digest(&[]), ..VersionHeader::default() };
         HardState { term: 0, vote: None, entry }
     }
 }
 
-/// The role of a voter.
+/// Role of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It has lost its hard state and doesn't vote.
+    /// It has lost its hard state and does not vote.
     Learner,
     /// It follows a leader or waits for one.
     Follower,
-    /// It asks whether it would be elected.
+    /// It asks the other voters whether they would elect it.
     PreCandidate,
-    /// It stands for election.
+    /// It requests votes.
     Candidate,
-    /// It leads.
+    /// It is the leader.
     Leader,
 }
 
-/// The time of a call.
+/// Time-dependent inputs of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct StepTime {
-    /// Now, on this process's clock.
+    /// The current time on this process's clock.
     pub now: Micros,
-    /// The same with the clock's random offset, as other nodes are told it.
+    /// The same time with the clock's random offset, as sent to other nodes.
     pub clock_us: u64,
-    /// How long the latest committed version has been so, at least.
+    /// Minimum time since the latest committed version was committed.
     pub committed_for: Micros,
 }
 
-/// What a call wants done.
+/// Effects that a call requests.
 #[derive(Debug, Default)]
 pub struct RaftEffects {
-    /// The hard state has changed: to disk before anything is sent.
+    /// The hard state has changed and must be persisted before any message is sent.
     pub persist: bool,
-    /// To other voters.
+    /// Messages to other voters.
     pub messages: Vec<RaftMessage>,
-    /// A document to be fetched.
+    /// A document to fetch.
     pub fetch: Option<FetchFromVoter>,
-    /// What a leader has said is committed.
+    /// The committed version announced by a leader.
     pub announced: Option<Announcement>,
     /// This leader's entry has just been committed.
     pub committed: bool,
 }
 
-/// A document that a voter holds and this one lacks.
+/// A document to fetch from another voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FetchFromVoter {
     /// Digest of the document.
     pub digest: u64,
-    /// The voter's place in the list.
+    /// Index of the voter in the voter list.
     pub voter: u8,
 }
 
-/// What is known of another voter.
+/// What this voter knows about another one.
 #[derive(Clone, Copy, Debug, Default)]
 struct Progress {
     /// The last round that it has answered.
     round: u64,
-    /// The entry that it has on disk.
+    /// Position of the entry that it has persisted.
     stored: LogPosition,
     clock: Option<ClockReading>,
-    /// What it told a learner.
-    recalled: Option<RecalledState>,
+    /// The hard state that it reported to this learner.
+    reported_state: Option<ReportedState>,
 }
 
-/// A voter's clock, microseconds, and when it was heard.
+/// A reading of another voter's clock, microseconds, and the time it was received.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     clock_us: u64,
@@ -113,7 +116,7 @@
 
 /// Another voter's term and entry.
 #[derive(Clone, Copy, Debug)]
-struct RecalledState {
+struct ReportedState {
     term: u64,
     entry: VersionHeader,
 }
@@ -125,56 +128,56 @@
     started_at: Micros,
 }
 
-/// An entry whose document a follower has yet to fetch, and the round to acknowledge then.
+/// An entry whose document a follower is fetching, and the round to acknowledge afterwards.
 #[derive(Clone, Copy, Debug)]
-struct OfferedEntry {
+struct PendingEntry {
     entry: VersionHeader,
     round: u64,
 }
 
-/// One voter.
+/// A voter.
 pub struct Raft {
-    me: u8,
+    id: u8,
     heartbeat: Micros,
     hard_state: Option<HardState>,
     role: Role,
     rng: Pcg64Mcg,
-    /// By place in the list of voters; this one's own is not used.
+    /// By index in the voter list. This voter's own element is unused.
     progress: Vec<Progress>,
     leader: Option<u8>,
-    /// When the leader was last heard.
+    /// When the last message of the leader was received.
     leader_contact_at: Option<Micros>,
-    /// When a follower stands for election, and a learner asks again.
+    /// When a follower starts an election, or a learner repeats its request.
     election_at: Micros,
-    /// Votes for this candidate, a bit a voter.
+    /// Votes for this candidate, one bit per voter.
     votes: u64,
-    // Of a leader.
+    // Leader state.
     round: u64,
     rounds: VecDeque<Round>,
     heartbeat_at: Micros,
-    led_since: Micros,
+    leader_since: Micros,
     confirmed_at: Option<Micros>,
     committed: Option<VersionHeader>,
-    // Of a follower.
-    offered: Option<OfferedEntry>,
-    // Of a learner.
-    recall_nonce: u64,
+    // Follower state.
+    pending_entry: Option<PendingEntry>,
+    // Learner state.
+    recovery_nonce: u64,
 }
 
 impl Raft {
-    /// A voter; without a hard state it is a learner.
+    /// Creates a voter. Without a hard state it is a learner.
     pub fn new(
-        me: u8,
+        id: u8,
         count: usize,
         heartbeat: Micros,
         hard_state: Option<HardState>,
         mut rng: Pcg64Mcg,
         now: Micros,
     ) -> Self {
-        let recall_nonce = rng.random();
+        let recovery_nonce = rng.random();
         let role = if hard_state.is_some() { Role::Follower } else { Role::Learner };
         let mut raft = Raft {
-            me,
+            id,
             heartbeat,
             hard_state,
             role,
@@ -187,11 +190,11 @@
             round: 0,
             rounds: VecDeque::new(),
             heartbeat_at: now,
-            led_since: now,
+            leader_since: now,
             confirmed_at: None,
             committed: None,
-            offered: None,
-            recall_nonce,
+            pending_entry: None,
+            recovery_nonce,
         };
         if role == Role::Follower {
             raft.reset_election_timer(now);
@@ -199,28 +202,28 @@
         raft
     }
 
-    /// Its role.
+    /// Returns its role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The leader, as far as is known.
+    /// Returns the index of the leader, if known.
     pub fn leader(&self) -> Option<u8> {
         self.leader
     }
 
-    /// Its hard state; none of a learner.
+    /// Returns its hard state, or `None` for a learner.
     pub fn hard_state(&self) -> Option<&HardState> {
         self.hard_state.as_ref()
     }
 
-    /// Of a leader: what is committed, once a majority has stored an entry of its term.
+    /// At a leader: returns the committed entry once a majority has stored an entry of the leader's term.
     pub fn committed(&self) -> Option<VersionHeader> {
         self.committed.filter(|_| self.role == Role::Leader)
     }
 
-    /// Of a leader that has committed in its term: the start of the last round that a majority has answered. Nothing newer was
-    /// committed by then.
+    /// At a leader that has committed an entry in its term: returns the start of the last round that a
+    /// majority has answered. No later version had been committed by that time.
     pub fn confirmed_at(&self) -> Option<Micros> {
         self.confirmed_at.filter(|_| self.committed().is_some())
     }
@@ -234,20 +237,20 @@
     }
 
     fn peers(&self) -> impl Iterator<Item = u8> + use<> {
-        let me = self.me;
-        (0..self.progress.len() as u8).filter(move |voter| *voter != me)
+        let id = self.id;
+        (0..self.progress.len() as u8).filter(move |voter| *voter != id)
     }
 
     fn broadcast(&self, effects: &mut RaftEffects, term: u64, payload: RaftPayload) {
         effects.messages.extend(self.peers().map(|peer| RaftMessage { peer, term, payload }));
     }
 
-    /// When [`Raft::tick`] has something to do next.
+    /// Returns when [`Raft::tick`] is next due.
     pub fn next_timeout(&self) -> Micros {
         if self.role == Role::Leader { self.heartbeat_at } else { self.election_at }
     }
 
-    /// Does what is due.
+    /// Runs everything that is due.
     pub fn tick(&mut self, time: StepTime, effects: &mut RaftEffects) {
         match (self.role, self.hard_state) {
             (Role::Leader, Some(_)) if self.heartbeat_at <= time.now => self.tick_leader(time, effects),
@@ -261,31 +264,31 @@
         }
     }
 
-    /// Takes in a message of another voter. `holds` tells which documents this one has.
+    /// Handles a message of another voter. `has_document` returns whether a document is stored.
     pub fn step(
         &mut self,
         time: StepTime,
         message: RaftMessage,
-        holds: impl Fn(u64) -> bool,
+        has_document: impl Fn(u64) -> bool,
         effects: &mut RaftEffects,
     ) {
         let peer = message.peer;
-        if peer == self.me || usize::from(peer) >= self.progress.len() {
+        if peer == self.id || usize::from(peer) >= self.progress.len() {
             return;
         }
         let Some(hard_state) = self.hard_state else {
-            return self.step_learner(time.now, message, holds, effects);
+            return self.step_learner(time.now, message, has_document, effects);
         };
-        if self.step_outside_term(time, message, &hard_state, effects) {
+        if self.step_ignoring_term(time, message, &hard_state, effects) {
             return;
         }
         self.adopt_newer_term(time.now, message.term, effects);
-        self.step_in_term(time, message, holds, effects);
+        self.step_after_term_update(time, message, has_document, effects);
     }
 
-    /// Handles what must not raise this voter's term: a candidate that could not win must not end a leader's term. Whether the message
-    /// was such a one.
-    fn step_outside_term(
+    /// Handles messages that must not raise this voter's term: a candidate that cannot win must not end a
+    /// leader's term. Returns whether the message was one of them.
+    fn step_ignoring_term(
         &mut self,
         time: StepTime,
         message: RaftMessage,
@@ -302,18 +305,18 @@
             RaftPayload::PreVoteReply { granted: true } => {
                 self.handle_pre_vote_granted(time, peer, term, effects);
             }
-            RaftPayload::RequestVote { .. } if self.hears_leader(time.now) => {}
+            RaftPayload::RequestVote { .. } if self.has_leader_contact(time.now) => {}
             _ => return false,
         }
         true
     }
 
-    /// Handles a message once this voter's term is no older than the sender's.
-    fn step_in_term(
+    /// Handles a message whose term is at most this voter's term.
+    fn step_after_term_update(
         &mut self,
         time: StepTime,
         message: RaftMessage,
-        holds: impl Fn(u64) -> bool,
+        has_document: impl Fn(u64) -> bool,
         effects: &mut RaftEffects,
     ) {
         let RaftMessage { peer, term, payload } = message;
@@ -323,7 +326,7 @@
             }
             RaftPayload::VoteReply { granted: true } => self.handle_vote_granted(time, peer, term, effects),
             RaftPayload::AppendEntry(append) => {
-                self.handle_append(time, peer, term, append, holds, effects);
+                self.handle_append(time, peer, term, append, has_document, effects);
             }
             RaftPayload::AppendReply(reply) => {
                 self.handle_append_reply(time.now, peer, term, reply, effects);
@@ -338,7 +341,7 @@
         };
         (hard_state.term, hard_state.vote) = (term, None);
         effects.persist = true;
-        self.offered = None;
+        self.pending_entry = None;
         self.become_follower(now, None);
     }
 
--- a/crates/alderstile-cluster/src/replicated_config/raft/replication.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/replication.rs
@@ -1,23 +1,24 @@
-//! Replication of the leader's entry: appends, what voters have stored, and what a majority makes of that.
+//! Replication of the leader's entry: appends, the entries that voters have stored, and commits by a
+//! majority.
 
 use alderstile::types::Micros;
 
 use super::{
-    ClockReading, ELECTION_TIMEOUT_HEARTBEATS, FetchFromVoter, HardState, OfferedEntry, Progress, Raft,
+    ClockReading, ELECTION_TIMEOUT_HEARTBEATS, FetchFromVoter, HardState, PendingEntry, Progress, Raft,
     RaftEffects, Role, Round, StepTime,
 };
 use crate::replicated_config::message::{
     Announcement, AppendEntry, AppendReply, LogPosition, RaftMessage, RaftPayload, VersionHeader,
 };
 
-/// Rounds whose start a leader remembers: answers to older ones renew nothing.
+/// Number of rounds whose start a leader keeps. Replies to older rounds renew no lease.
 const MAX_ROUNDS: usize = 32;
 
 impl Raft {
-    /// Sends the next heartbeat, or steps down where no majority has answered for the election timeout (check-quorum): the others may
-    /// have elected another leader by then.
+    /// Sends the next heartbeat, or steps down if no majority has replied within the election timeout
+    /// (check-quorum), because the other voters may have elected another leader by then.
     pub(super) fn tick_leader(&mut self, time: StepTime, effects: &mut RaftEffects) {
-        let confirmed_at = self.confirmed_at.unwrap_or(self.led_since).max(self.led_since);
+        let confirmed_at = self.confirmed_at.unwrap_or(self.leader_since).max(self.leader_since);
         let timeout = self.heartbeats(ELECTION_TIMEOUT_HEARTBEATS);
         if self.progress.len() > 1 && confirmed_at + timeout < time.now {
             self.become_follower(time.now, None);
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Begins a round: sends this leader's entry, and what is committed, to all other voters.
+    /// Starts a round: sends this leader's entry and the committed version to all other voters.
     pub fn broadcast_append(&mut self, time: StepTime, effects: &mut RaftEffects) {
         let Some(hard_state) = self.hard_state.filter(|_| self.role == Role::Leader) else { return };
         self.round += 1;
@@ -49,12 +50,13 @@
         let committed = match self.committed {
             Some(committed) if committed == entry => None,
             Some(committed) => Some(committed),
-            // Not known yet: version 0 is older than any.
+            // The committed version is not known yet; version 0 precedes all others.
             None => Some(HardState::genesis().entry),
         };
         let clock = self.progress[usize::from(peer)].clock;
         let latest_at_us = match (self.confirmed_at(), clock) {
-            // The peer read its clock before this voter heard of it, so this is never too late.
+            // The peer read its clock before this voter received the reading, so the result is never too
+            // late.
             (Some(confirmed_at), Some(ClockReading { clock_us, received_at })) => {
                 clock_us.saturating_add(confirmed_at.0).saturating_sub(received_at.0)
             }
@@ -64,7 +66,8 @@
         AppendEntry { round: self.round, entry, committed, committed_for_us, latest_at_us }
     }
 
-    /// Writes a document as the next version, and returns that; none unless the entry before is committed. The document has to be held.
+    /// Writes a document as the next version and returns that version. Returns `None` unless the current
+    /// entry is committed. The document must be stored.
     pub fn propose(
         &mut self,
         time: StepTime,
@@ -82,19 +85,19 @@
         Some(version)
     }
 
-    /// A follower takes the leader's entry over, or fetches its document first.
+    /// Stores the leader's entry at a follower, or fetches its document first.
     pub(super) fn handle_append(
         &mut self,
         time: StepTime,
         peer: u8,
         term: u64,
         append: AppendEntry,
-        holds: impl Fn(u64) -> bool,
+        has_document: impl Fn(u64) -> bool,
         effects: &mut RaftEffects,
     ) {
         let Some(hard_state) = self.hard_state else { return };
         if term < hard_state.term {
-            // Round 0 confirms nothing; the term in the reply ends the old leader's.
+            // Round 0 confirms nothing. The term in the reply makes the old leader step down.
             return self.reply_to_append(time, peer, 0, effects);
         }
         if self.role == Role::Leader {
@@ -103,7 +106,7 @@
         self.become_follower(time.now, Some(peer));
         self.leader_contact_at = Some(time.now);
         if append.entry.position > hard_state.entry.position {
-            self.store_or_fetch(peer, &append, holds, effects);
+            self.store_or_fetch(peer, &append, has_document, effects);
         }
         self.reply_to_append(time, peer, append.round, effects);
         effects.announced = Some(announcement(&append));
@@ -113,14 +116,14 @@
         &mut self,
         peer: u8,
         append: &AppendEntry,
-        holds: impl Fn(u64) -> bool,
+        has_document: impl Fn(u64) -> bool,
         effects: &mut RaftEffects,
     ) {
         let entry = append.entry;
-        if holds(entry.digest) {
+        if has_document(entry.digest) {
             self.store(entry, effects);
         } else {
-            self.offered = Some(OfferedEntry { entry, round: append.round });
+            self.pending_entry = Some(PendingEntry { entry, round: append.round });
             effects.fetch = Some(FetchFromVoter { digest: entry.digest, voter: peer });
         }
     }
@@ -129,7 +132,7 @@
         if let Some(hard_state) = &mut self.hard_state {
             hard_state.entry = entry;
             effects.persist = true;
-            self.offered = None;
+            self.pending_entry = None;
         }
     }
 
@@ -140,14 +143,16 @@
         effects.messages.push(RaftMessage { peer, term: hard_state.term, payload });
     }
 
-    /// A document has arrived: a follower stores the entry that waited for it, a learner may go on.
-    pub fn handle_document_held(&mut self, time: StepTime, digest: u64, effects: &mut RaftEffects) {
-        if let (Some(offered), Some(hard_state), Some(leader)) = (self.offered, self.hard_state, self.leader)
-            && offered.entry.digest == digest
-            && offered.entry.position > hard_state.entry.position
+    /// Handles the arrival of a document: a follower stores the entry that waits for it, and a learner may
+    /// recover.
+    pub fn handle_document_available(&mut self, time: StepTime, digest: u64, effects: &mut RaftEffects) {
+        if let (Some(pending_entry), Some(hard_state), Some(leader)) =
+            (self.pending_entry, self.hard_state, self.leader)
+            && pending_entry.entry.digest == digest
+            && pending_entry.entry.position > hard_state.entry.position
         {
-            self.store(offered.entry, effects);
-            self.reply_to_append(time, leader, offered.round, effects);
+            self.store(pending_entry.entry, effects);
+            self.reply_to_append(time, leader, pending_entry.round, effects);
         }
         self.recover(time.now, |other| other == digest, effects);
     }
@@ -173,33 +178,34 @@
         self.confirm_majority(now, effects);
     }
 
-    /// Notes the last round that a majority has answered, and commits the entry once a majority has stored it.
+    /// Records the last round that a majority has answered, and commits the entry once a majority has stored
+    /// it.
     fn confirm_majority(&mut self, now: Micros, effects: &mut RaftEffects) {
         let Some(hard_state) = self.hard_state else { return };
-        let answered = self.round_of_majority();
-        if let Some(round) = self.rounds.iter().find(|round| round.number == answered) {
+        let confirmed_round = self.majority_round();
+        if let Some(round) = self.rounds.iter().find(|round| round.number == confirmed_round) {
             self.confirmed_at = self.confirmed_at.max(Some(round.started_at.min(now)));
         }
-        let me = usize::from(self.me);
-        let stores = |(voter, progress): &(usize, &Progress)| {
-            *voter == me || progress.stored == hard_state.entry.position
+        let id = usize::from(self.id);
+        let has_entry = |(voter, progress): &(usize, &Progress)| {
+            *voter == id || progress.stored == hard_state.entry.position
         };
-        let stored = self.progress.iter().enumerate().filter(stores).count();
+        let stored = self.progress.iter().enumerate().filter(has_entry).count();
         if stored >= self.majority() && self.committed != Some(hard_state.entry) {
             self.committed = Some(hard_state.entry);
             effects.committed = true;
         }
     }
 
-    fn round_of_majority(&self) -> u64 {
+    fn majority_round(&self) -> u64 {
         let mut rounds: Vec<u64> = self.progress.iter().map(|progress| progress.round).collect();
-        rounds[usize::from(self.me)] = self.round;
+        rounds[usize::from(self.id)] = self.round;
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         rounds[self.majority() - 1]
     }
 }
 
-/// What an append says of the committed version.
+/// Returns what an append announces about the committed version.
 pub(super) fn announcement(append: &AppendEntry) -> Announcement {
     Announcement {
         header: append.committed.unwrap_or(append.entry),
--- a/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
@@ -1,4 +1,4 @@
-//! Calls of a voter's [`Raft`], and what follows from their effects.
+//! Calls into a voter's [`Raft`], and execution of the resulting effects.
 
 use super::ReplicatedConfig;
 use super::chunked_transfer::ChunkedTransfer;
@@ -7,7 +7,7 @@
 use super::raft::{HardState, Raft, RaftEffects, Role, StepTime};
 use alderstile::types::Micros;
 
-/// What a call may have changed.
+/// The state that a call may change.
 #[derive(Clone, Copy)]
 struct RaftState {
     role: Role,
@@ -28,18 +28,19 @@
 }
 
 impl ReplicatedConfig {
-    /// Passes a message of another voter on.
+    /// Passes another voter's message to Raft.
     pub(super) fn handle_raft_message(&mut self, message: RaftMessage, effects: &mut Vec<Effect>) {
         self.drive_raft(effects, |raft, time, documents, raft_effects| {
-            raft.step(time, message, |digest| documents.holds(digest), raft_effects);
+            raft.step(time, message, |digest| documents.contains(digest), raft_effects);
         });
-        // A learner is told of versions whose documents it has yet to fetch.
+        // A learner receives announcements of versions whose documents it has to fetch.
         if let Some(voter) = self.settings.voter(message.peer) {
             self.fetch_committed(effects, voter);
         }
     }
 
-    /// Calls this voter's Raft, if it is one, and carries its effects out: the hard state before what rests on it.
+    /// Calls this voter's Raft, if this node is a voter, and executes its effects: the hard state is
+    /// persisted before the messages that depend on it are sent.
     pub(super) fn drive_raft(
         &mut self,
         effects: &mut Vec<Effect>,
@@ -56,15 +57,15 @@
             effects.push(Effect::Persist(PersistedState { hard_state, document }));
         }
         self.send_raft_messages(raft_effects.messages, effects);
-        if let Some(wanted) = raft_effects.fetch
-            && let Some(from) = self.settings.voter(wanted.voter)
+        if let Some(fetch) = raft_effects.fetch
+            && let Some(from) = self.settings.voter(fetch.voter)
         {
-            self.fetch(effects, wanted.digest, from);
+            self.fetch(effects, fetch.digest, from);
         }
         self.report_role(before.role, after.role, effects);
-        self.learn_from_own_raft(before, after, raft_effects.committed, effects);
+        self.record_raft_progress(before, after, raft_effects.committed, effects);
         if let Some(announcement) = raft_effects.announced {
-            self.learn_announced(announcement, effects);
+            self.record_announced(announcement, effects);
         }
     }
 
@@ -83,12 +84,12 @@
         }
         effects.push(Effect::RoleChanged(after));
         if before == Role::Leader {
-            self.proposals.forget_pending();
+            self.proposals.discard_pending();
         }
     }
 
-    /// What a leader's own rounds say: that an entry is committed, or that the latest one still is the latest.
-    fn learn_from_own_raft(
+    /// Records what a leader's own rounds confirm: a commit, or that the latest version is still the latest.
+    fn record_raft_progress(
         &mut self,
         before: RaftState,
         after: RaftState,
@@ -97,25 +98,25 @@
     ) {
         let Some(header) = after.committed else { return };
         if just_committed {
-            self.learn_committed(effects, header, Micros(0), after.confirmed_at);
+            self.record_committed(effects, header, Micros(0), after.confirmed_at);
             self.broadcast_commit(effects);
-            self.answer_committed(effects);
+            self.reply_to_committed(effects);
         } else if after.confirmed_at > before.confirmed_at {
-            self.learn_committed(effects, header, Micros(0), after.confirmed_at);
+            self.record_committed(effects, header, Micros(0), after.confirmed_at);
         }
     }
 
-    /// The other voters hear of a commit at once, not at the next heartbeat.
+    /// Announces a commit to the other voters immediately instead of at the next heartbeat.
     fn broadcast_commit(&mut self, effects: &mut Vec<Effect>) {
-        // A function's pointer: a closure here would make the call's type endless.
+        // A function pointer, because a closure would make the type of the recursive call infinite.
         let append: fn(&mut Raft, StepTime, &ChunkedTransfer, &mut RaftEffects) =
             |raft, time, _, raft_effects| raft.broadcast_append(time, raft_effects);
         self.drive_raft(effects, append);
     }
 
-    pub(super) fn learn_announced(&mut self, announcement: Announcement, effects: &mut Vec<Effect>) {
+    pub(super) fn record_announced(&mut self, announcement: Announcement, effects: &mut Vec<Effect>) {
         let Announcement { header, committed_for_us, latest_at_us } = announcement;
         let latest_at = self.echoed_time(latest_at_us);
-        self.learn_committed(effects, header, Micros(committed_for_us), latest_at);
+        self.record_committed(effects, header, Micros(committed_for_us), latest_at);
     }
 }
--- a/crates/alderstile-cluster/src/replicated_config/subscription.rs
+++ b/crates/alderstile-cluster/src/replicated_config/subscription.rs
@@ -1,7 +1,8 @@
-//! How versions spread to the members that are no voters: a tree over their common order, subscribed to upwards and announced downwards.
+//! Distribution of versions to the members that are not voters: a tree over a common order of the members,
+//! with subscriptions sent up and announcements sent down.
 //!
-//! The first members subscribe to the voters in turn, the next ones to them, and so on. Who hears nothing new from its upstream takes
-//! another one and comes back to the tree later.
+//! The first members subscribe to the voters in turn, the next ones to those members, and so on. A node that
+//! receives nothing new from its upstream switches to another one, and later returns to the tree.
 
 use std::net::SocketAddr;
 
@@ -13,42 +14,45 @@
 use super::message::{Announcement, Message};
 use super::raft::Role;
 
-/// Without news for so many heartbeats a node takes another upstream: one lost announcement is not yet a reason.
+/// Time without news, in heartbeats, after which a node switches upstreams. Tolerates one lost announcement.
 const UPSTREAM_TIMEOUT_HEARTBEATS: f64 = 2.5;
-/// A subscription is renewed this often, in heartbeats.
+/// Interval between renewals of a subscription, in heartbeats.
 const RENEWAL_HEARTBEATS: f64 = 2.0;
-/// A subscription that was not renewed for so many intervals ends: its node may be gone.
-const SUBSCRIPTION_RENEWALS: f64 = 3.0;
-/// A renewal comes within this part of its interval around it, so that subscribers don't ask all together.
+/// Number of renewal intervals after which a subscription that was not renewed expires, as its node may be
+/// gone.
+const SUBSCRIPTION_LIFETIME_RENEWALS: f64 = 3.0;
+/// Width of the renewal jitter, as a fraction of the interval, so that subscribers do not renew
+/// simultaneously.
 const RENEWAL_JITTER: f64 = 0.2;
-/// No sooner than this, in heartbeats, after the one before.
-const LEAST_RENEWAL_HEARTBEATS: f64 = 0.2;
-/// After so many heartbeats a node goes back to the upstream that the tree names, which balances the load.
-const RETURN_HEARTBEATS: f64 = 60.0;
-/// Upstreams that are tried in turn: the tree's, one above in the order, the tree's again, a voter.
+/// Minimum time between two renewals, in heartbeats.
+const MIN_RENEWAL_HEARTBEATS: f64 = 0.2;
+/// Time after which a node returns to its upstream in the tree, in heartbeats. This keeps the load balanced.
+const TREE_RETURN_HEARTBEATS: f64 = 60.0;
+/// Number of upstreams that are tried in turn: the one in the tree, a random earlier member, the one in the
+/// tree again, a random voter.
 const ATTEMPT_CYCLE: u32 = 4;
-/// Clocks of this program begin far below this.
+/// Upper bound on valid clock readings. This program's clocks start far below it.
 const MAX_CLOCK_US: u64 = 1 << 63;
 
-/// A node that is sent announcements.
+/// A node that receives announcements.
 pub(super) struct Subscriber {
-    /// Its clock when it subscribed.
+    /// Reading of its clock when it subscribed.
     clock_us: u64,
     received_at: Micros,
 }
 
-/// Whom this node subscribes to.
+/// The upstream that this node subscribes to.
 pub(super) struct Upstream {
-    /// The members that are no voters, in the order that all of them share.
+    /// The members that are not voters, in the order that all nodes share.
     members: Vec<SocketAddr>,
-    /// This node's place in it.
-    place: Option<usize>,
+    /// This node's position among the members.
+    position: Option<usize>,
     current: Option<SocketAddr>,
-    /// How often the upstream was changed since the tree's one was first taken.
+    /// Number of upstream changes since the upstream in the tree was first chosen.
     attempt: u32,
     attempt_at: Micros,
-    /// When the current one last had news.
-    news_at: Micros,
+    /// When the current upstream last sent news.
+    last_update_at: Micros,
     subscribe_at: Micros,
 }
 
@@ -56,28 +60,29 @@
     pub fn new(now: Micros, subscribe_at: Micros) -> Self {
         Upstream {
             members: Vec::new(),
-            place: None,
+            position: None,
             current: None,
             attempt: 0,
             attempt_at: now,
-            news_at: now,
+            last_update_at: now,
             subscribe_at,
         }
     }
 
-    /// When the subscription is to be renewed.
+    /// Returns when the subscription is due for renewal.
     pub fn subscribe_at(&self) -> Micros {
         self.subscribe_at
     }
 }
 
 impl ReplicatedConfig {
-    /// The members that are no voters, in the order that all nodes share, and this node's place among them.
-    pub fn set_members(&mut self, members: Vec<SocketAddr>, place: Option<usize>) {
-        if (&self.upstream.members, self.upstream.place) == (&members, place) {
+    /// Sets the members that are not voters, in the order that all nodes share, and this node's position
+    /// among them.
+    pub fn set_members(&mut self, members: Vec<SocketAddr>, position: Option<usize>) {
+        if (&self.upstream.members, self.upstream.position) == (&members, position) {
             return;
         }
-        (self.upstream.members, self.upstream.place) = (members, place);
+        (self.upstream.members, self.upstream.position) = (members, position);
         let current = self.upstream.current;
         if self.upstream.attempt == 0 && current.is_some() && current != self.tree_upstream() {
             self.upstream.current = None;
@@ -85,18 +90,18 @@
         }
     }
 
-    /// The upstream that the tree names.
+    /// Returns this node's upstream in the tree.
     fn tree_upstream(&self) -> Option<SocketAddr> {
-        let (place, voters) = (self.upstream.place?, self.settings.voters.len());
+        let (position, voters) = (self.upstream.position?, self.settings.voters.len());
         let fanout = self.settings.fanout.max(1);
-        if place < voters * fanout {
-            self.settings.voters.get(place % voters).copied()
+        if position < voters * fanout {
+            self.settings.voters.get(position % voters).copied()
         } else {
-            self.upstream.members.get((place - voters * fanout) / fanout).copied()
+            self.upstream.members.get((position - voters * fanout) / fanout).copied()
         }
     }
 
-    fn draw_voter(&mut self) -> Option<SocketAddr> {
+    fn random_voter(&mut self) -> Option<SocketAddr> {
         let me = self.settings.local_voter.map(usize::from);
         let others: Vec<usize> = (0..self.settings.voters.len()).filter(|voter| Some(*voter) != me).collect();
         if others.is_empty() {
@@ -107,22 +112,22 @@
     }
 
     fn choose_upstream(&mut self) -> Option<SocketAddr> {
-        match (self.upstream.attempt % ATTEMPT_CYCLE, self.upstream.place) {
+        match (self.upstream.attempt % ATTEMPT_CYCLE, self.upstream.position) {
             (0 | 2, Some(_)) => self.tree_upstream(),
-            (1, Some(place)) if place > 0 => {
-                let above = self.rng.random_range(0..place);
-                self.upstream.members.get(above).copied()
+            (1, Some(position)) if position > 0 => {
+                let earlier = self.rng.random_range(0..position);
+                self.upstream.members.get(earlier).copied()
             }
-            _ => self.draw_voter(),
+            _ => self.random_voter(),
         }
     }
 
-    /// Renews the subscription, at another upstream where that is due.
+    /// Renews the subscription, switching upstreams if that is due.
     pub(super) fn subscribe(&mut self, effects: &mut Vec<Effect>) {
-        self.leave_silent_upstream();
+        self.drop_upstream_if_due();
         if self.upstream.current.is_none() {
             self.upstream.current = self.choose_upstream();
-            self.upstream.news_at = self.now;
+            self.upstream.last_update_at = self.now;
         }
         if let Some(to) = self.upstream.current {
             let (clock_us, active_version) = (self.clock_us(), self.active_version());
@@ -131,48 +136,51 @@
         self.schedule_renewal();
     }
 
-    fn leave_silent_upstream(&mut self) {
+    fn drop_upstream_if_due(&mut self) {
         let timeout = self.heartbeats(UPSTREAM_TIMEOUT_HEARTBEATS);
-        let return_after = self.heartbeats(RETURN_HEARTBEATS);
+        let return_after = self.heartbeats(TREE_RETURN_HEARTBEATS);
         let (now, upstream) = (self.now, &mut self.upstream);
-        if upstream.current.is_some() && upstream.news_at + timeout <= now {
+        if upstream.current.is_some() && upstream.last_update_at + timeout <= now {
             upstream.attempt += 1;
-            (upstream.current, upstream.attempt_at, upstream.news_at) = (None, now, now);
+            (upstream.current, upstream.attempt_at, upstream.last_update_at) = (None, now, now);
         } else if !upstream.attempt.is_multiple_of(ATTEMPT_CYCLE) && upstream.attempt_at + return_after <= now
         {
             (upstream.attempt, upstream.current, upstream.attempt_at) = (0, None, now);
         }
     }
 
-    /// Soon enough to be told by another upstream before the lease runs out.
+    /// Schedules the next renewal early enough to receive an announcement from another upstream before the
+    /// lease expires.
     fn schedule_renewal(&mut self) {
-        let drawn = self.rng.random::<f64>();
-        let jitter = (1.0 - RENEWAL_JITTER / 2.0) + RENEWAL_JITTER * drawn;
+        let fraction = self.rng.random::<f64>();
+        let jitter = (1.0 - RENEWAL_JITTER / 2.0) + RENEWAL_JITTER * fraction;
         let renewal = self.now + self.heartbeats(RENEWAL_HEARTBEATS * jitter);
-        let silent = self.upstream.news_at + self.heartbeats(UPSTREAM_TIMEOUT_HEARTBEATS);
-        let least = self.now + self.heartbeats(LEAST_RENEWAL_HEARTBEATS);
-        self.upstream.subscribe_at = renewal.min(silent).max(least);
+        let timeout_at = self.upstream.last_update_at + self.heartbeats(UPSTREAM_TIMEOUT_HEARTBEATS);
+        let earliest = self.now + self.heartbeats(MIN_RENEWAL_HEARTBEATS);
+        self.upstream.subscribe_at = renewal.min(timeout_at).max(earliest);
     }
 
     pub(super) fn handle_subscribe(&mut self, from: SocketAddr, clock_us: u64, effects: &mut Vec<Effect>) {
-        // Twice the tree's share, for those whose upstream is gone; a leader has the voters to tell besides.
-        let most = if self.role() == Some(Role::Leader) { 1 } else { 2 } * self.settings.fanout;
-        let room = self.subscribers.len() < most || self.subscribers.contains_key(&from);
-        if !room || clock_us >= MAX_CLOCK_US {
+        // Up to twice the tree's fanout, to serve nodes that lost their upstream. A leader also sends to the
+        // voters and accepts only the fanout.
+        let max_subscribers = if self.role() == Some(Role::Leader) { 1 } else { 2 } * self.settings.fanout;
+        let has_capacity = self.subscribers.len() < max_subscribers || self.subscribers.contains_key(&from);
+        if !has_capacity || clock_us >= MAX_CLOCK_US {
             return;
         }
         let subscriber = Subscriber { clock_us, received_at: self.now };
-        if self.documents.holds(self.committed.header.digest) {
+        if self.documents.contains(self.committed.header.digest) {
             let announcement = self.announcement_for(&subscriber);
             self.send(effects, from, &Message::Announce(announcement));
         }
         self.subscribers.insert(from, subscriber);
     }
 
-    /// Announces the latest version to those that have subscribed.
+    /// Announces the latest version to all subscribers.
     pub(super) fn announce_to_subscribers(&mut self, effects: &mut Vec<Effect>) {
-        let (now, lasts) = (self.now, self.heartbeats(SUBSCRIPTION_RENEWALS * RENEWAL_HEARTBEATS));
-        self.subscribers.retain(|_, subscriber| now < subscriber.received_at + lasts);
+        let (now, lifetime) =
+            (self.now, self.heartbeats(SUBSCRIPTION_LIFETIME_RENEWALS * RENEWAL_HEARTBEATS));
+        self.subscribers.retain(|_, subscriber| now < subscriber.received_at + lifetime);
         let announcements: Vec<(SocketAddr, Announcement)> = self
             .subscribers
             .iter()
@@ -184,7 +192,8 @@
     }
 
     fn announcement_for(&self, subscriber: &Subscriber) -> Announcement {
-        // The subscriber read its clock before it was heard here, so this is never too late.
+        // The subscriber read its clock before this node received the reading, so the result is never too
+        // late.
         let latest_at_us = self.committed.latest_at.map_or(0, |latest_at| {
             subscriber.clock_us.saturating_add(latest_at.0).saturating_sub(subscriber.received_at.0)
         });
@@ -199,12 +208,12 @@
         effects: &mut Vec<Effect>,
     ) {
         let latest_at = self.echoed_time(announcement.latest_at_us);
-        let told = (announcement.header.position.version, latest_at);
+        let announced = (announcement.header.position.version, latest_at);
         let known = (self.committed_version(), self.committed.latest_at);
-        if Some(from) == self.upstream.current && told > known {
-            self.upstream.news_at = self.now;
+        if Some(from) == self.upstream.current && announced > known {
+            self.upstream.last_update_at = self.now;
         }
-        self.learn_announced(announcement, effects);
+        self.record_announced(announcement, effects);
         self.fetch_committed(effects, from);
     }
 }
--- a/crates/alderstile-cluster/src/replicated_config/wire.rs
+++ b/crates/alderstile-cluster/src/replicated_config/wire.rs
@@ -1,7 +1,8 @@
-//! The datagrams of the replicated configuration, format 1: `AC`, the format and the cluster's name, a message, and a MAC.
+//! Datagrams of the replicated configuration, format 1: `AC`, the format, the cluster's name, a message and a
+//! MAC.
 //!
-//! A recorded datagram that is played again changes nothing: terms and versions only rise, rounds and echoed clocks only count once, and
-//! documents are named by their digest.
+//! A replayed datagram has no effect: terms and versions only increase, rounds and echoed clocks count only
+//! once, and documents are identified by digest.
 
 use winnow::Parser;
 
@@ -18,10 +19,11 @@
 pub struct DatagramCodec(Authenticator);
 
 impl DatagramCodec {
-    /// The datagrams of the cluster with this name; the first key signs, each of them is accepted.
+    /// Creates the codec for the cluster with this name. The first key signs; datagrams signed with any of
+    /// the keys are accepted.
     ///
     /// # Errors
-    /// The name or a key is out of bounds, or there is no key.
+    /// Returns an error if the name or a key has an invalid length, or if there is no key.
     pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Result<Self, AuthenticatorError> {
         Authenticator::new(MAGIC, FORMAT, cluster, keys).map(DatagramCodec)
     }
@@ -34,15 +36,15 @@
         bytes
     }
 
-    /// Any bytes as a signed payload: what a faulty member that has the key could send.
+    /// Signs arbitrary bytes as a payload, as a faulty member with the key could send them.
     pub fn sign_payload(&self, payload: &[u8]) -> Vec<u8> {
         self.0.sign_payload(payload)
     }
 
-    /// Decodes a datagram after its MAC has been verified.
+    /// Verifies a datagram's MAC and decodes its message.
     ///
     /// # Errors
-    /// It is malformed, in a newer format, or not signed with a key in force.
+    /// Returns an error if the datagram is malformed, in a newer format, or not signed with a current key.
     pub fn decode(&self, bytes: &[u8]) -> Result<Message, DecodeError> {
         decode_message.parse(self.0.verify(bytes)?).map_err(|_| DecodeError::Malformed)
     }
--- a/crates/alderstile-cluster/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_compatibility.rs
@@ -1,4 +1,5 @@
-//! Datagrams of the replicated configuration as cc53de7 wrote them: each kind is read, and written as the same bytes.
+//! Compatibility of the replicated configuration's datagrams: each message kind decodes from, and encodes to,
+//! the bytes that commit cc53de7 wrote.
 
 use std::path::PathBuf;
 
@@ -7,7 +8,7 @@
     ProposalOutcome, ProposalRequest, RaftPayload, VersionHeader,
 };
 
-/// One message of each kind, under the name of its fixture.
+/// Returns one message of each kind with the name of its fixture.
 fn messages() -> Vec<(&'static str, Message)> {
     let position = LogPosition { term: 7, version: 41 };
     let header = VersionHeader { position, digest: 0x1122_3344_5566_7788, length: 3_000 };
@@ -22,7 +23,7 @@
         let append = AppendEntry { round: 99, entry: header, committed, committed_for_us, latest_at_us };
         voter(RaftPayload::AppendEntry(append))
     };
-    let answer = |outcome| Message::ProposeReply { nonce: 0xfeed, outcome };
+    let propose_reply = |outcome| Message::ProposeReply { nonce: 0xfeed, outcome };
     vec![
         ("pre_vote", voter(RaftPayload::PreVote { last_entry: position })),
         ("pre_vote_reply", voter(RaftPayload::PreVoteReply { granted: true })),
@@ -76,14 +77,14 @@
                 length: 17,
             }),
         ),
-        ("propose_reply_committed", answer(ProposalOutcome::Committed(42))),
-        ("propose_reply_rejected", answer(ProposalOutcome::Rejected("the key läuft".to_owned()))),
-        ("propose_reply_not_leader", answer(ProposalOutcome::NotLeader(3))),
+        ("propose_reply_committed", propose_reply(ProposalOutcome::Committed(42))),
+        ("propose_reply_rejected", propose_reply(ProposalOutcome::Rejected("the key läuft".to_owned()))),
+        ("propose_reply_not_leader", propose_reply(ProposalOutcome::NotLeader(3))),
     ]
 }
 
 fn codec() -> DatagramCodec {
-    DatagramCodec::new("edge", &[(0..16).collect()]).expect("a codec")
+    DatagramCodec::new("edge", &[(0..16).collect()]).expect("valid codec parameters")
 }
 
 fn fixture(name: &str) -> PathBuf {
@@ -91,7 +92,7 @@
 }
 
 #[test]
-fn datagrams_of_the_version_before_are_read() {
+fn datagrams_of_the_previous_version_are_decoded() {
     for (name, message) in messages() {
         let bytes = std::fs::read(fixture(name)).expect(name);
         assert_eq!(codec().decode(&bytes), Ok(message), "{name}");
@@ -99,7 +100,7 @@
 }
 
 #[test]
-fn datagrams_are_written_as_the_version_before_wrote_them() {
+fn datagrams_are_encoded_as_the_previous_version_encoded_them() {
     for (name, message) in messages() {
         let bytes = std::fs::read(fixture(name)).expect(name);
         assert_eq!(codec().encode(&message), bytes, "{name}");
@@ -107,8 +108,8 @@
 }
 
 #[test]
-fn every_fixture_is_tested() {
-    let dir = fixture("any").parent().expect("a folder").to_owned();
-    let count = std::fs::read_dir(dir).expect("a folder").count();
+fn every_fixture_has_a_test_message() {
+    let dir = fixture("any").parent().expect("fixture directory").to_owned();
+    let count = std::fs::read_dir(dir).expect("fixture directory").count();
     assert_eq!(count, messages().len());
 }
--- a/crates/alderstile-cluster/tests/replicated_config_messages.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_messages.rs
@@ -1,4 +1,4 @@
-//! Messages and deltas of any content: read as written, and no bytes break a node.
+//! Property tests of messages and deltas: encoding round-trips, and no datagram makes a node panic.
 
 use alderstile::types::Micros;
 use alderstile_cluster::replicated_config::{
@@ -12,7 +12,7 @@
 mod support;
 use support::simulated_cluster::{KEY, address, codec, validate_document};
 
-/// Any message.
+/// Generates arbitrary messages.
 fn message() -> impl Strategy<Value = Message> {
     let number = any::<u64>;
     let length = || 0..=MAX_DOCUMENT as u32;
@@ -92,47 +92,48 @@
         prop_assert_eq!(codec().decode(&bytes), Ok(message));
     }
 
-    /// Whatever comes, from a member that has the key too, nothing panics.
+    /// Covers arbitrary, truncated and foreign datagrams, and arbitrary payloads signed with the cluster's
+    /// key.
     #[test]
-    fn no_message_and_no_bytes_break_a_node(
-        inside in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 1..20),
+    fn no_message_and_no_bytes_make_a_node_panic(
+        payloads in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..200), 1..20),
         messages in proptest::collection::vec(message(), 1..40),
-        cut in any::<u8>(),
+        truncated_length in any::<u8>(),
     ) {
-        for me in [None, Some(1)] {
-            let set = ReplicationSettings::new((0..3).map(address).collect(), me);
-            let stored = me.map(|_| PersistedState::genesis());
-            let mut core = ReplicatedConfig::new(set.clone(), codec(), stored, Box::new(validate_document), 5, Micros(0));
+        for local_voter in [None, Some(1)] {
+            let settings = ReplicationSettings::new((0..3).map(address).collect(), local_voter);
+            let stored = local_voter.map(|_| PersistedState::genesis());
+            let mut core = ReplicatedConfig::new(settings.clone(), codec(), stored, Box::new(validate_document), 5, Micros(0));
             let mut now = Micros(0);
-            let mut give = |bytes: &[u8]| {
+            let mut deliver = |bytes: &[u8]| {
                 now = now + Micros(40_000);
-                let mut out = core.tick(now);
-                out.extend(core.handle_datagram(now, address(2), bytes));
-                out
+                let mut effects = core.tick(now);
+                effects.extend(core.handle_datagram(now, address(2), bytes));
+                effects
             };
-            for inside in &inside {
-                give(inside);
-                give(&codec().sign_payload(inside));
+            for payload in &payloads {
+                deliver(payload);
+                deliver(&codec().sign_payload(payload));
             }
             for message in &messages {
                 let bytes = codec().encode(message);
-                give(&bytes[..bytes.len().min(usize::from(cut))]);
-                give(&bytes);
-                let foreign = DatagramCodec::new("other", &[KEY.to_vec()]).expect("a codec").encode(message);
-                give(&foreign);
+                deliver(&bytes[..bytes.len().min(usize::from(truncated_length))]);
+                deliver(&bytes);
+                let foreign = DatagramCodec::new("other", &[KEY.to_vec()]).expect("valid codec parameters").encode(message);
+                deliver(&foreign);
             }
             prop_assert!(core.traffic().foreign > 0);
         }
     }
 
     #[test]
-    fn a_delta_makes_the_new_document_of_the_old_one(
+    fn a_delta_applied_to_the_old_document_yields_the_new_one(
         old in proptest::collection::vec(0_u8..3, 0..60),
         new in proptest::collection::vec(0_u8..3, 0..60),
         other in proptest::collection::vec(any::<u8>(), 0..60),
     ) {
         prop_assert_eq!(apply_delta(&old, &encode_delta(&old, &new)), Some(new));
-        // Any bytes as a difference make something or nothing.
+        // Arbitrary bytes as a delta yield some document or none, without a panic.
         let _ = apply_delta(&old, &other);
     }
 }
