--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -66,7 +66,7 @@
 
 /// The settings as they apply on sockets. Probes are off, as the only probe there is to send a client. Connections are
 /// migrated from draining servers: a client whose server stops may notice late.
-fn settings_on_sockets(settings: BalancerSettings) -> BalancerSettings {
+fn node_settings(settings: BalancerSettings) -> BalancerSettings {
     BalancerSettings { probes_allowed: false, migrate_from_draining: true, ..settings }
 }
 
@@ -90,7 +90,7 @@
 impl Balancer {
     /// Creates a node that holds nothing.
     pub fn new(settings: BalancerSettings, seed: u64, now: Micros) -> Self {
-        let settings = settings_on_sockets(settings);
+        let settings = node_settings(settings);
         let mut balancer = Balancer {
             classifier: classifier(&settings),
             policy: Policy::new(settings, seed, now),
@@ -113,7 +113,7 @@
         seed: u64,
         now: Micros,
     ) -> Self {
-        let shadow = shadow.map(|settings| Shadow::new(settings_on_sockets(settings), seed, now));
+        let shadow = shadow.map(|settings| Shadow::new(node_settings(settings), seed, now));
         Balancer { shadow, ..Self::new(settings, seed, now) }
     }
 
@@ -125,14 +125,14 @@
         settings: BalancerSettings,
         shadow: Option<BalancerSettings>,
     ) {
-        let settings = settings_on_sockets(settings);
+        let settings = node_settings(settings);
         if settings.servers_report_delay != self.classifier.is_some() {
             self.classifier = classifier(&settings);
         }
         self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
         self.sort_actions(now);
         self.shadow = self.shadow.take().zip(shadow).map(|(mut running, settings)| {
-            running.apply_settings(now, settings_on_sockets(settings));
+            running.apply_settings(now, node_settings(settings));
             running
         });
     }
@@ -217,22 +217,22 @@
 
     /// A connection ended at its server's side, or because its client was asked to reconnect.
     pub fn on_connection_ended(&mut self, now: Micros, id: RequestId, server: ServerId, outcome: Outcome) {
-        self.forget_signals(id);
+        self.remove_from_classifier(id);
         self.handle_event(now, Event::Ended { id, server, outcome, closed: true, report: Vec::new() });
     }
 
     /// The client disconnected; nothing is owed to it.
     pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
-        self.forget_signals(id);
+        self.remove_from_classifier(id);
         self.handle_event(now, Event::ClientDisconnected(id));
     }
 
     /// A server sent a load report on a connection: the connection's load in microseconds of work a second or, where
     /// servers report that too, the milliseconds that messages take there, which has the same form.
-    pub fn on_load_report(&mut self, now: Micros, id: RequestId, server: ServerId, figure: f64) {
+    pub fn on_load_report(&mut self, now: Micros, id: RequestId, server: ServerId, value: f64) {
         let signal = match &mut self.classifier {
-            Some(classifier) => classifier.classify(now, id, server, figure),
-            None => Some(LoadSignal::Load(id, figure)),
+            Some(classifier) => classifier.classify(now, id, server, value),
+            None => Some(LoadSignal::Load(id, value)),
         };
         if let Some(signal) = signal {
             self.handle_signal(now, signal);
@@ -247,7 +247,7 @@
         self.handle_event(now, event);
     }
 
-    fn forget_signals(&mut self, id: RequestId) {
+    fn remove_from_classifier(&mut self, id: RequestId) {
         if let Some(classifier) = &mut self.classifier {
             classifier.forget(id);
         }
@@ -361,7 +361,7 @@
                 Action::WatchEndpoints => self.pending.watch_endpoints = true,
                 Action::Broadcast(data) => self.pending.broadcasts.push(data),
                 Action::Log(server, text) => self.pending.log_lines.push(LogLine { server, text }),
-                // Never requested: `settings_on_sockets` turns probes off.
+                // Never requested: `node_settings` turns probes off.
                 Action::Probe(_) => {}
             }
         }
--- a/src/load_signal.rs
+++ b/src/load_signal.rs
@@ -1,10 +1,10 @@
-//! Classification of load reports on sockets, where two kinds of figures have the same form.
+//! Classification of load reports on sockets, where two kinds of values have the same form.
 //!
 //! A connection's load, in microseconds of work a second, is reported when it changes. The milliseconds that messages
 //! take at the connection's server are reported about once a second on one of its connections while they are late.
 //! A late server whose delays are taken for loads would have next to nothing in the record and draw all new work.
 //!
-//! A figure is ambiguous where it lies far below what its connection last reported, or what connections typically
+//! A value is ambiguous where it lies far below what its connection last reported, or what connections typically
 //! report. A single one may be a client that went idle. It is a delay if another one follows within the interval of
 //! delay reports, on the same connection or both far below their own loads; and a load if none does.
 
@@ -12,17 +12,17 @@
 
 use crate::types::{Micros, RequestId, ServerId};
 
-/// A figure lies far below a load that is this many times higher. Few changes of a load are that large, most delays are.
+/// A value lies far below a load that is this many times higher. Few changes of a load are that large, most delays are.
 const FAR_BELOW_FACTOR: f64 = 20.0;
 /// The least interval between two delay reports of one server.
 const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(980);
 /// The greatest such interval: delay reports come once a second. Where a node holds many connections at a server, light
 /// loads follow one another by chance; in a wider interval they would pass for delays.
 const MAX_REPORT_INTERVAL: Micros = Micros::from_millis(1_020);
-/// The greatest figure that counts as a load, in microseconds of work a second.
+/// The greatest value that counts as a load, in microseconds of work a second.
 const MAX_LOAD: f64 = 1e9;
 
-/// A classified figure.
+/// A classified value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadSignal {
     /// The load of this connection, in microseconds of work a second.
@@ -31,22 +31,22 @@
     Delay(ServerId, f64),
 }
 
-/// A figure that may still be a load or a delay.
-struct AmbiguousFigure {
+/// A value that may still be a load or a delay.
+struct AmbiguousValue {
     id: RequestId,
     server: ServerId,
-    figure: f64,
+    value: f64,
     reported_at: Micros,
     /// It lies far below what its own connection last reported.
     below_own_load: bool,
 }
 
-impl AmbiguousFigure {
+impl AmbiguousValue {
     fn expires_at(&self) -> Micros {
         self.reported_at + MAX_REPORT_INTERVAL
     }
 
-    /// Whether a further ambiguous figure, reported `now`, shows that this one is a delay.
+    /// Whether a further ambiguous value, reported `now`, shows that this one is a delay.
     fn is_confirmed_by(&self, now: Micros, id: RequestId, server: ServerId, below_own_load: bool) -> bool {
         let same_source = self.id == id || (self.below_own_load && below_own_load);
         self.server == server && is_report_interval(self.reported_at, now) && same_source
@@ -66,9 +66,9 @@
         self.count += 1.0;
     }
 
-    /// Whether a figure lies far below the mean; never while there is none.
-    fn far_above(&self, figure: f64) -> bool {
-        self.count > 0.0 && figure * FAR_BELOW_FACTOR < self.sum / self.count
+    /// Whether a value lies far below the mean; never while there is none.
+    fn is_far_above(&self, value: f64) -> bool {
+        self.count > 0.0 && value * FAR_BELOW_FACTOR < self.sum / self.count
     }
 }
 
@@ -84,55 +84,55 @@
     loads: BTreeMap<RequestId, f64>,
     first_loads: FirstLoads,
     /// In the order in which they were reported.
-    ambiguous: Vec<AmbiguousFigure>,
+    ambiguous: Vec<AmbiguousValue>,
     /// When each late server last reported a delay.
     last_delay_report: BTreeMap<ServerId, Micros>,
 }
 
 impl LoadSignalClassifier {
-    /// Takes in a figure reported on a connection to this server. Returns nothing while the figure is ambiguous.
+    /// Takes in a value reported on a connection to this server. Returns nothing while the value is ambiguous.
     pub fn classify(
         &mut self,
         now: Micros,
         id: RequestId,
         server: ServerId,
-        figure: f64,
+        value: f64,
     ) -> Option<LoadSignal> {
         let own_load = self.loads.get(&id);
-        let below_own_load = own_load.is_some_and(|load| figure * FAR_BELOW_FACTOR < *load);
-        let ambiguous = below_own_load || self.first_loads.far_above(figure);
+        let below_own_load = own_load.is_some_and(|load| value * FAR_BELOW_FACTOR < *load);
+        let ambiguous = below_own_load || self.first_loads.is_far_above(value);
         // An unchanged load is reported again to the digit; a delay never stays the same.
-        if !ambiguous || own_load == Some(&figure) {
-            return Some(self.load(id, figure));
+        if !ambiguous || own_load == Some(&value) {
+            return Some(self.load(id, value));
         }
         let last_delay = self.last_delay_report.get(&server);
         let continues = last_delay.is_some_and(|at| is_report_interval(*at, now));
         let mut earlier = self.ambiguous.iter();
         if !continues && !earlier.any(|first| first.is_confirmed_by(now, id, server, below_own_load)) {
-            self.ambiguous.push(AmbiguousFigure { id, server, figure, reported_at: now, below_own_load });
+            self.ambiguous.push(AmbiguousValue { id, server, value, reported_at: now, below_own_load });
             return None;
         }
-        Some(self.delay(now, server, figure))
+        Some(self.delay(now, server, value))
     }
 
-    /// Ambiguous figures that no further one has confirmed in time: they are loads.
+    /// Ambiguous values that no further one has confirmed in time: they are loads.
     pub fn take_expired(&mut self, now: Micros) -> Vec<LoadSignal> {
-        let figures = std::mem::take(&mut self.ambiguous);
+        let values = std::mem::take(&mut self.ambiguous);
         let (expired, open): (Vec<_>, Vec<_>) =
-            figures.into_iter().partition(|figure| now > figure.expires_at());
+            values.into_iter().partition(|value| now > value.expires_at());
         self.ambiguous = open;
-        expired.into_iter().map(|figure| self.load(figure.id, figure.figure)).collect()
+        expired.into_iter().map(|value| self.load(value.id, value.value)).collect()
     }
 
-    /// When the next ambiguous figure expires.
+    /// When the next ambiguous value expires.
     pub fn next_expiry(&self) -> Option<Micros> {
-        self.ambiguous.first().map(|figure| figure.expires_at() + Micros(1))
+        self.ambiguous.first().map(|value| value.expires_at() + Micros(1))
     }
 
     /// A connection has ended.
     pub fn forget(&mut self, id: RequestId) {
         self.loads.remove(&id);
-        self.ambiguous.retain(|figure| figure.id != id);
+        self.ambiguous.retain(|value| value.id != id);
     }
 
     fn load(&mut self, id: RequestId, load: f64) -> LoadSignal {
@@ -142,11 +142,11 @@
         LoadSignal::Load(id, load)
     }
 
-    fn delay(&mut self, now: Micros, server: ServerId, figure: f64) -> LoadSignal {
+    fn delay(&mut self, now: Micros, server: ServerId, value: f64) -> LoadSignal {
         self.ambiguous
             .retain(|earlier| earlier.server != server || !is_report_interval(earlier.reported_at, now));
         self.last_delay_report.retain(|_, at| now <= *at + MAX_REPORT_INTERVAL);
         self.last_delay_report.insert(server, now);
-        LoadSignal::Delay(server, figure)
+        LoadSignal::Delay(server, value)
     }
 }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -20,16 +20,16 @@
     pub(super) fn has_capacity(&self, index: ServerIndex, connection: &Connection) -> bool {
         let Some(limit) = self.servers[index].capacity.load_limit else { return true };
         let classes = 0..self.typical_loads.class_count();
-        let highest = classes.map(|class| self.priority_per_load(class)).fold(0.0, f64::max);
-        let own = self.priority_per_load(usize::from(connection.request.class));
+        let highest = classes.map(|class| self.priority_per_unit_load(class)).fold(0.0, f64::max);
+        let own = self.priority_per_unit_load(usize::from(connection.request.class));
         let relative_priority = if highest > 0.0 { own / highest } else { 1.0 };
         let usable_share = 1.0 - RESERVED_SHARE * (1.0 - relative_priority);
         self.recorded_load(index) < limit * usable_share
     }
 
     /// The priority weight of a class for each unit of its typical load; 0 before that is known.
-    fn priority_per_load(&self, class: usize) -> f64 {
-        let load = self.typical_loads.first_report_of(class).filter(|load| *load > 0.0);
+    fn priority_per_unit_load(&self, class: usize) -> f64 {
+        let load = self.typical_loads.mean_first_load(class).filter(|load| *load > 0.0);
         let priority = self.settings.classes.get(class).map_or(0.0, |class| class.priority_weight);
         load.map_or(0.0, |load| priority / load)
     }
@@ -38,11 +38,11 @@
     /// have run and is not safe to repeat at any server fails; all else is rejected.
     pub(super) fn give_up(&mut self, connection: &Connection, actions: &mut Vec<Action>) {
         let id = connection.request.id;
-        if connection.first_run.is_some() && !self.is_idempotent_anywhere(connection) {
+        if connection.first_execution.is_some() && !self.is_idempotent_anywhere(connection) {
             actions.push(Action::Fail(id));
             return;
         }
-        let retry_after = self.draw_retry_after(connection);
+        let retry_after = self.random_retry_after(connection);
         actions.push(Action::Reject(id, self.settings.retry_after_allowed.then_some(retry_after)));
     }
 
@@ -56,7 +56,7 @@
     }
 
     /// Between a half and a whole latency objective: clients rejected together must not come back together.
-    fn draw_retry_after(&mut self, connection: &Connection) -> Micros {
+    fn random_retry_after(&mut self, connection: &Connection) -> Micros {
         let class = self.settings.classes.get(usize::from(connection.request.class));
         let objective = class.map_or(PERIOD, |class| class.latency_objective);
         let longest = objective.min(self.settings.max_retry_after);
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -50,11 +50,11 @@
     /// Takes in an attempt that became a connection.
     pub(super) fn on_success(&mut self, latency: Micros) {
         self.attempts_in_flight -= 1;
-        self.learn_typical(latency);
+        self.update_typical_duration(latency);
         self.timed_out_share.add(0.0);
     }
 
-    fn learn_typical(&mut self, took: Micros) {
+    fn update_typical_duration(&mut self, took: Micros) {
         let took_ms = took.as_secs_f64() * 1e3;
         let typical_ms = self.typical_ms.value().unwrap_or(took_ms);
         self.typical_ms.add(took_ms.min(MAX_SETUP_MULTIPLE * typical_ms));
@@ -64,12 +64,12 @@
     /// that is slow as a whole, time-outs would add to its work.
     fn on_timeout(&mut self, took: Micros) {
         self.timed_out_share.add(1.0);
-        self.learn_typical(took);
+        self.update_typical_duration(took);
     }
 
     /// Whether set-ups take long everywhere: more attempts are in flight than requests come in `wait`
     /// (Little's law), or many time out.
-    fn all_are_slow(&self, wait: Micros) -> bool {
+    fn is_fleet_slow(&self, wait: Micros) -> bool {
         let rate = self.typical_request_rate.value().unwrap_or(0.0);
         let expected_in_flight = MIN_ATTEMPTS_IN_FLIGHT + rate * wait.as_secs_f64();
         f64::from(self.attempts_in_flight) > expected_in_flight
@@ -86,7 +86,7 @@
     pub(super) fn attempt_timeout(&self, now: Micros, connection: &Connection) -> Option<Micros> {
         let typical = Micros((self.setups.typical_ms.value()? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
         let wait = connection.class_at_arrival.as_ref()?.latency_objective.max(typical);
-        if self.setups.all_are_slow(wait) {
+        if self.setups.is_fleet_slow(wait) {
             return None;
         }
         (now + wait.scale(2.0) <= connection.deadline).then_some(wait)
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -30,7 +30,7 @@
 impl Policy {
     /// Bounds a server by the load of this node that it manages, and believes it to be as much slower than
     /// the others as that is below the mean: it would else be filled again at once.
-    pub(super) fn bound_to_capacity(&mut self, index: ServerIndex, manageable_load: f64, mean_load: f64) {
+    pub(super) fn limit_to_capacity(&mut self, index: ServerIndex, manageable_load: f64, mean_load: f64) {
         // One connection fits always, or the server would never be seen to be fast again.
         let lowest_limit = self.typical_load();
         let fair_load = mean_load * self.zone_weight(index);
--- a/src/policy/connection.rs
+++ b/src/policy/connection.rs
@@ -3,7 +3,7 @@
 use crate::types::{ClassSettings, Micros, Request, RequestId, ServerId};
 
 use super::Policy;
-use super::load_estimate::is_load;
+use super::load_estimate::is_valid_load;
 use super::server::ServerIndex;
 
 /// State of a request.
@@ -45,7 +45,7 @@
 
 /// The first attempt of a request that may have had an effect.
 #[derive(Clone, Copy)]
-pub(super) struct FirstRun {
+pub(super) struct FirstExecution {
     pub(super) server: ServerIndex,
     pub(super) sent: Micros,
 }
@@ -60,7 +60,7 @@
     pub(super) probe_attempts: u32,
     /// The servers of its attempts so far.
     pub(super) attempted_servers: Vec<ServerIndex>,
-    pub(super) first_run: Option<FirstRun>,
+    pub(super) first_execution: Option<FirstExecution>,
     /// When the last attempt was sent.
     pub(super) sent: Micros,
     /// The last attempt has a time-out shorter than the client's deadline.
@@ -81,18 +81,18 @@
             state: ConnectionState::Waiting,
             probe_attempts: 0,
             attempted_servers: Vec::new(),
-            first_run: None,
+            first_execution: None,
             sent: now,
             has_attempt_timeout: false,
             server_started: None,
             class_at_arrival: class,
-            reported_load: request.expected_load.filter(is_load),
+            reported_load: request.expected_load.filter(is_valid_load),
         }
     }
 
     /// Records that the last attempt may have had an effect at this server.
-    pub(super) fn mark_possible_run(&mut self, server: ServerIndex) {
-        self.first_run.get_or_insert(FirstRun { server, sent: self.sent });
+    pub(super) fn mark_possible_execution(&mut self, server: ServerIndex) {
+        self.first_execution.get_or_insert(FirstExecution { server, sent: self.sent });
     }
 }
 
@@ -110,7 +110,7 @@
         let state = ConnectionState::Open(index);
         let connection = Connection { state, ..self.new_connection(now, request) };
         self.add_to_load(&connection);
-        self.learn_typical_load(&request, request.expected_load);
+        self.update_typical_load(&request, request.expected_load);
         self.connections.insert(request.id, connection);
     }
 
--- a/src/policy/effective_weight.rs
+++ b/src/policy/effective_weight.rs
@@ -4,7 +4,7 @@
 use crate::types::{Micros, WeightMeaning};
 
 use super::Policy;
-use super::load_estimate::is_load;
+use super::load_estimate::is_valid_load;
 use super::server::ServerIndex;
 
 /// Factor on the weight of servers in this node's zone, where crossing zones is charged for.
@@ -15,7 +15,7 @@
     pub(super) fn weight(&self, index: ServerIndex) -> f64 {
         let weight = self.servers[index].endpoint.weight;
         let nominal = self.settings.weight_meaning == WeightMeaning::NominalCapacity;
-        if nominal && weight > 0.0 && is_load(&weight) { weight } else { 1.0 }
+        if nominal && weight > 0.0 && is_valid_load(&weight) { weight } else { 1.0 }
     }
 
     /// The weight of a server, raised by zone affinity.
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -109,7 +109,7 @@
     fn apply_endpoint(&mut self, now: Micros, endpoint: Endpoint) {
         let index = self.find_or_add_server(now, endpoint);
         if self.servers[index].endpoint.started != endpoint.started {
-            self.forget_history(now, index, endpoint);
+            self.reset_history(now, index, endpoint);
         }
         let server = &mut self.servers[index];
         if endpoint.state == EndpointState::Removed && server.endpoint.state != EndpointState::Removed {
@@ -133,7 +133,7 @@
     }
 
     /// Forgets what was seen of a server: its process was started anew.
-    fn forget_history(&mut self, now: Micros, index: ServerIndex, endpoint: Endpoint) {
+    fn reset_history(&mut self, now: Micros, index: ServerIndex, endpoint: Endpoint) {
         let nodes = u64::from(self.settings.node_count);
         let node = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
         let turn = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
@@ -145,7 +145,7 @@
         server.capacity = ObservedCapacity::default();
         server.delay = None;
         server.overloaded_periods = 0;
-        server.outlier.forget_failures();
+        server.outlier.reset_failures();
     }
 
     /// Whether new work may go to a server by the endpoint list, and by what is known of servers that a list
@@ -153,8 +153,8 @@
     pub(super) fn is_available(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let removal_is_wrong =
-            || self.lists.disproved.contains(&server.removed_by_list) || self.is_known_to_run(now, index);
-        server.endpoint.ready() || (self.removal_is_advice(index) && removal_is_wrong())
+            || self.lists.disproved.contains(&server.removed_by_list) || self.is_known_running(now, index);
+        server.endpoint.ready() || (self.is_advisory_removal(index) && removal_is_wrong())
     }
 
     /// The available servers, in the order of their position.
@@ -163,14 +163,14 @@
     }
 
     /// Whether a server was removed without draining before, where the settings call a removal advice only.
-    pub(super) fn removal_is_advice(&self, index: ServerIndex) -> bool {
+    pub(super) fn is_advisory_removal(&self, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let removed = server.endpoint.state == EndpointState::Removed;
         self.settings.removal_is_advisory && removed && !server.draining
     }
 
     /// Whether a server holds a connection of this node, or has recently answered a probe.
-    fn is_known_to_run(&self, now: Micros, index: ServerIndex) -> bool {
+    fn is_known_running(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let answered = server.probes.answered_at;
         !server.load.connections.is_empty() || answered.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
@@ -180,7 +180,7 @@
     /// wrong about all that it removed.
     pub(super) fn update_disproved_lists(&mut self, now: Micros) {
         let disproves =
-            |&index: &ServerIndex| self.removal_is_advice(index) && self.is_known_to_run(now, index);
+            |&index: &ServerIndex| self.is_advisory_removal(index) && self.is_known_running(now, index);
         let disproved = (0..self.servers.len()).filter(disproves);
         self.lists.disproved = disproved.map(|index| self.servers[index].removed_by_list).collect();
     }
--- a/src/policy/group_placement.rs
+++ b/src/policy/group_placement.rs
@@ -16,13 +16,13 @@
 const GROUP_EXTRA_SERVERS: f64 = 2.0;
 
 /// On how many of so many servers a group may begin; the same at all nodes.
-pub(super) fn group_reach(servers: usize) -> usize {
+pub(super) fn max_initial_servers(servers: usize) -> usize {
     ((servers as f64).sqrt() + GROUP_EXTRA_SERVERS) as usize
 }
 
 /// A hash of a group and a server that is the same at all nodes: nodes that know nothing of one another begin
 /// a group on the same servers.
-pub(super) fn shared_hash(group: GroupId, server: ServerId) -> u64 {
+pub(super) fn rendezvous_hash(group: GroupId, server: ServerId) -> u64 {
     let mixed = (group.0 ^ server.0.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 29).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed ^ mixed >> 32
@@ -30,21 +30,21 @@
 
 /// The lowest hash among the servers on which a group may begin: the highest hashes of those that can be
 /// reached.
-pub(super) fn lowest_hash_in_reach(policy: &Policy, now: Micros, group: GroupId) -> u64 {
+pub(super) fn min_initial_hash(policy: &Policy, now: Micros, group: GroupId) -> u64 {
     let reachable =
-        policy.available_servers(now).filter(|&index| !policy.servers[index].outlier.is_barred(now));
+        policy.available_servers(now).filter(|&index| !policy.servers[index].outlier.is_excluded(now));
     let mut hashes: Vec<u64> =
-        reachable.map(|index| shared_hash(group, policy.servers[index].endpoint.id)).collect();
+        reachable.map(|index| rendezvous_hash(group, policy.servers[index].endpoint.id)).collect();
     hashes.sort_unstable_by(|a, b| b.cmp(a));
-    hashes.get(group_reach(hashes.len()) - 1).copied().unwrap_or(0)
+    hashes.get(max_initial_servers(hashes.len()) - 1).copied().unwrap_or(0)
 }
 
 impl Selection<'_> {
     /// A group keeps to its reach and to where it is: a copy of it on one more server costs more than one
     /// connection is worth.
-    pub(super) fn is_in_group_reach(&self, index: ServerIndex) -> bool {
+    pub(super) fn allows_group(&self, index: ServerIndex) -> bool {
         self.connection.request.group.is_none()
-            || self.hash(index) >= self.lowest_hash_in_reach
+            || self.hash(index) >= self.min_initial_hash
             || self.holds_group(index)
     }
 
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -16,7 +16,7 @@
 
 /// Whether a figure can be a load: what is no number, negative or absurd would spoil every sum that it
 /// enters.
-pub(super) fn is_load(load: &f64) -> bool {
+pub(super) fn is_valid_load(load: &f64) -> bool {
     (0.0..=MAX_LOAD).contains(load)
 }
 
@@ -52,7 +52,7 @@
 
     /// The available servers that are warm, for the cluster and for this node.
     pub(super) fn warm_servers(&self, now: Micros) -> impl Iterator<Item = ServerIndex> {
-        self.available_servers(now).filter(move |&index| self.warm_up_fraction_here(now, index) >= 1.0)
+        self.available_servers(now).filter(move |&index| self.local_warm_up_fraction(now, index) >= 1.0)
     }
 
     /// Mean load of warm servers, for each unit of effective weight.
@@ -119,12 +119,12 @@
 
     /// A connection's load was reported, in microseconds of work a second.
     pub(super) fn on_load_report(&mut self, id: RequestId, load: f64) {
-        if !is_load(&load) {
+        if !is_valid_load(&load) {
             return;
         }
         let Some(mut connection) = self.connections.remove(&id) else { return };
         if connection.reported_load.is_none() {
-            self.learn_typical_load(&connection.request, Some(load));
+            self.update_typical_load(&connection.request, Some(load));
         }
         self.remove_from_load(&connection);
         connection.reported_load = Some(load);
--- a/src/policy/log_limit.rs
+++ b/src/policy/log_limit.rs
@@ -9,12 +9,12 @@
 
 /// Log lines that the current period may still write.
 pub(super) struct LogLimit {
-    lines_left: u32,
+    remaining_lines: u32,
 }
 
 impl Default for LogLimit {
     fn default() -> Self {
-        LogLimit { lines_left: LINES_PER_PERIOD }
+        LogLimit { remaining_lines: LINES_PER_PERIOD }
     }
 }
 
@@ -22,8 +22,8 @@
     /// Logs a line about a server, or about none. Lines beyond the period's bound are dropped without a
     /// trace.
     pub(super) fn log(&mut self, server: Option<ServerId>, line: String, actions: &mut Vec<Action>) {
-        if self.log_limit.lines_left > 0 {
-            self.log_limit.lines_left -= 1;
+        if self.log_limit.remaining_lines > 0 {
+            self.log_limit.remaining_lines -= 1;
             actions.push(Action::Log(server, line));
         }
     }
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -9,7 +9,7 @@
 use super::server::ServerIndex;
 
 /// Messages are late from this share of the shortest message latency objective on.
-pub(super) const LATE_SHARE_OF_OBJECTIVE: f64 = 1.0 / 3.0;
+pub(super) const HIGH_DELAY_SHARE_OF_OBJECTIVE: f64 = 1.0 / 3.0;
 /// A delay counts this long; reports come once a second while messages are late.
 const DELAY_VALID_FOR: Micros = Micros::from_millis(1_600);
 /// The same for a server that holds none of this node's connections: no report can say that the delay is
@@ -48,12 +48,12 @@
 }
 
 /// The delay from which on messages are late.
-pub(super) fn late_threshold(settings: &BalancerSettings) -> Micros {
+pub(super) fn high_delay_threshold(settings: &BalancerSettings) -> Micros {
     let objectives = settings
         .classes
         .iter()
         .map(|class| class.message_latency_objective.unwrap_or(class.latency_objective));
-    objectives.min().unwrap_or(Micros(0)).scale(LATE_SHARE_OF_OBJECTIVE)
+    objectives.min().unwrap_or(Micros(0)).scale(HIGH_DELAY_SHARE_OF_OBJECTIVE)
 }
 
 impl Policy {
@@ -72,7 +72,7 @@
         // Set-ups come at odd moments and show no growth.
         let growing = last.filter(|_| self.settings.servers_report_delay);
         let growth = growing.map_or(0.0, |last| last.growth_to(delay, now));
-        let stalled = match last.filter(|last| last.delay >= self.late_threshold) {
+        let stalled = match last.filter(|last| last.delay >= self.high_delay_threshold) {
             Some(last) => last.stalled && growth < STALL_MAX_GROWTH,
             None => delay >= STALL_DELAY,
         };
@@ -89,19 +89,20 @@
         actions: &mut Vec<Action>,
     ) {
         let (id, delay_ms) = (self.servers[index].endpoint.id, excess_ms.max(0.0));
-        let unconfirmed = self.needs_confirmation(index, delay_ms);
+        let unconfirmed = self.is_unconfirmed(index, delay_ms);
         self.record_delay(now, id, delay_ms, unconfirmed);
-        if self.settings.gossip_allowed && self.is_late(now, index) {
+        if self.settings.gossip_allowed && self.has_high_delay(now, index) {
             actions.push(Action::Broadcast([id.0.to_le_bytes(), delay_ms.to_le_bytes()].concat()));
         }
     }
 
     /// Whether a first delay by a set-up is below a whole objective: one set-up may be long by its own work,
     /// so the next one there has to be long too.
-    fn needs_confirmation(&self, index: ServerIndex, delay_ms: f64) -> bool {
-        let threshold_ms = self.late_threshold.as_secs_f64() * 1e3;
-        let was_late = self.servers[index].delay.is_some_and(|last| last.delay >= self.late_threshold);
-        !was_late && (threshold_ms..threshold_ms / LATE_SHARE_OF_OBJECTIVE).contains(&delay_ms)
+    fn is_unconfirmed(&self, index: ServerIndex, delay_ms: f64) -> bool {
+        let threshold_ms = self.high_delay_threshold.as_secs_f64() * 1e3;
+        let had_high_delay =
+            self.servers[index].delay.is_some_and(|last| last.delay >= self.high_delay_threshold);
+        !had_high_delay && (threshold_ms..threshold_ms / HIGH_DELAY_SHARE_OF_OBJECTIVE).contains(&delay_ms)
     }
 
     /// Another node saw a server late: 16 bytes, the server's number and the delay in milliseconds.
@@ -112,20 +113,20 @@
     }
 
     /// Whether messages at this server are late now.
-    pub(super) fn is_late(&self, now: Micros, index: ServerIndex) -> bool {
+    pub(super) fn has_high_delay(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let unobserved = server.load.connections.is_empty();
         let valid_for = if unobserved { DELAY_VALID_UNOBSERVED_FOR } else { DELAY_VALID_FOR };
         server.delay.is_some_and(|last| {
-            !last.unconfirmed && last.delay >= self.late_threshold && now < last.at + valid_for
+            !last.unconfirmed && last.delay >= self.high_delay_threshold && now < last.at + valid_for
         })
     }
 
     /// Whether a stalled server counts as late only because this node has nothing there that could show
     /// otherwise.
-    pub(super) fn is_late_unobserved(&self, now: Micros, index: ServerIndex) -> bool {
+    pub(super) fn has_unobserved_high_delay(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let outdated = server.delay.is_some_and(|last| last.stalled && !last.is_fresh(now));
-        server.load.connections.is_empty() && outdated && self.is_late(now, index)
+        server.load.connections.is_empty() && outdated && self.has_high_delay(now, index)
     }
 }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -8,7 +8,7 @@
 
 use super::Policy;
 use super::connection::{Connection, ConnectionState};
-use super::message_delay::LATE_SHARE_OF_OBJECTIVE;
+use super::message_delay::HIGH_DELAY_SHARE_OF_OBJECTIVE;
 use super::rebalance::{Excess, ExcessCause};
 use super::server::ServerIndex;
 
@@ -18,10 +18,10 @@
 /// The same for a late or draining server: its connections lose more by staying.
 const REACTIVE_MIGRATION_SHARE: f64 = 0.5;
 /// Added before the number of migrations is rounded down, which rounds it up.
-const ROUND_UP: f64 = 0.99;
+const ROUND_UP_OFFSET: f64 = 0.99;
 /// From this share of late servers among the warm ones on the fleet as a whole is late: what migrates finds
 /// no capacity.
-const FLEET_LATE_SHARE: f64 = 0.9;
+const FLEET_HIGH_DELAY_SHARE: f64 = 0.9;
 
 /// How many connections one period may migrate.
 pub(super) struct MigrationLimit {
@@ -46,22 +46,23 @@
     /// How many connections a server may shed in this period. Where the fleet as a whole is late, late
     /// servers migrate no more than others, rounded by chance: what migrates comes back as set-ups, and these
     /// would keep the fleet late.
-    pub(super) fn draw_migration_limit(&mut self, now: Micros, cause: ExcessCause) -> MigrationLimit {
-        let fleet_is_late = cause != ExcessCause::Draining
-            && self.late_share(now, self.warm_servers(now)) >= FLEET_LATE_SHARE;
+    pub(super) fn migration_limit(&mut self, now: Micros, cause: ExcessCause) -> MigrationLimit {
+        let fleet_has_high_delay = cause != ExcessCause::Draining
+            && self.high_delay_share(now, self.warm_servers(now)) >= FLEET_HIGH_DELAY_SHARE;
         // Drawn whatever the cause: the sequence of random numbers depends on the fleet alone.
-        let rounding = if fleet_is_late { self.rng.random() } else { ROUND_UP };
+        let rounding = if fleet_has_high_delay { self.rng.random() } else { ROUND_UP_OFFSET };
         match cause {
             ExcessCause::Overloaded => MigrationLimit { share: PROACTIVE_MIGRATION_SHARE, rounding: 0.0 },
-            _ if fleet_is_late => MigrationLimit { share: PROACTIVE_MIGRATION_SHARE, rounding },
+            _ if fleet_has_high_delay => MigrationLimit { share: PROACTIVE_MIGRATION_SHARE, rounding },
             _ => MigrationLimit { share: REACTIVE_MIGRATION_SHARE, rounding },
         }
     }
 
     /// Share of these servers that are late; NaN for none.
-    fn late_share(&self, now: Micros, servers: impl Iterator<Item = ServerIndex>) -> f64 {
-        let (late, all) = servers
-            .fold((0_u32, 0_u32), |(late, all), index| (late + u32::from(self.is_late(now, index)), all + 1));
+    fn high_delay_share(&self, now: Micros, servers: impl Iterator<Item = ServerIndex>) -> f64 {
+        let (late, all) = servers.fold((0_u32, 0_u32), |(late, all), index| {
+            (late + u32::from(self.has_high_delay(now, index)), all + 1)
+        });
         f64::from(late) / f64::from(all)
     }
 
@@ -93,9 +94,9 @@
     fn group_restart_share(&self, now: Micros, cause: ExcessCause) -> f64 {
         match cause {
             ExcessCause::Overloaded => 1.0,
-            ExcessCause::Late | ExcessCause::Draining => {
-                let late_share = self.late_share(now, self.available_servers(now));
-                (2.0 * self.settings.group_load * late_share).min(1.0)
+            ExcessCause::HighDelay | ExcessCause::Draining => {
+                let high_delay_share = self.high_delay_share(now, self.available_servers(now));
+                (2.0 * self.settings.group_load * high_delay_share).min(1.0)
             }
         }
     }
@@ -123,17 +124,17 @@
     /// A late server may lose a connection for less than its load, with that part as its chance, where this
     /// node holds few connections or a whole objective is missed: each of many nodes may hold one there and
     /// none would begin, and what stays earns nothing.
-    pub(super) fn draw_load_to_shed(
+    pub(super) fn load_to_shed(
         &mut self,
         index: ServerIndex,
         excess: &Excess,
         candidates: &[MigrationCandidate],
-        holds_few: bool,
+        has_few_connections: bool,
     ) -> Option<f64> {
         let lightest = candidates.iter().map(|candidate| candidate.freed_load).fold(f64::INFINITY, f64::min);
         let reactive = excess.cause != ExcessCause::Overloaded;
         let part = excess.load.min(REACTIVE_MIGRATION_SHARE * lightest);
-        if (holds_few || self.misses_objective(index))
+        if (has_few_connections || self.misses_objective(index))
             && reactive
             && excess.load < lightest
             && part > lightest * self.rng.random::<f64>()
@@ -147,7 +148,7 @@
     /// Whether messages at a server were last seen to take a whole latency objective.
     fn misses_objective(&self, index: ServerIndex) -> bool {
         let delay = self.servers[index].delay;
-        delay.is_some_and(|last| last.delay.scale(LATE_SHARE_OF_OBJECTIVE) >= self.late_threshold)
+        delay.is_some_and(|last| last.delay.scale(HIGH_DELAY_SHARE_OF_OBJECTIVE) >= self.high_delay_threshold)
     }
 
     /// Migrates so many connections at most, each the one that comes closest to the load still to shed, while
@@ -162,7 +163,7 @@
     ) {
         let mut remaining = load;
         for _ in 0..migrations {
-            let closest = self.draw_closest(remaining, &candidates);
+            let closest = self.closest_candidate(remaining, &candidates);
             if (candidates[closest].freed_load - remaining).abs() >= remaining.abs() {
                 break;
             }
@@ -176,7 +177,7 @@
     }
 
     /// The position of the candidate whose load is closest, at random among equals.
-    fn draw_closest(&mut self, load: f64, candidates: &[MigrationCandidate]) -> usize {
+    fn closest_candidate(&mut self, load: f64, candidates: &[MigrationCandidate]) -> usize {
         let gap = |candidate: &MigrationCandidate| (candidate.freed_load - load).abs();
         let lowest = candidates.iter().map(gap).fold(f64::INFINITY, f64::min);
         let ties: Vec<usize> = (0..candidates.len()).filter(|&i| gap(&candidates[i]) == lowest).collect();
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -43,7 +43,7 @@
 use connection::Connection;
 use endpoints::{ListHistory, POLL_TIMER, Subscription};
 use log_limit::LogLimit;
-use message_delay::late_threshold;
+use message_delay::high_delay_threshold;
 use period::{PERIOD, PERIOD_TIMER};
 use probe::RemovalProbes;
 use retry_budget::RetryUsage;
@@ -71,7 +71,7 @@
     /// Factor on the weight of servers in the own zone.
     zone_affinity: f64,
     /// The delay from which on messages are late.
-    late_threshold: Micros,
+    high_delay_threshold: Micros,
     log_limit: LogLimit,
 }
 
@@ -91,7 +91,7 @@
             retry_usage: RetryUsage::default(),
             removal_probes: RemovalProbes::default(),
             zone_affinity: 1.0,
-            late_threshold: late_threshold(&settings),
+            high_delay_threshold: high_delay_threshold(&settings),
             log_limit: LogLimit::default(),
             settings,
         }
@@ -131,10 +131,10 @@
     /// Other settings from now on. The record stays, and so does what was decided; the next attempt goes by
     /// the new settings.
     fn on_settings(&mut self, now: Micros, settings: BalancerSettings) {
-        self.late_threshold = late_threshold(&settings);
+        self.high_delay_threshold = high_delay_threshold(&settings);
         self.typical_loads.resize(&settings);
         if self.settings.retry_budget.is_none() {
-            self.retry_usage.forget_before(now);
+            self.retry_usage.mark_unknown_before(now);
         }
         self.settings = settings;
     }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -17,13 +17,13 @@
 /// How often the ejection doubles at most.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
 /// Failures are forgotten when a server has been back for this long without one.
-const FAILURES_FORGOTTEN_AFTER: Micros = Micros::from_millis(8_000);
+const FAILURE_MEMORY: Micros = Micros::from_millis(8_000);
 /// Ejections vary by this part of their length, so that nodes do not come back together.
 const JITTER: f64 = 0.5;
 /// Nodes that take turns in trying a server that is down, at most: with more it would wait for long.
-const MAX_RETURN_TURNS: f64 = 16.0;
+const MAX_STAGGERED_NODES: f64 = 16.0;
 /// A line is logged at this many failures that were not forgotten.
-const LOGGED_FAILURES: u32 = 3;
+const FAILURES_TO_LOG: u32 = 3;
 
 /// What outlier detection holds of one server.
 #[derive(Default)]
@@ -45,12 +45,12 @@
     }
 
     /// Whether nothing may go there at all.
-    pub(super) fn is_barred(&self, now: Micros) -> bool {
+    pub(super) fn is_excluded(&self, now: Micros) -> bool {
         self.unreachable && self.is_ejected(now)
     }
 
     /// A process that was started anew has failed nothing.
-    pub(super) fn forget_failures(&mut self) {
+    pub(super) fn reset_failures(&mut self) {
         let connect_failed = self.connect_failed;
         *self = OutlierState { connect_failed, ..OutlierState::default() };
     }
@@ -99,12 +99,12 @@
         let chance: f64 = self.rng.random();
         let nodes = f64::from(self.settings.node_count);
         let outlier = &mut self.servers[index].outlier;
-        if now > outlier.ejected_until + FAILURES_FORGOTTEN_AFTER {
+        if now > outlier.ejected_until + FAILURE_MEMORY {
             outlier.failures = 0;
         }
         let backoff = BASE_EJECTION.scale(f64::from(1 << outlier.failures.min(MAX_EJECTION_DOUBLINGS)));
         let with_jitter = backoff.scale(1.0 - JITTER / 2.0 + JITTER * chance);
-        let turns = if outlier.connect_failed { nodes.min(MAX_RETURN_TURNS) } else { 0.0 };
+        let turns = if outlier.connect_failed { nodes.min(MAX_STAGGERED_NODES) } else { 0.0 };
         let ejection = with_jitter.max(BASE_EJECTION.scale(turns * chance));
         outlier.failures += 1;
         outlier.ejected_until = now + ejection;
@@ -113,7 +113,7 @@
     fn log_repeated_ejection(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Vec<Action>) {
         let server = &self.servers[index];
         let (id, failures) = (server.endpoint.id, server.outlier.failures);
-        if failures == LOGGED_FAILURES {
+        if failures == FAILURES_TO_LOG {
             self.log(Some(id), format!("ejected again after {failures} failures, last {outcome:?}"), actions);
         }
     }
--- a/src/policy/period.rs
+++ b/src/policy/period.rs
@@ -11,7 +11,7 @@
 pub(super) const PERIOD_TIMER: TimerToken = TimerToken(0);
 /// Below this many connections on a server, in the mean, this node's record says next to nothing about a
 /// server.
-const FEW_CONNECTIONS: f64 = 1.0;
+const MIN_MEAN_CONNECTIONS: f64 = 1.0;
 
 impl Policy {
     /// Everything that is done once a period.
@@ -26,6 +26,6 @@
         self.update_disproved_lists(now);
         self.update_zone_affinity(now);
         self.probe_removed_servers(now, actions);
-        self.rebalance(now, mean_connections < FEW_CONNECTIONS, actions);
+        self.rebalance(now, mean_connections < MIN_MEAN_CONNECTIONS, actions);
     }
 }
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -8,15 +8,15 @@
 
 use super::Policy;
 use super::connection::{Connection, ConnectionState};
-use super::load_estimate::is_load;
+use super::load_estimate::is_valid_load;
 use super::server::ServerIndex;
 
 /// Marks the timers of waits for a probe; the other bits are the request's number.
-const PROBE_TIMER_MARK: u64 = 1 << 63;
+const PROBE_TIMER_FLAG: u64 = 1 << 63;
 /// A reported load ratio counts this long.
 const LOAD_REPORT_VALID_FOR: Micros = Micros::from_millis(2_000);
 /// A server is crowded above this ratio of load to capacity: a heavy connection still fits below.
-pub(super) const CROWDED_LOAD_RATIO: f64 = 0.7;
+pub(super) const HIGH_LOAD_RATIO: f64 = 0.7;
 /// Probes for which a request may wait before it lands.
 const MAX_PROBE_ATTEMPTS: u32 = 3;
 /// The longest wait for a probe: a small share of any latency objective.
@@ -88,7 +88,7 @@
         let server = &mut self.servers[index];
         actions.push(Action::Probe(server.endpoint.id));
         server.probes.waiters.push(id);
-        actions.push(Action::SetTimer(PROBE_WAIT, TimerToken(id.0 | PROBE_TIMER_MARK)));
+        actions.push(Action::SetTimer(PROBE_WAIT, TimerToken(id.0 | PROBE_TIMER_FLAG)));
         self.connections.insert(id, connection);
     }
 
@@ -107,7 +107,7 @@
         if let Some(ratio) = self.load_ratio_of(report) {
             self.servers[index].probes.load_report = Some(LoadReport { ratio, at: now });
             // No connection is there that could show that the delay is over.
-            if self.is_late_unobserved(now, index) && ratio <= CROWDED_LOAD_RATIO {
+            if self.has_unobserved_high_delay(now, index) && ratio <= HIGH_LOAD_RATIO {
                 self.servers[index].delay = None;
             }
         }
@@ -119,12 +119,12 @@
     fn load_ratio_of(&self, report: &[f64]) -> Option<f64> {
         let fields = &self.settings.report_fields;
         let position = fields.iter().position(|field| *field == ReportField::LoadRatio)?;
-        report.get(position).copied().filter(is_load)
+        report.get(position).copied().filter(is_valid_load)
     }
 
     /// The wait for a probe is over without an answer: the request lands without one.
     pub(super) fn on_probe_timer(&mut self, now: Micros, token: TimerToken, actions: &mut Vec<Action>) {
-        let id = RequestId(token.0 & !PROBE_TIMER_MARK);
+        let id = RequestId(token.0 & !PROBE_TIMER_FLAG);
         self.resume(now, id, MAX_PROBE_ATTEMPTS, actions);
     }
 
@@ -150,7 +150,7 @@
         if !self.probes_report_load() {
             return;
         }
-        let stalled = self.available_servers(now).filter(|&index| self.is_late_unobserved(now, index));
+        let stalled = self.available_servers(now).filter(|&index| self.has_unobserved_high_delay(now, index));
         actions.extend(stalled.map(|index| Action::Probe(self.servers[index].endpoint.id)));
     }
 
@@ -160,7 +160,8 @@
         if !self.settings.probes_allowed {
             return;
         }
-        let unknown = |&index: &ServerIndex| self.removal_is_advice(index) && !self.is_available(now, index);
+        let unknown =
+            |&index: &ServerIndex| self.is_advisory_removal(index) && !self.is_available(now, index);
         let mut removed: Vec<ServerIndex> = (0..self.servers.len()).filter(unknown).collect();
         removed.sort_by_key(|&index| self.servers[index].probes.sent_at);
         for index in removed.into_iter().take(self.removal_probes.tokens as usize) {
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -7,13 +7,13 @@
 use crate::types::{Action, EndpointState, Micros};
 
 use super::Policy;
-use super::message_delay::{LATE_SHARE_OF_OBJECTIVE, MessageDelay};
+use super::message_delay::{HIGH_DELAY_SHARE_OF_OBJECTIVE, MessageDelay};
 use super::server::ServerIndex;
 
 /// A server is overloaded above this multiple of the mean load.
 pub(super) const OVERLOAD_THRESHOLD: f64 = 1.1;
 /// Periods above the threshold before a server sheds: a load that swings by itself is back under it by then.
-const OVERLOADED_PERIODS: u32 = 3;
+const PERIODS_BEFORE_SHEDDING: u32 = 3;
 /// The backlog of a late server is to be gone after this long.
 const BACKLOG_CLEAR_TIME: Micros = Micros::from_millis(1_000);
 /// The part of the load that a late server works off which counts as manageable, where a whole latency
@@ -29,7 +29,7 @@
     /// It has been above the overload threshold for some periods.
     Overloaded,
     /// Its messages are late.
-    Late,
+    HighDelay,
     /// It is to have no connections when it stops.
     Draining,
 }
@@ -42,14 +42,14 @@
 }
 
 impl Policy {
-    /// Lets each server that may hold too much shed its excess. `holds_few` says that this node holds next to
+    /// Lets each server that may hold too much shed its excess. `has_few_connections` says that this node holds next to
     /// no connections.
-    pub(super) fn rebalance(&mut self, now: Micros, holds_few: bool, actions: &mut Vec<Action>) {
+    pub(super) fn rebalance(&mut self, now: Micros, has_few_connections: bool, actions: &mut Vec<Action>) {
         let mean_load = self.mean_load(now);
         for index in 0..self.servers.len() {
             let draining = self.servers[index].endpoint.state == EndpointState::Draining;
             if self.is_available(now, index) || (draining && self.settings.migrate_from_draining) {
-                self.shed(now, index, mean_load, holds_few, actions);
+                self.shed(now, index, mean_load, has_few_connections, actions);
             }
         }
     }
@@ -60,29 +60,29 @@
         now: Micros,
         index: ServerIndex,
         mean_load: f64,
-        holds_few: bool,
+        has_few_connections: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.bound_late_server(now, index, mean_load);
+        self.limit_high_delay_server(now, index, mean_load);
         self.count_overloaded_period(index, mean_load);
         let excess = self.excess(now, index, mean_load);
         if excess.load <= 0.0 {
             return;
         }
-        let limit = self.draw_migration_limit(now, excess.cause);
+        let limit = self.migration_limit(now, excess.cause);
         let candidates = self.migration_candidates(now, index, excess.cause);
-        let Some(load) = self.draw_load_to_shed(index, &excess, &candidates, holds_few) else { return };
+        let Some(load) = self.load_to_shed(index, &excess, &candidates, has_few_connections) else { return };
         let migrations = limit.of(candidates.len());
         self.migrate_closest(index, load, migrations, candidates, actions);
     }
 
     /// Bounds a late server to what it manages, unless it is stalled: a stall says nothing about its
     /// capacity.
-    fn bound_late_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
-        let Some(late) = self.delay_if_late(now, index).filter(|late| !late.stalled) else { return };
+    fn limit_high_delay_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
+        let Some(late) = self.high_delay(now, index).filter(|late| !late.stalled) else { return };
         if !self.servers[index].draining {
             let manageable_load = self.manageable_load(&late, self.recorded_load(index));
-            self.bound_to_capacity(index, manageable_load, mean_load);
+            self.limit_to_capacity(index, manageable_load, mean_load);
         }
     }
 
@@ -100,9 +100,9 @@
         let (reactive, cause) = if server.draining {
             (server.load.connections.len() as f64, ExcessCause::Draining)
         } else {
-            (self.late_excess(now, index), ExcessCause::Late)
+            (self.high_delay_excess(now, index), ExcessCause::HighDelay)
         };
-        let proactive = if server.overloaded_periods >= OVERLOADED_PERIODS {
+        let proactive = if server.overloaded_periods >= PERIODS_BEFORE_SHEDDING {
             self.recorded_load(index) - mean_load * self.effective_weight(index)
         } else {
             0.0
@@ -112,16 +112,16 @@
     }
 
     /// What a late server has beyond what it manages, and what is to go for its backlog to clear in time.
-    fn late_excess(&self, now: Micros, index: ServerIndex) -> f64 {
-        let Some(late) = self.delay_if_late(now, index) else { return 0.0 };
+    fn high_delay_excess(&self, now: Micros, index: ServerIndex) -> f64 {
+        let Some(late) = self.high_delay(now, index) else { return 0.0 };
         let load = self.recorded_load(index);
         let manageable_load = self.manageable_load(&late, load);
         let backlog = late.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
         (load - manageable_load * (1.0 - backlog)).clamp(0.0, load)
     }
 
-    fn delay_if_late(&self, now: Micros, index: ServerIndex) -> Option<MessageDelay> {
-        self.servers[index].delay.filter(|_| self.is_late(now, index))
+    fn high_delay(&self, now: Micros, index: ServerIndex) -> Option<MessageDelay> {
+        self.servers[index].delay.filter(|_| self.has_high_delay(now, index))
     }
 
     /// The part of its load that a late server manages. The growth of its delay shows how far it is over its
@@ -129,8 +129,8 @@
     /// whole margin is kept.
     fn manageable_load(&self, late: &MessageDelay, load: f64) -> f64 {
         let utilization = (1.0 + late.growth).clamp(MIN_UTILIZATION, MAX_UTILIZATION);
-        let late_threshold_s = self.late_threshold.as_secs_f64();
-        let urgency = (late.delay.as_secs_f64() * LATE_SHARE_OF_OBJECTIVE / late_threshold_s).min(1.0);
+        let threshold_s = self.high_delay_threshold.as_secs_f64();
+        let urgency = (late.delay.as_secs_f64() * HIGH_DELAY_SHARE_OF_OBJECTIVE / threshold_s).min(1.0);
         (1.0 - (1.0 - CAPACITY_MARGIN) * urgency) * load / utilization
     }
 }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -3,13 +3,13 @@
 use crate::types::{Action, DedupScope, Idempotency, Micros, Outcome, Request, RequestId};
 
 use super::Policy;
-use super::connection::{Connection, ConnectionState, FirstRun};
+use super::connection::{Connection, ConnectionState, FirstExecution};
 use super::server::ServerIndex;
 
 impl Policy {
     /// A client's request: it is owed one final answer.
     pub(super) fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
-        self.count_admitted_request(now);
+        self.record_admitted_request(now);
         let connection = self.new_connection(now, request);
         self.attempt(now, connection, actions);
     }
@@ -23,7 +23,7 @@
         if self.needs_probe(now, index, &connection) {
             return self.wait_for_probe(index, connection, actions);
         }
-        self.count_retry(now, &connection);
+        self.record_attempt(now, &connection);
         let timeout = self.attempt_timeout(now, &connection);
         let server = self.servers[index].endpoint.id;
         actions.push(Action::Forward(connection.request.id, server, timeout));
@@ -64,7 +64,7 @@
     /// Whether what an earlier attempt may have done lets a request go to a server now: an idempotent request
     /// always, another one only where servers drop repeats of it, and while they do.
     pub(super) fn may_repeat_at(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
-        let Some(FirstRun { server, sent }) = connection.first_run else { return true };
+        let Some(FirstExecution { server, sent }) = connection.first_execution else { return true };
         let (first, next) = (&self.servers[server].endpoint, &self.servers[index].endpoint);
         self.binding_classes(connection).all(|class| match class.idempotency {
             Idempotency::Idempotent => true,
@@ -87,9 +87,9 @@
         let Some(connection) = self.connections.get_mut(&id) else { return };
         let ConnectionState::Attempting(index) = connection.state else { return };
         connection.state = ConnectionState::Open(index);
-        connection.mark_possible_run(index);
+        connection.mark_possible_execution(index);
         let request = connection.request;
-        self.learn_typical_load(&request, request.expected_load);
+        self.update_typical_load(&request, request.expected_load);
         self.record_success(now, index);
         let excess_ms = self.setups.excess_ms(latency);
         self.setups.on_success(latency);
@@ -115,7 +115,7 @@
             self.record_failure(now, index, &connection, outcome, actions);
             self.record_timeout(now, &connection, outcome);
             if outcome.may_have_executed() {
-                connection.mark_possible_run(index);
+                connection.mark_possible_execution(index);
             }
         }
         if !closed && !connection.state.is_migrating() {
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -89,7 +89,7 @@
 
 impl RetryUsage {
     /// A budget that is stated from now on knows nothing of the time before.
-    pub(super) fn forget_before(&mut self, now: Micros) {
+    pub(super) fn mark_unknown_before(&mut self, now: Micros) {
         self.window.known_since = self.window.known_since.max(now);
     }
 
@@ -100,20 +100,20 @@
 
 impl Policy {
     /// Counts a request in all that is bounded by the number of requests.
-    pub(super) fn count_admitted_request(&mut self, now: Micros) {
+    pub(super) fn record_admitted_request(&mut self, now: Micros) {
         self.retry_usage.earn();
         self.removal_probes.earn();
-        self.count_in_window(now, WindowCount { admitted: 1, retries: 0 });
+        self.add_to_window(now, WindowCount { admitted: 1, retries: 0 });
         self.setups.on_request();
     }
 
     /// Counts an attempt that is about to be sent, as a retry unless it is the first of its request.
-    pub(super) fn count_retry(&mut self, now: Micros, connection: &Connection) {
+    pub(super) fn record_attempt(&mut self, now: Micros, connection: &Connection) {
         let retries = u32::from(!connection.attempted_servers.is_empty());
-        self.count_in_window(now, WindowCount { admitted: 0, retries });
+        self.add_to_window(now, WindowCount { admitted: 0, retries });
     }
 
-    fn count_in_window(&mut self, now: Micros, event: WindowCount) {
+    fn add_to_window(&mut self, now: Micros, event: WindowCount) {
         if let Some(budget) = self.settings.retry_budget {
             self.retry_usage.window.add(now, budget.window, event);
         }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -10,8 +10,8 @@
 
 use super::Policy;
 use super::connection::Connection;
-use super::group_placement::{lowest_hash_in_reach, shared_hash};
-use super::probe::CROWDED_LOAD_RATIO;
+use super::group_placement::{min_initial_hash, rendezvous_hash};
+use super::probe::HIGH_LOAD_RATIO;
 use super::rebalance::OVERLOAD_THRESHOLD;
 use super::server::ServerIndex;
 
@@ -20,7 +20,7 @@
 
 /// A weighted random pick: of servers with independent uniform hashes the one with the lowest value wins in
 /// proportion to its weight (exponential variates).
-fn weighted_pick(hash: u64, weight: f64) -> f64 {
+fn weighted_tie_breaker(hash: u64, weight: f64) -> f64 {
     -((hash as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / weight
 }
 
@@ -31,7 +31,7 @@
     already_attempted: bool,
     ejected: bool,
     /// It has reported that little of its capacity is free.
-    crowded: bool,
+    has_high_load_ratio: bool,
     /// The connection's group is not there, or has no capacity to grow there.
     outside_group: bool,
     /// Its delay need not be seen by a set-up now.
@@ -43,7 +43,7 @@
     warm: bool,
     /// It has reported no load recently.
     unreported: bool,
-    weighted_pick: f64,
+    weighted_tie_breaker: f64,
 }
 
 /// What the ranks of one selection share.
@@ -54,7 +54,7 @@
     /// The connection's group, or a random one in its place: hashes with it break ties.
     pub(super) hash_key: GroupId,
     /// The lowest hash of a server on which the group may begin.
-    pub(super) lowest_hash_in_reach: u64,
+    pub(super) min_initial_hash: u64,
     pub(super) mean_load: f64,
     pub(super) mean_connections: f64,
     pub(super) typical_load: f64,
@@ -76,11 +76,11 @@
     /// Whether the rules, and what earlier attempts may have done, let a request go to a server now.
     fn is_eligible(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
         let server = &self.servers[index];
-        let awaits_first_setup = server.outlier.connect_failed && !server.load.connections.is_empty();
+        let awaits_trial_setup = server.outlier.connect_failed && !server.load.connections.is_empty();
         let awaits_token = !self.is_warm(now, index) && server.slow_start.is_empty();
         self.is_available(now, index)
-            && !server.outlier.is_barred(now)
-            && !awaits_first_setup
+            && !server.outlier.is_excluded(now)
+            && !awaits_trial_setup
             && !awaits_token
             && self.may_repeat_at(now, index, connection)
     }
@@ -112,7 +112,7 @@
             now,
             connection,
             hash_key,
-            lowest_hash_in_reach: lowest_hash_in_reach(policy, now, hash_key),
+            min_initial_hash: min_initial_hash(policy, now, hash_key),
             mean_load: policy.mean_load(now),
             mean_connections: policy.mean_connections(now),
             typical_load: policy.typical_load(),
@@ -123,9 +123,9 @@
     /// Nothing lands where messages are late: it would be late too, and keep the others late.
     fn is_candidate(&self, index: ServerIndex) -> bool {
         self.policy.is_eligible(self.now, index, self.connection)
-            && !self.policy.is_late(self.now, index)
+            && !self.policy.has_high_delay(self.now, index)
             && self.policy.has_capacity(index, self.connection)
-            && self.is_in_group_reach(index)
+            && self.allows_group(index)
     }
 
     fn rank(&self, index: ServerIndex) -> Rank {
@@ -134,18 +134,18 @@
         Rank {
             already_attempted: self.connection.attempted_servers.contains(&index),
             ejected: policy.servers[index].outlier.is_ejected(now),
-            crowded: load_ratio.is_some_and(|ratio| ratio > CROWDED_LOAD_RATIO),
+            has_high_load_ratio: load_ratio.is_some_and(|ratio| ratio > HIGH_LOAD_RATIO),
             outside_group: !self.may_join_group(index),
             setup_not_due: !policy.is_setup_due(now, index, self.mean_load),
             landing_load: self.landing_load(index),
             warm: policy.is_warm(now, index),
             unreported: self.connection.request.group.is_none() && load_ratio.is_none(),
-            weighted_pick: weighted_pick(self.hash(index), policy.weight(index)),
+            weighted_tie_breaker: weighted_tie_breaker(self.hash(index), policy.weight(index)),
         }
     }
 
     pub(super) fn hash(&self, index: ServerIndex) -> u64 {
-        shared_hash(self.hash_key, self.policy.servers[index].endpoint.id)
+        rendezvous_hash(self.hash_key, self.policy.servers[index].endpoint.id)
     }
 
     /// The load of a server for each unit of effective weight, with the group's work if the group begins
@@ -158,7 +158,7 @@
         let begins_group = self.connection.request.group.is_some() && !self.holds_group(index);
         let group_load = if begins_group { self.group_load_share } else { 0.0 };
         let load = self.policy.recorded_load(index) + group_load;
-        let missing_warm_up = 1.0 - self.policy.warm_up_fraction_here(self.now, index);
+        let missing_warm_up = 1.0 - self.policy.local_warm_up_fraction(self.now, index);
         let missing_connections = self.mean_connections * missing_warm_up;
         let chance = f64::from(self.hash(index) as u32) / f64::from(u32::MAX);
         load / self.policy.effective_weight(index)
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -7,7 +7,7 @@
 use crate::types::Micros;
 
 use super::Policy;
-use super::group_placement::group_reach;
+use super::group_placement::max_initial_servers;
 use super::load_estimate::MAX_LOAD;
 use super::period::PERIOD;
 use super::running_mean::RunningMean;
@@ -77,8 +77,8 @@
 
     /// Takes in one period, with the connections that this node holds in all and those that it holds on warm
     /// servers for each unit of weight.
-    fn observe(&mut self, held_in_all: usize, mean_connections: f64) {
-        self.connection_seconds += held_in_all as f64 * PERIOD.as_secs_f64();
+    fn observe(&mut self, total_connections: usize, mean_connections: f64) {
+        self.connection_seconds += total_connections as f64 * PERIOD.as_secs_f64();
         self.typical_connections.add(mean_connections);
     }
 }
@@ -101,7 +101,7 @@
 
     /// The same, but no more than the share of a warm-up for which this node has had the server: its own
     /// record of a server that the cluster recently assigned to it says little.
-    pub(super) fn warm_up_fraction_here(&self, now: Micros, index: ServerIndex) -> f64 {
+    pub(super) fn local_warm_up_fraction(&self, now: Micros, index: ServerIndex) -> f64 {
         let assigned = self.servers[index].endpoint.joined;
         self.warm_up_fraction(now, index).min(elapsed_fraction(assigned, now, self.settings.warm_up))
     }
@@ -154,8 +154,9 @@
             return Micros(0);
         }
         let available = self.available_servers(now).count();
-        let elsewhere = 1.0 - (group_reach(available) as f64 / available.max(1) as f64).min(1.0);
-        let meeting_share = 1.0 - elsewhere.powi(self.connections.len().max(1) as i32);
-        self.settings.overload_window.scale(1.0 / meeting_share).max(PERIOD) - PERIOD
+        let share_elsewhere =
+            1.0 - (max_initial_servers(available) as f64 / available.max(1) as f64).min(1.0);
+        let share_with_request = 1.0 - share_elsewhere.powi(self.connections.len().max(1) as i32);
+        self.settings.overload_window.scale(1.0 / share_with_request).max(PERIOD) - PERIOD
     }
 }
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -17,7 +17,7 @@
         let server = &self.servers[index];
         match server.endpoint.state {
             EndpointState::Draining => true,
-            EndpointState::Ready => server.outlier.is_ejected(now) || self.is_late(now, index),
+            EndpointState::Ready => server.outlier.is_ejected(now) || self.has_high_delay(now, index),
             EndpointState::Cordoned | EndpointState::Removed => false,
         }
     }
--- a/src/policy/typical_load.rs
+++ b/src/policy/typical_load.rs
@@ -3,21 +3,21 @@
 use crate::types::{BalancerSettings, Request};
 
 use super::Policy;
-use super::load_estimate::is_load;
+use super::load_estimate::is_valid_load;
 use super::running_mean::RunningMean;
 
 /// The typical load of a connection, by class and over all classes.
 pub(super) struct TypicalLoads {
     by_class: Vec<ClassLoad>,
     /// Running mean of the first loads of connections of any class.
-    first_report: RunningMean,
+    first_load: RunningMean,
 }
 
 /// Loads of one class.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClassLoad {
     /// Running mean of the first loads of its connections.
-    first_report: RunningMean,
+    first_load: RunningMean,
     /// Sum of the loads of connections that have reported one and are still held.
     reported_sum: f64,
     /// Number of those connections.
@@ -41,7 +41,7 @@
 impl TypicalLoads {
     pub(super) fn new(settings: &BalancerSettings) -> Self {
         let by_class = vec![ClassLoad::default(); settings.classes.len()];
-        TypicalLoads { by_class, first_report: RunningMean::default() }
+        TypicalLoads { by_class, first_load: RunningMean::default() }
     }
 
     /// Other settings may have more classes.
@@ -54,8 +54,8 @@
     }
 
     /// The running mean of a class's first loads, none before one is known.
-    pub(super) fn first_report_of(&self, class: usize) -> Option<f64> {
-        self.by_class.get(class).and_then(|load| load.first_report.value())
+    pub(super) fn mean_first_load(&self, class: usize) -> Option<f64> {
+        self.by_class.get(class).and_then(|load| load.first_load.value())
     }
 
     pub(super) fn class_count(&self) -> usize {
@@ -69,28 +69,24 @@
         let sum_and_count =
             |(sum, count), class: &ClassLoad| (sum + class.reported_sum, count + class.reported_count);
         let (sum, count) = self.typical_loads.by_class.iter().fold((0.0, 0), sum_and_count);
-        if count > 0 {
-            sum / f64::from(count)
-        } else {
-            self.typical_loads.first_report.value().unwrap_or(1.0)
-        }
+        if count > 0 { sum / f64::from(count) } else { self.typical_loads.first_load.value().unwrap_or(1.0) }
     }
 
     /// The typical load of a connection of one class.
     pub(super) fn typical_class_load(&self, class: u16) -> f64 {
         match self.typical_loads.by_class.get(usize::from(class)) {
             Some(load) if load.reported_count > 0 => load.reported_sum / f64::from(load.reported_count),
-            Some(load) => load.first_report.value().unwrap_or_else(|| self.typical_load()),
+            Some(load) => load.first_load.value().unwrap_or_else(|| self.typical_load()),
             None => self.typical_load(),
         }
     }
 
     /// Takes a connection's first load, reported or expected, into the typical ones.
-    pub(super) fn learn_typical_load(&mut self, request: &Request, load: Option<f64>) {
-        let Some(load) = load.filter(is_load) else { return };
-        self.typical_loads.first_report.add(load);
+    pub(super) fn update_typical_load(&mut self, request: &Request, load: Option<f64>) {
+        let Some(load) = load.filter(is_valid_load) else { return };
+        self.typical_loads.first_load.add(load);
         if let Some(class) = self.typical_loads.class_mut(request.class) {
-            class.first_report.add(load);
+            class.first_load.add(load);
         }
     }
 }
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -1,5 +1,5 @@
-//! The shadow mode: a second instance of the decisions, with other settings, is given every event of the deciding one,
-//! and counts where it would have decided otherwise. It has no effects.
+//! The shadow mode: a second instance of the decisions, with other settings, is given every event of the active one,
+//! and counts where it would have active otherwise. It has no effects.
 //!
 //! Its record follows what was really done, so that each difference counts for itself and not for all that follows.
 //! Both draw the same random numbers: with equal settings there is no difference.
@@ -10,7 +10,7 @@
 use crate::policy::Policy;
 use crate::types::{Action, BalancerSettings, Event, Micros, Request, RequestId, ServerId};
 
-/// How often the shadow instance would have decided otherwise, by kind.
+/// How often the shadow instance would have active otherwise, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Differences {
     /// Verdicts and migrations that were compared.
@@ -89,18 +89,18 @@
         self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
     }
 
-    /// Takes over the random state of the deciding instance, before that one handles an event.
-    pub fn copy_random_state(&mut self, deciding: &Policy) {
-        self.policy.copy_random_state(deciding);
+    /// Takes over the random state of the active instance, before that one handles an event.
+    pub fn copy_random_state(&mut self, active: &Policy) {
+        self.policy.copy_random_state(active);
     }
 
-    /// Handles the event and compares with what the deciding instance did about it.
-    pub fn compare(&mut self, now: Micros, event: Event, decided: &[Action]) {
+    /// Handles the event and compares with what the active instance did about it.
+    pub fn compare(&mut self, now: Micros, event: Event, active: &[Action]) {
         let request = self.request_of(&event);
         self.policy.handle(now, event, &mut self.actions);
-        let own: Vec<Action> = self.actions.drain(..).collect();
-        self.compare_verdicts(now, request, &verdicts(decided), &verdicts(&own));
-        self.compare_migrations(&migrations(decided), &migrations(&own));
+        let shadow: Vec<Action> = self.actions.drain(..).collect();
+        self.compare_verdicts(now, request, &verdicts(active), &verdicts(&shadow));
+        self.compare_migrations(&migrations(active), &migrations(&shadow));
     }
 
     /// The request that an event may decide anew.
@@ -116,15 +116,15 @@
         &mut self,
         now: Micros,
         request: Option<Request>,
-        decided: &BTreeMap<RequestId, Option<ServerId>>,
-        own: &BTreeMap<RequestId, Option<ServerId>>,
+        active: &BTreeMap<RequestId, Option<ServerId>>,
+        shadow: &BTreeMap<RequestId, Option<ServerId>>,
     ) {
         let counts = &mut self.differences;
-        for (id, &server) in decided {
+        for (id, &server) in active {
             counts.decisions += 1;
-            let own_server = own.get(id).copied().flatten();
+            let own_server = shadow.get(id).copied().flatten();
             match (server, own_server) {
-                (decided, own) if decided == own => continue,
+                (active, shadow) if active == shadow => continue,
                 (Some(_), Some(_)) => counts.different_server += 1,
                 (Some(_), None) => counts.rejected += 1,
                 _ => counts.forwarded += 1,
@@ -135,11 +135,11 @@
         }
     }
 
-    fn compare_migrations(&mut self, decided: &BTreeSet<RequestId>, own: &BTreeSet<RequestId>) {
+    fn compare_migrations(&mut self, active: &BTreeSet<RequestId>, shadow: &BTreeSet<RequestId>) {
         let counts = &mut self.differences;
-        counts.decisions += decided.union(own).count() as u64;
-        counts.not_migrated += decided.difference(own).count() as u64;
-        for id in own.difference(decided) {
+        counts.decisions += active.union(shadow).count() as u64;
+        counts.not_migrated += active.difference(shadow).count() as u64;
+        for id in shadow.difference(active) {
             counts.migrated += 1;
             self.policy.cancel_migration(*id);
         }
