--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -60,10 +60,9 @@
 
     /// Share of these servers that are late; NaN for none.
     fn high_delay_share(&self, now: Micros, servers: impl Iterator<Item = ServerIndex>) -> f64 {
-        let (late, all) = servers.fold((0_u32, 0_u32), |(late, all), index| {
-            (late + u32::from(self.has_high_delay(now, index)), all + 1)
-        });
-        f64::from(late) / f64::from(all)
+        let (high, all) = servers
+            .fold((0_u32, 0_u32), |(high, all), i| (high + u32::from(self.has_high_delay(now, i)), all + 1));
+        f64::from(high) / f64::from(all)
     }
 
     /// The open connections of a server that may migrate, with what each takes off it. Of a draining server
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -79,9 +79,9 @@
     /// Bounds a late server to what it manages, unless it is stalled: a stall says nothing about its
     /// capacity.
     fn limit_high_delay_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
-        let Some(late) = self.high_delay(now, index).filter(|late| !late.stalled) else { return };
+        let Some(observed) = self.high_delay(now, index).filter(|observed| !observed.stalled) else { return };
         if !self.servers[index].draining {
-            let manageable_load = self.manageable_load(&late, self.recorded_load(index));
+            let manageable_load = self.manageable_load(&observed, self.recorded_load(index));
             self.limit_to_capacity(index, manageable_load, mean_load);
         }
     }
@@ -113,10 +113,10 @@
 
     /// What a late server has beyond what it manages, and what is to go for its backlog to clear in time.
     fn high_delay_excess(&self, now: Micros, index: ServerIndex) -> f64 {
-        let Some(late) = self.high_delay(now, index) else { return 0.0 };
+        let Some(observed) = self.high_delay(now, index) else { return 0.0 };
         let load = self.recorded_load(index);
-        let manageable_load = self.manageable_load(&late, load);
-        let backlog = late.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
+        let manageable_load = self.manageable_load(&observed, load);
+        let backlog = observed.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
         (load - manageable_load * (1.0 - backlog)).clamp(0.0, load)
     }
 
@@ -127,10 +127,10 @@
     /// The part of its load that a late server manages. The growth of its delay shows how far it is over its
     /// capacity; where it is a little late that is little, so only where a whole objective is missed the
     /// whole margin is kept.
-    fn manageable_load(&self, late: &MessageDelay, load: f64) -> f64 {
-        let utilization = (1.0 + late.growth).clamp(MIN_UTILIZATION, MAX_UTILIZATION);
+    fn manageable_load(&self, observed: &MessageDelay, load: f64) -> f64 {
+        let utilization = (1.0 + observed.growth).clamp(MIN_UTILIZATION, MAX_UTILIZATION);
         let threshold_s = self.high_delay_threshold.as_secs_f64();
-        let urgency = (late.delay.as_secs_f64() * HIGH_DELAY_SHARE_OF_OBJECTIVE / threshold_s).min(1.0);
+        let urgency = (observed.delay.as_secs_f64() * HIGH_DELAY_SHARE_OF_OBJECTIVE / threshold_s).min(1.0);
         (1.0 - (1.0 - CAPACITY_MARGIN) * urgency) * load / utilization
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -24,13 +24,13 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
     /// A key that nothing reads, where that is not allowed.
-    #[error("the key {0} is not known")]
+    #[error("unknown key {0}")]
     UnknownKey(String),
     /// A required key is absent.
-    #[error("the key {0} is missing")]
+    #[error("missing key {0}")]
     MissingKey(String),
     /// A value cannot be parsed or is out of range.
-    #[error("the key {key} has the value {value:?}, which is not {expected}")]
+    #[error("invalid value {value:?} for key {key}: expected {expected}")]
     InvalidValue {
         /// The key.
         key: String,
@@ -184,7 +184,7 @@
     Ok(BalancerSettings {
         node_count,
         node_index: values.read("index", "a whole number").map(Some).or_else(default_if_missing(None))?,
-        zone: values.read("my_zone", "a zone's number")?,
+        zone: values.read("my_zone", "a zone number")?,
         classes: classes(values)?,
         must_subscribe: values.keyword("discovery", &DISCOVERY_WORDS, "automatic or subscribe")?,
         max_poll_interval: values.micros("obligations.must_ask_in").or_else(default_if_missing(Micros(0)))?,
@@ -238,7 +238,7 @@
 
 fn node_count(values: &SettingValues) -> Result<u32, SettingsError> {
     match values.read("balancers", "a whole number")? {
-        0 => Err(values.invalid("balancers", "0", "one or more")),
+        0 => Err(values.invalid("balancers", "0", "a number of at least 1")),
         count => Ok(count),
     }
 }
@@ -248,11 +248,9 @@
 fn group_load(values: &SettingValues, groups: bool) -> Result<f64, SettingsError> {
     let load = values.number("extra.group_load");
     match (groups, &load) {
-        (false, Ok(load)) => Err(values.invalid(
-            "extra.group_load",
-            &load.to_string(),
-            "of any use while extra.groups is not true",
-        )),
+        (false, Ok(load)) => {
+            Err(values.invalid("extra.group_load", &load.to_string(), "no value unless extra.groups is true"))
+        }
         _ => load.or_else(default_if_missing(DEFAULT_GROUP_LOAD)),
     }
 }
@@ -316,7 +314,7 @@
         return Err(values.invalid(&retry_ratio, values.text(&retry_ratio)?, "a number up to a million"));
     }
     if budget.window == Micros(0) {
-        return Err(values.invalid(&window, "0", "a span above 0"));
+        return Err(values.invalid(&window, "0", "a duration above 0"));
     }
     Ok(Some(budget))
 }
@@ -361,6 +359,6 @@
 fn message_latency_objective(values: &SettingValues, value: &str) -> Result<Micros, SettingsError> {
     match value.parse::<f64>() {
         Ok(us) if us.is_finite() && us >= 0.0 => Ok(Micros(us as u64)),
-        _ => Err(values.invalid("extra.message_aim", value, "microseconds for each class")),
+        _ => Err(values.invalid("extra.message_aim", value, "a number of microseconds for each class")),
     }
 }
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -1,27 +1,29 @@
-//! What the decisions ask the host program to do.
+//! Actions that the policy asks the embedding program to perform.
 
 use super::id::{RequestId, ServerId, TimerToken};
 use super::time::Micros;
 
-/// An effect that the host program is to carry out.
+/// An effect that the embedding program carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Start the request's next attempt; without a time-out it lasts until the client gives up.
+    /// Starts the request's next attempt at this server. Without a timeout, the attempt lasts until
+    /// the client's deadline.
     Forward(RequestId, ServerId, Option<Micros>),
-    /// Final answer: rejected without effect, safe to retry; not before the Retry-After time where one is named.
+    /// Answers that the request was rejected without effect and is safe to retry, no earlier than
+    /// the Retry-After time if one is given. This is a final answer.
     Reject(RequestId, Option<Micros>),
-    /// Final answer: failed; whether it had an effect is unknown.
+    /// Answers that the request failed and may have had an effect. This is a final answer.
     Fail(RequestId),
-    /// Ask the client of an open connection to reconnect, so that it is placed anew.
+    /// Asks the client of an open connection to reconnect, so that the connection is placed again.
     Migrate(RequestId),
-    /// Deliver [`super::Event::Timer`] with this token after this time.
+    /// Delivers [`super::Event::Timer`] with this token after this delay.
     SetTimer(Micros, TimerToken),
-    /// Subscribe to the endpoint list.
+    /// Subscribes to the endpoint list.
     WatchEndpoints,
-    /// Probe a server for its load report.
+    /// Probes a server for its load report.
     Probe(ServerId),
-    /// Send a message to all other nodes.
+    /// Sends a message to all other nodes.
     Broadcast(Vec<u8>),
-    /// Write a log line, about a server where one is named.
+    /// Writes a log line, which is about the given server if there is one.
     Log(Option<ServerId>, String),
 }
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -1,19 +1,19 @@
-//! Endpoints: the servers of an endpoint list and their states.
+//! Entries of an endpoint list: servers and their states.
 
 use super::id::ServerId;
 use super::time::Micros;
 
-/// Whether a server may receive work.
+/// Whether a server may receive new connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// May receive new work.
+    /// Receives new connections.
     Ready,
-    /// Finishes the work it has and receives none.
+    /// Keeps its connections and receives no new ones.
     Draining,
-    /// Keeps the connections that this node holds there and receives no new work. Discovery never lists this state:
-    /// the node sets it, for a server outside its subset or one whose entry may be out of date.
+    /// Keeps this node's connections and receives no new ones. Discovery never reports this state:
+    /// the node sets it for a server that is outside its subset or whose entry may be out of date.
     Cordoned,
-    /// Not in service.
+    /// Not in service: listed as removed, or missing from a full list.
     #[default]
     Removed,
 }
@@ -21,38 +21,40 @@
 /// One server of an endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The server.
+    /// Server identifier.
     pub id: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: u16,
-    /// Its cell.
+    /// Cell of the server.
     pub cell: u16,
-    /// Whether it may receive work.
+    /// Whether the server may receive new connections.
     pub state: EndpointState,
-    /// Its weight, whose meaning [`super::BalancerSettings::weight_meaning`] tells.
+    /// Weight of the server, interpreted according to [`super::BalancerSettings::weight_meaning`].
     pub weight: f64,
-    /// When it last started; none if long ago.
+    /// Time of the server's last start; `None` if long ago.
     pub started: Option<Micros>,
-    /// When it joined this node's subset; none if long ago. Until well after that the node's record says little of it.
+    /// Time at which the server joined this node's subset; `None` if long ago. A server that joined
+    /// recently holds few of this node's connections, so the node's load record does not yet
+    /// represent it.
     pub joined: Option<Micros>,
 }
 
 impl Endpoint {
-    /// Whether it may receive new work.
+    /// Returns whether the server may receive new connections.
     pub fn ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 }
 
-/// How an endpoint list relates to the one before it.
+/// How an endpoint list relates to the previous one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Changed endpoints only.
+    /// Contains changed endpoints only.
     Delta,
-    /// All endpoints; a server that is missing is gone.
+    /// Contains all endpoints. A server that is missing has been removed.
     Full,
-    /// All endpoints as last held before this start; possibly out of date.
+    /// Contains all endpoints as stored before this process started. It may be out of date.
     Cached,
-    /// No list: a call failed or the subscription broke. The list held stays in force.
+    /// No list arrived: a call failed or the subscription broke. The previous list stays in effect.
     Failed,
 }
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -1,4 +1,4 @@
-//! What the host program reports to the decisions.
+//! Events that the embedding program reports to the policy.
 
 use super::endpoint::{Endpoint, EndpointListKind};
 use super::id::{RequestId, ServerId, TimerToken};
@@ -6,54 +6,55 @@
 use super::settings::BalancerSettings;
 use super::time::Micros;
 
-/// Something that happened at the time with which it is reported.
+/// An event, reported together with the time at which it occurred.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An endpoint list arrived, or a call for it failed.
+    /// An endpoint list was received, or a call for it failed.
     EndpointList(EndpointListKind, Vec<Endpoint>),
-    /// A client's request arrived; it is owed exactly one final answer.
+    /// A client's request was received. It must get exactly one final answer.
     Request(Request),
-    /// A connection was open before this node started.
+    /// A connection to this server was open before this process started.
     ExistingConnection(Request, ServerId),
-    /// An attempt became a connection.
+    /// An attempt became an established connection.
     Established {
-        /// The request.
+        /// Request of the attempt.
         id: RequestId,
-        /// Time since the attempt was forwarded.
+        /// Time from forwarding the attempt to its establishment.
         latency: Micros,
     },
     /// An attempt ended, or the connection that it had become.
     Ended {
-        /// The request.
+        /// Request of the attempt or connection.
         id: RequestId,
-        /// The server it was forwarded to.
+        /// Server of the attempt or connection.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
-        /// The request has its final answer; otherwise it is still owed one.
+        /// Whether the request has its final answer. If not, the policy still has to answer it.
         closed: bool,
-        /// The server's load report, empty where none came along.
+        /// Load report of the server, empty if there was none.
         report: Vec<f64>,
     },
-    /// A connection's current load, in microseconds of work a second.
+    /// The current load of a connection, in microseconds of CPU work per second.
     LoadReported(RequestId, f64),
-    /// The milliseconds that a message currently takes at a server.
+    /// The current message delay at a server, in milliseconds.
     DelayReported(ServerId, f64),
-    /// The client disconnected; nothing is owed to it.
+    /// The client disconnected and needs no answer.
     ClientDisconnected(RequestId),
     /// A timer set by [`super::Action::SetTimer`] expired.
     Timer(TimerToken),
     /// A probe completed.
     ProbeCompleted {
-        /// The probed server.
+        /// Server that was probed.
         server: ServerId,
         /// How the probe ended.
         outcome: Outcome,
-        /// The server's load report, empty where none came along.
+        /// Load report of the server, empty if there was none.
         report: Vec<f64>,
     },
-    /// A message of another node arrived.
+    /// A message from another node, identified by its index, was received.
     PeerMessage(u32, Vec<u8>),
-    /// Other settings apply from now on. A class keeps its number, and there are at least as many as before.
+    /// New settings apply from now on. Classes keep their indices, and the number of classes never
+    /// decreases.
     SettingsChanged(Box<BalancerSettings>),
 }
--- a/src/types/id.rs
+++ b/src/types/id.rs
@@ -2,15 +2,15 @@
 
 use std::fmt;
 
-/// A request, and the connection that it becomes. Never used twice.
+/// A request and the connection that it becomes. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// A server. A process that restarts keeps it.
+/// A server. The identifier survives a restart of the server's process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerId(pub u64);
 
-/// As an address and a port: 32 bits and 16 bits of the number.
+/// Formats the server as an IPv4 address (bits 16 to 47) and a port (bits 0 to 15).
 impl fmt::Display for ServerId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let part = |shift: u32| self.0 >> shift & 0xff;
@@ -18,10 +18,10 @@
     }
 }
 
-/// A group of connections that share work on each server that holds any of them.
+/// A group of connections that share work on each server with at least one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct GroupId(pub u64);
 
-/// What the host program may choose for a timer; it comes back with it.
+/// A value chosen by the creator of a timer and returned when the timer expires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerToken(pub u64);
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,6 +1,6 @@
-//! The types in which a host program and the decisions speak: settings, events and actions.
+//! Types exchanged between the embedding program and the policy: settings, events and actions.
 //!
-//! Nothing here decides anything, and nothing here knows how they travel.
+//! This module contains no decisions and no serialization.
 
 mod action;
 mod endpoint;
--- a/src/types/request.rs
+++ b/src/types/request.rs
@@ -1,4 +1,4 @@
-//! A client's request and how its attempts end.
+//! Requests of clients and the outcomes of their attempts.
 
 use super::id::{GroupId, RequestId};
 use super::time::Micros;
@@ -6,28 +6,29 @@
 /// How an attempt, a connection or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// Completed successfully.
     Ok,
     /// The server answered with an error.
     Error,
-    /// The server rejected it unseen, for lack of capacity.
+    /// The server rejected it without processing it, for lack of capacity.
     Rejected,
-    /// No answer in time.
+    /// No answer was received within the timeout.
     Timeout,
-    /// No connection could be made.
+    /// The connection to the server could not be established.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was reset.
     Reset,
     /// Cancelled by the node or by the client.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NeverSent,
-    /// Not forwarded by the node: the decision no longer held when the connection to the server was up.
+    /// The node did not forward the attempt, because the decision was no longer valid when the
+    /// connection to the server was established.
     NotForwarded,
 }
 
 impl Outcome {
-    /// Whether the attempt may have had an effect.
+    /// Returns whether the attempt may have had an effect on the server.
     pub fn may_have_executed(self) -> bool {
         !matches!(
             self,
@@ -39,18 +40,18 @@
 /// A client's request for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct Request {
-    /// The request.
+    /// Request identifier.
     pub id: RequestId,
-    /// Its class, as an index into [`super::BalancerSettings::classes`].
+    /// Class of the request, as an index into [`super::BalancerSettings::classes`].
     pub class: u16,
-    /// Its group, where connections share work.
+    /// Group of the request, if its connections share work.
     pub group: Option<GroupId>,
-    /// Its expected load in microseconds of work a second.
+    /// Expected load of the connection, in microseconds of CPU work per second.
     pub expected_load: Option<f64>,
-    /// The time after which the client gives up.
+    /// Time until the client's deadline.
     pub time_remaining: Micros,
-    /// The idempotency key: the same for all of one client's requests for the same thing.
+    /// Idempotency key, which a client reuses when it repeats a request.
     pub key: Option<u64>,
-    /// Packets of a connection that some server already holds.
+    /// Whether the request consists of packets of a connection that a server already holds.
     pub mid_flow: bool,
 }
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -1,19 +1,20 @@
-//! The settings of an instance: what it is told at its start and whenever they change.
+//! Settings of a policy instance, given at its start and on each change.
 
 use super::time::Micros;
 
 /// Whether a request may be retried after an attempt that may have had an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Idempotent: retrying does no harm.
+    /// The request is idempotent and can always be retried.
     Idempotent,
-    /// Has an idempotency key: the servers of this scope drop repeats for a time.
+    /// The request carries an idempotency key, and the servers of this scope ignore duplicates for
+    /// a limited time.
     Deduplicated(DedupScope),
-    /// May run at most once.
+    /// The request must be executed at most once.
     NotIdempotent,
 }
 
-/// The servers that drop one another's repeats.
+/// Set of servers that share their records of duplicates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All servers.
@@ -24,150 +25,157 @@
     Cell,
 }
 
-/// The objectives of one class of requests.
+/// Objectives and retry rules of one class of requests.
 #[derive(Clone, Debug)]
 pub struct ClassSettings {
-    /// The latency objective of connection set-up.
+    /// Latency objective of connection setup.
     pub latency_objective: Micros,
-    /// The priority weight beside other classes.
+    /// Priority relative to other classes.
     pub priority_weight: f64,
-    /// Whether it may be retried.
+    /// Whether requests of the class may be retried.
     pub idempotency: Idempotency,
-    /// How long repeats are dropped, from when the first attempt that may have run was forwarded.
+    /// How long servers ignore duplicates, measured from the forwarding of the first attempt that
+    /// may have been executed.
     pub dedup_window: Micros,
-    /// The latency objective of a message on an open connection, where stated.
+    /// Latency objective of a message on an open connection, if there is one.
     pub message_latency_objective: Option<Micros>,
 }
 
-/// What the weight of a listed endpoint means.
+/// Meaning of an endpoint's weight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WeightMeaning {
-    /// Nothing.
+    /// The weight has no meaning.
     Ignored,
-    /// Its capacity, approximately.
+    /// The weight is approximately proportional to the server's capacity.
     NominalCapacity,
-    /// Its capacity less its recent load: the same late figure for all nodes.
+    /// The weight is the server's capacity less its recent load. All nodes receive the same delayed
+    /// value.
     LiveLoad,
 }
 
-/// One figure of a load report.
+/// One field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportField {
     /// Offered load divided by capacity.
     LoadRatio,
-    /// Any other figure.
+    /// Any other field; the policy ignores it.
     Other,
 }
 
-/// The limit of a node's retries within any span of [`RetryBudget::window`].
+/// Limit on a node's retries within any interval of length [`RetryBudget::window`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
-    /// Retries allowed whatever the traffic.
+    /// Number of retries allowed regardless of traffic.
     pub min_retries: f64,
-    /// Retries allowed in addition for each admitted request.
+    /// Number of additional retries allowed per admitted request.
     pub retry_ratio: f64,
-    /// The length of the sliding window.
+    /// Length of the sliding window.
     pub window: Micros,
 }
 
-/// What was counted in one bucket of a retry budget's sliding window.
+/// Events counted in one bucket of a retry budget's sliding window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryBudgetBucket {
-    /// The time of its first event.
+    /// Time of the first event.
     pub first_event: Micros,
-    /// The time of its last event.
+    /// Time of the last event.
     pub last_event: Micros,
-    /// Admitted requests.
+    /// Number of admitted requests.
     pub admitted: u32,
-    /// Retries: attempts beyond requests' first.
+    /// Number of retries, which are attempts other than the first of a request.
     pub retries: u32,
 }
 
-/// What the operators charge for a node's work, as shares of the service; zero where none is stated.
+/// Costs that the operators assign to a node's actions, as shares of the value of the service. A
+/// cost that the settings omit is zero.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Costs {
-    /// Attempts that cross zones, for each request.
+    /// Cost of attempts that cross zones, per request.
     pub cross_zone: f64,
-    /// Migrations, for each request.
+    /// Cost of migrations, per request.
     pub migrations: f64,
-    /// Probes, for each request.
+    /// Cost of probes, per request.
     pub probe: f64,
-    /// Server work that served nothing, for all the work offered.
+    /// Cost of server work without a result, relative to all offered work.
     pub wasted_work: f64,
-    /// New connections, for each request.
+    /// Cost of new connections, per request.
     pub connection_setup: f64,
-    /// Priority weight that ended unserved after its latency objective, for all that was offered.
+    /// Cost of requests that failed after their latency objective, weighted by priority and
+    /// relative to all offered requests.
     pub late_failures: f64,
 }
 
-/// The quota of one tenant.
+/// Quota of one tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantSettings {
-    /// The tenant's quota, as a share of the service.
+    /// Quota as a share of the service.
     pub quota_share: f64,
-    /// New requests a second within it, over all nodes.
+    /// Quota in new requests per second, over all nodes.
     pub quota_per_s: f64,
 }
 
-/// The settings of an instance.
+/// Settings of a policy instance.
 #[derive(Clone, Debug)]
 pub struct BalancerSettings {
-    /// How many nodes share the servers, this one included.
+    /// Number of nodes that share the servers, including this one.
     pub node_count: u32,
-    /// This node's index among them, from 0 on, where stated.
+    /// Index of this node, starting at 0, if it is known.
     pub node_index: Option<u32>,
-    /// The zone of this node.
+    /// Zone of this node.
     pub zone: u16,
-    /// The classes of requests, by index.
+    /// Request classes, in the order of their indices.
     pub classes: Vec<ClassSettings>,
-    /// The endpoint list has to be subscribed to; otherwise changes are pushed.
+    /// Whether the node has to subscribe to the endpoint list. Otherwise changes are pushed to it.
     pub must_subscribe: bool,
-    /// The longest interval between polls of the endpoint list while there is no subscription.
+    /// Maximum interval between polls of the endpoint list without a subscription.
     pub max_poll_interval: Micros,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts per request.
     pub max_attempts: u32,
-    /// Rejections may carry a Retry-After time.
+    /// Whether rejections may carry a Retry-After time.
     pub retry_after_allowed: bool,
-    /// The longest Retry-After time that a client honours.
+    /// Maximum Retry-After time that clients honour.
     pub max_retry_after: Micros,
-    /// Servers may be probed.
+    /// Whether servers may be probed.
     pub probes_allowed: bool,
-    /// Messages may be sent to other nodes.
+    /// Whether messages may be sent to other nodes.
     pub gossip_allowed: bool,
-    /// What the weight of a listed endpoint means.
+    /// Meaning of an endpoint's weight.
     pub weight_meaning: WeightMeaning,
-    /// Servers report how long messages take; otherwise only connection set-ups show that.
+    /// Whether servers report their message delays. Otherwise delays are derived from connection
+    /// setups.
     pub servers_report_delay: bool,
-    /// Connections are migrated away from a draining server before it stops.
+    /// Whether connections are migrated away from a draining server before it stops.
     pub migrate_from_draining: bool,
-    /// Connections of one group share work.
+    /// Whether the connections of a group share work.
     pub groups: bool,
-    /// That work on each server that holds any of a group, in typical connections.
+    /// Shared work of a group on each server with at least one of its connections, in multiples of
+    /// a typical connection's load.
     pub group_load: f64,
-    /// The figures of a load report, in order.
+    /// Fields of a load report, in order.
     pub report_fields: Vec<ReportField>,
-    /// The longest time that a started server takes to warm up.
+    /// Maximum time that a server takes to warm up after its start.
     pub warm_up: Micros,
-    /// The least share of its capacity that a started server has at once.
+    /// Minimum share of its capacity that a server has immediately after its start.
     pub warm_up_initial_capacity: f64,
-    /// The multiple of its present capacity at which a warming-up server fails ...
+    /// Multiple of its current capacity at which a warming-up server is overloaded and fails.
     pub overload_multiple: f64,
-    /// ... when it receives that much for this long.
+    /// How long a warming-up server withstands that multiple.
     pub overload_window: Micros,
-    /// The limit of retries, where one is stated.
+    /// Limit on retries, if there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// How far a request's remaining time may be off, either way.
+    /// Maximum error of a request's remaining time, in either direction.
     pub deadline_tolerance: Micros,
-    /// A server listed as gone, or left out of a full list, may still receive work unless it drained before.
+    /// Whether a removed server may still receive requests, unless it was draining before its
+    /// removal.
     pub removal_is_advisory: bool,
-    /// How far a listed start time may be off, either way.
+    /// Maximum error of a listed start time, in either direction.
     pub start_time_tolerance: Micros,
-    /// The time after a drain notice within which forwarding has to stop; the decisions stop at once.
+    /// Time after a drain notice within which forwarding has to stop. The policy stops at once.
     pub drain_grace: Micros,
-    /// What the operators charge.
+    /// Costs that the operators assign to a node's actions.
     pub costs: Costs,
-    /// The tenants, where quotas are stated.
+    /// Tenants, empty if there are no quotas.
     pub tenants: Vec<TenantSettings>,
-    /// The CPU time that decisions may take, in microseconds a second, where stated.
+    /// CPU time available to the policy, in microseconds per second, if it is limited.
     pub cpu_us_per_s: Option<f64>,
 }
