--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -1,8 +1,8 @@
-//! The decisions as plain calls for a program that serves connections: ask where a client goes, report what came of
-//! it, and wake up when something is due.
+//! Interface to the policy for a program that serves connections.
 //!
-//! A [`Balancer`] keeps the timers and assigns request ids, takes the time as an argument and decides nothing: every
-//! verdict is the [`Policy`]'s.
+//! The program asks where to place each request, reports the results and calls
+//! [`Balancer::handle_timeout`] when a timer is due. A [`Balancer`] manages timers and request ids
+//! and receives the current time as an argument. Every decision is made by the [`Policy`].
 
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
@@ -16,66 +16,70 @@
     RequestId, RetryBudgetBucket, ServerId, TimerToken,
 };
 
-/// A client's request for a connection, before the balancer has assigned its id.
+/// A client's request for a connection, without the id that the balancer assigns.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionRequest {
-    /// Its class, as an index into [`BalancerSettings::classes`].
+    /// Class of the request, as an index into [`BalancerSettings::classes`].
     pub class: u16,
-    /// Its group, where connections share work.
+    /// Group of the request, if its connections share work.
     pub group: Option<GroupId>,
-    /// The idempotency key: the same for all of one client's requests for the same thing.
+    /// Idempotency key, which a client reuses when it repeats a request.
     pub key: Option<u64>,
-    /// Its expected load in microseconds of work a second.
+    /// Expected load of the connection, in microseconds of CPU work per second.
     pub expected_load: Option<f64>,
-    /// How long the node may take to answer.
+    /// Time until the client's deadline.
     pub time_remaining: Micros,
 }
 
-/// What to do with a request that is owed an answer.
+/// Decision on a request that has no final answer yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Forward it to this server; the attempt lasts no longer than the time named, or else until the client gives up.
+    /// Forward the request to this server. The attempt ends after the given timeout or, without
+    /// one, at the client's deadline.
     Forward(ServerId, Option<Micros>),
-    /// Answer that it is rejected without effect and safe to retry, not before the Retry-After time if one is named.
+    /// Answer that the request was rejected without effect and is safe to retry, no earlier than
+    /// the Retry-After time if one is given.
     Reject(Option<Micros>),
-    /// Answer that it failed; whether it had an effect is unknown.
+    /// Answer that the request failed and may have had an effect.
     Fail,
 }
 
-/// A log line of the decisions.
+/// A log line written by the policy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// The server that it is about.
+    /// Server that the line is about, if any.
     pub server: Option<ServerId>,
-    /// The text.
+    /// Text of the line.
     pub text: String,
 }
 
-/// Effects that are due, independent of any one call's verdict.
+/// Pending effects that are not the verdict on a request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PendingWork {
-    /// Connections whose clients are to be asked to reconnect.
+    /// Connections whose clients are asked to reconnect.
     pub migrations: Vec<RequestId>,
-    /// The endpoint list has to be watched from now on.
+    /// Whether the endpoint list has to be subscribed to.
     pub watch_endpoints: bool,
-    /// Messages to all other nodes.
+    /// Messages to send to all other nodes.
     pub broadcasts: Vec<Vec<u8>>,
-    /// Lines for the log.
+    /// Log lines to write.
     pub log_lines: Vec<LogLine>,
 }
 
-/// The settings as they apply on sockets. Probes are off, as the only probe there is to send a client. Connections are
-/// migrated from draining servers: a client whose server stops may notice late.
+/// Adapts the settings to a node that serves real connections. Probes are disabled, because probing
+/// a real server would require a client's connection. Connections are migrated from draining
+/// servers, because a client may notice late that its server has stopped.
 fn node_settings(settings: BalancerSettings) -> BalancerSettings {
     BalancerSettings { probes_allowed: false, migrate_from_draining: true, ..settings }
 }
 
-/// Servers that report delays use the same form for them as for loads: a classifier tells the two apart.
+/// Creates a classifier if servers report delays, because delay reports have the same form as load
+/// reports.
 fn classifier(settings: &BalancerSettings) -> Option<LoadSignalClassifier> {
     settings.servers_report_delay.then(LoadSignalClassifier::default)
 }
 
-/// The decisions of one node as plain calls.
+/// The policy of one node with its timers, its maintenance overlay and an optional shadow instance.
 pub struct Balancer {
     policy: Policy,
     shadow: Option<Shadow>,
@@ -88,7 +92,7 @@
 }
 
 impl Balancer {
-    /// Creates a node that holds nothing.
+    /// Creates a balancer without connections.
     pub fn new(settings: BalancerSettings, seed: u64, now: Micros) -> Self {
         let settings = node_settings(settings);
         let mut balancer = Balancer {
@@ -106,7 +110,7 @@
         balancer
     }
 
-    /// Creates a node that holds nothing, and a shadow instance with other settings where these are given.
+    /// Creates a balancer without connections, and a shadow instance if settings for it are given.
     pub fn with_shadow(
         settings: BalancerSettings,
         shadow: Option<BalancerSettings>,
@@ -117,8 +121,9 @@
         Balancer { shadow, ..Self::new(settings, seed, now) }
     }
 
-    /// Applies other settings, and others for the shadow instance; without any it ends. None is begun: an instance that
-    /// has not seen the traffic so far has no record to compare with.
+    /// Applies new settings to the policy and the shadow instance. Without shadow settings, a
+    /// running shadow instance ends. No shadow instance is started: it would lack the load record
+    /// of the connections so far, so a comparison would be meaningless.
     pub fn apply_settings(
         &mut self,
         now: Micros,
@@ -137,8 +142,9 @@
         });
     }
 
-    /// Stops this process's retries where a budget is stated, and returns the budget's window for the process that takes
-    /// over, with ages in place of times; none where it is not known. Two processes of one node share one budget.
+    /// Stops retries in this process if there is a retry budget, and returns the budget's window
+    /// for the process that takes over, with ages in place of times. Returns `None` if the window
+    /// is not completely known. The two processes of one node share one budget.
     pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let buckets = self.policy.hand_over_retry_budget(now);
         let aged = |bucket: RetryBudgetBucket| RetryBudgetBucket {
@@ -149,16 +155,18 @@
         buckets.map(|buckets| buckets.into_iter().map(aged).collect())
     }
 
-    /// Takes over the retry budget's window of the process before, whose ages were taken at most `transfer_time` ago.
-    /// Without one, nothing is retried until a whole window has passed.
+    /// Takes over the retry budget's window of the previous process, whose ages were computed at
+    /// most `transfer_time` ago. Without a window, retries are suspended until a complete window
+    /// has passed.
     pub fn take_over_retry_budget(
         &mut self,
         now: Micros,
         exported: Option<Vec<RetryBudgetBucket>>,
         transfer_time: Micros,
     ) {
-        // Admitted requests expire by the first event, which may be dated too early, and retries by the last, which may
-        // be dated too late: the count is never laxer than the budget.
+        // Admitted requests expire by the first event, which may be dated too early, and retries by
+        // the last event, which may be dated too late, so the count never allows more than the
+        // budget.
         let dated = |bucket: RetryBudgetBucket| RetryBudgetBucket {
             first_event: now - bucket.first_event - transfer_time,
             last_event: now - bucket.last_event,
@@ -168,20 +176,21 @@
         self.policy.take_over_retry_budget(now, buckets);
     }
 
-    /// What the shadow instance would have decided otherwise so far; none without one.
+    /// Returns the differences counted by the shadow instance; `None` without one.
     pub fn differences(&self) -> Option<Differences> {
         self.shadow.as_ref().map(Shadow::differences)
     }
 
-    /// Decides where a client's request goes. The id returned stands for the request from now on.
+    /// Decides where to place a client's request. The returned id identifies the request in later
+    /// calls.
     pub fn place(&mut self, now: Micros, request: ConnectionRequest) -> (RequestId, Verdict) {
         let request = self.assign_id(request);
         let verdict = self.handle_event(now, Event::Request(request));
-        // Without probes every request is forwarded or answered at once.
+        // Without probes, every request is forwarded or answered at once.
         (request.id, verdict.unwrap_or(Verdict::Fail))
     }
 
-    /// Takes over a connection that is already open at a server.
+    /// Records a connection that is already open at a server.
     pub fn adopt_connection(
         &mut self,
         now: Micros,
@@ -193,17 +202,18 @@
         request.id
     }
 
-    /// Whether the attempt in flight may still be forwarded, now that its connection to the server is up.
+    /// Returns whether the attempt in flight may still be forwarded after its connection to the
+    /// server was established.
     pub fn may_forward(&self, now: Micros, id: RequestId) -> bool {
         self.policy.may_still_send(now, id)
     }
 
-    /// The attempt in flight became a connection.
+    /// Reports that the attempt in flight became a connection.
     pub fn on_established(&mut self, now: Micros, id: RequestId, latency: Micros) {
         self.handle_event(now, Event::Established { id, latency });
     }
 
-    /// The attempt in flight failed. Returns what to do next with the request.
+    /// Reports that the attempt in flight failed, and returns what to do next with the request.
     pub fn on_attempt_failed(
         &mut self,
         now: Micros,
@@ -215,20 +225,22 @@
         self.handle_event(now, event).unwrap_or(Verdict::Fail)
     }
 
-    /// A connection ended at its server's side, or because its client was asked to reconnect.
+    /// Reports that a connection was ended by its server, or because its client was asked to
+    /// reconnect.
     pub fn on_connection_ended(&mut self, now: Micros, id: RequestId, server: ServerId, outcome: Outcome) {
         self.remove_from_classifier(id);
         self.handle_event(now, Event::Ended { id, server, outcome, closed: true, report: Vec::new() });
     }
 
-    /// The client disconnected; nothing is owed to it.
+    /// Reports that the client disconnected. No answer is needed any more.
     pub fn on_client_disconnected(&mut self, now: Micros, id: RequestId) {
         self.remove_from_classifier(id);
         self.handle_event(now, Event::ClientDisconnected(id));
     }
 
-    /// A server sent a load report on a connection: the connection's load in microseconds of work a second or, where
-    /// servers report that too, the milliseconds that messages take there, which has the same form.
+    /// Reports a value that a server sent on a connection. It is the connection's load in
+    /// microseconds of CPU work per second or, where servers report delays, possibly the server's
+    /// message delay in milliseconds, which has the same form.
     pub fn on_load_report(&mut self, now: Micros, id: RequestId, server: ServerId, value: f64) {
         let signal = match &mut self.classifier {
             Some(classifier) => classifier.classify(now, id, server, value),
@@ -253,19 +265,21 @@
         }
     }
 
-    /// An endpoint list arrived, or a call for it failed.
+    /// Reports a received endpoint list, or that a call for it failed.
     pub fn on_endpoint_list(&mut self, now: Micros, kind: EndpointListKind, endpoints: Vec<Endpoint>) {
         let endpoints = self.maintenance.overlay(kind, endpoints);
         self.handle_event(now, Event::EndpointList(kind, endpoints));
     }
 
-    /// Operators put this server into maintenance: from now on it receives nothing new, whatever the list says.
+    /// Puts a server into maintenance. It receives no new connections from then on, whatever its
+    /// listed state.
     pub fn begin_maintenance(&mut self, now: Micros, server: ServerId) {
         let change = self.maintenance.begin(server);
         self.on_maintenance_change(now, change);
     }
 
-    /// Operators took this server out of maintenance at `since`: it is as the list says, and warms up from then on.
+    /// Takes a server out of maintenance as of `since`. It returns to its listed state and warms up
+    /// from that time on.
     pub fn end_maintenance(&mut self, now: Micros, server: ServerId, since: Micros) {
         let change = self.maintenance.end(since, server);
         self.on_maintenance_change(now, change);
@@ -277,28 +291,29 @@
         }
     }
 
-    /// The servers in maintenance, and the listed ones.
+    /// Returns the servers in maintenance and the listed servers.
     pub fn maintenance(&self) -> &MaintenanceOverlay {
         &self.maintenance
     }
 
-    /// How many listed servers are avoided now: draining, in maintenance, late or ejected.
+    /// Returns the number of listed servers that are draining, in maintenance, ejected or have a
+    /// high message delay.
     pub fn unavailable_server_count(&self, now: Micros) -> usize {
         self.policy.avoided_server_count(now)
     }
 
-    /// Servers that this node could not reach, that rejected work or that dropped all connections, until a set-up
-    /// succeeds.
+    /// Returns the servers that this node could not reach, that rejected requests or that dropped
+    /// all connections, and with which no setup has succeeded since.
     pub fn unreachable_servers(&self) -> BTreeSet<ServerId> {
         self.policy.unreachable_servers()
     }
 
-    /// Another node sent a message.
+    /// Reports a message from another node.
     pub fn on_peer_message(&mut self, now: Micros, from: u32, data: Vec<u8>) {
         self.handle_event(now, Event::PeerMessage(from, data));
     }
 
-    /// Handles all timers that are due, and returns the pending work.
+    /// Handles all timers that are due and returns the pending work.
     pub fn handle_timeout(&mut self, now: Micros) -> PendingWork {
         while let Some(&Reverse((due, token))) = self.timers.peek()
             && due <= now
@@ -313,7 +328,8 @@
         std::mem::take(&mut self.pending)
     }
 
-    /// When [`Balancer::handle_timeout`] is due next. Any other call may bring that forward, at most to the present.
+    /// Returns when [`Balancer::handle_timeout`] is due next. Any other call can make it due
+    /// earlier, even immediately.
     pub fn poll_timeout(&self) -> Option<Micros> {
         if self.pending != PendingWork::default() {
             return Some(Micros(0));
@@ -353,7 +369,7 @@
         let mut verdict = None;
         for action in self.actions.drain(..) {
             match action {
-                Action::Forward(_, server, time_out) => verdict = Some(Verdict::Forward(server, time_out)),
+                Action::Forward(_, server, timeout) => verdict = Some(Verdict::Forward(server, timeout)),
                 Action::Reject(_, retry_after) => verdict = Some(Verdict::Reject(retry_after)),
                 Action::Fail(_) => verdict = Some(Verdict::Fail),
                 Action::Migrate(id) => self.pending.migrations.push(id),
@@ -361,7 +377,7 @@
                 Action::WatchEndpoints => self.pending.watch_endpoints = true,
                 Action::Broadcast(data) => self.pending.broadcasts.push(data),
                 Action::Log(server, text) => self.pending.log_lines.push(LogLine { server, text }),
-                // Never requested: `node_settings` turns probes off.
+                // Never requested, because `node_settings` disables probes.
                 Action::Probe(_) => {}
             }
         }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,12 @@
-//! alderstile decides where long-lived connections go and when they move.
+//! Load balancing decisions for long-lived connections: where a connection is placed and when it is
+//! migrated.
 //!
-//! The library does no input or output of its own: [`policy::Policy`] is handed one event at a time
-//! with the time at which it happened, and answers with actions. [`types`] holds the words that
-//! both sides use, [`maintenance`] overlays the servers in maintenance, [`load_signal`] tells loads from delays, [`settings`] reads what a node is told at its start,
-//! [`balancer`] turns events and actions into plain calls for a program that serves connections, and [`shadow`] lets a
-//! second instance watch it.
+//! The library performs no input or output. [`policy::Policy`] receives one event at a time, with
+//! the time at which it occurred, and returns actions. [`types`] defines the events, actions and
+//! settings, [`settings`] parses a node's settings, and [`balancer`] offers the policy as plain
+//! method calls to a program that serves connections. [`maintenance`] marks servers in maintenance
+//! in each endpoint list, [`load_signal`] distinguishes loads from delays in load reports, and
+//! [`shadow`] compares a second policy instance with the active one.
 
 pub mod balancer;
 pub mod load_signal;
--- a/src/load_signal.rs
+++ b/src/load_signal.rs
@@ -1,43 +1,48 @@
-//! Classification of load reports on sockets, where two kinds of values have the same form.
+//! Classification of load reports, in which loads and message delays have the same form.
 //!
-//! A connection's load, in microseconds of work a second, is reported when it changes. The milliseconds that messages
-//! take at the connection's server are reported about once a second on one of its connections while they are late.
-//! A late server whose delays are taken for loads would have next to nothing in the record and draw all new work.
+//! A connection's load, in microseconds of CPU work per second, is reported when it changes. The
+//! message delay of a server, in milliseconds, is reported about once per second on one of its
+//! connections while the delay is high. If the delays of such a server were taken for loads, its
+//! recorded load would be close to zero and it would receive all new connections.
 //!
-//! A value is ambiguous where it lies far below what its connection last reported, or what connections typically
-//! report. A single one may be a client that went idle. It is a delay if another one follows within the interval of
-//! delay reports, on the same connection or both far below their own loads; and a load if none does.
+//! A value is ambiguous if it is far below the last load of its connection or below the typical
+//! load of connections. A single such value may come from a client that became idle. The value is a
+//! delay if another ambiguous value follows at the interval of delay reports, either on the same
+//! connection or with both values far below the loads of their own connections. Otherwise, it is a
+//! load.
 
 use std::collections::BTreeMap;
 
 use crate::types::{Micros, RequestId, ServerId};
 
-/// A value lies far below a load that is this many times higher. Few changes of a load are that large, most delays are.
+/// A value is far below a load if the load is more than this many times the value. Few changes of a
+/// load are this large, but most delays are this far below loads.
 const FAR_BELOW_FACTOR: f64 = 20.0;
-/// The least interval between two delay reports of one server.
+/// Minimum interval between two delay reports of one server.
 const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(980);
-/// The greatest such interval: delay reports come once a second. Where a node holds many connections at a server, light
-/// loads follow one another by chance; in a wider interval they would pass for delays.
+/// Maximum interval between two delay reports of one server, which come once per second. At a
+/// server with many connections of this node, light loads follow one another by chance, and a wider
+/// interval would classify them as delays.
 const MAX_REPORT_INTERVAL: Micros = Micros::from_millis(1_020);
-/// The greatest value that counts as a load, in microseconds of work a second.
+/// Maximum valid load, in microseconds of CPU work per second.
 const MAX_LOAD: f64 = 1e9;
 
 /// A classified value.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LoadSignal {
-    /// The load of this connection, in microseconds of work a second.
+    /// Load of this connection, in microseconds of CPU work per second.
     Load(RequestId, f64),
-    /// The milliseconds that messages take at this server.
+    /// Message delay of this server, in milliseconds.
     Delay(ServerId, f64),
 }
 
-/// A value that may still be a load or a delay.
+/// A value that may be a load or a delay.
 struct AmbiguousValue {
     id: RequestId,
     server: ServerId,
     value: f64,
     reported_at: Micros,
-    /// It lies far below what its own connection last reported.
+    /// Whether the value is far below the last load of its own connection.
     below_own_load: bool,
 }
 
@@ -46,14 +51,15 @@
         self.reported_at + MAX_REPORT_INTERVAL
     }
 
-    /// Whether a further ambiguous value, reported `now`, shows that this one is a delay.
+    /// Returns whether another ambiguous value, reported at `now`, shows that this value is a
+    /// delay.
     fn is_confirmed_by(&self, now: Micros, id: RequestId, server: ServerId, below_own_load: bool) -> bool {
         let same_source = self.id == id || (self.below_own_load && below_own_load);
         self.server == server && is_report_interval(self.reported_at, now) && same_source
     }
 }
 
-/// The sum and the number of connections' first loads.
+/// Sum and number of the first loads of all connections.
 #[derive(Default)]
 struct FirstLoads {
     sum: f64,
@@ -66,31 +72,32 @@
         self.count += 1.0;
     }
 
-    /// Whether a value lies far below the mean; never while there is none.
+    /// Returns whether a value is far below the mean first load; `false` while there is no mean.
     fn is_far_above(&self, value: f64) -> bool {
         self.count > 0.0 && value * FAR_BELOW_FACTOR < self.sum / self.count
     }
 }
 
-/// Whether a report now follows one at `earlier` at the interval of delay reports.
+/// Returns whether the time since `earlier` matches the interval of delay reports.
 fn is_report_interval(earlier: Micros, now: Micros) -> bool {
     now >= earlier + MIN_REPORT_INTERVAL && now <= earlier + MAX_REPORT_INTERVAL
 }
 
-/// Tells loads and delays apart.
+/// Classifies reported values as loads or delays.
 #[derive(Default)]
 pub struct LoadSignalClassifier {
-    /// The load that each connection last reported.
+    /// Last reported load of each connection.
     loads: BTreeMap<RequestId, f64>,
     first_loads: FirstLoads,
-    /// In the order in which they were reported.
+    /// Ambiguous values, in the order of their reports.
     ambiguous: Vec<AmbiguousValue>,
-    /// When each late server last reported a delay.
+    /// Time of the last delay report of each server with a high delay.
     last_delay_report: BTreeMap<ServerId, Micros>,
 }
 
 impl LoadSignalClassifier {
-    /// Takes in a value reported on a connection to this server. Returns nothing while the value is ambiguous.
+    /// Classifies a value that was reported on a connection to this server. Returns `None` while
+    /// the value is ambiguous.
     pub fn classify(
         &mut self,
         now: Micros,
@@ -101,7 +108,7 @@
         let own_load = self.loads.get(&id);
         let below_own_load = own_load.is_some_and(|load| value * FAR_BELOW_FACTOR < *load);
         let ambiguous = below_own_load || self.first_loads.is_far_above(value);
-        // An unchanged load is reported again to the digit; a delay never stays the same.
+        // An unchanged load is reported again with exactly the same value, whereas a delay varies.
         if !ambiguous || own_load == Some(&value) {
             return Some(self.load(id, value));
         }
@@ -115,7 +122,7 @@
         Some(self.delay(now, server, value))
     }
 
-    /// Ambiguous values that no further one has confirmed in time: they are loads.
+    /// Removes the ambiguous values that were not confirmed in time and returns them as loads.
     pub fn take_expired(&mut self, now: Micros) -> Vec<LoadSignal> {
         let values = std::mem::take(&mut self.ambiguous);
         let (expired, open): (Vec<_>, Vec<_>) =
@@ -124,12 +131,12 @@
         expired.into_iter().map(|value| self.load(value.id, value.value)).collect()
     }
 
-    /// When the next ambiguous value expires.
+    /// Returns when the next ambiguous value expires.
     pub fn next_expiry(&self) -> Option<Micros> {
         self.ambiguous.first().map(|value| value.expires_at() + Micros(1))
     }
 
-    /// A connection has ended.
+    /// Removes the state of a connection that has ended.
     pub fn forget(&mut self, id: RequestId) {
         self.loads.remove(&id);
         self.ambiguous.retain(|value| value.id != id);
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -1,24 +1,25 @@
-//! Servers in maintenance, overlaid on every endpoint list before the decisions see it.
+//! Overlay that marks servers in maintenance in each endpoint list before the policy receives it.
 //!
-//! To the decisions a server in maintenance is draining, whatever the list says; they have no other notion of it. It
-//! returns as the list has it by then, but started no earlier than maintenance ended: operators restart servers
-//! meanwhile, and the list may say so late.
+//! The policy sees a server in maintenance as draining, whatever its listed state. After
+//! maintenance, the server returns to its listed state. Its start time is then at least the end of
+//! its maintenance, because operators restart servers during maintenance and the list may show the
+//! restart late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::types::{Endpoint, EndpointListKind, EndpointState, Micros, ServerId};
 
-/// The servers in maintenance, and what the list says of all servers.
+/// Servers in maintenance and the listed state of all servers.
 #[derive(Debug, Default)]
 pub struct MaintenanceOverlay {
     listed: BTreeMap<ServerId, Endpoint>,
     in_maintenance: BTreeSet<ServerId>,
-    /// When servers came out of maintenance, until the list has a later start.
+    /// End of maintenance per server, kept until the list shows a later start.
     returned_at: BTreeMap<ServerId, Micros>,
 }
 
 impl MaintenanceOverlay {
-    /// Takes in an endpoint list, and returns it as the decisions are to see it.
+    /// Records an endpoint list and returns it with the overlay applied.
     pub fn overlay(&mut self, kind: EndpointListKind, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
             self.listed.clear();
@@ -40,24 +41,25 @@
         }
     }
 
-    /// A listed server as the decisions are to see it.
+    /// Returns a listed endpoint with the overlay applied.
     fn overlaid(&self, mut endpoint: Endpoint) -> Endpoint {
         if self.is_in_maintenance(endpoint.id) && endpoint.state != EndpointState::Removed {
             endpoint.state = EndpointState::Draining;
         }
-        // No start time means long ago, and compares as less than any time.
+        // A missing start time means long ago and compares as less than any time.
         endpoint.started = endpoint.started.max(self.returned_at.get(&endpoint.id).copied());
         endpoint
     }
 
-    /// Puts a server into maintenance. Returns the change for the decisions; none where the list does not name it.
+    /// Puts a server into maintenance. Returns the changed endpoint, or `None` if the server is not
+    /// listed.
     pub fn begin(&mut self, id: ServerId) -> Option<Endpoint> {
         self.in_maintenance.insert(id);
         self.listed.get(&id).map(|endpoint| self.overlaid(*endpoint))
     }
 
-    /// Takes a server out of maintenance. Returns the change for the decisions; none where it was not in maintenance or
-    /// the list does not name it.
+    /// Takes a server out of maintenance. Returns the changed endpoint, or `None` if the server was
+    /// not in maintenance or is not listed.
     pub fn end(&mut self, now: Micros, id: ServerId) -> Option<Endpoint> {
         if !self.in_maintenance.remove(&id) {
             return None;
@@ -66,17 +68,17 @@
         self.listed.get(&id).map(|endpoint| self.overlaid(*endpoint))
     }
 
-    /// Whether a server is in maintenance.
+    /// Returns whether a server is in maintenance.
     pub fn is_in_maintenance(&self, id: ServerId) -> bool {
         self.in_maintenance.contains(&id)
     }
 
-    /// Whether the list names a server, or it is in maintenance.
+    /// Returns whether a server is listed or in maintenance.
     pub fn is_known(&self, id: ServerId) -> bool {
         self.listed.contains_key(&id) || self.is_in_maintenance(id)
     }
 
-    /// The number of listed servers.
+    /// Returns the number of listed servers.
     pub fn listed_count(&self) -> usize {
         self.listed.len()
     }
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,4 +1,5 @@
-//! Admission: whether a server has capacity for a class, and the answer to a request that is given up.
+//! Admission control: whether a server has capacity for a class, and the answer to a request
+//! without a further attempt.
 
 use rand::RngExt;
 
@@ -9,14 +10,16 @@
 use super::period::PERIOD;
 use super::server::ServerIndex;
 
-/// Share of a bounded server's capacity that is reserved for the classes with the highest priority for their
-/// load.
+/// Share of a limited server's capacity that is reserved for the classes with the highest priority
+/// relative to their load.
 const RESERVED_SHARE: f64 = 0.5;
 
 impl Policy {
-    /// Whether a server is below its load limit for this connection's class. Acts where a server is bounded
-    /// ([`ObservedCapacity`](super::capacity::ObservedCapacity)). The last of the capacity is left to the
-    /// classes with the highest priority for their load; each class may use a part of it.
+    /// Returns whether a server is below its load limit for this connection's class. Only a server
+    /// with a limited capacity has one (see
+    /// [`ObservedCapacity`](super::capacity::ObservedCapacity)). The last part of the capacity is
+    /// reserved for the classes with the highest priority relative to their load, but every class
+    /// may use a part of the capacity.
     pub(super) fn has_capacity(&self, index: ServerIndex, connection: &Connection) -> bool {
         let Some(limit) = self.servers[index].capacity.load_limit else { return true };
         let classes = 0..self.typical_loads.class_count();
@@ -27,15 +30,17 @@
         self.recorded_load(index) < limit * usable_share
     }
 
-    /// The priority weight of a class for each unit of its typical load; 0 before that is known.
+    /// Returns the priority weight of a class divided by its typical load; 0 while that load is
+    /// unknown.
     fn priority_per_unit_load(&self, class: usize) -> f64 {
         let load = self.typical_loads.mean_first_load(class).filter(|load| *load > 0.0);
         let priority = self.settings.classes.get(class).map_or(0.0, |class| class.priority_weight);
         load.map_or(0.0, |load| priority / load)
     }
 
-    /// Answers a request for which no attempt is made: at once, so that the client can retry. What may
-    /// have run and is not safe to repeat at any server fails; all else is rejected.
+    /// Answers a request without a further attempt. The answer is sent at once, so that the client
+    /// can retry. A request that may have been executed and cannot safely be repeated at every
+    /// server fails; any other is rejected.
     pub(super) fn give_up(&mut self, connection: &Connection, actions: &mut Vec<Action>) {
         let id = connection.request.id;
         if connection.first_execution.is_some() && !self.is_idempotent_anywhere(connection) {
@@ -46,7 +51,7 @@
         actions.push(Action::Reject(id, self.settings.retry_after_allowed.then_some(retry_after)));
     }
 
-    /// Whether the client may send the request again to any server.
+    /// Returns whether the client may safely send the request again to any server.
     fn is_idempotent_anywhere(&self, connection: &Connection) -> bool {
         let anywhere = |class: &ClassSettings| {
             matches!(class.idempotency, Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All))
@@ -55,7 +60,8 @@
         known && self.binding_classes(connection).all(anywhere)
     }
 
-    /// Between a half and a whole latency objective: clients rejected together must not come back together.
+    /// Draws a Retry-After time between half of the latency objective and all of it. The jitter
+    /// prevents clients that were rejected together from reconnecting together.
     fn random_retry_after(&mut self, connection: &Connection) -> Micros {
         let class = self.settings.classes.get(usize::from(connection.request.class));
         let objective = class.map_or(PERIOD, |class| class.latency_objective);
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -1,4 +1,4 @@
-//! Time-out of an attempt: how long a server may take to answer before another one is tried.
+//! Attempt timeouts: how long a server may take to answer before another one is tried.
 
 use crate::types::{Micros, Outcome};
 
@@ -7,26 +7,28 @@
 use super::period::PERIOD;
 use super::running_mean::RunningMean;
 
-/// An attempt may take this many typical set-ups, and the latency objective at least.
+/// Timeout of an attempt in multiples of a typical setup time. The latency objective is the
+/// minimum.
 const TYPICAL_SETUPS_PER_ATTEMPT: f64 = 4.0;
-/// Above this share of set-ups that timed out, attempts have no time-out: what is slow is the fleet.
+/// Share of setups that time out above which attempts have no timeout, because the whole fleet is
+/// slow.
 const MAX_TIMED_OUT_SHARE: f64 = 0.15;
-/// No set-up counts for more than this multiple of the typical one, so that a single slow one does not pass
-/// for typical.
+/// Maximum time with which one setup enters the typical setup time, in multiples of the latter, so
+/// that a single slow setup does not distort it.
 const MAX_SETUP_MULTIPLE: f64 = 2.0;
-/// Attempts that may be in flight whatever the request rate.
+/// Number of attempts in flight that never indicates a slow fleet, whatever the request rate.
 const MIN_ATTEMPTS_IN_FLIGHT: f64 = 2.0;
 
-/// Set-ups at all servers.
+/// Statistics of the connection setups at all servers.
 #[derive(Default)]
 pub(super) struct SetupStatistics {
-    /// Running mean of what a set-up takes, in milliseconds.
+    /// Running mean of the setup time, in milliseconds.
     typical_ms: RunningMean,
-    /// Running mean share of set-ups that ran into their time-out.
+    /// Running mean of the share of setups that ended by their timeout.
     timed_out_share: RunningMean,
-    /// Running mean of requests a second.
+    /// Running mean of the request rate, in requests per second.
     typical_request_rate: RunningMean,
-    /// Requests of the current period so far.
+    /// Number of requests in the current period.
     requests_this_period: u32,
     pub(super) attempts_in_flight: u32,
 }
@@ -41,13 +43,13 @@
         self.typical_request_rate.add(f64::from(requests) / PERIOD.as_secs_f64());
     }
 
-    /// What a set-up took above the typical, in milliseconds.
+    /// Returns the difference between a setup time and the typical one, in milliseconds.
     pub(super) fn excess_ms(&self, latency: Micros) -> f64 {
         let took_ms = latency.as_secs_f64() * 1e3;
         took_ms - self.typical_ms.value().unwrap_or(took_ms)
     }
 
-    /// Takes in an attempt that became a connection.
+    /// Records an attempt that became a connection.
     pub(super) fn on_success(&mut self, latency: Micros) {
         self.attempts_in_flight -= 1;
         self.update_typical_duration(latency);
@@ -60,15 +62,15 @@
         self.typical_ms.add(took_ms.min(MAX_SETUP_MULTIPLE * typical_ms));
     }
 
-    /// Takes in an attempt that ran into its own time-out. It counts as a set-up of that length: in a fleet
-    /// that is slow as a whole, time-outs would add to its work.
+    /// Records an attempt that exceeded its own timeout, as a setup of that duration. Otherwise the
+    /// typical setup time would stay low in a slow fleet, and timeouts would add to its load.
     fn on_timeout(&mut self, took: Micros) {
         self.timed_out_share.add(1.0);
         self.update_typical_duration(took);
     }
 
-    /// Whether set-ups take long everywhere: more attempts are in flight than requests come in `wait`
-    /// (Little's law), or many time out.
+    /// Returns whether setups are slow at all servers: either more attempts are in flight than
+    /// requests arrive within `wait` (Little's law), or many attempts time out.
     fn is_fleet_slow(&self, wait: Micros) -> bool {
         let rate = self.typical_request_rate.value().unwrap_or(0.0);
         let expected_in_flight = MIN_ATTEMPTS_IN_FLIGHT + rate * wait.as_secs_f64();
@@ -78,11 +80,12 @@
 }
 
 impl Policy {
-    /// How long an attempt may take; no bound but the client's deadline where none is returned.
+    /// Returns the timeout of an attempt; `None` if only the client's deadline limits it.
     ///
-    /// A server that takes requests and answers none would otherwise hold a request until its client gives
-    /// up. There is no time-out before a set-up has succeeded, where no time would be left for another
-    /// attempt, and where set-ups take long everywhere: a retry would wait anew.
+    /// Without a timeout, a server that accepts requests and never answers would hold each request
+    /// until its client's deadline. There is no timeout before the first successful setup, if no
+    /// time would remain for another attempt, or if setups are slow at all servers, where a retry
+    /// would wait as long again.
     pub(super) fn attempt_timeout(&self, now: Micros, connection: &Connection) -> Option<Micros> {
         let typical = Micros((self.setups.typical_ms.value()? * 1_000.0 * TYPICAL_SETUPS_PER_ATTEMPT) as u64);
         let wait = connection.class_at_arrival.as_ref()?.latency_objective.max(typical);
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -1,26 +1,27 @@
-//! Observed capacity: the load that a late server was seen to manage, and its gradual recovery.
+//! Observed capacity: the load that a server with a high message delay can handle, and the gradual
+//! recovery of that limit.
 
 use super::Policy;
 use super::server::ServerIndex;
 
-/// The lowest believed speed: a server is never written off for good.
+/// Minimum assumed speed of a server, so that no server is excluded permanently.
 const MIN_SPEED: f64 = 0.1;
-/// What slowness falls by in a period.
+/// Decrease of the slowness per period.
 const SLOWNESS_RECOVERY: f64 = 0.04;
-/// What a load limit grows by in a period.
+/// Growth factor of a load limit per period.
 const LOAD_LIMIT_GROWTH: f64 = 1.05;
 
-/// What a server was seen to manage; it bounds nothing until the server was late.
+/// Observed capacity of a server. There is no limit until the server has had a high message delay.
 #[derive(Default)]
 pub(super) struct ObservedCapacity {
-    /// Believed lack of speed beside the others, from 0 to 0.9.
+    /// Assumed reduction in speed relative to the other servers, from 0 to 0.9.
     pub(super) slowness: f64,
-    /// The recorded load above which nothing lands there.
+    /// Recorded load from which on the server receives no new connections.
     pub(super) load_limit: Option<f64>,
 }
 
 impl ObservedCapacity {
-    /// Gives back what one period gives back.
+    /// Applies the recovery of one period.
     pub(super) fn recover(&mut self) {
         self.slowness = (self.slowness - SLOWNESS_RECOVERY).max(0.0);
         self.load_limit = self.load_limit.map(|limit| limit * LOAD_LIMIT_GROWTH);
@@ -28,10 +29,11 @@
 }
 
 impl Policy {
-    /// Bounds a server by the load of this node that it manages, and believes it to be as much slower than
-    /// the others as that is below the mean: it would else be filled again at once.
+    /// Limits a server to the load of this node that it can handle, and sets its slowness to the
+    /// relative shortfall of that load from the server's share of the mean load. Otherwise the
+    /// server would be filled to the same load again at once.
     pub(super) fn limit_to_capacity(&mut self, index: ServerIndex, manageable_load: f64, mean_load: f64) {
-        // One connection fits always, or the server would never be seen to be fast again.
+        // One connection always fits; otherwise no recovery of the server could ever be observed.
         let lowest_limit = self.typical_load();
         let fair_load = mean_load * self.zone_weight(index);
         let capacity = &mut self.servers[index].capacity;
--- a/src/policy/connection.rs
+++ b/src/policy/connection.rs
@@ -1,4 +1,4 @@
-//! What is held of one request, and of the connection that it becomes.
+//! State of one request and of the connection that it becomes.
 
 use crate::types::{ClassSettings, Micros, Request, RequestId, ServerId};
 
@@ -9,18 +9,18 @@
 /// State of a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ConnectionState {
-    /// Accepted, no attempt in flight: it waits for a probe.
+    /// The request has no attempt in flight and waits for a probe.
     Waiting,
     /// An attempt is in flight at this server.
     Attempting(ServerIndex),
-    /// A connection at this server.
+    /// A connection to this server is open.
     Open(ServerIndex),
-    /// A connection that was asked to migrate away from this server.
+    /// The client was asked to migrate away from this server.
     Migrating(ServerIndex),
 }
 
 impl ConnectionState {
-    /// The server that holds the attempt or the connection.
+    /// Returns the server of the attempt or connection.
     pub(super) fn server(self) -> Option<ServerIndex> {
         match self {
             ConnectionState::Waiting => None,
@@ -43,33 +43,33 @@
     }
 }
 
-/// The first attempt of a request that may have had an effect.
+/// First attempt of a request that may have been executed.
 #[derive(Clone, Copy)]
 pub(super) struct FirstExecution {
     pub(super) server: ServerIndex,
     pub(super) sent: Micros,
 }
 
-/// A request, and the connection that it becomes.
+/// A request and the connection that it becomes.
 pub(super) struct Connection {
     pub(super) request: Request,
-    /// When the client gives up.
+    /// Deadline of the client.
     pub(super) deadline: Micros,
     pub(super) state: ConnectionState,
-    /// Probes that it has waited for.
+    /// Number of probes for which the request has waited.
     pub(super) probe_attempts: u32,
-    /// The servers of its attempts so far.
+    /// Servers of all attempts so far.
     pub(super) attempted_servers: Vec<ServerIndex>,
     pub(super) first_execution: Option<FirstExecution>,
-    /// When the last attempt was sent.
+    /// Time at which the last attempt was sent.
     pub(super) sent: Micros,
-    /// The last attempt has a time-out shorter than the client's deadline.
+    /// Whether the last attempt has a timeout shorter than the client's deadline.
     pub(super) has_attempt_timeout: bool,
-    /// When the server of the last attempt had started, as far as was known then.
+    /// Start time of the last attempt's server, as known when the attempt was sent.
     pub(super) server_started: Option<Micros>,
-    /// Settings of its class at its arrival.
+    /// Settings of the request's class at its arrival.
     pub(super) class_at_arrival: Option<ClassSettings>,
-    /// The load last reported, in microseconds of work a second.
+    /// Last reported load, in microseconds of CPU work per second.
     pub(super) reported_load: Option<f64>,
 }
 
@@ -90,21 +90,21 @@
         }
     }
 
-    /// Records that the last attempt may have had an effect at this server.
+    /// Records that the last attempt may have been executed by this server.
     pub(super) fn mark_possible_execution(&mut self, server: ServerIndex) {
         self.first_execution.get_or_insert(FirstExecution { server, sent: self.sent });
     }
 }
 
 impl Policy {
-    /// A request as this node takes it: its group counts only where groups share work.
+    /// Creates the state of a request. Its group is ignored unless groups share work.
     pub(super) fn new_connection(&self, now: Micros, request: Request) -> Connection {
         let group = request.group.filter(|_| self.settings.groups);
         let class = self.settings.classes.get(usize::from(request.class)).cloned();
         Connection::new(now, Request { group, ..request }, class)
     }
 
-    /// A connection that was open before this node started, or that this node takes over.
+    /// Records a connection that was open before this process started or that this node takes over.
     pub(super) fn on_existing_connection(&mut self, now: Micros, request: Request, server: ServerId) {
         let Some(&index) = self.index_by_id.get(&server) else { return };
         let state = ConnectionState::Open(index);
@@ -114,7 +114,7 @@
         self.connections.insert(request.id, connection);
     }
 
-    /// Nothing is owed to this client any more.
+    /// Removes the request of a client that needs no answer any more.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         if let Some(connection) = self.connections.remove(&id) {
             self.turnover.ended += u32::from(connection.state.is_open());
@@ -122,8 +122,8 @@
         }
     }
 
-    /// A request's class as it was at its arrival, and as it is: other settings may have come since, and what
-    /// either forbids is not done.
+    /// Returns the settings of a request's class at its arrival and at present. They can differ
+    /// after a change of settings, and an action has to be allowed by both.
     pub(super) fn binding_classes<'a>(
         &'a self,
         connection: &'a Connection,
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -1,6 +1,7 @@
-//! The endpoint list: which servers may be sent new work, and when the list is not believed.
+//! Endpoint list: which servers may receive new connections, and which parts of the list are
+//! disregarded as wrong.
 //!
-//! Acts on each list or change that discovery delivers, and on a subscription that failed.
+//! Runs when discovery delivers a list or a change, and when the subscription fails.
 
 use std::collections::BTreeSet;
 
@@ -13,49 +14,50 @@
 use super::server::{Server, ServerIndex};
 use super::slow_start::SlowStartTokens;
 
-/// Wakes the next poll of the endpoint list.
+/// Timer of the next poll of the endpoint list.
 pub(super) const POLL_TIMER: TimerToken = TimerToken(1);
 
-/// Backoff before the endpoint list is polled again after a first failure.
+/// Backoff before the next poll after a first failure.
 const POLL_BACKOFF: Micros = Micros::from_millis(500);
-/// The backoff doubles with each further failure, so many times at most.
+/// Maximum number of times that the backoff doubles with further failures.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 2;
-/// A probe that was answered shows for this long that a server runs.
+/// How long an answered probe proves that a server is running.
 const PROBE_ANSWER_VALID_FOR: Micros = Micros::from_millis(8_000);
 
-/// The subscription to the endpoint list.
+/// State of the subscription to the endpoint list.
 #[derive(Default)]
 pub(super) struct Subscription {
-    /// Failures since the last list.
+    /// Number of failures since the last list.
     failures: u32,
-    /// A timer for the next poll is set.
+    /// Whether a timer for the next poll is set.
     poll_scheduled: bool,
 }
 
-/// The endpoint lists that came, by their number.
+/// Received endpoint lists, identified by their sequence numbers.
 #[derive(Default)]
 pub(super) struct ListHistory {
-    /// Lists received so far; the number of the last one.
+    /// Number of lists received, which is the sequence number of the last one.
     received: u32,
-    /// Lists that removed a server which runs.
+    /// Lists that removed a server which is running.
     disproved: BTreeSet<u32>,
 }
 
 impl Policy {
-    /// Schedules the first poll. Nodes that start together must not poll together: one discovery serves all.
+    /// Schedules the first poll at a random time, because nodes that start together would otherwise
+    /// poll the one discovery service at the same time.
     pub(super) fn schedule_first_poll(&mut self, actions: &mut Vec<Action>) {
         let all_nodes = POLL_BACKOFF.scale(f64::from(self.settings.node_count));
         let spread = all_nodes.min(self.settings.max_poll_interval).scale(0.5);
         actions.push(Action::SetTimer(spread.scale(self.rng.random::<f64>()), POLL_TIMER));
     }
 
-    /// The backoff is over: subscribes to the endpoint list.
+    /// Subscribes to the endpoint list after a backoff.
     pub(super) fn on_poll_timer(&mut self, actions: &mut Vec<Action>) {
         self.subscription.poll_scheduled = false;
         actions.push(Action::WatchEndpoints);
     }
 
-    /// A list or a change of it has come, or the subscription has failed.
+    /// Applies an endpoint list, or handles a failed subscription.
     pub(super) fn on_endpoint_list(
         &mut self,
         now: Micros,
@@ -78,8 +80,8 @@
         self.update_zone_affinity(now);
     }
 
-    /// Polls again after a failure, with backoff and jitter. Half of the permitted interval is kept for the
-    /// time that the list takes to come.
+    /// Schedules the next poll after a failure, with backoff and jitter. At most half of the
+    /// maximum poll interval is used, which leaves time for the list to arrive.
     fn schedule_next_poll(&mut self, actions: &mut Vec<Action>) {
         let doublings = self.subscription.failures.min(MAX_POLL_BACKOFF_DOUBLINGS);
         let backoff = POLL_BACKOFF.scale(f64::from(1 << doublings));
@@ -92,10 +94,10 @@
         self.subscription.poll_scheduled = true;
         self.subscription.failures += 1;
         actions.push(Action::SetTimer(wait, POLL_TIMER));
-        self.log(None, format!("endpoint list: poll failed, next poll in {} ms", wait.0 / 1_000), actions);
+        self.log(None, format!("endpoint list poll failed, next poll in {} ms", wait.0 / 1_000), actions);
     }
 
-    /// A full list removes every server that it does not name.
+    /// Marks every server that a full list does not contain as removed.
     fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let named: BTreeSet<ServerId> = endpoints.iter().map(|endpoint| endpoint.id).collect();
         for server in self.servers.iter_mut().filter(|server| !named.contains(&server.endpoint.id)) {
@@ -124,7 +126,8 @@
         let next = self.servers.len();
         let index = *self.index_by_id.entry(endpoint.id).or_insert(next);
         if index == next {
-            // Somewhere within the interval: at many nodes nearly all servers would else be due for a set-up.
+            // A random time within the interval. Otherwise nearly all servers would be due for a
+            // setup when there are many nodes.
             let last_attempt_at = now - self.setup_interval().scale(self.rng.random::<f64>());
             let endpoint = Endpoint { started: None, ..endpoint };
             self.servers.push(Server { endpoint, last_attempt_at, ..Server::default() });
@@ -132,14 +135,14 @@
         index
     }
 
-    /// Forgets what was seen of a server: its process was started anew.
+    /// Resets what was observed at a server whose process has restarted.
     fn reset_history(&mut self, now: Micros, index: ServerIndex, endpoint: Endpoint) {
         let nodes = u64::from(self.settings.node_count);
         let node = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
         let turn = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
         let server = &mut self.servers[index];
         server.slow_start = SlowStartTokens::starting_at(turn);
-        // Clocks differ, but what is listed has started by now.
+        // Clocks differ, but a listed server cannot start after the current time.
         let latest_start = |started: Micros| (started + self.settings.start_time_tolerance).min(now);
         server.started = endpoint.started.map(latest_start);
         server.capacity = ObservedCapacity::default();
@@ -148,8 +151,8 @@
         server.outlier.reset_failures();
     }
 
-    /// Whether new work may go to a server by the endpoint list, and by what is known of servers that a list
-    /// removed.
+    /// Returns whether a server may receive new connections, according to the endpoint list and to
+    /// the evidence that a removed server is running.
     pub(super) fn is_available(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let removal_is_wrong =
@@ -157,27 +160,28 @@
         server.endpoint.ready() || (self.is_advisory_removal(index) && removal_is_wrong())
     }
 
-    /// The available servers, in the order of their position.
+    /// Returns the available servers by increasing index.
     pub(super) fn available_servers(&self, now: Micros) -> impl Iterator<Item = ServerIndex> {
         (0..self.servers.len()).filter(move |&index| self.is_available(now, index))
     }
 
-    /// Whether a server was removed without draining before, where the settings call a removal advice only.
+    /// Returns whether a server was removed without draining and the settings define removals as
+    /// advisory.
     pub(super) fn is_advisory_removal(&self, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let removed = server.endpoint.state == EndpointState::Removed;
         self.settings.removal_is_advisory && removed && !server.draining
     }
 
-    /// Whether a server holds a connection of this node, or has recently answered a probe.
+    /// Returns whether a server has a connection of this node or has recently answered a probe.
     fn is_known_running(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let answered = server.probes.answered_at;
         !server.load.connections.is_empty() || answered.is_some_and(|at| now < at + PROBE_ANSWER_VALID_FOR)
     }
 
-    /// Notes the lists that removed running servers: where one server that a list removed runs, that list is
-    /// wrong about all that it removed.
+    /// Updates the set of disproved lists. If one of the servers that a list removed is running,
+    /// the list is considered wrong about all servers that it removed.
     pub(super) fn update_disproved_lists(&mut self, now: Micros) {
         let disproves =
             |&index: &ServerIndex| self.is_advisory_removal(index) && self.is_known_running(now, index);
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -1,7 +1,8 @@
-//! Load estimate: the load of each server as seen from this node's own connections.
+//! Load estimate: the load of each server, recorded from this node's own connections.
 //!
-//! Loads are in microseconds of work a second. A connection counts with the load last reported on it, or with
-//! the typical load of its class; before any load is known each connection counts as one.
+//! Loads are in microseconds of CPU work per second. A connection counts with its last reported
+//! load, or else with the typical load of its class. Until any load is known, each connection
+//! counts as one.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +12,16 @@
 use super::connection::Connection;
 use super::server::ServerIndex;
 
-/// Loads above this are not believed: about a thousand cores' work.
+/// Maximum valid load, about the work of a thousand cores.
 pub(super) const MAX_LOAD: f64 = 1e9;
 
-/// Whether a figure can be a load: what is no number, negative or absurd would spoil every sum that it
-/// enters.
+/// Returns whether a value is a valid load. A NaN, negative or absurd value would corrupt every sum
+/// that includes it.
 pub(super) fn is_valid_load(load: &f64) -> bool {
     (0.0..=MAX_LOAD).contains(load)
 }
 
-/// Takes one off a count and drops the count at zero.
+/// Decrements a count and removes it at zero.
 fn decrement<K: Ord>(counts: &mut BTreeMap<K, u32>, key: K) {
     let Some(count) = counts.get_mut(&key) else { return };
     *count -= 1;
@@ -30,8 +31,8 @@
 }
 
 impl Policy {
-    /// The load that this node has on a server: its connections' loads, and this node's share of the work of
-    /// each group held there.
+    /// Returns the recorded load of a server: the loads of this node's connections and this node's
+    /// share of the work of each group there.
     pub(super) fn recorded_load(&self, index: ServerIndex) -> f64 {
         let load = &self.servers[index].load;
         let of_class = |(&class, &count): (&u16, &u32)| f64::from(count) * self.typical_class_load(class);
@@ -39,8 +40,8 @@
         load.reported + unreported + self.group_load_share() * load.groups.len() as f64
     }
 
-    /// This node's share of the work that a group causes at a server: the more nodes there are, the more of
-    /// them hold the group there too.
+    /// Returns this node's share of the work that a group causes at a server. With more nodes, more
+    /// of them have connections of the group there as well.
     pub(super) fn group_load_share(&self) -> f64 {
         let share = (2.0 / f64::from(self.settings.node_count)).min(1.0);
         self.typical_load() * self.settings.group_load * share
@@ -50,12 +51,13 @@
         connection.reported_load.unwrap_or_else(|| self.typical_class_load(connection.request.class))
     }
 
-    /// The available servers that are warm, for the cluster and for this node.
+    /// Returns the available servers that have warmed up, both since their start and since they
+    /// joined this node's subset.
     pub(super) fn warm_servers(&self, now: Micros) -> impl Iterator<Item = ServerIndex> {
         self.available_servers(now).filter(move |&index| self.local_warm_up_fraction(now, index) >= 1.0)
     }
 
-    /// Mean load of warm servers, for each unit of effective weight.
+    /// Returns the mean load of warm servers per unit of effective weight.
     pub(super) fn mean_load(&self, now: Micros) -> f64 {
         let (load, weight) = self.warm_servers(now).fold((0.0, 0.0), |(load, weight), index| {
             (load + self.recorded_load(index), weight + self.effective_weight(index))
@@ -63,14 +65,16 @@
         if weight > 0.0 { load / weight } else { 0.0 }
     }
 
-    /// Mean number of this node's connections, and groups, on warm servers, for each unit of weight.
+    /// Returns the mean number of this node's connections and groups on warm servers per unit of
+    /// weight.
     pub(super) fn mean_connections(&self, now: Micros) -> f64 {
-        let (held, weight) = self.warm_servers(now).fold((0.0, 0.0), |(held, weight), index| {
-            let load = &self.servers[index].load;
-            let here = (load.connections.len() + load.groups.len()) as f64;
-            (held + here, weight + self.weight(index))
-        });
-        if weight > 0.0 { held / weight } else { 0.0 }
+        let (connections, weight) =
+            self.warm_servers(now).fold((0.0, 0.0), |(connections, weight), index| {
+                let load = &self.servers[index].load;
+                let here = (load.connections.len() + load.groups.len()) as f64;
+                (connections + here, weight + self.weight(index))
+            });
+        if weight > 0.0 { connections / weight } else { 0.0 }
     }
 
     /// Adds an attempt or a connection to the load of its server.
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Takes it off again.
+    /// Removes an attempt or a connection from the load of its server.
     pub(super) fn remove_from_load(&mut self, connection: &Connection) {
         let Some(index) = connection.state.server() else { return };
         let load = &mut self.servers[index].load;
@@ -109,7 +113,7 @@
             None => decrement(&mut load.unreported, connection.request.class),
         }
         if load.connections.is_empty() {
-            // Rounding may have left something of the sum.
+            // Removes a remainder due to rounding.
             load.reported = 0.0;
         }
         if let Some(group) = connection.request.group {
@@ -117,7 +121,7 @@
         }
     }
 
-    /// A connection's load was reported, in microseconds of work a second.
+    /// Records a connection's reported load, in microseconds of CPU work per second.
     pub(super) fn on_load_report(&mut self, id: RequestId, load: f64) {
         if !is_valid_load(&load) {
             return;
--- a/src/policy/log_limit.rs
+++ b/src/policy/log_limit.rs
@@ -1,13 +1,13 @@
-//! Bound on the log lines that the decisions write: a storm must not hide its own cause.
+//! Rate limit for the policy's log lines, so that a burst of them does not hide its own cause.
 
 use crate::types::{Action, ServerId};
 
 use super::Policy;
 
-/// Log lines in a period, at most.
+/// Maximum number of log lines per period.
 const LINES_PER_PERIOD: u32 = 4;
 
-/// Log lines that the current period may still write.
+/// Number of log lines that may still be written in the current period.
 pub(super) struct LogLimit {
     remaining_lines: u32,
 }
@@ -19,8 +19,8 @@
 }
 
 impl Policy {
-    /// Logs a line about a server, or about none. Lines beyond the period's bound are dropped without a
-    /// trace.
+    /// Logs a line, which is about `server` if there is one. Lines beyond the limit of the period
+    /// are dropped silently.
     pub(super) fn log(&mut self, server: Option<ServerId>, line: String, actions: &mut Vec<Action>) {
         if self.log_limit.remaining_lines > 0 {
             self.log_limit.remaining_lines -= 1;
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -1,38 +1,41 @@
-//! Message delay: which servers answer messages late.
+//! Message delay: which servers have a high delay.
 //!
-//! Servers report delays about once a second while they are late. Where they do not, what a connection set-up
-//! takes above the usual is taken for the delay of a message, and nodes that may gossip inform each other.
+//! Servers report their delay about once per second while it is high. Where servers do not report
+//! delays, the time of a connection setup in excess of the typical one is taken as the message
+//! delay, and nodes that may use gossip share it with each other.
 
 use crate::types::{Action, BalancerSettings, Micros, ServerId};
 
 use super::Policy;
 use super::server::ServerIndex;
 
-/// Messages are late from this share of the shortest message latency objective on.
+/// A delay is high from this share of the shortest message latency objective on.
 pub(super) const HIGH_DELAY_SHARE_OF_OBJECTIVE: f64 = 1.0 / 3.0;
-/// A delay counts this long; reports come once a second while messages are late.
+/// How long a delay is valid; it is reported once per second while it is high.
 const DELAY_VALID_FOR: Micros = Micros::from_millis(1_600);
-/// The same for a server that holds none of this node's connections: no report can say that the delay is
-/// over.
+/// How long a delay is valid at a server without connections of this node, where no report can show
+/// that the delay has ended.
 const DELAY_VALID_UNOBSERVED_FOR: Micros = Micros::from_millis(30_000);
-/// A delay that is as long at once is that of a stalled server: a queue takes longer to grow to that.
+/// A first delay of this length indicates a stalled server, because a queue takes longer to grow to
+/// it.
 const STALL_DELAY: Micros = Micros::from_millis(2_000);
-/// It stays stalled while the delay grows by less, in seconds a second.
+/// A stalled server is considered stalled while the growth of its delay is below this, in seconds
+/// per second.
 const STALL_MAX_GROWTH: f64 = 1.5;
-/// Delays above this are not believed: a minute, in milliseconds.
+/// Maximum valid delay in milliseconds, which is one minute.
 const MAX_DELAY_MS: f64 = 60_000.0;
 
-/// The delay of messages at a server, as last heard.
+/// Last known message delay of a server.
 #[derive(Clone, Copy)]
 pub(super) struct MessageDelay {
     pub(super) delay: Micros,
-    /// When it was heard.
+    /// Time of the report.
     pub(super) at: Micros,
-    /// The server answers nothing, or has resumed and works off its backlog.
+    /// Whether the server is stalled, or has resumed and is processing its backlog.
     pub(super) stalled: bool,
-    /// Growth since the delay before, in seconds a second.
+    /// Growth since the previous delay, in seconds per second.
     pub(super) growth: f64,
-    /// It does not count until a second set-up confirms it.
+    /// Whether the delay is ignored until a second setup confirms it.
     pub(super) unconfirmed: bool,
 }
 
@@ -41,13 +44,13 @@
         now < self.at + DELAY_VALID_FOR
     }
 
-    /// The delay's growth up to a later one, in seconds a second.
+    /// Returns the growth from this delay to a later one, in seconds per second.
     fn growth_to(&self, delay: Micros, now: Micros) -> f64 {
         (delay.as_secs_f64() - self.delay.as_secs_f64()) / (now - self.at).as_secs_f64()
     }
 }
 
-/// The delay from which on messages are late.
+/// Returns the delay from which on a message delay is high.
 pub(super) fn high_delay_threshold(settings: &BalancerSettings) -> Micros {
     let objectives = settings
         .classes
@@ -57,7 +60,7 @@
 }
 
 impl Policy {
-    /// A server reported the delay of its messages, in milliseconds.
+    /// Records the message delay that a server reported, in milliseconds.
     pub(super) fn on_message_delay(&mut self, now: Micros, server: ServerId, ms: f64) {
         self.record_delay(now, server, ms, false);
     }
@@ -69,7 +72,7 @@
         let Some(&index) = self.index_by_id.get(&server) else { return };
         let delay = Micros((ms * 1_000.0) as u64);
         let last = self.servers[index].delay.filter(|last| last.is_fresh(now) && now > last.at);
-        // Set-ups come at odd moments and show no growth.
+        // Setups occur at irregular times and show no growth.
         let growing = last.filter(|_| self.settings.servers_report_delay);
         let growth = growing.map_or(0.0, |last| last.growth_to(delay, now));
         let stalled = match last.filter(|last| last.delay >= self.high_delay_threshold) {
@@ -79,8 +82,9 @@
         self.servers[index].delay = Some(MessageDelay { delay, at: now, stalled, growth, unconfirmed });
     }
 
-    /// Takes what a set-up took above the usual, in milliseconds, for the delay of messages at its server.
-    /// Acts where servers report no delays: a slow server would draw new work and keep its clients.
+    /// Takes the time of a setup in excess of the typical one, in milliseconds, as the server's
+    /// message delay. Applies where servers do not report delays. Without it, a slow server would
+    /// receive new connections and keep its clients.
     pub(super) fn on_setup_excess(
         &mut self,
         now: Micros,
@@ -96,8 +100,9 @@
         }
     }
 
-    /// Whether a first delay by a set-up is below a whole objective: one set-up may be long by its own work,
-    /// so the next one there has to be long too.
+    /// Returns whether a first delay derived from a setup is below the full latency objective. A
+    /// single setup may be long because of its own work, so the next setup there has to be long as
+    /// well.
     fn is_unconfirmed(&self, index: ServerIndex, delay_ms: f64) -> bool {
         let threshold_ms = self.high_delay_threshold.as_secs_f64() * 1e3;
         let had_high_delay =
@@ -105,14 +110,15 @@
         !had_high_delay && (threshold_ms..threshold_ms / HIGH_DELAY_SHARE_OF_OBJECTIVE).contains(&delay_ms)
     }
 
-    /// Another node saw a server late: 16 bytes, the server's number and the delay in milliseconds.
+    /// Handles another node's report of a high delay: 16 bytes with the server's identifier and the
+    /// delay in milliseconds.
     pub(super) fn on_gossip(&mut self, now: Micros, data: &[u8]) {
         let ([id, delay_ms], []) = data.as_chunks() else { return };
         let server = ServerId(u64::from_le_bytes(*id));
         self.on_message_delay(now, server, f64::from_le_bytes(*delay_ms));
     }
 
-    /// Whether messages at this server are late now.
+    /// Returns whether the message delay of a server is currently high.
     pub(super) fn has_high_delay(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let unobserved = server.load.connections.is_empty();
@@ -122,8 +128,8 @@
         })
     }
 
-    /// Whether a stalled server counts as late only because this node has nothing there that could show
-    /// otherwise.
+    /// Returns whether a server that was stalled still counts as having a high delay only because
+    /// this node has no connection there that could show otherwise.
     pub(super) fn has_unobserved_high_delay(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let outdated = server.delay.is_some_and(|last| last.stalled && !last.is_fresh(now));
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -1,6 +1,6 @@
-//! Migration: which connections a server sheds, and how many in a period.
+//! Migration: which connections a server sheds, and how many per period.
 //!
-//! Acts where [`rebalance`](super::rebalance) has found that a server holds too much.
+//! Applies to servers with an excess load, as determined in [`rebalance`](super::rebalance).
 
 use rand::RngExt;
 
@@ -12,18 +12,19 @@
 use super::rebalance::{Excess, ExcessCause};
 use super::server::ServerIndex;
 
-/// Share of an overloaded server's connections that one period may migrate, rounded down: few connections say
-/// too little about a server.
+/// Share of an overloaded server's connections that may migrate per period, rounded down, because
+/// few connections say little about a server's load.
 const PROACTIVE_MIGRATION_SHARE: f64 = 0.1;
-/// The same for a late or draining server: its connections lose more by staying.
+/// The same share for a server that has a high delay or is draining, where connections suffer more
+/// by staying.
 const REACTIVE_MIGRATION_SHARE: f64 = 0.5;
-/// Added before the number of migrations is rounded down, which rounds it up.
+/// Added before the number of migrations is rounded down, so that it is rounded up instead.
 const ROUND_UP_OFFSET: f64 = 0.99;
-/// From this share of late servers among the warm ones on the fleet as a whole is late: what migrates finds
-/// no capacity.
+/// Share of the warm servers with a high delay from which on the whole fleet is considered
+/// overloaded, so that migrated connections would find no capacity.
 const FLEET_HIGH_DELAY_SHARE: f64 = 0.9;
 
-/// How many connections one period may migrate.
+/// Limit on the number of connections that may migrate in one period.
 pub(super) struct MigrationLimit {
     share: f64,
     rounding: f64,
@@ -38,18 +39,20 @@
 /// A connection that may be migrated.
 pub(super) struct MigrationCandidate {
     id: RequestId,
-    /// What the migration takes off its server.
+    /// Load that the migration removes from the server.
     freed_load: f64,
 }
 
 impl Policy {
-    /// How many connections a server may shed in this period. Where the fleet as a whole is late, late
-    /// servers migrate no more than others, rounded by chance: what migrates comes back as set-ups, and these
-    /// would keep the fleet late.
+    /// Returns the limit on a server's migrations in this period. If the whole fleet has a high
+    /// delay, servers with a high delay migrate only as many connections as overloaded ones,
+    /// rounded at random. Migrated connections return as setups, and too many setups would keep the
+    /// delays high.
     pub(super) fn migration_limit(&mut self, now: Micros, cause: ExcessCause) -> MigrationLimit {
         let fleet_has_high_delay = cause != ExcessCause::Draining
             && self.high_delay_share(now, self.warm_servers(now)) >= FLEET_HIGH_DELAY_SHARE;
-        // Drawn whatever the cause: the sequence of random numbers depends on the fleet alone.
+        // Drawn for every cause, so that the sequence of random numbers depends on the state of the
+        // fleet alone.
         let rounding = if fleet_has_high_delay { self.rng.random() } else { ROUND_UP_OFFSET };
         match cause {
             ExcessCause::Overloaded => MigrationLimit { share: PROACTIVE_MIGRATION_SHARE, rounding: 0.0 },
@@ -58,15 +61,15 @@
         }
     }
 
-    /// Share of these servers that are late; NaN for none.
+    /// Returns the share of the given servers that have a high delay; NaN if there are none.
     fn high_delay_share(&self, now: Micros, servers: impl Iterator<Item = ServerIndex>) -> f64 {
         let (high, all) = servers
             .fold((0_u32, 0_u32), |(high, all), i| (high + u32::from(self.has_high_delay(now, i)), all + 1));
         f64::from(high) / f64::from(all)
     }
 
-    /// The open connections of a server that may migrate, with what each takes off it. Of a draining server
-    /// all may, whatever their load.
+    /// Returns the open connections of a server that may migrate, with the load that each would
+    /// free. All connections of a draining server may migrate, whatever their load.
     pub(super) fn migration_candidates(
         &self,
         now: Micros,
@@ -78,8 +81,9 @@
             ExcessCause::Draining => Some(1.0),
             _ => self.freed_load(index, connection, group_restart_share),
         };
-        let held = self.servers[index].load.connections.iter();
-        held.filter_map(|id| self.connections.get(id))
+        let connections = self.servers[index].load.connections.iter();
+        connections
+            .filter_map(|id| self.connections.get(id))
             .filter(|connection| connection.state.is_open())
             .filter_map(|connection| {
                 let freed_load = freed_load(connection)?;
@@ -88,8 +92,9 @@
             .collect()
     }
 
-    /// What beginning a group anew elsewhere costs, in typical connections: one, and less where a late server
-    /// sheds while few others are late.
+    /// Returns the cost of starting a group again on another server, in multiples of a typical
+    /// connection's load. It is 1, or less if a server with a high delay sheds load while few other
+    /// servers have a high delay.
     fn group_restart_share(&self, now: Micros, cause: ExcessCause) -> f64 {
         match cause {
             ExcessCause::Overloaded => 1.0,
@@ -100,9 +105,9 @@
         }
     }
 
-    /// What migrating a connection takes off a server; none where its group stays and that is less than
-    /// beginning the group anew elsewhere costs. The last connection of a group takes this node's share of
-    /// the group's work along.
+    /// Returns the load that migrating a connection frees on its server, or `None` if its group
+    /// remains there and that load is below the cost of starting the group again elsewhere. The
+    /// last connection of a group also frees this node's share of the group's work.
     fn freed_load(
         &self,
         index: ServerIndex,
@@ -118,11 +123,14 @@
         (freed > self.typical_load() * group_restart_share).then_some(freed)
     }
 
-    /// The load to shed: the excess, if it is as large as the lightest candidate.
+    /// Returns the load to shed, which is the excess if that is at least the load of the lightest
+    /// candidate.
     ///
-    /// A late server may lose a connection for less than its load, with that part as its chance, where this
-    /// node holds few connections or a whole objective is missed: each of many nodes may hold one there and
-    /// none would begin, and what stays earns nothing.
+    /// A server with a high delay may also lose a connection for a smaller excess, with a
+    /// probability proportional to the excess. This applies if this node has few connections or the
+    /// server misses the full latency objective. Otherwise each of many nodes could keep its one
+    /// connection there and none would start shedding, although a connection that stays is of no
+    /// use to its client.
     pub(super) fn load_to_shed(
         &mut self,
         index: ServerIndex,
@@ -144,14 +152,15 @@
         enough.then_some(excess.load)
     }
 
-    /// Whether messages at a server were last seen to take a whole latency objective.
+    /// Returns whether the last known message delay of a server is at least the full latency
+    /// objective.
     fn misses_objective(&self, index: ServerIndex) -> bool {
         let delay = self.servers[index].delay;
         delay.is_some_and(|last| last.delay.scale(HIGH_DELAY_SHARE_OF_OBJECTIVE) >= self.high_delay_threshold)
     }
 
-    /// Migrates so many connections at most, each the one that comes closest to the load still to shed, while
-    /// that brings it closer.
+    /// Migrates at most `migrations` connections. Each is the one whose load is closest to the load
+    /// still to shed, and migration stops when no connection brings the rest closer to zero.
     pub(super) fn migrate_closest(
         &mut self,
         index: ServerIndex,
@@ -175,7 +184,7 @@
         }
     }
 
-    /// The position of the candidate whose load is closest, at random among equals.
+    /// Returns the position of a candidate whose load is closest to `load`, at random among equals.
     fn closest_candidate(&mut self, load: f64, candidates: &[MigrationCandidate]) -> usize {
         let gap = |candidate: &MigrationCandidate| (candidate.freed_load - load).abs();
         let lowest = candidates.iter().map(gap).fold(f64::INFINITY, f64::min);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,11 +1,14 @@
-//! All decisions of a node, one rule a file. Their types, events and actions are in `src/types/`.
+//! Balancing policy of a node, with one rule per file. Its settings, events and actions are defined
+//! in `src/types/`.
 //!
-//! [`Policy`] does no input or output and reads no clock: a host program hands it events with the time and
-//! performs the actions that it returns. The same seed and events give the same actions.
+//! [`Policy`] performs no input or output and reads no clock. The embedding program passes it
+//! events with the current time and performs the returned actions. The same seed and events always
+//! produce the same actions.
 //!
-//! The ordinary path: a request lands on the server with the lowest load in this node's own record
-//! (`selection.rs`), and once a period each server that stands above this node's mean sheds its excess
-//! (`rebalance.rs`). `docs/design.md` says where that comes from and when each exception acts.
+//! In the common case, a request is placed on the server with the lowest load in this node's own
+//! record (`selection.rs`), and once per period each server above this node's mean load sheds its
+//! excess (`rebalance.rs`). `docs/design.md` gives the reasons and describes when each exception
+//! applies.
 
 mod admission;
 mod attempt_timeout;
@@ -51,15 +54,15 @@
 use slow_start::ConnectionTurnover;
 use typical_load::TypicalLoads;
 
-/// The decisions of one node.
+/// The policy of one node with its complete state.
 pub struct Policy {
     settings: BalancerSettings,
-    /// The only source of chance.
+    /// The only source of randomness.
     rng: Pcg64Mcg,
-    /// Every server that was ever listed.
+    /// Every server that has ever been listed.
     servers: Vec<Server>,
     index_by_id: BTreeMap<ServerId, ServerIndex>,
-    /// Requests that are owed an answer, and connections.
+    /// Requests without a final answer, and connections.
     connections: BTreeMap<RequestId, Connection>,
     subscription: Subscription,
     lists: ListHistory,
@@ -68,15 +71,15 @@
     setups: SetupStatistics,
     retry_usage: RetryUsage,
     removal_probes: RemovalProbes,
-    /// Factor on the weight of servers in the own zone.
+    /// Factor applied to the weight of servers in this node's zone.
     zone_affinity: f64,
-    /// The delay from which on messages are late.
+    /// Delay from which on a message delay is high.
     high_delay_threshold: Micros,
     log_limit: LogLimit,
 }
 
 impl Policy {
-    /// A node that has just started and holds nothing.
+    /// Creates the policy of a node that has just started and has no connections.
     pub fn new(settings: BalancerSettings, seed: u64, _now: Micros) -> Self {
         Policy {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -97,7 +100,7 @@
         }
     }
 
-    /// The timers with which a node begins. Called once, before the first event.
+    /// Sets the initial timers. Must be called once, before the first event.
     pub fn start(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(PERIOD.scale(self.rng.random::<f64>()), PERIOD_TIMER));
         if self.settings.must_subscribe {
@@ -105,8 +108,8 @@
         }
     }
 
-    /// Takes in one event and adds what is to be done about it. Events that name what is unknown or has ended
-    /// are ignored.
+    /// Handles one event and appends the resulting actions. Events about unknown or completed
+    /// requests and unknown servers are ignored.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(kind, endpoints) => self.on_endpoint_list(now, kind, endpoints, actions),
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Other settings from now on. The record stays, and so does what was decided; the next attempt goes by
+    /// Applies new settings. The load record and earlier decisions stay; the next attempt follows
     /// the new settings.
     fn on_settings(&mut self, now: Micros, settings: BalancerSettings) {
         self.high_delay_threshold = high_delay_threshold(&settings);
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: a server that fails is ejected for a time that doubles with each further ejection.
-//! Failures while ejected do not lengthen it.
+//! Outlier detection: a server that fails is ejected, for a time that doubles with each further
+//! ejection. Failures during an ejection do not extend it.
 //!
-//! A server that fails fast, or drops what it takes, keeps a low load and would draw all new work. An ejected
-//! server comes after all others; one that could not be reached is barred until its ejection is over.
+//! A server that fails fast or drops its connections keeps a low load and would otherwise receive
+//! all new connections. An ejected server is used only if all other candidates are ejected too. A
+//! server that could not be reached is excluded until its ejection expires.
 
 use rand::RngExt;
 
@@ -12,30 +13,32 @@
 use super::connection::Connection;
 use super::server::ServerIndex;
 
-/// The first ejection; it doubles with each further failure.
+/// Duration of the first ejection.
 const BASE_EJECTION: Micros = Micros::from_millis(1_000);
-/// How often the ejection doubles at most.
+/// Maximum number of times that the duration doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Failures are forgotten when a server has been back for this long without one.
+/// Failures are forgotten when no ejection has occurred for this long after the last one expired.
 const FAILURE_MEMORY: Micros = Micros::from_millis(8_000);
-/// Ejections vary by this part of their length, so that nodes do not come back together.
+/// Range of the random part of an ejection, relative to its duration, so that nodes do not all
+/// resume using a server at the same time.
 const JITTER: f64 = 0.5;
-/// Nodes that take turns in trying a server that is down, at most: with more it would wait for long.
+/// Maximum number of nodes over which trial attempts at an unreachable server are staggered. With
+/// more, the server would wait too long for its first connection.
 const MAX_STAGGERED_NODES: f64 = 16.0;
-/// A line is logged at this many failures that were not forgotten.
+/// Number of remembered failures at which a log line is written.
 const FAILURES_TO_LOG: u32 = 3;
 
-/// What outlier detection holds of one server.
+/// Outlier detection state of one server.
 #[derive(Default)]
 pub(super) struct OutlierState {
-    /// Failures that led to an ejection and are not forgotten.
+    /// Number of failures that led to an ejection and are not forgotten.
     failures: u32,
     pub(super) ejected_until: Micros,
-    /// It refused a connection, rejected work or dropped all of this node's connections, until a set-up
-    /// succeeds.
+    /// Whether the server refused a connection, rejected a request or dropped all connections of
+    /// this node, and no setup has succeeded since.
     pub(super) unreachable: bool,
-    /// It took no connection while this node had none there, until a set-up succeeds: it is tried by one
-    /// attempt at a time.
+    /// Whether the server refused a connection while it had none of this node, and no setup has
+    /// succeeded since. Such a server receives one trial attempt at a time.
     pub(super) connect_failed: bool,
 }
 
@@ -44,12 +47,12 @@
         now < self.ejected_until
     }
 
-    /// Whether nothing may go there at all.
+    /// Returns whether the server receives no attempts at all.
     pub(super) fn is_excluded(&self, now: Micros) -> bool {
         self.unreachable && self.is_ejected(now)
     }
 
-    /// A process that was started anew has failed nothing.
+    /// Resets the failures of a server whose process has restarted.
     pub(super) fn reset_failures(&mut self) {
         let connect_failed = self.connect_failed;
         *self = OutlierState { connect_failed, ..OutlierState::default() };
@@ -57,8 +60,8 @@
 }
 
 impl Policy {
-    /// Takes in the end of an attempt or a connection at a server. Acts where the end is the server's fault
-    /// and the connection was not asked to migrate.
+    /// Records the end of an attempt or connection. Has an effect only if the server caused the end
+    /// and the connection was not migrating.
     pub(super) fn record_failure(
         &mut self,
         now: Micros,
@@ -77,7 +80,8 @@
         if !was_ejected {
             self.eject(now, index);
         }
-        // Barred: the list shows lost servers seconds later, and a cut link never.
+        // The server is excluded now, because the endpoint list shows a lost server only seconds
+        // later and never shows a network partition.
         let dropped_all = outcome == Outcome::Reset && !holds_others;
         let refused = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
         self.servers[index].outlier.unreachable |= dropped_all || refused;
@@ -86,15 +90,15 @@
         }
     }
 
-    /// Whether a server holds connections of this node, attempts aside.
+    /// Returns whether a server has established connections of this node, not counting attempts.
     fn holds_established(&self, index: ServerIndex) -> bool {
         let established = |connection: &Connection| !connection.state.is_attempting();
-        let mut held = self.servers[index].load.connections.iter();
-        held.any(|id| self.connections.get(id).is_some_and(established))
+        let mut connections = self.servers[index].load.connections.iter();
+        connections.any(|id| self.connections.get(id).is_some_and(established))
     }
 
-    /// Ejects a server that is not ejected. Nodes that all wait for one that took no connection try it one
-    /// after the other.
+    /// Ejects a server that is not ejected. If it refused a connection, the ejections are
+    /// staggered, so that nodes waiting for it try it one after the other.
     fn eject(&mut self, now: Micros, index: ServerIndex) {
         let chance: f64 = self.rng.random();
         let nodes = f64::from(self.settings.node_count);
@@ -114,12 +118,17 @@
         let server = &self.servers[index];
         let (id, failures) = (server.endpoint.id, server.outlier.failures);
         if failures == FAILURES_TO_LOG {
-            self.log(Some(id), format!("ejected again after {failures} failures, last {outcome:?}"), actions);
+            self.log(
+                Some(id),
+                format!("server ejected repeatedly: {failures} failures, last outcome {outcome:?}"),
+                actions,
+            );
         }
     }
 
-    /// Takes in a set-up that succeeded. One at a server that had taken no connection counts as its start:
-    /// the endpoint list shows a restart late or never, and the server's load is the lowest.
+    /// Records a successful setup. If the server refused the previous connection, its start time is
+    /// set to now: the endpoint list shows a restart late or never, and the server's low load would
+    /// otherwise attract many connections.
     pub(super) fn record_success(&mut self, now: Micros, index: ServerIndex) {
         let server = &mut self.servers[index];
         if std::mem::take(&mut server.outlier.connect_failed) {
@@ -130,7 +139,7 @@
     }
 }
 
-/// Whether an end is the server's fault.
+/// Returns whether an outcome was caused by the server.
 fn is_failure(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent | Outcome::NotForwarded => false,
--- a/src/policy/period.rs
+++ b/src/policy/period.rs
@@ -1,20 +1,20 @@
-//! The period: what is done once a second, and in which order.
+//! Periodic work, done once per second in a fixed order.
 
 use crate::types::{Action, Micros, TimerToken};
 
 use super::Policy;
 use super::log_limit::LogLimit;
 
-/// Loads are summed and compared this often.
+/// Interval at which loads are summed and compared.
 pub(super) const PERIOD: Micros = Micros::from_millis(1_000);
-/// Wakes the next period.
+/// Timer of the next period.
 pub(super) const PERIOD_TIMER: TimerToken = TimerToken(0);
-/// Below this many connections on a server, in the mean, this node's record says next to nothing about a
-/// server.
+/// Mean number of this node's connections per server below which its load record says little about
+/// a server.
 const MIN_MEAN_CONNECTIONS: f64 = 1.0;
 
 impl Policy {
-    /// Everything that is done once a period.
+    /// Performs all periodic work.
     pub(super) fn on_period(&mut self, now: Micros, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(PERIOD, PERIOD_TIMER));
         self.log_limit = LogLimit::default();
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -1,8 +1,8 @@
-//! Probes of servers and the load reports that they bring.
+//! Probes of servers and the load reports that they return.
 //!
-//! Acts only where probes are allowed. A request may wait for the load report of the server chosen; stalled
-//! servers that hold nothing of this node's, and removed servers of which nothing is known, are probed once a
-//! period.
+//! Applies only if probes are allowed. A request may wait for the load report of the selected
+//! server. Once per period, stalled servers without connections of this node and removed servers in
+//! an unknown state are probed.
 
 use crate::types::{Action, Micros, Outcome, ReportField, RequestId, ServerId, TimerToken};
 
@@ -11,40 +11,41 @@
 use super::load_estimate::is_valid_load;
 use super::server::ServerIndex;
 
-/// Marks the timers of waits for a probe; the other bits are the request's number.
+/// Flag of timers that limit the wait for a probe; the other bits are the request's identifier.
 const PROBE_TIMER_FLAG: u64 = 1 << 63;
-/// A reported load ratio counts this long.
+/// How long a reported load ratio is valid.
 const LOAD_REPORT_VALID_FOR: Micros = Micros::from_millis(2_000);
-/// A server is crowded above this ratio of load to capacity: a heavy connection still fits below.
+/// Ratio of load to capacity above which a server is considered highly loaded. Below it, a heavy
+/// connection still fits.
 pub(super) const HIGH_LOAD_RATIO: f64 = 0.7;
-/// Probes for which a request may wait before it lands.
+/// Maximum number of probes for which a request waits before it is placed.
 const MAX_PROBE_ATTEMPTS: u32 = 3;
-/// The longest wait for a probe: a small share of any latency objective.
+/// Maximum wait for a probe, which is a small share of any latency objective.
 const PROBE_WAIT: Micros = Micros::from_millis(50);
-/// Probes of removed servers that may be saved; each admitted request earns one.
+/// Maximum number of saved probes of removed servers. Each admitted request adds one.
 const MAX_REMOVAL_PROBES: f64 = 3.0;
 
-/// What probes have shown of one server.
+/// Probe state of one server.
 #[derive(Default)]
 pub(super) struct ProbeState {
-    /// When a probe was last answered, unless one has failed since.
+    /// Time of the last answered probe, unless one has failed since.
     pub(super) answered_at: Option<Micros>,
-    /// When a probe was last sent because a list removed it.
+    /// Time of the last probe sent because a list removed the server.
     sent_at: Micros,
     load_report: Option<LoadReport>,
-    /// Requests that wait for its probe.
+    /// Requests that wait for the server's probe.
     waiters: Vec<RequestId>,
 }
 
-/// The load ratio of a server, as last reported.
+/// Last reported load ratio of a server.
 #[derive(Clone, Copy)]
 struct LoadReport {
-    /// Load over capacity.
+    /// Ratio of load to capacity.
     ratio: f64,
     at: Micros,
 }
 
-/// Probes of removed servers that may be sent: no more than requests come in.
+/// Limits probes of removed servers to the number of admitted requests.
 pub(super) struct RemovalProbes {
     tokens: f64,
 }
@@ -62,14 +63,14 @@
 }
 
 impl Policy {
-    /// Whether probes report the load ratio.
+    /// Returns whether probes report the load ratio.
     fn probes_report_load(&self) -> bool {
         self.settings.probes_allowed && self.settings.report_fields.contains(&ReportField::LoadRatio)
     }
 
-    /// Whether a request waits for a server's load ratio before it lands there: the record of one node of
-    /// many says next to nothing of what the others hold. It waits for no more than the client's own clock
-    /// allows.
+    /// Returns whether a request has to wait for a server's load ratio before it is placed there.
+    /// With many nodes, the record of one node says little about the connections of the others. The
+    /// wait must fit into the client's own deadline, without the tolerance for clock differences.
     pub(super) fn needs_probe(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
         self.probes_report_load()
             && self.fresh_load_ratio(now, index).is_none()
@@ -77,7 +78,7 @@
             && now + PROBE_WAIT.scale(2.0) <= connection.deadline
     }
 
-    /// Probes a server and keeps a request until the answer, or until the wait is over.
+    /// Probes a server and keeps a request until the answer arrives or the wait expires.
     pub(super) fn wait_for_probe(
         &mut self,
         index: ServerIndex,
@@ -92,7 +93,7 @@
         self.connections.insert(id, connection);
     }
 
-    /// A probe has ended, with a load report if one came along.
+    /// Handles the end of a probe, with its load report if there was one.
     pub(super) fn on_probe_completed(
         &mut self,
         now: Micros,
@@ -106,7 +107,7 @@
         self.update_disproved_lists(now);
         if let Some(ratio) = self.load_ratio_of(report) {
             self.servers[index].probes.load_report = Some(LoadReport { ratio, at: now });
-            // No connection is there that could show that the delay is over.
+            // No connection of this node could show that the delay has ended.
             if self.has_unobserved_high_delay(now, index) && ratio <= HIGH_LOAD_RATIO {
                 self.servers[index].delay = None;
             }
@@ -122,13 +123,13 @@
         report.get(position).copied().filter(is_valid_load)
     }
 
-    /// The wait for a probe is over without an answer: the request lands without one.
+    /// Places a request whose wait for a probe expired without an answer.
     pub(super) fn on_probe_timer(&mut self, now: Micros, token: TimerToken, actions: &mut Vec<Action>) {
         let id = RequestId(token.0 & !PROBE_TIMER_FLAG);
         self.resume(now, id, MAX_PROBE_ATTEMPTS, actions);
     }
 
-    /// Goes on with a request that waited for a probe, if it still waits.
+    /// Resumes a request if it still waits for a probe.
     fn resume(&mut self, now: Micros, id: RequestId, probes_spent: u32, actions: &mut Vec<Action>) {
         let waits = |connection: &Connection| connection.state == ConnectionState::Waiting;
         if self.connections.get(&id).is_some_and(waits)
@@ -139,13 +140,14 @@
         }
     }
 
-    /// The load ratio that a server has reported recently.
+    /// Returns the load ratio of a server if it was reported recently.
     pub(super) fn fresh_load_ratio(&self, now: Micros, index: ServerIndex) -> Option<f64> {
         let report = self.servers[index].probes.load_report;
         report.filter(|report| now < report.at + LOAD_REPORT_VALID_FOR).map(|report| report.ratio)
     }
 
-    /// Probes stalled servers that hold nothing which could show that they go on. Acts once a period.
+    /// Probes stalled servers without a connection that could show that they have resumed. Runs
+    /// once per period.
     pub(super) fn probe_stalled_servers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.probes_report_load() {
             return;
@@ -154,8 +156,8 @@
         actions.extend(stalled.map(|index| Action::Probe(self.servers[index].endpoint.id)));
     }
 
-    /// Probes servers that a list removed where nothing shows whether they run, those first that were not
-    /// probed for longest. Acts once a period, where removals are advice.
+    /// Probes removed servers in an unknown state, starting with those whose last probe is longest
+    /// ago. Runs once per period; such servers exist only if removals are advisory.
     pub(super) fn probe_removed_servers(&mut self, now: Micros, actions: &mut Vec<Action>) {
         if !self.settings.probes_allowed {
             return;
@@ -167,7 +169,7 @@
         for index in removed.into_iter().take(self.removal_probes.tokens as usize) {
             self.removal_probes.tokens -= 1.0;
             let server = &mut self.servers[index];
-            // It may have been down in between: its first set-up is tried alone.
+            // The server may have been down in the meantime, so its first setup is a single trial.
             server.outlier.connect_failed = true;
             server.probes.sent_at = now;
             actions.push(Action::Probe(server.endpoint.id));
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -1,8 +1,8 @@
-//! Rebalancing: once a period each server that holds too much sheds its excess.
+//! Rebalancing: once per period, each server with an excess load sheds it.
 //!
-//! A server holds too much when it has been above the overload threshold for some periods, when its messages
-//! are late, or when it drains and the settings ask for its clients to be migrated. The connections that it
-//! sheds are chosen in [`migration`](super::migration).
+//! A server has an excess if it has exceeded the overload threshold for several periods, if its
+//! message delay is high, or if it is draining and the settings require its clients to be migrated.
+//! [`migration`](super::migration) selects the connections to shed.
 
 use crate::types::{Action, EndpointState, Micros};
 
@@ -10,40 +10,42 @@
 use super::message_delay::{HIGH_DELAY_SHARE_OF_OBJECTIVE, MessageDelay};
 use super::server::ServerIndex;
 
-/// A server is overloaded above this multiple of the mean load.
+/// Multiple of the mean load above which a server is overloaded.
 pub(super) const OVERLOAD_THRESHOLD: f64 = 1.1;
-/// Periods above the threshold before a server sheds: a load that swings by itself is back under it by then.
+/// Number of consecutive periods above the threshold before a server sheds load. A load that
+/// fluctuates by itself falls below the threshold within that time.
 const PERIODS_BEFORE_SHEDDING: u32 = 3;
-/// The backlog of a late server is to be gone after this long.
+/// Time within which the backlog of a server with a high delay is to be cleared.
 const BACKLOG_CLEAR_TIME: Micros = Micros::from_millis(1_000);
-/// The part of the load that a late server works off which counts as manageable, where a whole latency
-/// objective is missed.
+/// Share of the load processed by a server with a high delay that counts as manageable if the full
+/// latency objective is missed.
 const CAPACITY_MARGIN: f64 = 0.7;
-/// Bounds of work asked over work done at a late server.
+/// Bounds of the ratio of offered to processed work at a server with a high delay.
 const MIN_UTILIZATION: f64 = 0.5;
 const MAX_UTILIZATION: f64 = 10.0;
 
-/// Why a server holds too much.
+/// Why a server has an excess load.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ExcessCause {
-    /// It has been above the overload threshold for some periods.
+    /// The server has exceeded the overload threshold for several periods.
     Overloaded,
-    /// Its messages are late.
+    /// The server's message delay is high.
     HighDelay,
-    /// It is to have no connections when it stops.
+    /// The server is draining and must have no connections when it stops.
     Draining,
 }
 
-/// What a server is to shed.
+/// Load that a server has to shed.
 pub(super) struct Excess {
-    /// In microseconds of work a second; of a draining server the number of its connections.
+    /// Load in microseconds of CPU work per second; for a draining server, the number of its
+    /// connections.
     pub(super) load: f64,
     pub(super) cause: ExcessCause,
 }
 
 impl Policy {
-    /// Lets each server that may hold too much shed its excess. `has_few_connections` says that this node holds next to
-    /// no connections.
+    /// Sheds the excess load of each server. `has_few_connections` means that this node has too few
+    /// connections for its load record to be meaningful.
     pub(super) fn rebalance(&mut self, now: Micros, has_few_connections: bool, actions: &mut Vec<Action>) {
         let mean_load = self.mean_load(now);
         for index in 0..self.servers.len() {
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Migrates connections away from a server that holds too much.
+    /// Migrates connections away from a server with an excess load.
     fn shed(
         &mut self,
         now: Micros,
@@ -76,8 +78,8 @@
         self.migrate_closest(index, load, migrations, candidates, actions);
     }
 
-    /// Bounds a late server to what it manages, unless it is stalled: a stall says nothing about its
-    /// capacity.
+    /// Limits a server with a high delay to the load that it can handle. A stalled server is not
+    /// limited, because a stall says nothing about its capacity.
     fn limit_high_delay_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
         let Some(observed) = self.high_delay(now, index).filter(|observed| !observed.stalled) else { return };
         if !self.servers[index].draining {
@@ -93,8 +95,9 @@
         server.overloaded_periods = if overloaded { server.overloaded_periods + 1 } else { 0 };
     }
 
-    /// What a server holds too much: the larger of what it has above its part of the mean, when it has been
-    /// overloaded for long enough, and of what a late or draining server is to be rid of.
+    /// Returns the excess load of a server. This is the larger of the load above its share of the
+    /// mean, if it has been overloaded long enough, and the load to remove because of its high
+    /// delay or its draining.
     fn excess(&self, now: Micros, index: ServerIndex, mean_load: f64) -> Excess {
         let server = &self.servers[index];
         let (reactive, cause) = if server.draining {
@@ -111,7 +114,8 @@
         Excess { load: reactive.max(proactive), cause }
     }
 
-    /// What a late server has beyond what it manages, and what is to go for its backlog to clear in time.
+    /// Returns the load of a server with a high delay above the load that it can handle, plus the
+    /// load to remove so that its backlog clears in time.
     fn high_delay_excess(&self, now: Micros, index: ServerIndex) -> f64 {
         let Some(observed) = self.high_delay(now, index) else { return 0.0 };
         let load = self.recorded_load(index);
@@ -124,9 +128,10 @@
         self.servers[index].delay.filter(|_| self.has_high_delay(now, index))
     }
 
-    /// The part of its load that a late server manages. The growth of its delay shows how far it is over its
-    /// capacity; where it is a little late that is little, so only where a whole objective is missed the
-    /// whole margin is kept.
+    /// Returns the part of its load that a server with a high delay can handle. The growth of the
+    /// delay shows by how much the server exceeds its capacity. A delay just above the threshold
+    /// indicates a small excess, so the full safety margin applies only if the full latency
+    /// objective is missed.
     fn manageable_load(&self, observed: &MessageDelay, load: f64) -> f64 {
         let utilization = (1.0 + observed.growth).clamp(MIN_UTILIZATION, MAX_UTILIZATION);
         let threshold_s = self.high_delay_threshold.as_secs_f64();
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -1,4 +1,5 @@
-//! Attempts of a request: when one is sent, what its end leads to, and when another one may follow.
+//! Attempts and retries: when an attempt is sent, how its end is handled, and when a retry may
+//! follow.
 
 use crate::types::{Action, DedupScope, Idempotency, Micros, Outcome, Request, RequestId};
 
@@ -7,14 +8,14 @@
 use super::server::ServerIndex;
 
 impl Policy {
-    /// A client's request: it is owed one final answer.
+    /// Handles a client's request, which needs one final answer.
     pub(super) fn on_request(&mut self, now: Micros, request: Request, actions: &mut Vec<Action>) {
         self.record_admitted_request(now);
         let connection = self.new_connection(now, request);
         self.attempt(now, connection, actions);
     }
 
-    /// Sends a request to a server, or answers it at once where that cannot be.
+    /// Sends a request to a server, or answers it at once if that is impossible.
     pub(super) fn attempt(&mut self, now: Micros, connection: Connection, actions: &mut Vec<Action>) {
         let allowed = self.may_attempt(now, &connection);
         let Some(index) = allowed.then(|| self.choose(now, &connection)).flatten() else {
@@ -30,15 +31,15 @@
         self.start_attempt(now, index, Connection { has_attempt_timeout: timeout.is_some(), ..connection });
     }
 
-    /// Whether the client's time, the number of attempts and the retry budget allow one more attempt. What
-    /// looks expired may not be, where clocks differ.
+    /// Returns whether the deadline, the maximum number of attempts and the retry budget allow
+    /// another attempt. A request that appears expired may be valid if clocks differ.
     fn may_attempt(&self, now: Micros, connection: &Connection) -> bool {
         let in_time = now < connection.deadline + self.settings.deadline_tolerance;
         let attempts_left = (connection.attempted_servers.len() as u32) < self.settings.max_attempts;
         in_time && attempts_left && (connection.attempted_servers.is_empty() || self.budget_allows_retry(now))
     }
 
-    /// Records an attempt that goes out to a server.
+    /// Records an attempt that is sent to a server.
     pub(super) fn start_attempt(&mut self, now: Micros, index: ServerIndex, mut connection: Connection) {
         let server = &mut self.servers[index];
         connection.state = ConnectionState::Attempting(index);
@@ -51,8 +52,9 @@
         self.connections.insert(connection.request.id, connection);
     }
 
-    /// Whether the attempt in flight may still be sent, now that its transport is up. Its server may have
-    /// started to drain, gone or started anew since the attempt was decided, or may drop repeats no more.
+    /// Returns whether the attempt in flight may still be sent after its transport connection was
+    /// established. Since the decision, its server may have started draining, been removed or
+    /// restarted, or the deduplication window may have expired.
     pub fn may_still_send(&self, now: Micros, id: RequestId) -> bool {
         let Some(connection) = self.connections.get(&id) else { return false };
         let ConnectionState::Attempting(index) = connection.state else { return false };
@@ -61,8 +63,9 @@
             && self.may_repeat_at(now, index, connection)
     }
 
-    /// Whether what an earlier attempt may have done lets a request go to a server now: an idempotent request
-    /// always, another one only where servers drop repeats of it, and while they do.
+    /// Returns whether a request may be sent to a server, given that an earlier attempt may have
+    /// been executed. An idempotent request always may; any other only while the server ignores
+    /// duplicates of it.
     pub(super) fn may_repeat_at(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
         let Some(FirstExecution { server, sent }) = connection.first_execution else { return true };
         let (first, next) = (&self.servers[server].endpoint, &self.servers[index].endpoint);
@@ -76,7 +79,7 @@
         })
     }
 
-    /// An attempt became a connection, after `latency`.
+    /// Handles an attempt that became a connection after `latency`.
     pub(super) fn on_established(
         &mut self,
         now: Micros,
@@ -98,8 +101,8 @@
         }
     }
 
-    /// An attempt ended, or the connection that it had become. `closed` means that the request has its final
-    /// answer.
+    /// Handles the end of an attempt, or of the connection that it had become. `closed` means that
+    /// the request has its final answer.
     pub(super) fn on_ended(
         &mut self,
         now: Micros,
@@ -138,8 +141,8 @@
         self.attempt(now, connection, actions);
     }
 
-    /// Whether an end shows that the client's time is over, whatever deadline it stated: clocks differ, and
-    /// the attempt had all of that time.
+    /// Returns whether an outcome shows that the client's time has run out, regardless of the
+    /// deadline. Clocks differ, and the attempt could use all of that time.
     fn client_has_given_up(&self, connection: &Connection, outcome: Outcome) -> bool {
         let out_of_time = matches!(outcome, Outcome::Timeout | Outcome::NeverSent);
         let clocks_differ = self.settings.deadline_tolerance > Micros(0);
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -1,8 +1,8 @@
-//! Retry budget: how many attempts beyond requests' first ones are allowed, so that retries do not amplify a
-//! storm.
+//! Retry budget: limits the attempts other than the first of a request, so that retries do not
+//! amplify an overload.
 //!
-//! Where the settings state a budget, retries and admitted requests are counted over a sliding window; else
-//! retries spend tokens that admitted requests earn.
+//! If the settings include a budget, retries and admitted requests are counted in a sliding window.
+//! Otherwise, retries spend tokens that admitted requests earn.
 
 use std::collections::VecDeque;
 
@@ -11,15 +11,14 @@
 use super::Policy;
 use super::connection::Connection;
 
-/// Retry tokens that each admitted request earns: in a storm, retries add no more than this share to the
-/// load.
+/// Retry tokens per admitted request. In an overload, retries add at most this share to the load.
 const TOKENS_PER_REQUEST: f64 = 0.2;
-/// Retry tokens that may be saved.
+/// Maximum number of saved retry tokens.
 const MAX_TOKENS: f64 = 10.0;
-/// Buckets of a window, which bound the memory that it takes.
+/// Number of buckets per window, which bounds the memory used.
 const BUCKETS_PER_WINDOW: f64 = 50.0;
 
-/// Retries that this node may make, and those that it has made.
+/// Retries made by this node and available to it.
 pub(super) struct RetryUsage {
     tokens: f64,
     window: SlidingWindow,
@@ -31,16 +30,17 @@
     }
 }
 
-/// Retries and admitted requests of a sliding window, in buckets. A bucket that is partly outside the window
-/// counts as outside for requests and as inside for retries: the count is never laxer than the rule.
+/// Counts retries and admitted requests of a sliding window in buckets. A bucket that is partly
+/// outside the window is excluded from the admitted requests and included in the retries, so that
+/// the count never allows more than the rule.
 #[derive(Default)]
 struct SlidingWindow {
     buckets: VecDeque<RetryBudgetBucket>,
-    /// Nothing is known of the time before; zero where all is known.
+    /// Time before which events are unknown; zero if all events are known.
     known_since: Micros,
 }
 
-/// Events within a window.
+/// Number of events within a window.
 #[derive(Clone, Copy, Default)]
 struct WindowCount {
     admitted: u32,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether all of the window is known.
+    /// Returns whether all events of the window are known.
     fn is_known(&self, now: Micros, window: Micros) -> bool {
         self.known_since == Micros(0) || self.known_since + window < now
     }
@@ -88,7 +88,7 @@
 }
 
 impl RetryUsage {
-    /// A budget that is stated from now on knows nothing of the time before.
+    /// Marks the events before `now` as unknown, for a budget that starts to apply now.
     pub(super) fn mark_unknown_before(&mut self, now: Micros) {
         self.window.known_since = self.window.known_since.max(now);
     }
@@ -99,7 +99,7 @@
 }
 
 impl Policy {
-    /// Counts a request in all that is bounded by the number of requests.
+    /// Records an admitted request in all limits that depend on the number of requests.
     pub(super) fn record_admitted_request(&mut self, now: Micros) {
         self.retry_usage.earn();
         self.removal_probes.earn();
@@ -107,7 +107,8 @@
         self.setups.on_request();
     }
 
-    /// Counts an attempt that is about to be sent, as a retry unless it is the first of its request.
+    /// Records an attempt that is about to be sent. It counts as a retry unless it is the first
+    /// attempt of its request.
     pub(super) fn record_attempt(&mut self, now: Micros, connection: &Connection) {
         let retries = u32::from(!connection.attempted_servers.is_empty());
         self.add_to_window(now, WindowCount { admitted: 0, retries });
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Whether the stated budget allows one more retry; true where none is stated. What is not known counts
-    /// as spent.
+    /// Returns whether the budget allows another retry; always true without a budget. Unknown
+    /// events count as used retries.
     pub(super) fn budget_allows_retry(&self, now: Micros) -> bool {
         let Some(RetryBudget { min_retries, retry_ratio, window }) = self.settings.retry_budget else {
             return true;
@@ -130,14 +131,14 @@
         self.retry_usage.window.is_known(now, window) && f64::from(count.retries + 1) <= allowed
     }
 
-    /// Whether a retry after this outcome needs a token. Where a budget is stated that bounds retries
-    /// instead, and what no server has seen is no load on any.
+    /// Returns whether a retry after this outcome needs a token. With a budget, no tokens are
+    /// needed. An attempt that reached no server caused no load, so its retry is free.
     fn needs_retry_token(&self, outcome: Outcome) -> bool {
         let unseen = matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
         self.settings.retry_budget.is_none() && !unseen
     }
 
-    /// Whether a retry after this outcome has the token that it needs.
+    /// Returns whether a token is available if a retry after this outcome needs one.
     pub(super) fn has_retry_token(&self, outcome: Outcome) -> bool {
         !self.needs_retry_token(outcome) || self.retry_usage.tokens >= 1.0
     }
@@ -148,8 +149,9 @@
         }
     }
 
-    /// Stops this process's retries where a budget is stated, and returns what was counted for the process
-    /// that takes its place; none where it is not known. Retry tokens are not handed over.
+    /// Stops retries in this process if there is a budget, and returns the window's buckets for the
+    /// process that takes over. Returns `None` if the window is not completely known. Retry tokens
+    /// are not transferred.
     pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let window = self.settings.retry_budget.map_or(Micros(0), |budget| budget.window);
         let usage = &mut self.retry_usage.window;
@@ -158,8 +160,9 @@
         known.then(|| usage.buckets.iter().copied().collect())
     }
 
-    /// Takes over what the process before has counted. Where it reported nothing, or where this process
-    /// serves on after one that was to take its place, no retries are made until the window has passed.
+    /// Takes over the buckets counted by the previous process. If it reported none, or if this
+    /// process continues because its successor failed, retries are suspended until a complete
+    /// window has passed.
     pub fn take_over_retry_budget(&mut self, now: Micros, reported: Option<Vec<RetryBudgetBucket>>) {
         let usage = &mut self.retry_usage.window;
         usage.known_since = if reported.is_some() { Micros(0) } else { now };
--- a/src/policy/running_mean.rs
+++ b/src/policy/running_mean.rs
@@ -1,9 +1,9 @@
-//! Exponentially weighted mean.
+//! Exponentially weighted moving average.
 
 /// Weight of the newest value.
 const NEWEST_WEIGHT: f64 = 0.1;
 
-/// A running mean that starts at its first value.
+/// A moving average that starts at the first value.
 #[derive(Clone, Copy, Default)]
 pub(super) struct RunningMean {
     mean: Option<f64>,
@@ -14,7 +14,7 @@
         self.mean = Some(self.mean.map_or(value, |mean| mean + NEWEST_WEIGHT * (value - mean)));
     }
 
-    /// The mean; none before the first value.
+    /// Returns the mean; `None` before the first value.
     pub(super) fn value(&self) -> Option<f64> {
         self.mean
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,8 +1,8 @@
-//! Selection: the server on which a connection lands.
+//! Selection: the server on which a connection is placed.
 //!
-//! Acts on each attempt. The candidates are the servers to which the connection may go now; the one with the
-//! lowest [`Rank`] is taken, which is in the ordinary case the one with the lowest load in this node's own
-//! record.
+//! Runs for each attempt. The candidates are the servers to which the connection may go now, and
+//! the one with the lowest [`Rank`] is selected. In the common case, this is the server with the
+//! lowest load in this node's own record.
 
 use rand::RngExt;
 
@@ -15,45 +15,46 @@
 use super::rebalance::OVERLOAD_THRESHOLD;
 use super::server::ServerIndex;
 
-/// Where only set-ups show delays, each server is to have one this often, by any node.
+/// Interval at which each server should receive a setup from any node, where only setups show
+/// delays.
 const SETUP_INTERVAL: Micros = Micros::from_millis(2_000);
 
-/// A weighted random pick: of servers with independent uniform hashes the one with the lowest value wins in
-/// proportion to its weight (exponential variates).
+/// Returns a sort key for weighted random selection. Among servers with independent uniform hashes,
+/// each has the lowest key with a probability proportional to its weight (exponential variates).
 fn weighted_tie_breaker(hash: u64, weight: f64) -> f64 {
     -((hash as f64 + 1.0) / (u64::MAX as f64 + 2.0)).ln() / weight
 }
 
-/// How well a server suits a connection, the lowest first. Fields decide in their order.
+/// Rank of a server for a connection; the lowest is best. Fields are compared in their order.
 #[derive(PartialEq, PartialOrd)]
 struct Rank {
-    /// An attempt of this request was sent there before.
+    /// An earlier attempt of this request was sent to the server.
     already_attempted: bool,
     ejected: bool,
-    /// It has reported that little of its capacity is free.
+    /// The server recently reported a high ratio of load to capacity.
     has_high_load_ratio: bool,
-    /// The connection's group is not there, or has no capacity to grow there.
+    /// The connection's group is not on the server, or has no capacity to grow there.
     outside_group: bool,
-    /// Its delay need not be seen by a set-up now.
+    /// The server is not due for a setup that would show its delay.
     setup_not_due: bool,
-    /// Load for each unit of effective weight, once the connection has landed.
+    /// Load per unit of effective weight after the connection is placed.
     landing_load: f64,
-    /// Among equals a server that warms up goes first: tokens bound what it holds, while a warm one that
-    /// holds nothing of this node's is full of what other nodes sent there.
+    /// Among equals, a warming-up server is preferred: its tokens limit its load, while a warm
+    /// server without connections of this node is filled by other nodes.
     warm: bool,
-    /// It has reported no load recently.
+    /// The server has not reported its load ratio recently.
     unreported: bool,
     weighted_tie_breaker: f64,
 }
 
-/// What the ranks of one selection share.
+/// Values shared by the ranks of one selection.
 pub(super) struct Selection<'a> {
     pub(super) policy: &'a Policy,
     pub(super) now: Micros,
     pub(super) connection: &'a Connection,
-    /// The connection's group, or a random one in its place: hashes with it break ties.
+    /// The connection's group or, without one, a random value. Its hashes break ties.
     pub(super) hash_key: GroupId,
-    /// The lowest hash of a server on which the group may begin.
+    /// Minimum hash of the servers on which the group may start.
     pub(super) min_initial_hash: u64,
     pub(super) mean_load: f64,
     pub(super) mean_connections: f64,
@@ -62,8 +63,8 @@
 }
 
 impl Policy {
-    /// The server on which a connection lands; none where the request has to be given up. Draws the random
-    /// number that breaks ties for connections without a group.
+    /// Returns the server on which a connection is placed; `None` if there is no candidate. Draws
+    /// the random number that breaks ties for connections without a group.
     pub(super) fn choose(&mut self, now: Micros, connection: &Connection) -> Option<ServerIndex> {
         let random_key = GroupId(self.rng.random());
         let selection = Selection::new(self, now, connection, random_key);
@@ -73,7 +74,8 @@
         lowest.map(|(_, index)| index)
     }
 
-    /// Whether the rules, and what earlier attempts may have done, let a request go to a server now.
+    /// Returns whether a request may go to a server now, given the rules and the possible effects
+    /// of earlier attempts.
     fn is_eligible(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
         let server = &self.servers[index];
         let awaits_trial_setup = server.outlier.connect_failed && !server.load.connections.is_empty();
@@ -85,13 +87,14 @@
             && self.may_repeat_at(now, index, connection)
     }
 
-    /// How long after its last attempt to a server this node is due for the next one.
+    /// Returns the time after its last attempt at a server at which this node is due to make
+    /// another one.
     pub(super) fn setup_interval(&self) -> Micros {
         SETUP_INTERVAL.scale(f64::from(self.settings.node_count))
     }
 
-    /// Whether a warm server should be seen by a set-up now, so that a slow one is noticed. Acts where
-    /// servers report no delays, and only up to the overload threshold.
+    /// Returns whether a warm server is due for a setup that shows whether it is slow. Applies
+    /// where servers do not report delays, and only up to the overload threshold.
     fn is_setup_due(&self, now: Micros, index: ServerIndex, mean_load: f64) -> bool {
         let server = &self.servers[index];
         let unconfirmed = server.delay.is_some_and(|delay| delay.unconfirmed);
@@ -120,7 +123,8 @@
         }
     }
 
-    /// Nothing lands where messages are late: it would be late too, and keep the others late.
+    /// Returns whether a server is a candidate. A server with a high delay is not: new connections
+    /// would also be delayed and would keep the delay high.
     fn is_candidate(&self, index: ServerIndex) -> bool {
         self.policy.is_eligible(self.now, index, self.connection)
             && !self.policy.has_high_delay(self.now, index)
@@ -148,12 +152,14 @@
         rendezvous_hash(self.hash_key, self.policy.servers[index].endpoint.id)
     }
 
-    /// The load of a server for each unit of effective weight, with the group's work if the group begins
-    /// there.
+    /// Returns the load of a server per unit of effective weight, with the group's work if the
+    /// group would start there.
     ///
-    /// A server that warms up counts at the others' mean at first and at its own load at last. What is added
-    /// is rounded to whole connections by chance, as records are whole connections: a part of one would put
-    /// the server behind each that holds nothing, and at many nodes nearly all hold nothing.
+    /// A warming-up server initially counts with the mean load of the others and at the end of its
+    /// warm-up with its own load. The added load is rounded at random to whole connections, because
+    /// recorded loads consist of whole connections. A fraction of a connection would rank the
+    /// server behind every server without connections, and with many nodes nearly all servers have
+    /// none.
     fn landing_load(&self, index: ServerIndex) -> f64 {
         let begins_group = self.connection.request.group.is_some() && !self.holds_group(index);
         let group_load = if begins_group { self.group_load_share } else { 0.0 };
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,4 +1,4 @@
-//! What this node holds of one server. Each part is a type of the rule that keeps it.
+//! State of one server at this node. Each part is a type of the rule that maintains it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,26 +10,27 @@
 use super::probe::ProbeState;
 use super::slow_start::SlowStartTokens;
 
-/// Position of a server in [`Policy::servers`](super::Policy); it stays the same while the node runs.
+/// Index of a server in [`Policy::servers`](super::Policy), constant while the process runs.
 pub(super) type ServerIndex = usize;
 
 /// State of one server.
 #[derive(Default)]
 pub(super) struct Server {
-    /// Its line in the endpoint list.
+    /// Entry of the server in the endpoint list.
     pub(super) endpoint: Endpoint,
-    /// The latest time at which it may have started; none if long ago.
+    /// Latest possible start time; `None` if long ago.
     pub(super) started: Option<Micros>,
-    /// It was listed as draining, and not as ready since.
+    /// Whether the server was listed as draining and has not been listed as ready since.
     pub(super) draining: bool,
-    /// Number of the endpoint list that removed it: servers removed by one list are judged together.
+    /// Sequence number of the endpoint list that removed the server. Servers removed by one list
+    /// are treated together.
     pub(super) removed_by_list: u32,
-    /// When this node last sent it an attempt.
+    /// Time at which this node last sent an attempt to the server.
     pub(super) last_attempt_at: Micros,
     pub(super) load: ServerLoad,
     pub(super) delay: Option<MessageDelay>,
     pub(super) capacity: ObservedCapacity,
-    /// Periods in a row above the overload threshold.
+    /// Number of consecutive periods above the overload threshold.
     pub(super) overloaded_periods: u32,
     pub(super) outlier: OutlierState,
     pub(super) slow_start: SlowStartTokens,
@@ -39,11 +40,11 @@
 /// This node's attempts and connections at one server, with their sums.
 #[derive(Default)]
 pub(super) struct ServerLoad {
-    /// Sum of the reported loads, in microseconds of work a second.
+    /// Sum of the reported loads, in microseconds of CPU work per second.
     pub(super) reported: f64,
-    /// Connections without a load report, by class.
+    /// Number of connections without a load report, by class.
     pub(super) unreported: BTreeMap<u16, u32>,
-    /// Connections in each group.
+    /// Number of connections in each group.
     pub(super) groups: BTreeMap<GroupId, u32>,
     pub(super) connections: BTreeSet<RequestId>,
 }
--- a/src/policy/shadow.rs
+++ b/src/policy/shadow.rs
@@ -1,4 +1,5 @@
-//! What a shadow instance needs to follow the one that decides. Nothing here decides anything.
+//! Functions with which a shadow instance follows the active one. This module contains no
+//! decisions.
 
 use crate::types::{Micros, Request, RequestId, ServerId};
 
@@ -6,17 +7,19 @@
 use super::connection::ConnectionState;
 
 impl Policy {
-    /// Draws the same random numbers as the other instance from now on.
+    /// Copies the random state of the other instance, so that both draw the same numbers from now
+    /// on.
     pub fn copy_random_state(&mut self, other: &Policy) {
         self.rng = other.rng.clone();
     }
 
-    /// A request that is held.
+    /// Returns a request that has no final answer or is an open connection.
     pub fn request(&self, id: RequestId) -> Option<Request> {
         self.connections.get(&id).map(|connection| connection.request)
     }
 
-    /// Whatever this instance chose: the request was forwarded to that server, or to none and is over.
+    /// Replaces this instance's decision on a request: it was forwarded to `server` or, if that is
+    /// `None`, has its final answer.
     pub fn apply_forwarding(&mut self, now: Micros, request: Request, server: Option<ServerId>) {
         let known = self.connections.remove(&request.id);
         known.iter().for_each(|connection| self.remove_from_load(connection));
@@ -28,7 +31,8 @@
         self.start_attempt(now, index, connection);
     }
 
-    /// Whatever this instance chose: the client was not asked to migrate.
+    /// Replaces this instance's decision to migrate a connection: the client was not asked to
+    /// migrate.
     pub fn cancel_migration(&mut self, id: RequestId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         connection.state = connection.state.server().map_or(connection.state, ConnectionState::Open);
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,8 @@
-//! Slow start: how much work a server that has started recently may be sent.
+//! Slow start: limits the work that is sent to recently started servers.
 //!
-//! A server that warms up falls over when it is sent more than a multiple of its present capacity for long.
-//! Each node therefore sends it only what it has tokens for, and all nodes' tokens together stay within that
-//! bound.
+//! A warming-up server is overloaded if it receives more than a certain multiple of its current
+//! capacity for too long. Each node therefore sends it only as many attempts as it has tokens, and
+//! the tokens of all nodes together stay within that limit.
 
 use crate::types::Micros;
 
@@ -13,23 +13,25 @@
 use super::running_mean::RunningMean;
 use super::server::ServerIndex;
 
-/// What a warm server can do, as a multiple of what it holds: fleets are seldom more than half full.
+/// Assumed capacity of a warm server in multiples of its current load, because fleets are seldom
+/// more than half utilized.
 const FLEET_HEADROOM: f64 = 2.0;
 
-/// Attempts that this node may send to a server that warms up.
+/// Attempts that this node may send to a warming-up server.
 #[derive(Default)]
 pub(super) struct SlowStartTokens {
-    /// Attempts that may still be sent before the tokens expire.
+    /// Number of attempts that may be sent before the tokens expire.
     tokens: u32,
-    /// When unused tokens are lost; zero before the first ones.
+    /// Time at which unused tokens expire; zero before the first tokens.
     expire_at: Micros,
-    /// What was earned toward the next token.
+    /// Fraction earned of the next token.
     fraction: f64,
 }
 
 impl SlowStartTokens {
-    /// No tokens yet. `turn`, between 0 and 1, is this node's place among all: nodes that begin at different
-    /// fractions do not send their first attempts at one moment.
+    /// Creates a state without tokens. `turn`, from 0 to 1, is the position of this node among all
+    /// nodes; different initial fractions prevent the nodes from sending their first attempts at
+    /// the same time.
     pub(super) fn starting_at(turn: f64) -> Self {
         SlowStartTokens { fraction: turn, ..SlowStartTokens::default() }
     }
@@ -46,8 +48,9 @@
         self.tokens = 0;
     }
 
-    /// Adds what one period earns at `rate` tokens a second. Tokens live for `lifetime` beyond the period;
-    /// the first ones include what would be kept by then, as most clients reconnect right after a start.
+    /// Adds the tokens of one period at `rate` tokens per second. Tokens expire `lifetime` after
+    /// the period. The first refill includes the tokens of that lifetime, because most clients
+    /// reconnect right after a start.
     fn refill(&mut self, now: Micros, rate: f64, lifetime: Micros) {
         let first = if self.expire_at == Micros(0) { lifetime.as_secs_f64() } else { 0.0 };
         self.fraction += (rate * (PERIOD.as_secs_f64() + first)).min(MAX_LOAD);
@@ -59,12 +62,12 @@
     }
 }
 
-/// How many connections warm servers hold and for how long connections last.
+/// Number of connections on warm servers and duration of connections.
 #[derive(Default)]
 pub(super) struct ConnectionTurnover {
-    /// Sum of the seconds that connections have been open.
+    /// Sum of the time that all connections have been open, in seconds.
     connection_seconds: f64,
-    /// Connections that ended by themselves.
+    /// Number of connections that ended by themselves.
     pub(super) ended: u32,
     /// Running mean of [`Policy::mean_connections`].
     typical_connections: RunningMean,
@@ -75,22 +78,23 @@
         self.connection_seconds / f64::from(self.ended.max(1))
     }
 
-    /// Takes in one period, with the connections that this node holds in all and those that it holds on warm
-    /// servers for each unit of weight.
+    /// Records one period, with the total number of connections of this node and its mean number on
+    /// warm servers per unit of weight.
     fn observe(&mut self, total_connections: usize, mean_connections: f64) {
         self.connection_seconds += total_connections as f64 * PERIOD.as_secs_f64();
         self.typical_connections.add(mean_connections);
     }
 }
 
-/// Share of `span` that has passed since `since`, from 0 to 1; 1 if that was long ago.
+/// Returns the share of `span` that has passed since `since`, from 0 to 1; 1 if `since` is `None`,
+/// meaning long ago.
 fn elapsed_fraction(since: Option<Micros>, now: Micros, span: Micros) -> f64 {
     // An empty span gives NaN, and `min` then returns 1.
     since.map_or(1.0, |since| ((now - since).as_secs_f64() / span.as_secs_f64()).min(1.0))
 }
 
 impl Policy {
-    /// How far a server has warmed up since its start, from 0 to 1.
+    /// Returns the progress of a server's warm-up since its start, from 0 to 1.
     pub(super) fn warm_up_fraction(&self, now: Micros, index: ServerIndex) -> f64 {
         elapsed_fraction(self.servers[index].started, now, self.settings.warm_up)
     }
@@ -99,56 +103,66 @@
         self.warm_up_fraction(now, index) >= 1.0
     }
 
-    /// The same, but no more than the share of a warm-up for which this node has had the server: its own
-    /// record of a server that the cluster recently assigned to it says little.
+    /// Returns the progress of a server's warm-up, limited by the time since the server joined this
+    /// node's subset. This node's record of a server that joined recently says little about its
+    /// load.
     pub(super) fn local_warm_up_fraction(&self, now: Micros, index: ServerIndex) -> f64 {
         let assigned = self.servers[index].endpoint.joined;
         self.warm_up_fraction(now, index).min(elapsed_fraction(assigned, now, self.settings.warm_up))
     }
 
-    /// Gives out the tokens of one period for all servers that warm up. Acts once a period, with the
-    /// connections of this node on a warm server, for each unit of weight.
+    /// Refills the tokens for all warming-up servers. Runs once per period. `mean_connections` is
+    /// the number of this node's connections on a warm server per unit of weight.
     pub(super) fn refill_slow_start_tokens(&mut self, now: Micros, mean_connections: f64) {
         self.turnover.observe(self.connections.len(), mean_connections);
-        // After a release a slow server may be the only warm one, and it holds next to nothing: what warm
-        // ones held a moment ago is still known.
+        // After a release, the only warm server may be a slow one with almost no connections. The
+        // running mean still reflects the connections that warm servers had before.
         let typical = self.turnover.typical_connections.value();
-        let held = typical.map_or(mean_connections, |typical| typical.max(mean_connections));
+        let connections_per_server =
+            typical.map_or(mean_connections, |typical| typical.max(mean_connections));
         let lifetime = self.token_lifetime(now);
         for index in 0..self.servers.len() {
             if !self.is_warm(now, index) {
-                let rate = self.token_rate(now, index, held);
+                let rate = self.token_rate(now, index, connections_per_server);
                 self.servers[index].slow_start.refill(now, rate, lifetime);
             }
         }
     }
 
-    /// Tokens a second for a server that warms up: the connections that a warm server of its weight takes
-    /// anew, times the server's present share of capacity and the multiple of it that it stands. `held` is
-    /// the connections of this node on a warm server, for each unit of weight.
-    fn token_rate(&self, now: Micros, index: ServerIndex, held: f64) -> f64 {
+    /// Returns the rate of tokens for a warming-up server, in tokens per second. This is the rate
+    /// at which a warm server of its weight receives new connections, multiplied by its current
+    /// share of its capacity and by the multiple of that capacity that it withstands. `connections_per_server` is the
+    /// number of this node's connections on a warm server per unit of weight.
+    fn token_rate(&self, now: Micros, index: ServerIndex, connections_per_server: f64) -> f64 {
         let period = PERIOD.as_secs_f64();
         let initial = self.settings.warm_up_initial_capacity;
         let capacity_share = initial + (1.0 - initial) * self.warm_up_fraction(now, index);
-        // Warm servers take what they hold once in a connection's lifetime.
+        // Warm servers receive as many new connections as they have within the mean lifetime of a
+        // connection.
         let lifetime = self.turnover.mean_lifetime_s();
         let (headroom, lifetime) = if self.settings.groups {
-            // Nodes begin a group on the same servers and so meet on one that warms up: no headroom.
+            // Without headroom, because all nodes start a group on the same servers and therefore
+            // use the same warming-up server.
             (1.0, lifetime)
         } else {
-            // An overload window touches one period more than it has.
+            // An overload window overlaps one more period than its length.
             let window = self.settings.overload_window.as_secs_f64();
             let headroom = FLEET_HEADROOM * window / (window + period);
-            // No server is longer in filling than in warming up.
+            // No server takes longer to fill than to warm up.
             (headroom, lifetime.min(self.settings.warm_up.as_secs_f64()))
         };
-        headroom * held * self.weight(index) * capacity_share * self.settings.overload_multiple
+        headroom
+            * connections_per_server
+            * self.weight(index)
+            * capacity_share
+            * self.settings.overload_multiple
             / lifetime.max(period)
     }
 
-    /// How long a token lives beyond its period: nothing, unless groups share work. There a node has few
-    /// requests for one server, and if all clients came again at once only a part of the nodes would have one
-    /// for it: tokens may be kept for so long that this part spends no more than one overload window earns.
+    /// Returns how long a token is valid beyond its period. This is zero unless groups share work.
+    /// With groups, a node has few requests for any one server, and if all clients reconnected at
+    /// once, only a part of the nodes would have a request for it. Tokens are therefore kept as
+    /// long as this part of the nodes spends no more than the tokens earned in one overload window.
     fn token_lifetime(&self, now: Micros) -> Micros {
         if !self.settings.groups {
             return Micros(0);
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -1,4 +1,4 @@
-//! What the program round the decisions may show of the servers. Nothing here decides anything.
+//! Server states for monitoring by the embedding program. This module contains no decisions.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,8 @@
 use super::server::ServerIndex;
 
 impl Policy {
-    /// How many listed servers are avoided now: they drain, are late or are ejected (chosen last, or barred).
+    /// Returns the number of listed servers that are avoided at present: they are draining, have a
+    /// high delay, or are ejected (ranked last or excluded).
     pub fn avoided_server_count(&self, now: Micros) -> usize {
         (0..self.servers.len()).filter(|&index| self.is_avoided(now, index)).count()
     }
@@ -22,8 +23,8 @@
         }
     }
 
-    /// Servers that this node could not reach, or that dropped all that it held there or rejected work, until
-    /// a set-up succeeds.
+    /// Returns the servers that this node could not reach, that dropped all of its connections or
+    /// that rejected requests, and with which no setup has succeeded since.
     pub fn unreachable_servers(&self) -> BTreeSet<ServerId> {
         let outliers =
             self.servers.iter().filter(|server| server.outlier.unreachable || server.outlier.connect_failed);
--- a/src/policy/typical_load.rs
+++ b/src/policy/typical_load.rs
@@ -1,4 +1,5 @@
-//! Typical load: what a connection of a class asks for, in microseconds of work a second.
+//! Typical load: the expected load of a connection of a class, in microseconds of CPU work per
+//! second.
 
 use crate::types::{BalancerSettings, Request};
 
@@ -6,32 +7,32 @@
 use super::load_estimate::is_valid_load;
 use super::running_mean::RunningMean;
 
-/// The typical load of a connection, by class and over all classes.
+/// Typical loads of connections, by class and over all classes.
 pub(super) struct TypicalLoads {
     by_class: Vec<ClassLoad>,
-    /// Running mean of the first loads of connections of any class.
+    /// Running mean of the first loads of connections of all classes.
     first_load: RunningMean,
 }
 
-/// Loads of one class.
+/// Loads of the connections of one class.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ClassLoad {
     /// Running mean of the first loads of its connections.
     first_load: RunningMean,
-    /// Sum of the loads of connections that have reported one and are still held.
+    /// Sum of the loads of the current connections that have reported one.
     reported_sum: f64,
     /// Number of those connections.
     reported_count: u32,
 }
 
 impl ClassLoad {
-    /// A connection with this reported load is held from now on.
+    /// Adds a connection with this reported load.
     pub(super) fn add_reported(&mut self, load: f64) {
         self.reported_sum += load;
         self.reported_count += 1;
     }
 
-    /// It is held no longer.
+    /// Removes a connection with this reported load.
     pub(super) fn remove_reported(&mut self, load: f64) {
         self.reported_sum = (self.reported_sum - load).max(0.0);
         self.reported_count -= 1;
@@ -44,7 +45,7 @@
         TypicalLoads { by_class, first_load: RunningMean::default() }
     }
 
-    /// Other settings may have more classes.
+    /// Adapts to settings that may have more classes.
     pub(super) fn resize(&mut self, settings: &BalancerSettings) {
         self.by_class.resize(settings.classes.len(), ClassLoad::default());
     }
@@ -53,7 +54,7 @@
         self.by_class.get_mut(usize::from(class))
     }
 
-    /// The running mean of a class's first loads, none before one is known.
+    /// Returns the running mean of a class's first loads; `None` before the first one.
     pub(super) fn mean_first_load(&self, class: usize) -> Option<f64> {
         self.by_class.get(class).and_then(|load| load.first_load.value())
     }
@@ -64,7 +65,7 @@
 }
 
 impl Policy {
-    /// The typical load of a connection of any class.
+    /// Returns the typical load of a connection of any class.
     pub(super) fn typical_load(&self) -> f64 {
         let sum_and_count =
             |(sum, count), class: &ClassLoad| (sum + class.reported_sum, count + class.reported_count);
@@ -72,7 +73,7 @@
         if count > 0 { sum / f64::from(count) } else { self.typical_loads.first_load.value().unwrap_or(1.0) }
     }
 
-    /// The typical load of a connection of one class.
+    /// Returns the typical load of a connection of one class.
     pub(super) fn typical_class_load(&self, class: u16) -> f64 {
         match self.typical_loads.by_class.get(usize::from(class)) {
             Some(load) if load.reported_count > 0 => load.reported_sum / f64::from(load.reported_count),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes a connection's first load, reported or expected, into the typical ones.
+    /// Records a connection's first load, reported or expected, in the typical loads.
     pub(super) fn update_typical_load(&mut self, request: &Request, load: Option<f64>) {
         let Some(load) = load.filter(is_valid_load) else { return };
         self.typical_loads.first_load.add(load);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,8 @@
-//! Parser of an instance's settings: values by path, keys that nothing needs are ignored.
+//! Parser of a policy instance's settings, given as text values by key path.
 //!
-//! The simulator sends them as lines of `path=value`, the node has nested JSON that is flattened to the same paths. The
-//! keys' words are the operators'; [`parse`] is the one place that maps them to the terms of the code.
+//! The simulator sends lines of `path=value`; the node flattens nested JSON to the same paths.
+//! Unknown keys are ignored. The keys are part of the external interface, and [`parse`] is the only
+//! place that maps them to the fields of [`BalancerSettings`].
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -14,82 +15,86 @@
     TenantSettings, WeightMeaning,
 };
 
-/// The shared work of a group where the settings state none, in typical connections.
+/// Shared work of a group if the settings omit it, in multiples of a typical connection's load.
 const DEFAULT_GROUP_LOAD: f64 = 3.0;
 
-/// The greatest number of retries, or of retries a request, that a budget may state: more limits nothing.
+/// Upper bound on the retries, or the retries per request, of a retry budget. A larger budget would
+/// limit nothing.
 const MAX_RETRY_BUDGET: f64 = 1e6;
 
-/// What can be wrong with settings.
+/// An error in the settings.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A key that nothing reads, where that is not allowed.
+    /// A key that no setting uses, where unknown keys are rejected.
     #[error("unknown key {0}")]
     UnknownKey(String),
-    /// A required key is absent.
+    /// A required key is missing.
     #[error("missing key {0}")]
     MissingKey(String),
-    /// A value cannot be parsed or is out of range.
+    /// A value cannot be parsed, is out of range or contradicts another setting.
     #[error("invalid value {value:?} for key {key}: expected {expected}")]
     InvalidValue {
-        /// The key.
+        /// Key, with its prefix.
         key: String,
-        /// The value.
+        /// Value found.
         value: String,
-        /// What was expected.
+        /// Description of valid values.
         expected: &'static str,
     },
 }
 
-/// Settings as text values by path, with a path prefix for error messages.
+/// Text values by key path, with a path prefix for error messages.
 pub struct SettingValues {
     values: HashMap<String, String>,
     prefix: &'static str,
-    /// Keys that were read, for [`SettingValues::reject_unread`].
+    /// Keys read so far, for [`SettingValues::reject_unread`].
     read_keys: RefCell<BTreeSet<String>>,
 }
 
 impl SettingValues {
-    /// Values found below `prefix`, which may be empty and is named in messages.
+    /// Creates values whose paths are below `prefix`, which error messages include. The prefix may
+    /// be empty.
     pub fn new(prefix: &'static str, values: impl IntoIterator<Item = (String, String)>) -> Self {
         SettingValues { values: values.into_iter().collect(), prefix, read_keys: RefCell::default() }
     }
 
-    /// Parses lines of `path=value`; other lines are ignored.
+    /// Parses lines of `path=value` and ignores other lines.
     pub fn from_lines(text: &str) -> Self {
         let pairs = text.lines().filter_map(|line| line.split_once('='));
         SettingValues::new("", pairs.map(|(key, value)| (key.to_owned(), value.to_owned())))
     }
 
-    /// These values, and those of `base` for keys that are absent here; messages name the prefix of these.
+    /// Returns these values, completed with the values of `base` for missing keys. Error messages
+    /// use the prefix of these values.
     pub fn overlaid_on(&self, base: &SettingValues) -> Self {
         let both = base.values.iter().chain(&self.values);
         SettingValues::new(self.prefix, both.map(|(key, value)| (key.clone(), value.clone())))
     }
 
-    /// Checks that each key here was read from `merged`: a misspelt key would silently be taken for its default.
+    /// Checks that each key here was read from `merged`. Without this check, a misspelt key would
+    /// silently be replaced by its default.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::UnknownKey`] with the first key that was not read.
+    /// Returns [`SettingsError::UnknownKey`] with the first key that was not read.
     pub fn reject_unread(&self, merged: &SettingValues) -> Result<(), SettingsError> {
         let read_keys = merged.read_keys.borrow();
         let unread = self.values.keys().filter(|key| !read_keys.contains(*key)).min();
         unread.map_or(Ok(()), |key| Err(SettingsError::UnknownKey(format!("{}{key}", self.prefix))))
     }
 
-    /// The value as it stands.
+    /// Returns the unparsed value of a key.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::MissingKey`] where it is absent.
+    /// Returns [`SettingsError::MissingKey`] if the key is missing.
     pub fn text(&self, key: &str) -> Result<&str, SettingsError> {
         self.read_keys.borrow_mut().insert(key.to_owned());
         let found = self.values.get(key).map(String::as_str);
         found.ok_or_else(|| SettingsError::MissingKey(format!("{}{key}", self.prefix)))
     }
 
-    /// An error for a value that is not as `expected`, which names the key with its prefix.
+    /// Creates an error for an invalid value of a key. The error contains the key with its prefix.
     pub fn invalid(&self, key: &str, value: &str, expected: &'static str) -> SettingsError {
         SettingsError::InvalidValue {
             key: format!("{}{key}", self.prefix),
@@ -98,39 +103,41 @@
         }
     }
 
-    /// The value, parsed; `expected` describes the form for messages.
+    /// Parses the value of a key. `expected` describes valid values in error messages.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::MissingKey`] where it is absent, [`SettingsError::InvalidValue`] where it cannot be parsed.
+    /// Returns [`SettingsError::MissingKey`] if the key is missing and
+    /// [`SettingsError::InvalidValue`] if the value cannot be parsed.
     pub fn read<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<T, SettingsError> {
         let value = self.text(key)?;
         value.trim().parse().map_err(|_| self.invalid(key, value, expected))
     }
 
-    /// A time span in whole microseconds.
+    /// Parses a duration in whole microseconds.
     ///
     /// # Errors
     ///
-    /// As of [`SettingValues::read`].
+    /// See [`SettingValues::read`].
     pub fn micros(&self, key: &str) -> Result<Micros, SettingsError> {
         self.read(key, "a whole number of microseconds").map(Micros)
     }
 
-    /// `true` or `false`.
+    /// Parses `true` or `false`.
     ///
     /// # Errors
     ///
-    /// As of [`SettingValues::read`].
+    /// See [`SettingValues::read`].
     pub fn flag(&self, key: &str) -> Result<bool, SettingsError> {
         self.read(key, "true or false")
     }
 
-    /// A finite number that is not negative.
+    /// Parses a finite number that is not negative.
     ///
     /// # Errors
     ///
-    /// As of [`SettingValues::read`], and [`SettingsError::InvalidValue`] for numbers out of range.
+    /// See [`SettingValues::read`]. Also returns [`SettingsError::InvalidValue`] if the number is
+    /// out of range.
     pub fn number(&self, key: &str) -> Result<f64, SettingsError> {
         let value: f64 = self.read(key, "a number")?;
         if value.is_finite() && value >= 0.0 {
@@ -139,11 +146,12 @@
         Err(self.invalid(key, self.text(key)?, "a finite number of zero or more"))
     }
 
-    /// The meaning of one of the words named.
+    /// Parses one of the given keywords and returns its meaning.
     ///
     /// # Errors
     ///
-    /// [`SettingsError::MissingKey`] where it is absent, [`SettingsError::InvalidValue`] for any other word.
+    /// Returns [`SettingsError::MissingKey`] if the key is missing and
+    /// [`SettingsError::InvalidValue`] for any other keyword.
     pub fn keyword<T: Copy>(
         &self,
         key: &str,
@@ -155,7 +163,7 @@
         found.map(|(_, meaning)| *meaning).ok_or_else(|| self.invalid(key, value, expected))
     }
 
-    /// A comma-separated list; empty where the key is absent.
+    /// Parses a comma-separated list, which is empty if the key is missing.
     pub fn list(&self, key: &str) -> Vec<&str> {
         self.read_keys.borrow_mut().insert(key.to_owned());
         let value = self.values.get(key).map(String::as_str).unwrap_or_default();
@@ -163,7 +171,7 @@
     }
 }
 
-/// Turns a missing key into a default value, and leaves an invalid value an error.
+/// Replaces a missing key by a default value. Other errors are returned unchanged.
 pub fn default_if_missing<T>(default: T) -> impl FnOnce(SettingsError) -> Result<T, SettingsError> {
     |error| match error {
         SettingsError::MissingKey(_) => Ok(default),
@@ -171,12 +179,13 @@
     }
 }
 
-/// Parses the settings of an instance.
+/// Parses the settings of a policy instance.
 ///
 /// # Errors
 ///
-/// [`SettingsError::MissingKey`] for an absent required key, [`SettingsError::InvalidValue`] for a value that cannot be
-/// parsed, is out of range or contradicts another.
+/// Returns [`SettingsError::MissingKey`] if a required key is missing and
+/// [`SettingsError::InvalidValue`] if a value cannot be parsed, is out of range or contradicts
+/// another setting.
 pub fn parse(values: &SettingValues) -> Result<BalancerSettings, SettingsError> {
     let node_count = node_count(values)?;
     let groups = values.flag("extra.groups").or_else(default_if_missing(false))?;
@@ -195,7 +204,8 @@
         gossip_allowed: values.flag("allowed.may_tell")?,
         weight_meaning: values.keyword("weights", &WEIGHT_WORDS, "silent, nominal, rough or live")?,
         servers_report_delay: values.flag("extra.tells_delay").or_else(default_if_missing(true))?,
-        // The balancer turns it on; in the simulator, where clients notice a stop at once, it costs more than it gains.
+        // The balancer enables it. In the simulator, clients notice at once when a server stops,
+        // and migrating them earlier costs more than it gains.
         migrate_from_draining: false,
         groups,
         group_load,
@@ -221,10 +231,10 @@
     })
 }
 
-/// The words of the key `discovery`, and whether the endpoint list has to be subscribed to.
+/// Keywords of the key `discovery`: whether the endpoint list has to be subscribed to.
 const DISCOVERY_WORDS: [(&str, bool); 2] = [("automatic", false), ("subscribe", true)];
 
-/// The words of the key `weights`.
+/// Keywords of the key `weights`.
 const WEIGHT_WORDS: [(&str, WeightMeaning); 4] = [
     ("silent", WeightMeaning::Ignored),
     ("nominal", WeightMeaning::NominalCapacity),
@@ -232,7 +242,7 @@
     ("live", WeightMeaning::LiveLoad),
 ];
 
-/// The words of the key `group` of a class.
+/// Keywords of the key `group` of a class.
 const DEDUP_SCOPE_WORDS: [(&str, DedupScope); 3] =
     [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
 
@@ -243,8 +253,8 @@
     }
 }
 
-/// A group load beside groups that are off is an error: somebody means connections to share work, and nothing would be
-/// done about it.
+/// Rejects a group load without `extra.groups`: whoever sets it expects connections to share work,
+/// but the setting would have no effect.
 fn group_load(values: &SettingValues, groups: bool) -> Result<f64, SettingsError> {
     let load = values.number("extra.group_load");
     match (groups, &load) {
@@ -275,7 +285,7 @@
     })
 }
 
-/// The tenants: none where no count is stated.
+/// Parses the tenants; there are none if the count is missing.
 fn tenants(values: &SettingValues) -> Result<Vec<TenantSettings>, SettingsError> {
     let count: u16 = values.read("tenants.count", "a whole number").or_else(default_if_missing(0))?;
     let number = |tenant: u16, field: &str| {
@@ -290,7 +300,8 @@
     (0..count).map(tenant).collect()
 }
 
-/// The retry budget: all three keys or none, as a part of them limits nothing.
+/// Parses the retry budget. The three keys must be set together, because a part of them limits
+/// nothing.
 fn retry_budget(values: &SettingValues) -> Result<Option<RetryBudget>, SettingsError> {
     let [min_retries, retry_ratio, window] =
         ["free_resends", "resend_ratio", "counted_over"].map(|key| format!("obligations.{key}"));
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -1,8 +1,9 @@
-//! The shadow mode: a second instance of the decisions, with other settings, is given every event of the active one,
-//! and counts where it would have active otherwise. It has no effects.
+//! Shadow mode: a second policy instance with other settings handles every event of the active
+//! instance and counts the decisions that would have differed. It has no effects.
 //!
-//! Its record follows what was really done, so that each difference counts for itself and not for all that follows.
-//! Both draw the same random numbers: with equal settings there is no difference.
+//! The shadow instance's load record follows the active instance's decisions, so that each
+//! difference is counted by itself and has no consequences for later decisions. Both instances use
+//! the same random numbers: with equal settings, there are no differences.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,31 +11,32 @@
 use crate::policy::Policy;
 use crate::types::{Action, BalancerSettings, Event, Micros, Request, RequestId, ServerId};
 
-/// How often the shadow instance would have active otherwise, by kind.
+/// Number of decisions of the shadow instance that differ from the active one, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Differences {
     /// Verdicts and migrations that were compared.
     pub decisions: u64,
-    /// It would have chosen another server.
+    /// Requests forwarded by both instances, but to different servers.
     pub different_server: u64,
-    /// It would have rejected, or failed, what was forwarded.
+    /// Requests that only the shadow instance would have rejected or failed.
     pub rejected: u64,
-    /// It would have forwarded what was rejected or failed.
+    /// Requests that only the shadow instance would have forwarded.
     pub forwarded: u64,
-    /// It would have migrated a connection that stayed.
+    /// Connections that only the shadow instance would have migrated.
     pub migrated: u64,
-    /// It would have left a connection where it was that was migrated.
+    /// Connections that the shadow instance would not have migrated.
     pub not_migrated: u64,
 }
 
 impl Differences {
-    /// All kinds together.
+    /// Returns the number of differences of all kinds.
     pub fn total(&self) -> u64 {
         self.different_server + self.rejected + self.forwarded + self.migrated + self.not_migrated
     }
 }
 
-/// The form in the log, whose field names operators' tools know.
+/// Formats the counts for the log. The field names are an external interface that operators' tools
+/// parse.
 impl fmt::Display for Differences {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Differences { decisions, different_server, rejected, forwarded, migrated, not_migrated } = self;
@@ -47,14 +49,15 @@
     }
 }
 
-/// The shadow instance.
+/// The shadow instance and its counts.
 pub struct Shadow {
     policy: Policy,
     actions: Vec<Action>,
     differences: Differences,
 }
 
-/// The server to which each answered request was forwarded; none where it was rejected or failed.
+/// Returns the server to which each answered request was forwarded; `None` if it was rejected or
+/// failed.
 fn verdicts(actions: &[Action]) -> BTreeMap<RequestId, Option<ServerId>> {
     let verdict = |action: &Action| match action {
         Action::Forward(id, server, _) => Some((*id, Some(*server))),
@@ -70,7 +73,7 @@
 }
 
 impl Shadow {
-    /// Creates an instance that holds nothing.
+    /// Creates a shadow instance without connections.
     pub fn new(settings: BalancerSettings, seed: u64, now: Micros) -> Self {
         Shadow {
             policy: Policy::new(settings, seed, now),
@@ -79,22 +82,23 @@
         }
     }
 
-    /// What was counted so far.
+    /// Returns the differences counted so far.
     pub fn differences(&self) -> Differences {
         self.differences
     }
 
-    /// Applies other settings to this instance.
+    /// Applies new settings to the shadow instance.
     pub fn apply_settings(&mut self, now: Micros, settings: BalancerSettings) {
         self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
     }
 
-    /// Takes over the random state of the active instance, before that one handles an event.
+    /// Copies the random state of the active instance. Must be called before the active instance
+    /// handles an event.
     pub fn copy_random_state(&mut self, active: &Policy) {
         self.policy.copy_random_state(active);
     }
 
-    /// Handles the event and compares with what the active instance did about it.
+    /// Handles an event and compares the resulting actions with those of the active instance.
     pub fn compare(&mut self, now: Micros, event: Event, active: &[Action]) {
         let request = self.request_of(&event);
         self.policy.handle(now, event, &mut self.actions);
@@ -103,7 +107,7 @@
         self.compare_migrations(&migrations(active), &migrations(&shadow));
     }
 
-    /// The request that an event may decide anew.
+    /// Returns the request that an event may place again.
     fn request_of(&self, event: &Event) -> Option<Request> {
         match event {
             Event::Request(request) => Some(*request),
@@ -122,8 +126,8 @@
         let counts = &mut self.differences;
         for (id, &server) in active {
             counts.decisions += 1;
-            let own_server = shadow.get(id).copied().flatten();
-            match (server, own_server) {
+            let shadow_server = shadow.get(id).copied().flatten();
+            match (server, shadow_server) {
                 (active, shadow) if active == shadow => continue,
                 (Some(_), Some(_)) => counts.different_server += 1,
                 (Some(_), None) => counts.rejected += 1,
