--- a/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
+++ b/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
@@ -1,4 +1,5 @@
-//! Any bytes, as they come and signed with the right key: decoded or rejected, and no harm done.
+//! Fuzz target: arbitrary bytes, unsigned and signed with a valid key, are decoded or rejected without a
+//! panic, and the member counts stay consistent.
 
 #![no_main]
 
--- a/crates/alderstile-cluster/src/authentication.rs
+++ b/crates/alderstile-cluster/src/authentication.rs
@@ -1,57 +1,59 @@
-//! Authentication of the cluster's datagrams: a fixed prefix in front, a truncated HMAC-SHA-256 behind.
+//! Authentication of the cluster's datagrams, by a fixed prefix and a truncated HMAC-SHA-256.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
-//! | 2 | the protocol's magic number |
-//! | 1 | the protocol's format version |
-//! | 1, n | the cluster's name with its length |
-//! | ... | the payload |
-//! | 16 | the first half of the HMAC-SHA-256 (RFC 2104, RFC 4868) of all before, by a key of the cluster |
+//! | 2 | magic number of the protocol |
+//! | 1 | format version of the protocol |
+//! | 1, n | length of the cluster's name, and the name |
+//! | ... | payload |
+//! | 16 | first half of the HMAC-SHA-256 (RFC 2104, RFC 4868) of all preceding bytes, by a cluster key |
 
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::Sha256;
 use thiserror::Error;
 
-/// The longest datagram: below what any path carries unfragmented (RFC 9000, section 14).
+/// The maximum length of a datagram, which every network path carries without fragmentation (RFC 9000,
+/// section 14).
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The shortest key: half of what HMAC-SHA-256 can use (RFC 2104, section 3).
+/// The minimum length of a key: half of the length that HMAC-SHA-256 can use (RFC 2104, section 3).
 pub const MIN_KEY_BYTES: usize = 16;
-/// The longest name of a cluster.
+/// The maximum length of a cluster's name.
 pub const MAX_CLUSTER_NAME_BYTES: usize = 40;
-/// The truncated MAC at the end of each datagram (RFC 4868, section 2.1.1).
+/// The length of the truncated MAC at the end of each datagram (RFC 4868, section 2.1.1).
 pub const MAC_BYTES: usize = 16;
 
-/// Why an [`Authenticator`] can't be made.
+/// The reason why an [`Authenticator`] cannot be created.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum AuthenticatorError {
-    /// The cluster's name is empty or too long.
-    #[error("a cluster name of 1 to {MAX_CLUSTER_NAME_BYTES} bytes is wanted")]
+    /// The cluster's name is empty or longer than [`MAX_CLUSTER_NAME_BYTES`].
+    #[error("invalid cluster name: expected 1 to {MAX_CLUSTER_NAME_BYTES} bytes")]
     ClusterNameLength,
-    /// There is no key.
-    #[error("at least one key is wanted")]
+    /// The list of keys is empty.
+    #[error("invalid keys: expected at least 1 key, found none")]
     NoKeys,
-    /// A key is too short.
-    #[error("keys of at least {MIN_KEY_BYTES} bytes are wanted")]
+    /// A key is shorter than [`MIN_KEY_BYTES`].
+    #[error("invalid key: expected at least {MIN_KEY_BYTES} bytes")]
     KeyTooShort,
 }
 
-/// Why a datagram is rejected.
+/// The reason why a datagram is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is of another cluster, or no key in force signed it.
-    #[error("not signed with a key of this cluster")]
+    /// The datagram belongs to another cluster, or no accepted key signed it.
+    #[error("datagram not signed with a key of this cluster")]
     Unauthenticated,
-    /// It is in no form that this program knows.
-    #[error("malformed")]
+    /// The datagram has an unknown magic number, an older format, or an invalid length or payload.
+    #[error("malformed datagram")]
     Malformed,
-    /// It is in a newer format.
-    #[error("in a newer format")]
+    /// The datagram is in a newer format than this program supports.
+    #[error("unsupported datagram format: newer than this program supports")]
     UnsupportedFormat,
 }
 
 /// Signs and verifies the datagrams of one protocol in one cluster.
 ///
-/// The first key signs and each of them is accepted, so that keys can be replaced while the cluster runs.
+/// The first key signs, and every key is accepted, so that a key can be replaced while the cluster is
+/// running.
 #[derive(Clone)]
 pub struct Authenticator {
     magic: [u8; 2],
@@ -61,10 +63,10 @@
 }
 
 impl Authenticator {
-    /// Datagrams of the protocol `magic` in this format, for the cluster with this name.
+    /// Creates an authenticator for the protocol `magic` in version `format`, in the cluster `cluster_name`.
     ///
     /// # Errors
-    /// The name or a key is out of bounds, or there is no key.
+    /// Returns an error if the length of the name or of a key is out of bounds, or if there is no key.
     pub fn new(
         magic: [u8; 2],
         format: u8,
@@ -87,12 +89,13 @@
         Ok(Authenticator { magic, format, prefix, keys })
     }
 
-    /// What each datagram begins with; the payload is appended to it before [`Authenticator::sign`].
+    /// Returns the bytes that every datagram begins with. The caller appends the payload and calls
+    /// [`Authenticator::sign`].
     pub fn prefix(&self) -> &[u8] {
         &self.prefix
     }
 
-    /// Appends the MAC of all bytes so far.
+    /// Appends the MAC of all bytes of `datagram`.
     pub fn sign(&self, datagram: &mut Vec<u8>) {
         if let Some(key) = self.keys.first() {
             let mut mac = key.clone();
@@ -101,17 +104,19 @@
         }
     }
 
-    /// Any bytes as a signed payload: what a faulty member that has the key could send.
+    /// Returns a datagram with an arbitrary payload and a valid MAC. Tests use it to simulate a faulty member
+    /// that has the key.
     pub fn sign_payload(&self, payload: &[u8]) -> Vec<u8> {
         let mut datagram = [&*self.prefix, payload].concat();
         self.sign(&mut datagram);
         datagram
     }
 
-    /// The payload of a datagram. Nothing of it may be used before this has passed.
+    /// Verifies a datagram and returns its payload. Callers must not use any byte of a datagram that has not
+    /// been verified.
     ///
     /// # Errors
-    /// It is malformed, in a newer format, or not signed with a key in force.
+    /// Returns an error if the datagram is malformed, in a newer format, or not signed by an accepted key.
     pub fn verify<'a>(&self, datagram: &'a [u8]) -> Result<&'a [u8], DecodeError> {
         let Some(([magic @ .., format], _)) = datagram.split_first_chunk::<3>() else {
             return Err(DecodeError::Malformed);
@@ -138,6 +143,6 @@
 fn is_signed_by(key: &Hmac<Sha256>, signed: &[u8], mac: &[u8]) -> bool {
     let mut expected = key.clone();
     expected.update(signed);
-    // Takes the same time wherever the two differ, so that a MAC can't be guessed byte by byte.
+    // The comparison takes constant time, so that an attacker cannot guess a MAC byte by byte.
     expected.verify_truncated_left(mac).is_ok()
 }
--- a/crates/alderstile-cluster/src/host_assignment/mod.rs
+++ b/crates/alderstile-cluster/src/host_assignment/mod.rs
@@ -1,7 +1,8 @@
-//! Host assignment: the endpoint list as one node's decisions see it where the cluster's nodes share the hosts out.
+//! Host assignment: turns the endpoint list into the list that one node's decisions use, by the node's
+//! subset.
 //!
-//! A host of this node's subset has the node's share of traffic as its weight; every other one is cordoned. Without
-//! subsetting a list passes as it is.
+//! A host of the subset has the node's share of traffic as its weight; every other host is cordoned. If
+//! subsetting is disabled, lists are passed on unchanged.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,37 +17,37 @@
 use traffic_level::ReportedLevel;
 pub use traffic_level::{TRAFFIC_METADATA_TAG, traffic_from_metadata, traffic_level};
 
-/// How hosts are assigned.
+/// Configuration of host assignment.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HostAssignmentConfig {
-    /// How subsets are chosen; none where each node uses all hosts.
+    /// Parameters of subsetting, or `None` if every node uses all hosts.
     pub subsetting: Option<SubsettingParams>,
-    /// How long a host that was added to a subset stays after it was last needed.
+    /// How long a host that was added to a subset stays after it was last needed, before jitter.
     pub added_host_retention: Micros,
-    /// A host that has started is warm after this.
+    /// The time from a host's start until it counts as warmed up.
     pub warm_up: Micros,
 }
 
-/// One node's assignment of hosts.
+/// The assignment of hosts to one node.
 #[derive(Debug)]
 pub struct HostAssignment {
     config: HostAssignmentConfig,
     node: SubsetNode,
     other_nodes: Vec<SubsetNode>,
     subset: Option<NodeSubset>,
-    /// Weights in the list are capacities; hosts count alike otherwise.
+    /// Whether the weights in the list are capacities; otherwise all hosts have the same capacity.
     weights_are_capacities: bool,
     reported_level: ReportedLevel,
-    /// The list as it came.
+    /// The endpoints as received from discovery.
     listed: BTreeMap<ServerId, Endpoint>,
-    /// The list as the decisions see it.
+    /// The endpoints as the decisions see them.
     assigned: BTreeMap<ServerId, Endpoint>,
-    /// Members or hosts have changed since the subset was worked out.
+    /// Whether members or hosts have changed since the subset was computed.
     is_subset_outdated: bool,
 }
 
 impl HostAssignment {
-    /// A node that knows no other node and no host yet.
+    /// Creates the assignment of a node that knows no other node and no host.
     pub fn new(config: HostAssignmentConfig, node: SubsetNode, weights_are_capacities: bool) -> Self {
         let retention = config.added_host_retention;
         let subset = config.subsetting.map(|params| NodeSubset::new(params, node.clone(), retention));
@@ -63,19 +64,20 @@
         }
     }
 
-    /// Whether lists are changed at all.
+    /// Whether subsetting is enabled, so that lists are changed.
     pub fn is_enabled(&self) -> bool {
         self.subset.is_some()
     }
 
-    /// Takes in the other nodes, as the members' view has them.
+    /// Sets the other nodes of the cluster, as the membership view lists them.
     pub fn set_nodes(&mut self, other_nodes: Vec<SubsetNode>) {
         self.is_subset_outdated |= self.other_nodes != other_nodes;
         self.other_nodes = other_nodes;
     }
 
-    /// Takes in a list as it came, and returns it as the decisions are to see it. A host that is new is cordoned until
-    /// [`HostAssignment::refresh`], which is due at once where [`HostAssignment::has_no_ready_host`].
+    /// Applies a list from discovery and returns it as the decisions are to see it. A new host is cordoned
+    /// until the next [`HostAssignment::refresh`], which the caller must run at once if
+    /// [`HostAssignment::has_no_ready_host`] is true.
     pub fn apply_list(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) -> Vec<Endpoint> {
         if !self.is_enabled() {
             return entries;
@@ -90,12 +92,13 @@
         entries
     }
 
-    /// Whether no host may receive new work: every request would be rejected.
+    /// Whether no host may receive new work, so that every request would be rejected.
     pub fn has_no_ready_host(&self) -> bool {
         self.is_enabled() && !self.assigned.values().any(Endpoint::ready)
     }
 
-    /// The metadata that states this node's traffic to other members, where that has changed by enough.
+    /// Returns the metadata that reports this node's traffic to other members, if the traffic has changed
+    /// enough. `connections` is the current number of connections.
     pub fn traffic_report(&mut self, now: Micros, connections: usize) -> Option<[u8; 1]> {
         if !self.is_enabled() {
             return None;
@@ -106,31 +109,32 @@
         Some(report)
     }
 
-    /// Brings the list up to date with the members, the hosts and those that this node can't reach; returns what has changed. To
-    /// be called about once a second.
+    /// Updates the assignment to the current members, hosts and `unreachable` hosts, and returns the
+    /// endpoints that changed. It must be called about once per second.
     pub fn refresh(&mut self, now: Micros, unreachable: &BTreeSet<ServerId>) -> Vec<Endpoint> {
         self.refresh_with(now, unreachable, node_shares)
     }
 
-    /// The same, with rows of the table from elsewhere: many nodes of one process share them.
+    /// Does the same as [`HostAssignment::refresh`], with the node's shares from `share_fn`: simulated
+    /// nodes in one process share one table.
     pub fn refresh_with(
         &mut self,
         now: Micros,
         unreachable: &BTreeSet<ServerId>,
-        compute_shares: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
+        share_fn: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
     ) -> Vec<Endpoint> {
         if std::mem::take(&mut self.is_subset_outdated) {
-            self.update_subset(compute_shares);
+            self.update_subset(share_fn);
         }
         self.update_assigned(now, unreachable)
     }
 
-    /// How many hosts the subset has; none without subsetting.
+    /// Returns the number of hosts in the subset, or `None` if subsetting is disabled.
     pub fn counts(&self) -> Option<SubsetCounts> {
         self.subset.as_ref().map(NodeSubset::counts)
     }
 
-    /// Hosts that may receive new work, as the list has them.
+    /// Returns the listed hosts that may receive new work.
     fn ready_hosts(&self) -> Vec<SubsetHost> {
         let host = |entry: &Endpoint| SubsetHost {
             id: entry.id,
@@ -154,7 +158,7 @@
         }
     }
 
-    /// A listed entry as it was last assigned; one that is new is cordoned.
+    /// Returns a listed entry with its last assignment; a new entry is cordoned.
     fn with_last_assignment(&self, entry: Endpoint) -> Endpoint {
         if !entry.ready() {
             return entry;
@@ -167,7 +171,7 @@
 
     fn update_subset(
         &mut self,
-        compute_shares: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
+        share_fn: impl FnOnce(SubsettingParams, &SubsetNode, &[SubsetNode], &[SubsetHost]) -> TrafficShares,
     ) {
         let hosts = self.ready_hosts();
         let (Some(subset), Some(params)) = (&mut self.subset, self.config.subsetting) else { return };
@@ -175,10 +179,10 @@
         nodes.push(self.node.clone());
         fill_unknown_traffic(&mut nodes);
         let Some(node) = nodes.pop() else { return };
-        subset.update_shares(compute_shares(params, &node, &nodes, &hosts), &hosts);
+        subset.update_shares(share_fn(params, &node, &nodes, &hosts), &hosts);
     }
 
-    /// Assigns the hosts anew; returns the entries that have changed.
+    /// Recomputes the assignment and returns the endpoints that changed.
     fn update_assigned(&mut self, now: Micros, unreachable: &BTreeSet<ServerId>) -> Vec<Endpoint> {
         let warming_up = self.warming_up_hosts(now);
         let Some(subset) = &mut self.subset else { return Vec::new() };
@@ -192,7 +196,8 @@
             let last = self.assigned.get(&id);
             let assigned = match host_use {
                 HostUse::Assigned(share) => Endpoint {
-                    // Weights of one in the mean: the decisions count in usual connections.
+                    // The mean weight is 1, because the decisions count in connections of a host with weight
+                    // 1.
                     weight: share * used_hosts,
                     joined: joined_at(last, had_ready_host, now),
                     ..*entry
@@ -207,7 +212,7 @@
         changed
     }
 
-    /// Hosts that get their share and no more.
+    /// Returns the hosts that are warming up: they receive no more than their share.
     fn warming_up_hosts(&self, now: Micros) -> BTreeSet<ServerId> {
         let is_warming_up =
             |entry: &&Endpoint| entry.started.is_some_and(|started| now < started + self.config.warm_up);
@@ -215,7 +220,8 @@
     }
 }
 
-/// When a used host joined the subset. One that comes to a subset in use is filled gradually: the decisions start it slowly.
+/// Returns when a used host joined the subset. If the subset was already in use, a new host gets the current
+/// time, so that the decisions warm it up gradually.
 fn joined_at(last: Option<&Endpoint>, subset_in_use: bool, now: Micros) -> Option<Micros> {
     let was_used = last.is_some_and(Endpoint::ready);
     if was_used || !subset_in_use { last.and_then(|last| last.joined) } else { Some(now) }
@@ -225,7 +231,7 @@
     (last.state, last.weight, last.started) == (new.state, new.weight, new.started)
 }
 
-/// Nodes that have not stated their traffic count at the mean of the others.
+/// Sets the traffic of nodes that have not reported any to the mean of the others.
 fn fill_unknown_traffic(nodes: &mut [SubsetNode]) {
     let known: Vec<f64> = nodes.iter().map(|node| node.traffic).filter(|traffic| *traffic > 0.0).collect();
     let mean = if known.is_empty() { 1.0 } else { known.iter().sum::<f64>() / known.len() as f64 };
--- a/crates/alderstile-cluster/src/membership/anti_entropy.rs
+++ b/crates/alderstile-cluster/src/membership/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: members copy one another's view page by page, which makes up for gossip that was lost.
+//! Anti-entropy: members copy one another's view page by page, to recover updates that gossip lost.
 
 use super::Membership;
 use super::codec::page_entry_bytes;
@@ -7,19 +7,19 @@
 use super::record::{InstanceId, MemberRecord};
 use crate::authentication::MAX_DATAGRAM_BYTES;
 
-/// A page of another member's view is requested each so many periods.
+/// The number of periods between two requests for a page of another member's view.
 pub(super) const SYNC_INTERVAL_PERIODS: u64 = 10;
-/// Pages that a member requests in a period while it has not seen a whole view yet.
+/// The maximum number of pages that a member requests per period until it has copied a complete view.
 const MAX_REQUESTS_PER_PERIOD: u32 = 8;
-/// More members than fit on a page, by the shortest record.
+/// An upper bound on the members that fit on a page, by the shortest record.
 const MAX_PAGE_ENTRIES: usize = MAX_DATAGRAM_BYTES / 32;
 
-/// How far this member has copied others' views.
+/// The progress of copying other members' views.
 pub(super) struct AntiEntropy {
     remaining_requests: u32,
-    /// The next page to request begins behind this instance.
+    /// The last instance of the previous page; the next page starts after it.
     after: InstanceId,
-    /// The pages have reached the end of a view once.
+    /// Whether the pages have reached the end of a view at least once.
     complete: bool,
 }
 
@@ -50,14 +50,14 @@
         is_allowed
     }
 
-    /// The view's end was reached: the next page is the first again.
+    /// Starts again with the first page, after the end of the view was reached.
     fn finish_pass(&mut self) {
         (self.after, self.complete) = (InstanceId::default(), true);
     }
 }
 
 impl Membership {
-    /// Requests the next page from a random peer.
+    /// Requests the next page from a random alive peer.
     pub(super) fn request_sync_page(&mut self) {
         if !self.anti_entropy.try_take_request() {
             return;
@@ -68,8 +68,8 @@
         }
     }
 
-    /// As many members as fit, by rising instances behind this one, then from the first on: a page costs the same however many
-    /// members there are.
+    /// Returns a page with as many members as fit: those after `after` in instance order, then those from the
+    /// first one on. The cost of a page does not depend on the number of members.
     pub(super) fn sync_page(&self, after: InstanceId) -> Message {
         let (following, preceding) = self.page_candidates(after);
         let following_count = following.len();
@@ -86,7 +86,8 @@
         Message::SyncPage { is_last: members.len() >= following_count, members }
     }
 
-    /// Members behind an instance, and those up to it, this one among them; more than fit on a page of each.
+    /// Returns the members after an instance and those up to it, both including the local member where it
+    /// belongs. Each list is longer than what fits on a page, or complete.
     fn page_candidates(&self, after: InstanceId) -> (Vec<PageEntry>, Vec<PageEntry>) {
         let next = InstanceId(after.0.saturating_add(1));
         let mut following: Vec<PageEntry> =
@@ -119,7 +120,7 @@
         match state {
             MemberState::Alive => self.apply_update(MemberUpdate::Alive(record)),
             MemberState::Left => self.apply_update(MemberUpdate::Left { instance, incarnation }),
-            // An old statement: the member has time to refute it.
+            // The state may be outdated, so the member is suspected and has time to refute it.
             MemberState::Suspect | MemberState::Dead if self.peers.get(instance).is_some() => {
                 self.apply_update(MemberUpdate::Suspect { instance, incarnation, reporter: sender });
             }
--- a/crates/alderstile-cluster/src/membership/codec/decode.rs
+++ b/crates/alderstile-cluster/src/membership/codec/decode.rs
@@ -1,4 +1,4 @@
-//! From the payload of a datagram to its parts.
+//! Decodes the payload of a datagram.
 
 use std::net::SocketAddr;
 
@@ -105,7 +105,7 @@
     std::str::from_utf8(bytes).map(Box::from).or_else(|_| malformed())
 }
 
-/// Bytes behind their length.
+/// Decodes bytes that follow their length.
 fn length_prefixed<'a>(max_bytes: usize, input: &mut &'a [u8]) -> Parsed<&'a [u8]> {
     length_take(u8).verify(|bytes: &&[u8]| bytes.len() <= max_bytes).parse_next(input)
 }
--- a/crates/alderstile-cluster/src/membership/codec/encode.rs
+++ b/crates/alderstile-cluster/src/membership/codec/encode.rs
@@ -1,4 +1,4 @@
-//! From the parts of a datagram to its bytes.
+//! Encodes the payload of a datagram.
 
 use std::net::{IpAddr, SocketAddr};
 
@@ -7,7 +7,7 @@
 use crate::membership::peer::MemberState;
 use crate::membership::record::MemberRecord;
 
-/// The bytes that a member takes on a sync page.
+/// Returns the encoded size of a member on a sync page.
 pub fn page_entry_bytes(record: &MemberRecord) -> usize {
     let mut bytes = Vec::new();
     put_page_entry(&mut bytes, MemberState::Alive, record);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Appends as many updates as fit, behind their number; returns that number.
+/// Appends the number of updates that fit and those updates, and returns the number.
 pub fn put_updates(bytes: &mut Vec<u8>, updates: &[&MemberUpdate]) -> usize {
     let count_index = bytes.len();
     bytes.push(0);
@@ -120,7 +120,8 @@
     bytes.extend(address.port().to_le_bytes());
 }
 
-/// Bytes behind their length, which fits into one byte: records are validated where they are made.
+/// Appends bytes after their length. The length fits into one byte, because records are validated when
+/// created.
 fn put_length_prefixed(bytes: &mut Vec<u8>, value: &[u8]) {
     bytes.push(value.len() as u8);
     bytes.extend(value);
--- a/crates/alderstile-cluster/src/membership/codec/mod.rs
+++ b/crates/alderstile-cluster/src/membership/codec/mod.rs
@@ -1,16 +1,16 @@
-//! Encoding of the members' datagrams, format 1.
+//! The codec of the membership datagrams, format 1.
 //!
-//! | bytes | what |
+//! | bytes | content |
 //! | --- | --- |
 //! | 2 | `AM` |
-//! | 1 | the format |
-//! | 1, n | the cluster's name with its length |
+//! | 1 | format |
+//! | 1, n | length of the cluster's name, and the name |
 //! | 8 | the sender's instance |
-//! | 8 | the receiver's instance as the sender knows it, 0 if it doesn't |
-//! | 8 | the sender's number of this datagram, from 1 on |
-//! | 1 | the kind of message, then what that kind holds |
-//! | 1, ... | updates: their number, then each |
-//! | 16 | the MAC of all before ([`crate::authentication`]) |
+//! | 8 | the receiver's instance, or 0 if the sender does not know it |
+//! | 8 | sequence number of the datagram, starting at 1 |
+//! | 1, ... | kind of message, and the fields of that kind |
+//! | 1, ... | number of updates, and the updates |
+//! | 16 | MAC of all preceding bytes ([`crate::authentication`]) |
 //!
 //! Numbers are little-endian. Nothing is parsed before the MAC has been verified.
 
@@ -28,23 +28,24 @@
 const FORMAT: u8 = 1;
 /// Sender, receiver and sequence number.
 const HEADER_BYTES: usize = 3 * 8;
-/// The bytes of a sync page beside its members: the message's kind, whether it is the last, how many, how many updates.
+/// The size of a sync page without its members: kind of message, whether it is the last page, number of
+/// members, number of updates.
 const PAGE_OVERHEAD_BYTES: usize = 4;
 
-/// Encodes and decodes the datagrams of one cluster's members.
+/// Encodes and decodes the membership datagrams of one cluster.
 #[derive(Clone)]
 pub struct DatagramCodec(Authenticator);
 
 impl DatagramCodec {
-    /// The datagrams of the cluster with this name; the first key signs, each of them is accepted.
+    /// Creates the codec of the cluster with this name. The first key signs; every key is accepted.
     ///
     /// # Errors
-    /// The name or a key is out of bounds, or there is no key.
-    pub fn new(cluster: &str, keys: &[Vec<u8>]) -> Result<Self, AuthenticatorError> {
-        Authenticator::new(MAGIC, FORMAT, cluster, keys).map(DatagramCodec)
+    /// Returns an error if the length of the name or of a key is out of bounds, or if there is no key.
+    pub fn new(cluster_name: &str, keys: &[Vec<u8>]) -> Result<Self, AuthenticatorError> {
+        Authenticator::new(MAGIC, FORMAT, cluster_name, keys).map(DatagramCodec)
     }
 
-    /// Encodes a datagram with as many of the updates as fit; returns how many do.
+    /// Encodes a datagram with as many of the updates as fit, and returns it with the number of updates.
     pub fn encode(
         &self,
         header: DatagramHeader,
@@ -59,20 +60,21 @@
         (bytes, written)
     }
 
-    /// Decodes a datagram after its MAC has been verified.
+    /// Verifies the MAC of a datagram and decodes it.
     ///
     /// # Errors
-    /// It is malformed, in a newer format, or not signed with a key in force.
+    /// Returns an error if the datagram is malformed, in a newer format, or not signed by an accepted key.
     pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, DecodeError> {
         decode::datagram.parse(self.0.verify(bytes)?).map_err(|_| DecodeError::Malformed)
     }
 
-    /// Any bytes as a signed payload: what a faulty member that has the key could send.
+    /// Returns a datagram with an arbitrary payload and a valid MAC. Tests use it to simulate a faulty member
+    /// that has the key.
     pub fn sign_payload(&self, payload: &[u8]) -> Vec<u8> {
         self.0.sign_payload(payload)
     }
 
-    /// The bytes that members may take on a sync page.
+    /// Returns the number of bytes available to members on a sync page.
     pub fn page_capacity(&self) -> usize {
         MAX_DATAGRAM_BYTES - self.0.prefix().len() - HEADER_BYTES - PAGE_OVERHEAD_BYTES - MAC_BYTES
     }
--- a/crates/alderstile-cluster/src/membership/config.rs
+++ b/crates/alderstile-cluster/src/membership/config.rs
@@ -2,23 +2,26 @@
 
 use alderstile::types::Micros;
 
-/// How a member takes part in the protocol.
+/// The protocol parameters of one member.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipConfig {
-    /// The protocol period (SWIM section 3.1; the paper's T'). A round trip has to fit into a quarter of it.
+    /// The protocol period (SWIM section 3.1; T' in the paper). A round trip must fit into a quarter of it.
     pub period: Micros,
-    /// The shortest suspicion timeout, in periods for each power of ten of the members' number (Lifeguard's alpha).
+    /// The minimum suspicion timeout, in periods per factor of ten in the number of members (Lifeguard's
+    /// alpha).
     pub suspicion_multiplier: f64,
-    /// Datagrams that this member sends in a period at most: what comes can't make it flood the network.
+    /// The maximum number of datagrams that this member sends per period, so that received datagrams cannot
+    /// make it flood the network.
     pub max_datagrams_per_period: u32,
-    /// How long the dead and those that left are remembered, and the dead probed for whether they are back.
+    /// How long dead members and members that left are remembered, and dead members probed for recovery.
     pub dead_retention: Micros,
-    /// Whether a member slows its probes down when they fail (Lifeguard section IV-A). Without, this is plain SWIM.
+    /// Whether a member slows down its probes when they fail (Lifeguard section IV-A). Without it, the
+    /// protocol is plain SWIM.
     pub local_health: bool,
 }
 
 impl MembershipConfig {
-    /// Usual settings with this period.
+    /// Returns the default configuration with the given period.
     pub fn with_period(period: Micros) -> Self {
         MembershipConfig {
             period,
@@ -29,7 +32,7 @@
         }
     }
 
-    /// The shortest suspicion timeout among so many members.
+    /// Returns the minimum suspicion timeout in a cluster with this number of members.
     pub fn min_suspicion_timeout(&self, members: usize) -> Micros {
         self.period.scale(self.suspicion_multiplier * (members as f64).log10().max(1.0))
     }
--- a/crates/alderstile-cluster/src/membership/datagram.rs
+++ b/crates/alderstile-cluster/src/membership/datagram.rs
@@ -1,114 +1,114 @@
-//! The parts of a datagram: header, message, and the updates that are piggybacked on it.
+//! The parts of a datagram: its header, its message, and the updates piggybacked on it.
 
 use std::net::SocketAddr;
 
 use super::peer::MemberState;
 use super::record::{InstanceId, MemberRecord};
 
-/// One datagram.
+/// A decoded datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// Who sent it to whom.
+    /// Sender, receiver and sequence number.
     pub header: DatagramHeader,
-    /// What it asks or answers.
+    /// The request or response.
     pub message: Message,
-    /// Gossip that is piggybacked on it (SWIM section 4.1).
+    /// Gossip piggybacked on the message (SWIM section 4.1).
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Who sent a datagram to whom.
+/// The header of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatagramHeader {
     /// The sender's instance.
     pub sender: InstanceId,
-    /// The receiver's instance as the sender knows it; the default one if it doesn't.
+    /// The receiver's instance if the sender knows it, otherwise the default one.
     pub receiver: InstanceId,
-    /// The sender's number of this datagram, from 1 on.
+    /// The sequence number that the sender gave to this datagram, starting at 1.
     pub sequence: u64,
 }
 
-/// What a datagram asks or answers.
+/// The request or response that a datagram carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// Answer with [`Message::Ack`].
+    /// Requests a [`Message::Ack`].
     Ping {
-        /// Repeated by the answer.
+        /// The nonce that the response repeats.
         nonce: u64,
         /// The sender's own record.
         record: MemberRecord,
     },
-    /// The one that was pinged is alive.
+    /// Confirms that the pinged member is alive.
     Ack {
-        /// Of the ping or ping request.
+        /// The nonce of the ping or ping request.
         nonce: u64,
     },
-    /// Ping another member for the sender (SWIM section 3.1's ping-req).
+    /// Requests a ping of another member on behalf of the sender (ping-req in SWIM section 3.1).
     PingRequest {
-        /// Repeated by the answer.
+        /// The nonce that the response repeats.
         nonce: u64,
-        /// Whom to ping.
+        /// The member to ping.
         target: InstanceId,
-        /// Its address.
+        /// The address of the member to ping.
         address: SocketAddr,
     },
-    /// The target of a ping request has not answered so far (Lifeguard section IV-A).
+    /// Reports that the target of a ping request has not answered yet (Lifeguard section IV-A).
     Nack {
-        /// Of the ping request.
+        /// The nonce of the ping request.
         nonce: u64,
     },
-    /// A datagram came for another instance, or for none: this one is here.
+    /// Identifies the instance at an address, in reply to a datagram for another instance or for none.
     Identify {
         /// The sender's own record.
         record: MemberRecord,
     },
-    /// Answer with the next page of the view.
+    /// Requests the next page of the receiver's view.
     SyncRequest {
-        /// The page begins behind this instance.
+        /// The page starts after this instance.
         after: InstanceId,
         /// The sender's own record.
         record: MemberRecord,
     },
-    /// A part of the sender's view, by rising instances.
+    /// A part of the sender's view, in instance order.
     SyncPage {
-        /// The page reaches the end of the view.
+        /// Whether the page reaches the end of the view.
         is_last: bool,
-        /// The members as the sender sees them.
+        /// The members, with their state in the sender's view.
         members: Vec<(MemberState, MemberRecord)>,
     },
 }
 
-/// What is known of a member, as members gossip it.
+/// An update about a member, disseminated by gossip.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberUpdate {
-    /// The member's own statement.
+    /// The member is alive and published this record.
     Alive(MemberRecord),
-    /// It did not answer.
+    /// The member did not answer a probe.
     Suspect {
         /// The member.
         instance: InstanceId,
         /// The incarnation that did not answer.
         incarnation: u64,
-        /// Whom it did not answer.
+        /// The member whose probe was not answered.
         reporter: InstanceId,
     },
-    /// It did not refute the suspicion in time.
+    /// The member did not refute a suspicion in time.
     Dead {
         /// The member.
         instance: InstanceId,
         /// The incarnation that was suspected.
         incarnation: u64,
     },
-    /// It left on its own account.
+    /// The member left the cluster voluntarily.
     Left {
         /// The member.
         instance: InstanceId,
-        /// Its last incarnation.
+        /// The member's last incarnation.
         incarnation: u64,
     },
 }
 
 impl MemberUpdate {
-    /// The member it is about.
+    /// Returns the member that the update is about.
     pub fn instance(&self) -> InstanceId {
         match self {
             MemberUpdate::Alive(record) => record.instance,
--- a/crates/alderstile-cluster/src/membership/effect.rs
+++ b/crates/alderstile-cluster/src/membership/effect.rs
@@ -1,4 +1,4 @@
-//! Effects: what a call of the core wants done, as it has no I/O of its own.
+//! Effects: the actions that a call of the state machine requests from its caller, which does the I/O.
 
 use std::net::SocketAddr;
 
@@ -6,41 +6,41 @@
 
 use super::record::InstanceId;
 
-/// What the caller has to do after a call of the core.
+/// An action for the caller to perform after a call of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipEffect {
-    /// Send these bytes there.
+    /// Sends a datagram.
     Send {
         /// The receiver's address.
         to: SocketAddr,
-        /// The bytes.
+        /// The bytes to send.
         datagram: Vec<u8>,
     },
-    /// The view has changed.
+    /// Reports a change of the membership view.
     Changed(MembershipChange),
 }
 
-/// A change of the view, for logs and counters.
+/// A change of the membership view, for logs and counters.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipChange {
-    /// An instance was not known before.
+    /// A new instance became known.
     Joined(InstanceId),
-    /// A member did not answer.
+    /// A member did not answer a probe.
     Suspected(InstanceId),
-    /// One that was suspected or dead is alive.
+    /// A suspected or dead member is alive.
     Recovered(InstanceId),
     /// A member is dead.
     Died(InstanceId),
-    /// A member has left on its own account.
+    /// A member left the cluster voluntarily.
     Left(InstanceId),
-    /// Another instance answers at a member's address: the one before has ended.
+    /// Another instance answers at a member's address, so the earlier instance has ended.
     Replaced(InstanceId),
-    /// Two live instances at different addresses have one name; neither is believed over the other.
+    /// Two live instances at different addresses use the same name. Neither takes precedence.
     NameConflict(Box<str>),
-    /// One of them at most is left.
+    /// At most one live instance still uses the name.
     NameConflictResolved(Box<str>),
-    /// This process was suspected or dead to others, and has refuted it.
+    /// Other members considered this process suspect or dead, and it has refuted that.
     Refuted,
-    /// This process was not scheduled for that long.
+    /// This process was not scheduled for the given time.
     Stalled(Micros),
 }
--- a/crates/alderstile-cluster/src/membership/gossip.rs
+++ b/crates/alderstile-cluster/src/membership/gossip.rs
@@ -5,16 +5,17 @@
 use super::datagram::MemberUpdate;
 use super::record::InstanceId;
 
-/// An update is sent this many times the logarithm to base 2 of the members' number (SWIM section 4.1's lambda): fewer, and
-/// some members never hear of it.
+/// The number of transmissions of an update per doubling of the number of members (lambda in SWIM section
+/// 4.1). With fewer, some members never receive the update.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 
-/// How often one member sends an update among so many members.
+/// Returns how many times one member sends an update in a cluster with this number of members.
 pub fn retransmit_limit(members: usize) -> u32 {
     RETRANSMIT_MULTIPLIER * (usize::BITS - members.leading_zeros())
 }
 
-/// Updates to send, one about each member at most, but for suspicions by different reporters.
+/// The updates to send. The queue holds at most one update per member, except suspicions by different
+/// reporters.
 #[derive(Debug, Default)]
 pub struct GossipQueue(Vec<QueuedUpdate>);
 
@@ -25,14 +26,15 @@
 }
 
 impl GossipQueue {
-    /// Queues an update in place of those about the same member that it supersedes. Suspicions by different reporters stand
-    /// side by side: they confirm each other (Lifeguard section IV-B).
+    /// Queues an update and removes the updates about the same member that it supersedes. Suspicions by
+    /// different reporters are kept, because they confirm each other (Lifeguard section IV-B).
     pub fn push(&mut self, update: MemberUpdate) {
         self.0.retain(|queued| !supersedes(&update, &queued.update));
         self.0.push(QueuedUpdate { transmissions: 0, update });
     }
 
-    /// The places of the updates to send now: the least sent first, of equals the newest.
+    /// Returns the indices of the updates to send next: the least often sent first, the newest first among
+    /// equals.
     pub fn select(&self, limit: usize) -> Vec<usize> {
         let mut indices: Vec<usize> = (0..self.0.len()).collect();
         indices.sort_by_key(|&index| (self.0[index].transmissions, Reverse(index)));
@@ -40,12 +42,13 @@
         indices
     }
 
-    /// The updates at places that [`GossipQueue::select`] gave.
+    /// Returns the updates at indices returned by [`GossipQueue::select`].
     pub fn updates_at<'a>(&'a self, indices: &'a [usize]) -> impl Iterator<Item = &'a MemberUpdate> {
         indices.iter().filter_map(|&index| self.0.get(index)).map(|queued| &queued.update)
     }
 
-    /// Counts a transmission of the updates at these places, and drops those that have reached the limit.
+    /// Counts a transmission of the updates at these indices, and removes all updates that have reached the
+    /// limit.
     pub fn mark_sent(&mut self, indices: &[usize], limit: u32) {
         for &index in indices {
             if let Some(queued) = self.0.get_mut(index) {
@@ -55,7 +58,7 @@
         self.0.retain(|queued| queued.transmissions < limit);
     }
 
-    /// Drops all updates about a member.
+    /// Removes all updates about a member.
     pub fn remove(&mut self, instance: InstanceId) {
         self.0.retain(|queued| queued.update.instance() != instance);
     }
--- a/crates/alderstile-cluster/src/membership/indirect_probe.rs
+++ b/crates/alderstile-cluster/src/membership/indirect_probe.rs
@@ -1,4 +1,5 @@
-//! Indirect probes: pings that members send for one another, past a broken path (SWIM section 3.1).
+//! Indirect probes: pings that members send on behalf of one another, to bypass a broken network path (SWIM
+//! section 3.1).
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,20 +12,20 @@
 use super::peer::MemberState;
 use super::record::InstanceId;
 
-/// Others that are asked to ping a peer that has not answered (SWIM section 3.1; the paper's k).
+/// The number of members that are asked to ping a peer that has not answered (k in SWIM section 3.1).
 pub(super) const INDIRECT_PROBES: usize = 3;
-/// A member that was asked sends a nack at this part of a period without an answer (Lifeguard section IV-A).
+/// The delay after which a member that relays a ping sends a nack, in periods (Lifeguard section IV-A).
 const NACK_DELAY_PERIODS: f64 = 0.2;
-/// Relayed pings that wait at once: a member can't be made to store what it is asked.
+/// The maximum number of pending relayed pings, so that requests cannot make a member use unbounded memory.
 const MAX_RELAYED_PINGS: usize = 64;
 
-/// A ping that was sent for another member.
+/// A ping sent on behalf of another member.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct RelayedPing {
     nonce: u64,
     requester: InstanceId,
     requester_nonce: u64,
-    /// When a nack is due; none once it was sent.
+    /// When to send a nack, or `None` once it was sent.
     nack_at: Option<Micros>,
     expires_at: Micros,
 }
@@ -36,7 +37,7 @@
 }
 
 impl Membership {
-    /// Asks so many others to ping a peer for this member; returns how many were asked.
+    /// Asks up to `count` members to ping a peer on behalf of this one, and returns how many were asked.
     pub(super) fn request_pings(&mut self, count: usize, target: InstanceId, nonce: u64) -> u32 {
         let Some(address) = self.peers.get(target).map(|peer| peer.record.address) else { return 0 };
         let relays = self.random_alive_peers(count, target);
@@ -46,13 +47,13 @@
         relays.len() as u32
     }
 
-    /// So many alive peers at random, but not that one; by rising instances.
+    /// Returns up to `count` alive peers other than `excluded`, chosen at random, in instance order.
     pub(super) fn random_alive_peers(&mut self, count: usize, excluded: InstanceId) -> Vec<InstanceId> {
         let alive = self.peers.iter().filter(|(_, peer)| peer.state == MemberState::Alive);
         let alive: Vec<InstanceId> =
             alive.map(|(instance, _)| instance).filter(|instance| *instance != excluded).collect();
         let mut sample = BTreeSet::new();
-        // Few of many: drawing again is cheaper than shuffling all.
+        // Few peers are chosen from many: repeating a draw is cheaper than shuffling all of them.
         for _ in 0..4 * count {
             if sample.len() < count.min(alive.len()) {
                 sample.insert(alive[self.rng.random_range(0..alive.len())]);
@@ -79,7 +80,7 @@
         self.send_to(address, target, &Message::Ping { nonce, record });
     }
 
-    /// The target of a relayed ping has answered: passes that on.
+    /// Forwards the ack of a relayed ping to the member that requested it.
     pub(super) fn relay_ack(&mut self, nonce: u64) {
         let Some(index) = self.relayed_pings.iter().position(|relayed| relayed.nonce == nonce) else {
             return;
--- a/crates/alderstile-cluster/src/membership/join.rs
+++ b/crates/alderstile-cluster/src/membership/join.rs
@@ -1,4 +1,4 @@
-//! Joining: a member contacts its seeds while one of them is unknown.
+//! Joining: a member contacts its seeds for as long as one of them is missing from its view.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -11,22 +11,23 @@
 use super::datagram::Message;
 use super::record::InstanceId;
 
-/// A member contacts a seed that is missing after so many periods at most, however many members there are.
+/// The maximum interval between contacts of missing seeds, in periods, for clusters of any size.
 const MAX_CONTACT_INTERVAL_PERIODS: f64 = 10.0;
-/// A member that knows nobody backs off to so many periods.
+/// The maximum interval between contacts of seeds by a member that knows no live peer, in periods.
 const MAX_ALONE_BACKOFF_PERIODS: u64 = 8;
-/// Its backoff grows by a period each so many periods.
+/// The number of periods without live peers after which that interval grows by one period.
 const ALONE_BACKOFF_STEP_PERIODS: u64 = 4;
 
-/// The seeds, and when one was contacted last.
+/// The seeds, and when one was last contacted.
 pub(super) struct SeedContact {
     addresses: Vec<SocketAddr>,
-    /// The place of the seed to contact next.
+    /// The index of the seed to contact next.
     next_index: usize,
-    /// When a seed was contacted; none while no seed is missing.
+    /// When a seed was last contacted, or `None` while no seed is missing.
     last_contact_at: Option<Micros>,
     periods_alone: u64,
-    /// The part of the backoff to wait this time, so that members that start together don't contact together.
+    /// The fraction of the backoff to wait this time. It keeps members that start together from contacting a
+    /// seed at the same time.
     jitter: f64,
 }
 
@@ -37,7 +38,7 @@
         SeedContact { addresses, next_index, last_contact_at: None, periods_alone: 0, jitter: 1.0 }
     }
 
-    /// The place of the next seed, in turn, that is missing.
+    /// Returns the index of the next missing seed, in turn.
     fn next_missing(&self, is_missing: impl Fn(SocketAddr) -> bool) -> Option<usize> {
         let seed_count = self.addresses.len();
         (0..seed_count)
@@ -47,7 +48,8 @@
 }
 
 impl Membership {
-    /// Contacts the next seed that is missing, once its time has come: seeds tell of members that this one doesn't know.
+    /// Contacts the next missing seed if the interval has passed, to learn of members that this one does not
+    /// know.
     pub(super) fn contact_seeds(&mut self) {
         let is_alone = self.peers.live_count() == 0;
         self.seeds.periods_alone = if is_alone { self.seeds.periods_alone + 1 } else { 0 };
@@ -57,12 +59,12 @@
         };
         let interval = self.seed_contact_interval(is_alone);
         let last_contact_at = self.seeds.last_contact_at.unwrap_or_else(|| {
-            // Those that miss it from the same moment on must not contact it together.
+            // Members that lose a seed at the same time must not contact it at the same time.
             let fraction = if is_alone { 1.0 } else { self.rng.random::<f64>() };
             self.now - interval.scale(fraction)
         });
         self.seeds.last_contact_at = Some(last_contact_at);
-        // At the start no moment lies an interval back.
+        // The clock starts near zero, so the last contact cannot be set one interval into the past.
         let is_first = is_alone && self.seeds.periods_alone == 1;
         if is_first || last_contact_at + interval <= self.now {
             self.contact_seed(index);
@@ -70,7 +72,7 @@
     }
 
     fn next_missing_seed(&self) -> Option<usize> {
-        // Where a member is held dead the probes of the dead contact it.
+        // Addresses of dead members are contacted by the probes of dead peers instead.
         let dead: BTreeSet<SocketAddr> = self.dead_addresses().into_keys().collect();
         self.seeds.next_missing(|seed| !self.peers.has_live_at(seed) && !dead.contains(&seed))
     }
--- a/crates/alderstile-cluster/src/membership/local_health.rs
+++ b/crates/alderstile-cluster/src/membership/local_health.rs
@@ -1,11 +1,12 @@
-//! Local health: a member whose own probes fail slows them down, as the fault may be its own (Lifeguard section IV-A).
+//! Local health: a member whose probes fail slows them down, because the fault may be its own (Lifeguard
+//! section IV-A).
 
 use alderstile::types::Micros;
 
-/// The worst score: probes take that many times longer, and one (Lifeguard's S).
+/// The maximum score S of Lifeguard. Timeouts are scaled by the score plus one.
 const MAX_SCORE: u32 = 8;
 
-/// How far a member distrusts its own probes: 0 not at all.
+/// How little a member trusts its own probes, from 0 (fully) to [`MAX_SCORE`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LocalHealth {
     enabled: bool,
@@ -21,19 +22,19 @@
         self.score
     }
 
-    /// Evidence that this member itself is slow or cut off.
+    /// Raises the score, on evidence that this member is slow or cut off from the network.
     pub fn degrade(&mut self, by: u32) {
         if self.enabled {
             self.score = (self.score + by).min(MAX_SCORE);
         }
     }
 
-    /// Evidence that it is not: one of its probes was answered.
+    /// Lowers the score, because one of this member's probes was answered.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A timeout, longer the worse the score.
+    /// Returns a timeout of `periods` periods, scaled by the score.
     pub fn scaled_timeout(self, period: Micros, periods: f64) -> Micros {
         period.scale(periods * f64::from(self.score + 1))
     }
--- a/crates/alderstile-cluster/src/membership/mod.rs
+++ b/crates/alderstile-cluster/src/membership/mod.rs
@@ -1,18 +1,19 @@
-//! Membership: who is in the cluster. Failure detection and dissemination after SWIM (Das, Gupta, Motivala 2002), with the
-//! local health of Lifeguard (Dadgar, Phillips, Currey 2018).
+//! Cluster membership: failure detection and dissemination by SWIM (Das, Gupta, Motivala 2002), with the
+//! local health score of Lifeguard (Dadgar, Phillips, Currey 2018).
 //!
-//! Every period a member pings one other, in an order that is random but names each once a round. Without an answer it has
-//! others ping for it, and then suspects: whom everyone suspects for long enough, without a refutation, is dead. All of that
-//! is gossiped on the pings and their answers. A member whose own probes fail, or who was suspected though it is alive, slows
-//! its probes down.
+//! In every period, a member pings one peer, in a random order that includes each peer once per round. If the
+//! peer does not answer, the member asks others to ping it, and then suspects it. A peer that is suspected
+//! for the suspicion timeout and does not refute it is dead. Updates are gossiped on pings and acks. A member
+//! whose probes fail, or that was suspected although it is alive, slows down its probes.
 //!
-//! Bounds, with N members and the period T: a member sends at most [`MembershipConfig::max_datagrams_per_period`] datagrams a
-//! period of at most [`crate::authentication::MAX_DATAGRAM_BYTES`] bytes; a member that dies is suspected after e/(e-1) T in
-//! the mean, and is dead to all after about [`MembershipConfig::min_suspicion_timeout`] more.
+//! Bounds for N members and the period T: a member sends at most
+//! [`MembershipConfig::max_datagrams_per_period`] datagrams per period, each of at most
+//! [`crate::authentication::MAX_DATAGRAM_BYTES`] bytes. A member that dies is suspected after e/(e-1) T on
+//! average, and is dead in all views after about another [`MembershipConfig::min_suspicion_timeout`].
 //!
 //! # Note
-//! The state machine has no I/O and no clock: [`Membership::handle_datagram`] and [`Membership::handle_timeout`] drive it, and
-//! the caller carries out the effects that they return.
+//! The state machine has no I/O and no clock. The caller drives it by [`Membership::handle_datagram`] and
+//! [`Membership::handle_timeout`], and carries out the effects that they return.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -62,13 +63,14 @@
 use probe::Prober;
 use transmit::Transmitter;
 
-/// One member's view of the cluster, and the protocol that maintains it.
+/// One member's view of the cluster, and the state of the protocol that maintains it.
 pub struct Membership {
     config: MembershipConfig,
     codec: DatagramCodec,
     local: MemberRecord,
     rng: Pcg64Mcg,
-    /// The latest moment that a call has named: a clock that goes back stands still until it is where it was.
+    /// The latest time passed by a caller. If the clock goes back, time stands still until the clock catches
+    /// up.
     now: Micros,
     peers: PeerTable,
     name_conflicts: BTreeSet<Box<str>>,
@@ -84,12 +86,12 @@
     next_period_at: Micros,
     leaving: bool,
     counters: MembershipCounters,
-    /// What the call that runs wants done, in order.
+    /// The effects of the current call, in order.
     effects: Vec<MembershipEffect>,
 }
 
 impl Membership {
-    /// A member that knows its seeds at most. `local` must have been validated ([`MemberRecord::validate`]).
+    /// Creates a member that knows only its seeds. `local` must be valid ([`MemberRecord::validate`]).
     pub fn new(
         config: MembershipConfig,
         codec: DatagramCodec,
@@ -99,7 +101,7 @@
         now: Micros,
     ) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(random_seed);
-        // Members that start together must not ping together.
+        // Members that start together must not ping at the same time.
         let next_period_at = now + config.period.scale(rng.random::<f64>());
         let seeds = SeedContact::new(seeds, local.address, &mut rng);
         Membership {
@@ -126,48 +128,48 @@
         }
     }
 
-    /// Begins with members that are known already.
+    /// Adds members that are already known, before the first call.
     pub fn with_known_members(mut self, records: impl IntoIterator<Item = MemberRecord>) -> Self {
         records.into_iter().for_each(|record| self.apply_alive(record));
-        // All that is known was heard from others: nothing of it is to be gossiped or reported.
+        // The records come from other members, so they are neither gossiped nor reported.
         self.gossip = GossipQueue::default();
         self.effects.clear();
         self.anti_entropy.set_complete(self.peers.live_count() > 0);
         self
     }
 
-    /// Continues in place of another process of the same instance, whose last datagram had this sequence number.
+    /// Continues the sequence numbers of another process of the same instance, after its last datagram.
     pub fn resuming_after(mut self, sequence: u64) -> Self {
         self.transmitter.set_last_sequence(sequence);
         self
     }
 
-    /// What this member states of itself.
+    /// Returns the record that this member publishes about itself.
     pub fn local(&self) -> &MemberRecord {
         &self.local
     }
 
-    /// The sequence number of the last datagram sent.
+    /// Returns the sequence number of the last datagram sent.
     pub fn last_sequence(&self) -> u64 {
         self.transmitter.last_sequence()
     }
 
-    /// The peers by rising instances; also the dead and those that left, while they are remembered.
+    /// Returns the peers in instance order, including remembered peers that are dead or have left.
     pub fn peers(&self) -> impl Iterator<Item = &Peer> {
         self.peers.iter().map(|(_, peer)| peer)
     }
 
-    /// One of the peers.
+    /// Returns a peer by its instance.
     pub fn peer(&self, instance: InstanceId) -> Option<&Peer> {
         self.peers.get(instance)
     }
 
-    /// Members that are alive as far as is known, this one included.
+    /// Returns the number of live members in this view, including this one.
     pub fn live_count(&self) -> usize {
         self.peers.live_count() + 1
     }
 
-    /// The view by state, and the counters.
+    /// Returns the number of members by state, and the counters.
     pub fn stats(&self) -> MembershipStats {
         MembershipStats {
             alive: self.live_count() - self.peers.suspects().len(),
@@ -179,27 +181,28 @@
         }
     }
 
-    /// Names that two live instances have.
+    /// Returns the names that two live instances use.
     pub fn name_conflicts(&self) -> &BTreeSet<Box<str>> {
         &self.name_conflicts
     }
 
-    /// How far this member distrusts its own probes: 0 not at all, 8 at worst (Lifeguard section IV-A).
+    /// Returns the local health score: 0 is healthy, 8 is the worst (Lifeguard section IV-A).
     pub fn local_health(&self) -> u32 {
         self.local_health.score()
     }
 
-    /// What was sent and received.
+    /// Returns the counters of datagrams and decisions.
     pub fn counters(&self) -> MembershipCounters {
         self.counters
     }
 
-    /// Signs and verifies with other keys from now on.
+    /// Replaces the codec, to sign and verify with other keys.
     pub fn set_codec(&mut self, codec: DatagramCodec) {
         self.codec = codec;
     }
 
-    /// A number that no other ping of any instance has: an answer to another one's must not pass for an answer to this.
+    /// Returns a nonce that no other ping of any instance uses, so that the ack of another ping is not
+    /// mistaken for the ack of this one.
     fn new_nonce(&mut self) -> u64 {
         self.last_nonce += 1;
         self.last_nonce ^ self.local.instance.0
--- a/crates/alderstile-cluster/src/membership/name_conflict.rs
+++ b/crates/alderstile-cluster/src/membership/name_conflict.rs
@@ -1,4 +1,4 @@
-//! Name conflicts: two live instances at different addresses with one name.
+//! Name conflicts: two live instances at different addresses use the same name.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -8,7 +8,8 @@
 use super::record::InstanceId;
 
 impl Membership {
-    /// Reports whether a conflict about this peer's name has begun or ended. Neither of the two is believed over the other.
+    /// Reports whether a conflict about this peer's name has begun or ended. Neither instance takes
+    /// precedence.
     pub(super) fn check_name_conflict(&mut self, instance: InstanceId) {
         let Some(name) = self.peers.get(instance).map(|peer| peer.record.name.clone()) else { return };
         if self.live_addresses_of(&name).len() > 1 {
--- a/crates/alderstile-cluster/src/membership/peer.rs
+++ b/crates/alderstile-cluster/src/membership/peer.rs
@@ -1,4 +1,4 @@
-//! Another member's process as this one sees it.
+//! A peer: another member's process, as seen by this member.
 
 use std::fmt;
 
@@ -7,27 +7,27 @@
 use super::record::{InstanceId, MemberRecord};
 use super::replay_window::ReplayWindow;
 
-/// How a member is seen.
+/// The state of a member in this view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
-    /// It answers, or nobody has said otherwise.
+    /// The member answers, or no suspicion about it is known.
     Alive,
-    /// It did not answer somebody, and has time to refute that (SWIM section 4.2).
+    /// The member did not answer a probe, and has time to refute the suspicion (SWIM section 4.2).
     Suspect,
-    /// It did not refute the suspicion in time.
+    /// The member did not refute a suspicion in time.
     Dead,
-    /// It left on its own account.
+    /// The member left the cluster voluntarily.
     Left,
 }
 
 impl MemberState {
-    /// Whether it counts as a member.
+    /// Whether the member counts as part of the cluster.
     pub fn is_live(self) -> bool {
         self <= MemberState::Suspect
     }
 }
 
-/// The words of the admin interface.
+/// Formats the state as the admin interface shows it.
 impl fmt::Display for MemberState {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -39,19 +39,20 @@
     }
 }
 
-/// Another member's process as this one sees it.
+/// Another member's process, as seen by this member.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Its last statement about itself.
+    /// The last record that the peer published.
     pub record: MemberRecord,
-    /// How it is seen.
+    /// The state of the peer.
     pub state: MemberState,
-    /// Since when.
+    /// When the peer entered this state. While it is suspected, time in which this process was stalled is
+    /// added.
     pub state_since: Micros,
-    /// Who reported that it does not answer, while it is suspected (Lifeguard section IV-B).
+    /// The members that reported the suspicion, while the peer is suspected (Lifeguard section IV-B).
     pub(super) reporters: Vec<InstanceId>,
     pub(super) final_probe: FinalProbe,
-    /// When this process last probed for whether it is back, while it is dead.
+    /// When this process last probed for recovery, while the peer is dead.
     pub(super) rejoin_probed_at: Micros,
     pub(super) replay_window: ReplayWindow,
 }
@@ -59,16 +60,16 @@
 /// Whether this process pings a suspect once more before it declares it dead.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FinalProbe {
-    /// Others do, and this process gives them time for it.
+    /// Other members send the final probe, and this process waits for their result.
     ByOthers,
-    /// It will.
+    /// This process will send the final probe.
     Scheduled,
-    /// It has, and waits for an answer until then.
+    /// This process has sent the final probe and waits for an ack until the given time.
     AwaitingAck(Micros),
 }
 
 impl Peer {
-    /// One that has just become known.
+    /// Creates an alive peer that has just become known.
     pub(super) fn new(record: MemberRecord, now: Micros) -> Self {
         Peer {
             record,
--- a/crates/alderstile-cluster/src/membership/peer_table.rs
+++ b/crates/alderstile-cluster/src/membership/peer_table.rs
@@ -1,4 +1,4 @@
-//! The table of peers with its indexes: by state, by address, by name.
+//! The table of peers, with indexes by state, address and name.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,14 +8,15 @@
 use super::peer::{FinalProbe, MemberState, Peer};
 use super::record::{InstanceId, MemberRecord};
 
-/// All peers that are remembered. States change here only, so that the indexes always agree with them.
+/// All remembered peers. Only the methods of this type change a peer's state, which keeps the indexes
+/// consistent.
 #[derive(Default)]
 pub(super) struct PeerTable {
     peers: BTreeMap<InstanceId, Peer>,
     suspects: BTreeSet<InstanceId>,
     dead: BTreeSet<InstanceId>,
     live_by_address: BTreeMap<SocketAddr, BTreeSet<InstanceId>>,
-    /// All instances of each name that are remembered.
+    /// All remembered instances of each name.
     by_name: BTreeMap<Box<str>, Vec<InstanceId>>,
     live: usize,
 }
@@ -25,22 +26,22 @@
         self.peers.get(&instance)
     }
 
-    /// A peer to change but for its state, name and address.
+    /// Returns a peer for changes of any field except state, name and address.
     pub fn get_mut(&mut self, instance: InstanceId) -> Option<&mut Peer> {
         self.peers.get_mut(&instance)
     }
 
-    /// All peers by rising instances.
+    /// Returns all peers in instance order.
     pub fn iter(&self) -> impl Iterator<Item = (InstanceId, &Peer)> {
         self.peers.iter().map(|(instance, peer)| (*instance, peer))
     }
 
-    /// The peers from an instance on, by rising instances.
+    /// Returns the peers from an instance on, in instance order.
     pub fn starting_at(&self, first: InstanceId) -> impl Iterator<Item = &Peer> {
         self.peers.range(first..).map(|(_, peer)| peer)
     }
 
-    /// The peers below an instance, by rising instances.
+    /// Returns the peers below an instance, in instance order.
     pub fn below(&self, end: InstanceId) -> impl Iterator<Item = &Peer> {
         self.peers.range(..end).map(|(_, peer)| peer)
     }
@@ -49,7 +50,7 @@
         self.get(instance).is_some_and(|peer| peer.state.is_live())
     }
 
-    /// Alive peers and suspects.
+    /// Returns the number of alive and suspected peers.
     pub fn live_count(&self) -> usize {
         self.live
     }
@@ -82,7 +83,7 @@
         self.live += 1;
     }
 
-    /// A peer is alive with this record; returns its state before. One that has left is not to be passed.
+    /// Marks a peer as alive with this record, and returns its previous state. The peer must not have left.
     pub fn mark_alive(&mut self, record: MemberRecord, now: Micros) -> Option<MemberState> {
         let (instance, new_address) = (record.instance, record.address);
         let peer = self.peers.get_mut(&instance)?;
@@ -128,13 +129,13 @@
         self.suspects.remove(&instance);
     }
 
-    /// Those that are dead or have left since before this moment.
+    /// Returns the peers that have been dead or left since before `cutoff`.
     pub fn dead_or_left_before(&self, cutoff: Micros) -> Vec<InstanceId> {
         let expired = self.iter().filter(|(_, peer)| !peer.state.is_live() && peer.state_since < cutoff);
         expired.map(|(instance, _)| instance).collect()
     }
 
-    /// Forgets a peer that is dead or has left.
+    /// Removes a peer that is dead or has left.
     pub fn remove(&mut self, instance: InstanceId) {
         self.dead.remove(&instance);
         let Some(peer) = self.peers.remove(&instance) else { return };
--- a/crates/alderstile-cluster/src/membership/probe.rs
+++ b/crates/alderstile-cluster/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! The failure detector: one peer is pinged each period, in rounds (SWIM sections 3.1 and 4.3).
+//! The failure detector: pings one peer per period, in rounds (SWIM sections 3.1 and 4.3).
 
 use std::collections::BTreeSet;
 
@@ -13,45 +13,47 @@
 use super::peer_table::PeerTable;
 use super::record::InstanceId;
 
-/// An answer to a direct ping has this part of a period; after it others are asked to ping.
+/// The timeout of a direct ping, in periods. After it, other members are asked to ping.
 const DIRECT_TIMEOUT_PERIODS: f64 = 0.25;
-/// With them, a probe has this part of a period: e/(e-1) - 1, so that a dead member is suspected e/(e-1) periods after its end
-/// in the mean, as in the paper, though the members' periods begin at moments of their own.
+/// The timeout of a probe including indirect pings, in periods: e/(e-1) - 1. A dead member is then suspected
+/// e/(e-1) periods after its death on average, as in the SWIM paper, although the members' periods start at
+/// different times.
 pub(super) const PROBE_TIMEOUT_PERIODS: f64 = 0.58;
-/// The most periods from one probe to the next of a member with bad local health. Its probes wait longer, so that several
-/// wait side by side; but a member that is cut off with few others has to see that without a round of the longest waits.
+/// The maximum number of periods between two probes of a member with degraded local health. Its probes have
+/// longer timeouts, so that several are pending at once; but a member that is cut off together with few
+/// others must detect that without waiting for the longest timeout in every step of a round.
 const MAX_PROBE_INTERVAL_PERIODS: u32 = 3;
 
-/// Which peer is probed next, and the probes that wait for an answer.
+/// Selects the peer to probe next, and holds the probes that wait for an answer.
 #[derive(Default)]
 pub(super) struct Prober {
     round: Vec<InstanceId>,
-    /// Where the round stands.
+    /// The index of the next peer in the round.
     position: usize,
-    /// Suspected by another member: to be probed before the round goes on.
+    /// A peer suspected by another member, to be probed before the round continues.
     out_of_turn: Option<InstanceId>,
     pending: Vec<Probe>,
-    /// Periods to skip until the next probe.
+    /// The number of periods to skip before the next probe.
     periods_to_skip: u32,
 }
 
-/// A probe that waits for its answer.
+/// A probe that waits for an answer.
 #[derive(Clone, Copy, Debug)]
 struct Probe {
     target: InstanceId,
     nonce: u64,
     stage: ProbeStage,
     deadline: Micros,
-    /// Others that were asked to ping, and how many of them said that they have no answer so far.
+    /// The number of members asked to ping the target, and how many of them have sent a nack.
     indirect_probes: u32,
     nacks: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ProbeStage {
-    /// The target was pinged; others are asked at the deadline.
+    /// The target was pinged; at the deadline, other members are asked to ping it.
     Direct,
-    /// Others were asked; the target is suspected at the deadline.
+    /// Other members were asked; at the deadline, the target is suspected.
     Indirect,
 }
 
@@ -68,15 +70,16 @@
         self.out_of_turn = Some(target);
     }
 
-    /// Puts a newcomer anywhere in the order (SWIM section 4.3), also where this round has passed: in the rest of a round that
-    /// is nearly over all members would ping it in the same few periods, and nobody in the others.
+    /// Inserts a new peer at a random position of the round (SWIM section 4.3), which may already have been
+    /// passed. If new peers were inserted only into the remainder of a round that is nearly complete, all
+    /// members would ping the peer in the same few periods and no member in the others.
     pub fn add_to_round(&mut self, instance: InstanceId, rng: &mut Pcg64Mcg) {
         let index = rng.random_range(0..=self.round.len());
         self.round.insert(index, instance);
         self.position += usize::from(index < self.position);
     }
 
-    /// Ends the probe with this nonce, if one waits.
+    /// Ends the pending probe with this nonce, and returns whether there was one.
     pub fn finish(&mut self, nonce: u64) -> bool {
         let index = self.pending.iter().position(|probe| probe.nonce == nonce);
         index.map(|index| self.pending.swap_remove(index)).is_some()
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Whether a probe is due in this period; one that skips periods counts it.
+    /// Returns whether a probe is due in this period; otherwise counts the period as skipped.
     fn is_due(&mut self, local_health: u32) -> bool {
         if self.periods_to_skip > 0 {
             self.periods_to_skip -= 1;
@@ -103,7 +106,7 @@
         out_of_turn.or_else(|| self.next_in_round(peers, rng))
     }
 
-    /// The next in an order that is random and names each once a round (SWIM section 4.3).
+    /// Returns the next peer of the round, whose random order includes each peer once (SWIM section 4.3).
     fn next_in_round(&mut self, peers: &PeerTable, rng: &mut Pcg64Mcg) -> Option<InstanceId> {
         for _ in 0..2 {
             while let Some(target) = self.round.get(self.position).copied() {
@@ -117,8 +120,8 @@
         None
     }
 
-    /// The order is kept from round to round, so that no two probes of a peer lie further apart than a round; who came back is
-    /// put in anywhere.
+    /// Begins the next round in the same order, so that two probes of a peer are never further apart than one
+    /// round. Peers that have recovered are inserted at random positions.
     fn begin_round(&mut self, peers: &PeerTable, rng: &mut Pcg64Mcg) {
         self.position = 0;
         self.round.retain(|instance| peers.is_live(*instance));
@@ -130,7 +133,7 @@
         }
     }
 
-    /// A peer that a probe waits for is not probed a second time meanwhile.
+    /// A peer with a pending probe is not probed again.
     fn may_probe(&self, target: InstanceId, peers: &PeerTable) -> bool {
         peers.is_live(target) && self.pending.iter().all(|probe| probe.target != target)
     }
@@ -158,7 +161,7 @@
         let now = self.now;
         let due: Vec<Probe> = self.prober.pending.extract_if(.., |probe| probe.deadline <= now).collect();
         for probe in due {
-            // A target that is dead or has left meanwhile says nothing about this member's health.
+            // A target that has died or left in the meantime says nothing about this member's health.
             if !self.peers.is_live(probe.target) {
                 continue;
             }
@@ -177,7 +180,8 @@
     }
 
     fn handle_failed_probe(&mut self, probe: Probe) {
-        // Others that do not even send a nack tell of this member's own network (Lifeguard section IV-A).
+        // Members that do not even send a nack indicate a fault in this member's own network (Lifeguard
+        // section IV-A).
         let missing_nacks = probe.indirect_probes.saturating_sub(probe.nacks);
         self.local_health.degrade(if probe.indirect_probes > 0 { missing_nacks } else { 1 });
         let Some(peer) = self.peers.get(probe.target).filter(|peer| peer.state.is_live()) else { return };
--- a/crates/alderstile-cluster/src/membership/receive.rs
+++ b/crates/alderstile-cluster/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Receiving: which datagrams are accepted, and what each message leads to.
+//! Receiving: decides which datagrams are accepted, and handles their messages.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,8 @@
 use super::record::{InstanceId, MemberRecord};
 
 impl Membership {
-    /// Handles a datagram. Whatever it is, nothing is believed that was not signed for this very instance.
+    /// Handles a received datagram and returns the effects. Only content that was signed for this very
+    /// instance is applied.
     pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) -> Vec<MembershipEffect> {
         self.now = self.now.max(now);
         match self.codec.decode(bytes) {
@@ -23,7 +24,7 @@
 
     fn receive(&mut self, from: SocketAddr, Datagram { header, message, updates }: Datagram) {
         if header.sender == self.local.instance {
-            // Its own, sent back by somebody.
+            // The datagram is this member's own, reflected by another host.
             self.counters.wrong_instance += 1;
             return;
         }
@@ -43,7 +44,8 @@
         }
         let declared_dead = self.incarnation_declared_dead(&updates);
         updates.into_iter().for_each(|update| self.apply_update(update));
-        // A sender that holds this member dead hears otherwise now, where the answer to its message does not bring it.
+        // Notifies a sender that considers this member dead right away, unless the reply to its message does
+        // so.
         let is_answered = matches!(message, Message::Ping { .. } | Message::SyncRequest { .. });
         let is_stale = declared_dead.is_some_and(|incarnation| incarnation < self.local.incarnation);
         if !is_answered && !self.leaving && is_stale {
@@ -52,8 +54,9 @@
         self.handle_message(header.sender, message);
     }
 
-    /// A datagram for an earlier instance here, or from before the sender had heard of this one, may be a replay: nothing of
-    /// it counts. The sender is told which instance is here; that is not answered in turn.
+    /// Replies to a datagram for an earlier instance at this address, or from a sender that does not know
+    /// this instance. Such a datagram may be a replay, so nothing in it is applied. The reply identifies this
+    /// instance and is not answered.
     fn reply_to_wrong_instance(&mut self, from: SocketAddr, sender: InstanceId, message: &Message) {
         if !matches!(message, Message::Identify { .. }) && !self.leaving {
             let record = self.local.clone();
@@ -61,9 +64,9 @@
         }
     }
 
-    /// A member states who it is, in a datagram for this very instance.
+    /// Applies the sender's record, from a datagram for this very instance.
     fn apply_sender_record(&mut self, record: &MemberRecord, sequence: u64) {
-        // A replay must not bring back an old statement.
+        // A replayed datagram must not restore an old record.
         let known = self.peers.get(record.instance);
         if known.is_some_and(|peer| !peer.replay_window.is_new(sequence)) {
             return;
@@ -72,7 +75,7 @@
         self.apply_alive(record.clone());
     }
 
-    /// Where another instance answered before, that one has ended: two can't have one address.
+    /// Declares other instances at the sender's address dead, because an address has only one live instance.
     fn replace_instances_at(&mut self, record: &MemberRecord) {
         let others = self.peers.live_at(record.address).filter(|instance| *instance != record.instance);
         let replaced: Vec<(InstanceId, u64)> = others
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Accepts each sequence number of a known sender once. A sender that is not known identifies itself when it is pinged
-    /// next.
+    /// Accepts each sequence number of a known sender once. Datagrams of unknown senders are rejected; such a
+    /// sender identifies itself when it is next pinged.
     fn accept_sequence(&mut self, header: DatagramHeader) -> bool {
         let Some(sender) = self.peers.get_mut(header.sender) else {
             self.counters.wrong_instance += 1;
@@ -99,7 +102,7 @@
         true
     }
 
-    /// The incarnation of this member that the first update saying so holds dead.
+    /// Returns the incarnation of this member in the first update that declares it dead.
     fn incarnation_declared_dead(&self, updates: &[MemberUpdate]) -> Option<u64> {
         updates.iter().find_map(|update| match update {
             MemberUpdate::Dead { instance, incarnation } if *instance == self.local.instance => {
@@ -133,9 +136,10 @@
         self.relay_ack(nonce);
     }
 
-    /// Another instance is where a datagram was sent, or the sender is new to a member.
+    /// Handles the record of the instance at an address to which this member sent a datagram for another
+    /// instance, or for none.
     fn handle_identify(&mut self, sender: InstanceId) {
-        // Nothing has told it so far that it is held dead.
+        // The sender has not yet been notified that it is considered dead.
         if self.peers.get(sender).is_some_and(|peer| peer.state == MemberState::Dead) {
             let nonce = self.new_nonce();
             self.ping(sender, nonce);
@@ -146,7 +150,7 @@
     }
 }
 
-/// The sender's own record, in the messages that have it.
+/// Returns the sender's own record, if the message contains it.
 fn sender_record(message: &Message) -> Option<&MemberRecord> {
     match message {
         Message::Ping { record, .. } | Message::Identify { record } | Message::SyncRequest { record, .. } => {
--- a/crates/alderstile-cluster/src/membership/record.rs
+++ b/crates/alderstile-cluster/src/membership/record.rs
@@ -1,18 +1,20 @@
-//! What a member states of itself.
+//! The record that a member publishes about itself.
 
 use std::fmt;
 use std::net::SocketAddr;
 
 use thiserror::Error;
 
-/// The longest name of a member.
+/// The maximum length of a member's name.
 pub const MAX_NAME_BYTES: usize = 40;
-/// The longest name of a zone.
+/// The maximum length of a zone's name.
 pub const MAX_ZONE_BYTES: usize = 24;
-/// All metadata of a member together: each value with two bytes more for its tag and its length.
+/// The maximum length of a member's metadata in total. Each value takes two more bytes for its tag and its
+/// length.
 pub const MAX_METADATA_BYTES: usize = 64;
 
-/// One process of a member, from its start to its end: drawn at random, so that no two are alike.
+/// Identifies one process of a member from start to exit. The value is random, so that no two processes share
+/// it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InstanceId(pub u64);
 
@@ -22,44 +24,44 @@
     }
 }
 
-/// Why a member's record is invalid.
+/// The reason why a member's record is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RecordError {
-    /// The name is empty or too long.
-    #[error("a name of 1 to {MAX_NAME_BYTES} bytes is wanted")]
+    /// The name is empty or longer than [`MAX_NAME_BYTES`].
+    #[error("invalid member name: expected 1 to {MAX_NAME_BYTES} bytes")]
     NameLength,
-    /// The zone is too long.
-    #[error("a zone of at most {MAX_ZONE_BYTES} bytes is wanted")]
+    /// The zone is longer than [`MAX_ZONE_BYTES`].
+    #[error("invalid zone: expected at most {MAX_ZONE_BYTES} bytes")]
     ZoneLength,
-    /// The metadata is too long.
-    #[error("metadata of at most {MAX_METADATA_BYTES} bytes in all are wanted")]
+    /// The metadata is longer than [`MAX_METADATA_BYTES`].
+    #[error("invalid metadata: expected at most {MAX_METADATA_BYTES} bytes in total")]
     MetadataLength,
 }
 
-/// What a member states of itself.
+/// The record that a member publishes about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberRecord {
-    /// Its process.
+    /// The member's process.
     pub instance: InstanceId,
-    /// Grows with each statement of the member about itself: the higher one counts (SWIM section 4.2).
+    /// Increases with each record that the member publishes; the highest one is valid (SWIM section 4.2).
     pub incarnation: u64,
-    /// Its name, the same after a restart.
+    /// The member's name, which stays the same after a restart.
     pub name: Box<str>,
-    /// Its zone.
+    /// The member's zone.
     pub zone: Box<str>,
-    /// Where others reach it.
+    /// The address at which other members reach it.
     pub address: SocketAddr,
-    /// Of the configuration that it runs with.
+    /// The digest of the configuration that the member runs with.
     pub config_digest: u64,
-    /// Small values of other modules, each under a tag: tag, length, bytes, by rising tags.
+    /// Small values of other modules. Each is encoded as tag, length and bytes, in order of tags.
     pub metadata: Box<[u8]>,
 }
 
 impl MemberRecord {
-    /// Whether it fits into a datagram with room for more.
+    /// Checks that the record fits into a datagram, with space left for updates.
     ///
     /// # Errors
-    /// A part is out of its bounds.
+    /// Returns an error if the length of a field is out of bounds.
     pub fn validate(&self) -> Result<(), RecordError> {
         if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
             return Err(RecordError::NameLength);
@@ -73,15 +75,15 @@
         Ok(())
     }
 
-    /// The metadata under a tag.
+    /// Returns the metadata under a tag.
     pub fn metadata_value(&self, tag: u8) -> Option<&[u8]> {
         self.metadata_entries().find(|(other, _)| *other == tag).map(|(_, value)| value)
     }
 
-    /// Sets the metadata under a tag or, with nothing, removes it.
+    /// Sets the metadata under a tag, or removes it if `value` is empty.
     ///
     /// # Errors
-    /// It would be too long; nothing has changed then.
+    /// Returns an error if the metadata would be too long; the record is unchanged then.
     pub fn set_metadata(&mut self, tag: u8, value: &[u8]) -> Result<(), RecordError> {
         let mut entries: Vec<(u8, &[u8])> =
             self.metadata_entries().filter(|(other, _)| *other != tag).collect();
--- a/crates/alderstile-cluster/src/membership/rejoin.rs
+++ b/crates/alderstile-cluster/src/membership/rejoin.rs
@@ -1,4 +1,5 @@
-//! Rejoining after a partition: the dead are probed now and then, as nothing else would find them.
+//! Rejoining after a partition: dead members are probed from time to time, because nothing else would detect
+//! that they are reachable again.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -9,30 +10,31 @@
 use super::peer::Peer;
 use super::record::InstanceId;
 
-/// All members together probe an address where nobody answers so many times a period. Where each of 3,000 members probed on
-/// its own, a process that came back would have no answers left for anyone else.
+/// The number of probes per period that all members together send to an address without a live member. If
+/// each of 3,000 members probed independently, a process that recovers would spend its datagram limit on
+/// replies to them.
 const CLUSTER_PROBES_PER_PERIOD: f64 = 3.0;
-/// A member that has been dead for so many periods is probed less often.
+/// The number of periods after which a dead member is probed less often.
 const LONG_DEAD_PERIODS: f64 = 300.0;
-/// How much less often.
+/// The factor by which the interval between probes then grows.
 const LONG_DEAD_INTERVAL_FACTOR: f64 = 10.0;
 
-/// An address where a member is held dead and nobody is known to be alive.
+/// An address with dead members and without a live one.
 pub(super) struct DeadAddress {
-    /// When this process probed it last.
+    /// When this process last probed the address.
     probed_at: Micros,
-    /// The instance that died there last.
+    /// The instance that died last at the address.
     last_instance: InstanceId,
     died_at: Micros,
 }
 
 impl Membership {
-    /// Periods between two probes of one address by this member.
+    /// Returns the number of periods between two probes of an address by this member.
     pub(super) fn address_probe_periods(&self) -> f64 {
         self.live_count() as f64 / CLUSTER_PROBES_PER_PERIOD
     }
 
-    /// Time between two probes of one dead peer by this member.
+    /// Returns the time between two probes of a dead peer by this member.
     pub(super) fn rejoin_probe_interval(&self) -> Micros {
         self.config.period.scale(self.address_probe_periods().max(1.0))
     }
@@ -53,8 +55,8 @@
         addresses
     }
 
-    /// Probes one dead peer, if one is due. The one that has waited longest comes first, so that with few members left none
-    /// waits for more than all others.
+    /// Probes one dead peer if a probe is due. The longest overdue one comes first, so that with few live
+    /// members all dead peers are probed in turn.
     pub(super) fn probe_dead_peer(&mut self) {
         let due = self
             .dead_addresses()
--- a/crates/alderstile-cluster/src/membership/replay_window.rs
+++ b/crates/alderstile-cluster/src/membership/replay_window.rs
@@ -1,24 +1,24 @@
-//! Replay protection: which datagrams of a sender were accepted (RFC 4303, section 3.4.3).
+//! Replay protection: records which datagrams of a sender were accepted (RFC 4303, section 3.4.3).
 
-/// Datagrams that may overtake one another.
+/// The size of the window, which limits how far datagrams may be reordered.
 const WINDOW_SIZE: u64 = 64;
 
-/// The highest sequence number accepted, and which of the 63 below it.
+/// The highest accepted sequence number, and which of the 63 below it were accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReplayWindow {
     highest: u64,
-    /// Bit n: whether `highest - n` was accepted.
+    /// Bit n states whether `highest - n` was accepted.
     accepted: u64,
 }
 
 impl ReplayWindow {
-    /// Whether a number was not accepted before and is not too old to tell.
+    /// Whether a sequence number has not been accepted before and is not below the window.
     pub fn is_new(&self, sequence: u64) -> bool {
         let behind = self.highest - sequence.min(self.highest);
         sequence > self.highest || (behind < WINDOW_SIZE && self.accepted >> behind & 1 == 0)
     }
 
-    /// Accepts a number; false where it is not new.
+    /// Accepts a sequence number; returns `false` if it is not new.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if !self.is_new(sequence) {
             return false;
--- a/crates/alderstile-cluster/src/membership/self_update.rs
+++ b/crates/alderstile-cluster/src/membership/self_update.rs
@@ -1,4 +1,4 @@
-//! Updates about this member: its own statements, refutations, leaving.
+//! Updates about this member: published records, refutations and leaving.
 
 use alderstile::types::Micros;
 
@@ -8,11 +8,11 @@
 use super::indirect_probe::INDIRECT_PROBES;
 use super::record::{InstanceId, RecordError};
 
-/// Peers that are told at once of a refutation or of leaving, without waiting for a ping.
+/// The number of peers that are notified of a refutation or of leaving at once, without waiting for a ping.
 const IMMEDIATE_GOSSIP_PEERS: usize = 2 * INDIRECT_PROBES;
 
 impl Membership {
-    /// The configuration that this member runs with has this digest from now on.
+    /// Publishes the digest of the configuration that this member now runs with.
     pub fn set_config_digest(&mut self, digest: u64) {
         if self.local.config_digest != digest {
             self.local.config_digest = digest;
@@ -20,10 +20,10 @@
         }
     }
 
-    /// Sets metadata of this member or, with nothing, removes it.
+    /// Publishes metadata of this member under a tag, or removes it if `value` is empty.
     ///
     /// # Errors
-    /// It would be too long; nothing has changed then.
+    /// Returns an error if the metadata would be too long; nothing changes then.
     pub fn set_metadata(&mut self, tag: u8, value: &[u8]) -> Result<(), RecordError> {
         if self.local.metadata_value(tag).unwrap_or_default() != value {
             self.local.set_metadata(tag, value)?;
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    /// This member is about to leave: tells some peers at once, which tell the rest.
+    /// Leaves the cluster. Some peers are notified at once, and gossip the update to the others.
     pub fn leave(&mut self, now: Micros) -> Vec<MembershipEffect> {
         self.now = self.now.max(now);
         self.leaving = true;
@@ -48,23 +48,25 @@
             MemberUpdate::Suspect { incarnation, .. } | MemberUpdate::Dead { incarnation, .. } => {
                 self.refute(*incarnation);
             }
-            // What an earlier datagram of its own said, or a process that wrongly has its instance.
+            // The update repeats an earlier datagram of this member, or comes from a process that wrongly
+            // uses its instance.
             MemberUpdate::Alive(_) | MemberUpdate::Left { .. } => {}
         }
     }
 
-    /// Refutes a suspicion by a higher incarnation (SWIM section 4.2), to some peers at once.
+    /// Refutes a suspicion by a higher incarnation (SWIM section 4.2), and notifies some peers at once.
     fn refute(&mut self, suspected_incarnation: u64) {
         if self.leaving {
             return;
         }
         if suspected_incarnation < self.local.incarnation {
-            // Refuted already, but not heard by all: a member that says it in a ping has it in the answer.
+            // The refutation was published before but has not reached all members. A member that sends the
+            // suspicion with a ping receives the refutation with the ack.
             return self.gossip.push(MemberUpdate::Alive(self.local.clone()));
         }
         self.raise_incarnation_above(suspected_incarnation);
         self.counters.refutations += 1;
-        // Who is suspected though it is alive may be slow itself (Lifeguard section IV-A).
+        // A member that was suspected although it is alive may be slow itself (Lifeguard section IV-A).
         self.local_health.degrade(1);
         self.gossip.push(MemberUpdate::Alive(self.local.clone()));
         self.gossip_immediately();
@@ -76,7 +78,8 @@
         self.gossip.push(MemberUpdate::Alive(self.local.clone()));
     }
 
-    /// Saturates: only a faulty member names the highest incarnation, and it must not make this one panic.
+    /// Saturates, because only a faulty member uses the highest incarnation, and it must not make this one
+    /// panic.
     fn raise_incarnation_above(&mut self, incarnation: u64) {
         self.local.incarnation = incarnation.saturating_add(1);
     }
--- a/crates/alderstile-cluster/src/membership/stats.rs
+++ b/crates/alderstile-cluster/src/membership/stats.rs
@@ -1,29 +1,30 @@
-//! Statistics of a member: its view by state, and what it sent and received.
+//! Statistics of a member: the number of members by state, and counters of datagrams and decisions.
 
 use crate::authentication::DecodeError;
 
-/// Datagrams and decisions since the start.
+/// Counters of datagrams and decisions since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MembershipCounters {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
     pub accepted: u64,
-    /// Rejected: not of this cluster, or not signed with a key in force.
+    /// Datagrams rejected because they are of another cluster, or not signed by an accepted key.
     pub unauthenticated: u64,
-    /// Rejected: in no form that this program knows.
+    /// Datagrams rejected because they are malformed.
     pub malformed: u64,
-    /// Ignored: in a newer format.
+    /// Datagrams ignored because they are in a newer format.
     pub unsupported_format: u64,
-    /// Rejected: for an earlier instance of this member, or from one that has not identified itself yet.
+    /// Datagrams rejected because they are for another instance, or from a sender that has not identified
+    /// itself yet.
     pub wrong_instance: u64,
-    /// Rejected: accepted before, or too old to tell.
+    /// Datagrams rejected because they were accepted before or are below the replay window.
     pub replayed: u64,
-    /// Not sent, as this period's limit was reached.
+    /// Datagrams not sent because the limit of the period was reached.
     pub rate_limited: u64,
-    /// Members that this process itself found not to answer.
+    /// Suspicions that this process started after its own probe failed.
     pub suspicions_started: u64,
     /// Suspicions of this process that it refuted.
     pub refutations: u64,
@@ -40,19 +41,19 @@
     }
 }
 
-/// The view by state, and the counters.
+/// The number of members by state, and the counters.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MembershipStats {
-    /// Alive members that nobody suspects, this one included.
+    /// Alive members that are not suspected, including this one.
     pub alive: usize,
-    /// Suspects.
+    /// Suspected members.
     pub suspect: usize,
-    /// Dead members that are remembered.
+    /// Remembered dead members.
     pub dead: usize,
-    /// Names that two live instances have.
+    /// Names that two live instances use.
     pub name_conflicts: usize,
-    /// The local health score: 0 is healthy (Lifeguard section IV-A).
+    /// The local health score; 0 is healthy (Lifeguard section IV-A).
     pub local_health: u32,
-    /// Datagrams and decisions since the start.
+    /// Counters of datagrams and decisions since the start.
     pub counters: MembershipCounters,
 }
--- a/crates/alderstile-cluster/src/membership/suspicion.rs
+++ b/crates/alderstile-cluster/src/membership/suspicion.rs
@@ -1,5 +1,5 @@
-//! Suspicion: a peer that does not answer has time to refute that before it is dead (SWIM section 4.2), less the more members
-//! confirm it (Lifeguard section IV-B).
+//! Suspicion: a peer that does not answer has time to refute that before it is declared dead (SWIM section
+//! 4.2). The time is shorter the more members confirm the suspicion (Lifeguard section IV-B).
 
 use alderstile::types::Micros;
 use rand::RngExt;
@@ -12,18 +12,19 @@
 use super::probe::PROBE_TIMEOUT_PERIODS;
 use super::record::InstanceId;
 
-/// Independent confirmations after which a suspicion lasts no longer than the shortest timeout (Lifeguard's K).
+/// The number of independent confirmations at which a suspicion has the minimum timeout (Lifeguard's K).
 const MAX_CONFIRMATIONS: usize = 3;
-/// How much longer an unconfirmed one lasts (Lifeguard's beta): a member that alone suspects may be cut off itself.
+/// The timeout of an unconfirmed suspicion, as a multiple of the minimum (Lifeguard's beta). A member that is
+/// the only one to suspect may itself be cut off.
 const MAX_TIMEOUT_FACTOR: f64 = 2.0;
-/// Of all members so many ping a suspect once more before they declare it dead, so that lost gossip makes no live
-/// member dead.
+/// The mean number of members that ping a suspect once more before they declare it dead, so that lost gossip
+/// does not make a live member dead.
 const MEAN_FINAL_PROBERS: f64 = 8.0;
-/// The others give them this many periods for it.
+/// The number of periods that all other members wait for the result of these final probes.
 const FINAL_PROBE_GRACE_PERIODS: f64 = 2.0;
 
 impl Membership {
-    /// A member reports that a peer does not answer.
+    /// Applies a report that a peer did not answer.
     pub(super) fn apply_suspect(&mut self, instance: InstanceId, incarnation: u64, reporter: InstanceId) {
         if self.correct_stale_update(instance, incarnation) {
             return;
@@ -38,7 +39,8 @@
 
     fn begin_suspicion(&mut self, instance: InstanceId, incarnation: u64, reporter: InstanceId) {
         let final_probe = self.choose_final_probe();
-        // The peer may have stated more since than has come here: the reporter's incarnation counts.
+        // The peer may have published records that are not known here, so the incarnation of the report is
+        // used.
         let Some(peer) = self.peers.mark_suspect(instance, incarnation, self.now) else { return };
         peer.reporters = vec![reporter];
         peer.final_probe = final_probe;
@@ -57,20 +59,20 @@
         }
     }
 
-    /// A few of all members, by chance, probe a suspect finally.
+    /// Decides at random whether this member is one of the few that send a final probe.
     fn choose_final_probe(&mut self) -> FinalProbe {
         let chance = MEAN_FINAL_PROBERS / self.live_count() as f64;
         if self.rng.random::<f64>() < chance { FinalProbe::Scheduled } else { FinalProbe::ByOthers }
     }
 
-    /// Whether this member is among the few that probe a suspect out of turn: it hears of the suspicion soon, and others
-    /// confirm it soon.
+    /// Decides at random whether this member is one of the few that probe a new suspect out of turn. By such
+    /// a probe, a suspect learns of the suspicion soon, or others confirm it soon.
     fn should_probe_early(&mut self) -> bool {
         let peers = self.peers.live_count().max(1) as f64;
         self.rng.random::<f64>() < (MAX_CONFIRMATIONS + 1) as f64 / peers
     }
 
-    /// When a suspect is to be probed finally or declared dead.
+    /// Returns when a suspect is to receive its final probe or to be declared dead.
     pub(super) fn suspicion_deadline(&self, instance: InstanceId) -> Micros {
         let Some(peer) = self.peers.get(instance) else { return self.now };
         let timeout_at = peer.state_since + self.suspicion_timeout(peer);
@@ -81,7 +83,8 @@
         }
     }
 
-    /// From the longest timeout to the shortest as others confirm the suspicion (Lifeguard section IV-B).
+    /// Returns the suspicion timeout. It falls from the maximum to the minimum as members confirm the
+    /// suspicion (Lifeguard section IV-B).
     fn suspicion_timeout(&self, suspect: &Peer) -> Micros {
         let shortest = self.config.min_suspicion_timeout(self.live_count());
         let longest = if self.config.local_health { shortest.scale(MAX_TIMEOUT_FACTOR) } else { shortest };
@@ -90,7 +93,7 @@
         longest - (longest - shortest).scale(fraction)
     }
 
-    /// Time in which this process heard nothing does not count.
+    /// Extends suspicions by time in which this process could not receive a refutation.
     pub(super) fn extend_suspicions(&mut self, by: Micros) {
         let suspects: Vec<InstanceId> = self.peers.suspects().iter().copied().collect();
         for suspect in suspects {
@@ -108,7 +111,8 @@
             let Some(peer) = self.peers.get(suspect) else { continue };
             match peer.final_probe {
                 FinalProbe::AwaitingAck(_) => self.apply_dead(suspect, peer.record.incarnation),
-                // Also whom others were to probe: what came of that has not been heard here.
+                // Suspects that others were to probe are probed here as well, because no result of those
+                // probes was received.
                 FinalProbe::Scheduled | FinalProbe::ByOthers => self.begin_final_probe(suspect),
             }
         }
@@ -121,7 +125,8 @@
         }
         let nonce = self.new_nonce();
         self.ping(suspect, nonce);
-        // One lost datagram must not make a live member dead: some others ping it too.
+        // Some other members ping the suspect too, so that the loss of one datagram does not make a live
+        // member dead.
         self.request_pings(INDIRECT_PROBES - 1, suspect, nonce);
     }
 }
--- a/crates/alderstile-cluster/src/membership/timeout.rs
+++ b/crates/alderstile-cluster/src/membership/timeout.rs
@@ -1,4 +1,4 @@
-//! Time: what is due when, and the protocol period.
+//! Timeouts: the next deadline, the actions that are due, and the protocol period.
 
 use alderstile::types::Micros;
 
@@ -6,11 +6,11 @@
 use super::anti_entropy::SYNC_INTERVAL_PERIODS;
 use super::effect::{MembershipChange, MembershipEffect};
 
-/// A call that comes later than this part of a period means that the process was not scheduled.
+/// The delay of a timeout, in periods, above which the process was stalled: it was not scheduled.
 const STALL_THRESHOLD_PERIODS: f64 = 0.5;
 
 impl Membership {
-    /// When [`Membership::handle_timeout`] has something to do next.
+    /// Returns when [`Membership::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Micros {
         let probes = self.prober.deadlines();
         let nacks = self.relayed_pings.iter().map(|relayed| relayed.next_deadline());
@@ -18,7 +18,7 @@
         probes.chain(nacks).chain(suspicions).fold(self.next_period_at, Micros::min)
     }
 
-    /// Does what is due.
+    /// Performs all actions that are due, and returns the effects.
     pub fn handle_timeout(&mut self, now: Micros) -> Vec<MembershipEffect> {
         let delay = now - self.next_timeout();
         self.now = self.now.max(now);
@@ -34,8 +34,8 @@
         self.take_effects()
     }
 
-    /// Guards against a process that was stopped, or whose machine slept: what it did not hear in that time says nothing
-    /// about others.
+    /// Adjusts the state after the process was stopped or its machine was suspended: messages missed in that
+    /// time say nothing about other members.
     fn recover_from_stall(&mut self, delay: Micros) {
         self.prober.cancel_pending();
         self.relayed_pings.clear();
@@ -61,7 +61,8 @@
         self.begin_probe();
     }
 
-    /// The dead and those that left are remembered for a while, so that late gossip does not bring them back.
+    /// Removes peers that have been dead or left for the retention time. Until then they are remembered, so
+    /// that delayed gossip does not add them again.
     fn remove_expired_peers(&mut self) {
         if !self.periods.is_multiple_of(SYNC_INTERVAL_PERIODS) {
             return;
--- a/crates/alderstile-cluster/src/membership/transmit.rs
+++ b/crates/alderstile-cluster/src/membership/transmit.rs
@@ -1,4 +1,4 @@
-//! Sending: piggybacked gossip and the rate limit.
+//! Sending: piggybacks gossip on datagrams and applies the rate limit.
 
 use std::net::SocketAddr;
 
@@ -10,10 +10,10 @@
 use super::record::InstanceId;
 use crate::authentication::MAX_DATAGRAM_BYTES;
 
-/// More updates than fit into a datagram, by the shortest update.
+/// An upper bound on the updates that fit into a datagram, by the shortest update.
 const MAX_UPDATES: usize = MAX_DATAGRAM_BYTES / 16;
 
-/// What was sent: sequence numbers, and the datagrams of this period.
+/// The last sequence number, and the number of datagrams sent in this period.
 #[derive(Debug, Default)]
 pub(super) struct Transmitter {
     last_sequence: u64,
@@ -33,7 +33,7 @@
         self.last_sequence = sequence;
     }
 
-    /// The sequence number of the next datagram; none where the period's limit is reached.
+    /// Returns the sequence number of the next datagram, or `None` if the limit of the period is reached.
     fn next_sequence(&mut self, max_per_period: u32) -> Option<u64> {
         if self.sent_in_period >= max_per_period {
             return None;
@@ -45,14 +45,15 @@
 }
 
 impl Membership {
-    /// Sends a message to a peer that is known.
+    /// Sends a message to a known peer.
     pub(super) fn send(&mut self, receiver: InstanceId, message: &Message) {
         if let Some(address) = self.peers.get(receiver).map(|peer| peer.record.address) {
             self.send_to(address, receiver, message);
         }
     }
 
-    /// Sends a message to an address; `receiver` is the default one where nobody is known there.
+    /// Sends a message to an address. `receiver` is the default instance if no instance at the address is
+    /// known.
     pub(super) fn send_to(&mut self, address: SocketAddr, receiver: InstanceId, message: &Message) {
         let Some(sequence) = self.transmitter.next_sequence(self.config.max_datagrams_per_period) else {
             self.counters.rate_limited += 1;
@@ -74,7 +75,8 @@
         self.effects.push(MembershipEffect::Send { to: address, datagram });
     }
 
-    /// A suspect or dead member is told that first, so that it can refute it (Lifeguard section IV-C, the buddy system).
+    /// Returns the suspicion or death of the receiver, if any. It is sent first, so that the receiver can
+    /// refute it (the buddy system of Lifeguard section IV-C).
     fn suspicion_of(&self, receiver: InstanceId) -> Option<MemberUpdate> {
         let peer = self.peers.get(receiver)?;
         let (instance, incarnation) = (receiver, peer.record.incarnation);
@@ -88,7 +90,7 @@
     }
 }
 
-/// Whether perhaps nobody receives a datagram: gossip on it would count as sent and be lost.
+/// Whether there may be no receiver. Gossip on such a datagram would be lost but count as sent.
 fn receiver_may_be_absent(receiver: InstanceId, message: &Message, suspicion: Option<&MemberUpdate>) -> bool {
     let is_dead = matches!(suspicion, Some(MemberUpdate::Dead { .. }));
     receiver == InstanceId::default() || matches!(message, Message::Ping { .. }) && is_dead
--- a/crates/alderstile-cluster/src/membership/update.rs
+++ b/crates/alderstile-cluster/src/membership/update.rs
@@ -1,4 +1,4 @@
-//! Updates about peers: which of two statements counts, and what follows from it (SWIM section 4.2).
+//! Updates about peers: decides which of two updates takes precedence, and applies it (SWIM section 4.2).
 
 use rand::RngExt;
 
@@ -23,18 +23,18 @@
         }
     }
 
-    /// A peer's own statement: it is alive, with this record.
+    /// Applies the record of an alive peer.
     pub(super) fn apply_alive(&mut self, record: MemberRecord) {
         let instance = record.instance;
         if instance == self.local.instance {
             return;
         }
         let Some(peer) = self.peers.get(instance) else { return self.add_peer(record) };
-        // An instance that has left does not come back.
+        // An instance that has left does not return.
         if record.incarnation <= peer.record.incarnation || peer.state == MemberState::Left {
             return;
         }
-        // An instance never changes its name: the index by name rests on it.
+        // An instance never changes its name; the index by name depends on that.
         let record = MemberRecord { name: peer.record.name.clone(), ..record };
         let before = self.peers.mark_alive(record.clone(), self.now);
         self.gossip.push(MemberUpdate::Alive(record));
@@ -53,13 +53,14 @@
         self.check_name_conflict(instance);
     }
 
-    /// A peer did not refute a suspicion in time, or another instance is at its address.
+    /// Declares a peer dead, because it did not refute a suspicion in time or another instance is at its
+    /// address.
     pub(super) fn apply_dead(&mut self, instance: InstanceId, incarnation: u64) {
         let probe_interval = self.rejoin_probe_interval();
         if self.correct_stale_update(instance, incarnation) || !self.peers.is_live(instance) {
             return;
         }
-        // Members that hear of it together must not probe together for whether it is back.
+        // Members that receive the update at the same time must not probe for recovery at the same time.
         let elapsed_since_probe = probe_interval.scale(self.rng.random::<f64>());
         self.peers.mark_dead(instance, incarnation, self.now);
         if let Some(peer) = self.peers.get_mut(instance) {
@@ -70,7 +71,7 @@
         self.check_name_conflict(instance);
     }
 
-    /// A peer has left on its own account.
+    /// Marks a peer that left the cluster voluntarily.
     fn apply_left(&mut self, instance: InstanceId, incarnation: u64) {
         let Some(peer) = self.peers.get(instance) else { return };
         if incarnation < peer.record.incarnation || peer.state == MemberState::Left {
@@ -82,7 +83,8 @@
         self.check_name_conflict(instance);
     }
 
-    /// Whether an update is older than what is known. Its sender has not heard the newer statement, and does with the answer.
+    /// Returns whether an update is older than the known record. If so, the known record is gossiped, so that
+    /// the sender receives it with the reply.
     pub(super) fn correct_stale_update(&mut self, instance: InstanceId, incarnation: u64) -> bool {
         let Some(peer) = self.peers.get(instance) else { return false };
         let is_stale = incarnation < peer.record.incarnation;
--- a/crates/alderstile-cluster/src/subsetting/mod.rs
+++ b/crates/alderstile-cluster/src/subsetting/mod.rs
@@ -1,12 +1,19 @@
-//! Subsetting: which hosts each node uses, and how much of its traffic goes to each, so that every host gets its due of all
-//! nodes together. A function of the members and the endpoint list, without state: nodes with the same view agree.
+//! Subsetting: selects the hosts that each node uses and each host's share of the node's traffic, so that
+//! every host receives its target load from all nodes together. The result is a pure function of the members
+//! and the endpoint list: nodes with the same view compute the same table.
 //!
-//! Two steps. **Who uses what** ([`preference_order`]): each node takes the hosts that it prefers, and each host is given to
-//! the few nodes that prefer it most, so that no host is without one. A node or host more or less changes nobody else's
-//! preferences. **How much** ([`share_table`]): the table of nodes by hosts so marked is scaled until both the hosts' dues and
-//! the nodes' traffic fit. [`NodeSubset`] is one node's row of it, with hosts added while it can't reach its own.
+//! The computation has two steps:
 //!
-//! Weighed beside it in `docs/choices.md`: deterministic subsetting, low-discrepancy rings, aperture rings, Maglev tables.
+//! 1. **Selection** ([`preference_order`]): each node uses the hosts that it prefers, and each host is also
+//!    used by the few nodes that prefer it most, so that no host is without a node. Adding or removing a node
+//!    or a host does not change the other preferences.
+//! 2. **Shares** ([`share_table`]): the table of selected nodes by hosts is scaled until its rows match the
+//!    nodes' traffic and its columns match the hosts' target loads.
+//!
+//! [`NodeSubset`] holds one node's row of the table, with hosts added while the node cannot reach its own.
+//!
+//! `docs/choices.md` compares the alternatives: deterministic subsetting, low-discrepancy rings, aperture
+//! rings and Maglev tables.
 
 use std::collections::BTreeMap;
 
@@ -21,17 +28,17 @@
 pub use rendezvous::preference_order;
 pub use share_table::{node_shares, share_table};
 
-/// The least and the greatest weight; one outside of these is taken for the nearest.
+/// The minimum and maximum weight; weights outside this range are clamped.
 const WEIGHT_BOUNDS: (f64, f64) = (1e-3, 1e3);
 
-/// How subsets are chosen.
+/// Parameters of subsetting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsettingParams {
-    /// Hosts that a node uses, at least.
+    /// The minimum number of hosts that a node uses.
     pub hosts_per_node: usize,
-    /// Nodes that use a host, at least.
+    /// The minimum number of nodes that use a host.
     pub nodes_per_host: usize,
-    /// Hosts of the node's own zone first.
+    /// Whether a node prefers hosts in its own zone.
     pub prefer_own_zone: bool,
 }
 
@@ -41,34 +48,34 @@
     }
 }
 
-/// A host as the endpoint list has it.
+/// A host of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsetHost {
-    /// Its id.
+    /// The host's id.
     pub id: ServerId,
-    /// Its capacity beside others; what is no positive number counts as one.
+    /// The host's capacity relative to other hosts; a value that is not a positive number counts as 1.
     pub weight: f64,
-    /// Its zone.
+    /// The host's zone.
     pub zone: u16,
-    /// Hosts that may fail together.
+    /// The failure group: hosts in the same group may fail together.
     pub failure_group: u16,
 }
 
-/// A node as the members have it.
+/// A node of the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubsetNode {
-    /// Its name.
+    /// The node's name.
     pub name: Box<str>,
-    /// Its zone.
+    /// The node's zone.
     pub zone: u16,
-    /// The traffic that it receives beside others; what is no positive number counts as one.
+    /// The node's traffic relative to other nodes; a value that is not a positive number counts as 1.
     pub traffic: f64,
 }
 
-/// Shares of a node's traffic by host, which sum to one.
+/// The shares of a node's traffic by host. They sum to 1.
 pub type TrafficShares = BTreeMap<ServerId, f64>;
 
-/// A positive number within bounds: lists and members may hold anything.
+/// Returns a positive weight within bounds, because endpoint lists and members can contain any value.
 fn bounded_weight(weight: f64) -> f64 {
     let is_usable = weight > 0.0 && weight.is_finite();
     if is_usable { weight.clamp(WEIGHT_BOUNDS.0, WEIGHT_BOUNDS.1) } else { 1.0 }
--- a/crates/alderstile-cluster/src/subsetting/node_subset.rs
+++ b/crates/alderstile-cluster/src/subsetting/node_subset.rs
@@ -1,4 +1,4 @@
-//! One node's subset: its row of the table, widened while it can't reach its hosts.
+//! The subset of one node: its row of the share table, widened while its hosts are unreachable.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,36 +8,39 @@
 use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, node_shares, preference_order};
 use crate::name_hash;
 
-/// A node that can't reach the hosts of more than this part of its traffic adds others. Below that the rest of its hosts do:
-/// what hosts lose that are down for all is in the list soon.
+/// The share of a node's traffic above which the node replaces its unreachable hosts. Below it, the node's
+/// other hosts take the load: hosts that are down for all nodes soon disappear from the endpoint list.
 const MAX_UNREACHABLE_SHARE: f64 = 0.5;
-/// The least part of the retention after which an added host is given up; the rest, up to one and a half of it, is drawn.
+/// The minimum retention of an added host, as a fraction of the configured one. A random fraction between 0
+/// and 1 is added to it.
 const MIN_RETENTION_FACTOR: f64 = 0.5;
 
-/// How a node treats a host that may receive new work.
+/// How a node uses a host that may receive new work.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostUse {
-    /// New work may go there, for this part of the node's traffic.
+    /// The host receives this share of the node's traffic.
     Assigned(f64),
-    /// Connections there stay; new work goes elsewhere.
+    /// The host keeps its connections but receives no new work.
     Cordoned,
 }
 
-/// How many hosts a subset has.
+/// The number of hosts in a subset.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SubsetCounts {
     /// Hosts in use.
     pub in_use: usize,
-    /// Those of them that were added in place of others that can't be reached.
+    /// Hosts in use that were added to replace unreachable ones.
     pub added: usize,
 }
 
-/// One node's subset: its row of the table, and the hosts that it adds where it can't reach its own.
+/// The subset of one node: its row of the share table, and the hosts added while its own are unreachable.
 ///
-/// **Widening.** While a node can't reach the hosts of more than half of its traffic, or is rejected there, each of these is
-/// replaced by the next host of its order that it can reach and that is warm, as long as there is one.
-/// **Narrowing.** An added host stays for a while after the last moment at which it was needed, drawn by node and host: nodes
-/// that lost the same hosts at once give up what they took one after the other. Connections on a host that is given up stay.
+/// - **Widening.** While hosts with more than half of the node's traffic are unreachable or reject the node,
+///   each of them is replaced by the next host in preference order that is reachable and warmed up, if there
+///   is one.
+/// - **Narrowing.** An added host stays for a while after it was last needed. The time depends on a hash of
+///   node and host, so that nodes that lost the same hosts at once do not remove their replacements at once.
+///   Connections to a removed host stay.
 #[derive(Debug)]
 pub struct NodeSubset {
     params: SubsettingParams,
@@ -45,12 +48,12 @@
     added_host_retention: Micros,
     shares: TrafficShares,
     preferred_hosts: Vec<ServerId>,
-    /// Hosts beyond the table's, and when each was last needed.
+    /// The hosts in use that are not in the table's row, and when each was last needed.
     added: BTreeMap<ServerId, Micros>,
 }
 
 impl NodeSubset {
-    /// A node that knows of no hosts yet.
+    /// Creates the subset of a node that knows no hosts.
     pub fn new(params: SubsettingParams, node: SubsetNode, added_host_retention: Micros) -> Self {
         NodeSubset {
             params,
@@ -62,20 +65,21 @@
         }
     }
 
-    /// Takes in the other nodes, and the hosts that may receive new work.
+    /// Sets the other nodes, and the hosts that may receive new work.
     pub fn update(&mut self, other_nodes: &[SubsetNode], hosts: &[SubsetHost]) {
         self.update_shares(node_shares(self.params, &self.node, other_nodes, hosts), hosts);
     }
 
-    /// The same, with the node's row of the table from elsewhere.
+    /// Does the same as [`NodeSubset::update`], with the node's row of the table computed by the caller.
     pub fn update_shares(&mut self, shares: TrafficShares, hosts: &[SubsetHost]) {
         self.shares = shares;
         self.preferred_hosts = preference_order(self.params, &self.node, hosts);
         self.added.retain(|id, _| self.preferred_hosts.contains(id));
     }
 
-    /// How this node treats each host that may receive new work, given those that it can't reach now, and those that are warming
-    /// up and get no more than their share.
+    /// Returns how this node uses each host that may receive new work. `unreachable` hosts are replaced if
+    /// they have too large a share; hosts that are `warming_up` are not used as replacements and receive no
+    /// more than their share.
     pub fn host_uses(
         &mut self,
         now: Micros,
@@ -99,18 +103,19 @@
         self.preferred_hosts.iter().map(|id| (*id, host_use(id))).collect()
     }
 
-    /// How many hosts the subset has.
+    /// Returns the number of hosts in the subset.
     pub fn counts(&self) -> SubsetCounts {
         SubsetCounts { in_use: self.shares.len() + self.added.len(), added: self.added.len() }
     }
 
-    /// The shares of the hosts that can't be reached.
+    /// Returns the shares of the unreachable hosts.
     fn unreachable_shares(&self, unreachable: &BTreeSet<ServerId>) -> Vec<f64> {
         let unreachable_shares = self.shares.iter().filter(|(id, _)| unreachable.contains(id));
         unreachable_shares.map(|(_, share)| *share).collect()
     }
 
-    /// Adds so many hosts, the first of the order that may stand in for others, or notes that they are needed still.
+    /// Adds the first `count` hosts in preference order that can replace others, or marks them as still
+    /// needed.
     fn add_replacements(
         &mut self,
         count: usize,
--- a/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
+++ b/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
@@ -1,21 +1,23 @@
-//! Iterative proportional fitting (Deming and Stephan 1940; Sinkhorn and Knopp 1967): a table is scaled, its rows to the nodes'
-//! traffic and its columns to the hosts' dues by turns, until both fit. Of all tables that fit it is the one nearest to the one
-//! begun with, so nodes stay in their zone as far as the dues allow, and what a newcomer brings moves little.
+//! Iterative proportional fitting (Deming and Stephan 1940; Sinkhorn and Knopp 1967): scales the rows of a
+//! table to the nodes' traffic and its columns to the hosts' target loads, alternately, until both match.
+//!
+//! Of all tables that match, the result is the closest to the initial one. Traffic therefore stays in its
+//! zone as far as the target loads allow, and a new node or host moves little of it.
 
 use super::share_table::Preferences;
 use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, bounded_weight};
 
-/// The table fits when no host is further from its due than this part of it.
+/// The table matches when the relative deviation of every host from its target load is below this.
 const TOLERANCE: f64 = 2e-3;
-/// Turns at most: a table that can't fit must not keep the node busy.
+/// The maximum number of iterations: a table that cannot match must not keep the node busy.
 const MAX_ITERATIONS: usize = 200;
-/// What a host in another zone counts at first beside one in the own zone.
+/// The initial weight of a host in another zone relative to one in the node's own zone.
 const OTHER_ZONE_WEIGHT: f64 = 0.01;
 
-/// The cells of one node's row: a host's place, and the traffic that goes there.
+/// One node's row: host indices and the traffic sent to each.
 type Row = Vec<(usize, f64)>;
 
-/// Each node's shares of its traffic, from the preferences to begin with.
+/// Returns each node's traffic shares, fitted from its initial preferences.
 pub(super) fn fitted_shares(
     params: SubsettingParams,
     nodes: &[&SubsetNode],
@@ -36,7 +38,7 @@
     rows.into_iter().map(|row| normalized(row, hosts)).collect()
 }
 
-/// The part of all traffic that is due to each host, by its weight.
+/// Returns the traffic that each host should receive, in proportion to its weight.
 fn host_target_loads(hosts: &[SubsetHost], total_traffic: f64) -> Vec<f64> {
     let total_weight: f64 = hosts.iter().map(|host| bounded_weight(host.weight)).sum();
     hosts.iter().map(|host| bounded_weight(host.weight) / total_weight * total_traffic).collect()
--- a/crates/alderstile-cluster/src/subsetting/rendezvous.rs
+++ b/crates/alderstile-cluster/src/subsetting/rendezvous.rs
@@ -1,4 +1,5 @@
-//! Weighted rendezvous hashing (Thaler and Ravishankar 1998; Schindelhauer and Schomaker 2005): which hosts a node prefers.
+//! Weighted rendezvous hashing (Thaler and Ravishankar 1998; Schindelhauer and Schomaker 2005): ranks hosts
+//! by node.
 
 use std::collections::BTreeMap;
 
@@ -7,16 +8,17 @@
 use super::{SubsetHost, SubsetNode, SubsettingParams, bounded_weight};
 use crate::name_hash;
 
-/// A failure group has this multiple of its part of a subset at most, rounded up, while others have room: its failure must not
-/// take most of a node's hosts.
+/// The maximum size of a failure group in a subset, as a multiple of its proportional part and rounded up,
+/// while other groups have hosts left. It keeps the failure of one group from taking most of a node's hosts.
 const MAX_GROUP_FACTOR: f64 = 2.0;
-/// With the own zone first, the part of a subset that is in other zones, for what the own one can't take.
+/// The fraction of a subset in other zones if a node prefers its own zone, for load that its own zone cannot
+/// take.
 const OTHER_ZONES_FRACTION: f64 = 0.25;
 
-/// The rank of a host at the node with this hash: the lowest is preferred, and a heavier host is first as much more often
-/// (exponential draws).
+/// Returns the rank of a host for a node with the hash `node_hash`. Lower ranks are preferred; ranks are
+/// exponentially distributed, so that a host is preferred in proportion to its weight.
 pub fn rendezvous_rank(node_hash: u64, host: &SubsetHost) -> f64 {
-    // The finalizer of MurmurHash3: each bit of the pair reaches each bit of the draw.
+    // The finalizer of MurmurHash3, by which each bit of node and host affects each bit of the result.
     let mixed = node_hash ^ host.id.0.rotate_left(32).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let mixed = (mixed ^ mixed >> 33).wrapping_mul(0xff51_afd7_ed55_8ccd);
     let mixed = (mixed ^ mixed >> 33).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
@@ -24,13 +26,14 @@
     -uniform.ln() / bounded_weight(host.weight)
 }
 
-/// All hosts in the order in which a node would use them: by rank, but no failure group with more than twice its part of a
-/// subset before all others have had theirs, and the own zone first where that is asked for.
+/// Returns all hosts in the order in which a node prefers them, by rank. No failure group exceeds twice its
+/// proportional part of a subset before all other groups have reached theirs. If
+/// [`SubsettingParams::prefer_own_zone`] is set, hosts in the node's zone come first.
 pub fn preference_order(params: SubsettingParams, node: &SubsetNode, hosts: &[SubsetHost]) -> Vec<ServerId> {
     let mut group_quotas = failure_group_quotas(params, hosts);
     let (mut own_zone, mut other_zones, mut over_quota) = (Vec::new(), Vec::new(), Vec::new());
     for host in by_rank(node, hosts) {
-        // At least one of each group has room.
+        // Quotas are positive, so the first host of each group is always within its quota.
         let quota = group_quotas.entry(host.failure_group).or_default();
         *quota -= 1.0;
         if *quota <= -1.0 {
@@ -41,7 +44,8 @@
             other_zones.push(host.id);
         }
     }
-    // Most from the own zone, some from others, the rest of the own, the rest of the others.
+    // The order is: most of the subset from the own zone, some from other zones, the rest of the own zone,
+    // the rest of the other zones.
     let other_zones_count =
         ((params.hosts_per_node as f64 * OTHER_ZONES_FRACTION).ceil() as usize).min(other_zones.len());
     let own_zone_count = params.hosts_per_node.saturating_sub(other_zones_count).min(own_zone.len());
@@ -58,7 +62,7 @@
     ranked.into_iter().map(|(_, host)| host)
 }
 
-/// How many hosts of each failure group a subset takes before all others.
+/// Returns the number of hosts of each failure group that precede all hosts over quota.
 fn failure_group_quotas(params: SubsettingParams, hosts: &[SubsetHost]) -> BTreeMap<u16, f64> {
     let total_weight: f64 = hosts.iter().map(|host| bounded_weight(host.weight)).sum();
     let mut quotas: BTreeMap<u16, f64> = BTreeMap::new();
--- a/crates/alderstile-cluster/src/subsetting/share_table.rs
+++ b/crates/alderstile-cluster/src/subsetting/share_table.rs
@@ -1,4 +1,4 @@
-//! The table of shares: all nodes by all hosts.
+//! The share table of all nodes by all hosts.
 
 use std::collections::BTreeMap;
 
@@ -9,11 +9,11 @@
 use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares};
 use crate::name_hash;
 
-/// A node's row before it is fitted: how strongly it prefers each host that it uses, by the host's place.
+/// One node's row before fitting: the weight of its preference for each selected host, by host index.
 pub(super) type Preferences = BTreeMap<usize, f64>;
 
-/// The whole table: each node's shares, in the order of `nodes`; `nodes` and `hosts` may come in any order. Who is named twice
-/// counts once. Nothing where there are no hosts.
+/// Returns the traffic shares of each node, in the order of `nodes`. The result does not depend on the order
+/// of `nodes` and `hosts`; duplicates count once. Rows are empty if there are no hosts.
 pub fn share_table(
     params: SubsettingParams,
     nodes: &[SubsetNode],
@@ -30,7 +30,7 @@
     nodes.iter().map(|node| by_name.get(&*node.name).cloned().unwrap_or_default()).collect()
 }
 
-/// One node's row of the table. It counts itself, whoever else names it.
+/// Returns the row of one node. `node` takes precedence over an entry of the same name in `other_nodes`.
 pub fn node_shares(
     params: SubsettingParams,
     node: &SubsetNode,
@@ -42,7 +42,7 @@
     share_table(params, &nodes, hosts).swap_remove(0)
 }
 
-/// Each node uses the hosts that it prefers.
+/// Selects for each node the hosts that it prefers.
 fn node_preferences(
     params: SubsettingParams,
     nodes: &[&SubsetNode],
@@ -61,7 +61,7 @@
     nodes.iter().map(preferences_of).collect()
 }
 
-/// Each host is used by the nodes that prefer it most: none is left out, whatever the nodes prefer.
+/// Selects for each host the nodes that prefer it most, so that no host is without a node.
 fn add_host_preferences(
     params: SubsettingParams,
     nodes: &[&SubsetNode],
@@ -78,7 +78,7 @@
     }
 }
 
-/// The places of so many nodes that prefer a host most, the first one first.
+/// Returns the indices of the `count` nodes that prefer a host most, in order of preference.
 fn top_ranked_nodes(host: &SubsetHost, node_hashes: &[u64], count: usize) -> Vec<usize> {
     let ranks = node_hashes.iter().enumerate().map(|(node, hash)| (rendezvous_rank(*hash, host), node));
     let mut ranks: Vec<(f64, usize)> = ranks.collect();
@@ -91,7 +91,8 @@
     ranks.into_iter().map(|(_, node)| node).collect()
 }
 
-/// What a place in an order counts: the last hardly anything, so that who comes or goes there moves little traffic.
+/// Returns the weight of a rank. The last rank has nearly no weight, so that a host or node that enters or
+/// leaves there moves little traffic.
 fn preference_weight(rank: usize, count: usize) -> f64 {
     (count - rank) as f64 / count as f64
 }
