--- a/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
+++ b/crates/alderstile-cluster/fuzz/fuzz_targets/datagram.rs
@@ -8,7 +8,7 @@
 use libfuzzer_sys::fuzz_target;
 
 fuzz_target!(|bytes: &[u8]| {
-    let codec = DatagramCodec::new("fuzz", &[b"a key that is long enough".to_vec()]).expect("a codec");
+    let codec = DatagramCodec::new("fuzz", &[b"a key that is long enough".to_vec()]).expect("a valid codec");
     let local = MemberRecord {
         instance: InstanceId(1),
         incarnation: 1,
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -1,4 +1,5 @@
-//! Members' datagrams and schedule as the version before wrote them (cc53de7): the same bytes, read and written.
+//! Compatibility of membership: datagrams, and the datagrams of a simulated schedule, match the fixtures
+//! recorded with commit cc53de7 byte for byte.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,7 +21,7 @@
 }
 
 fn codec() -> DatagramCodec {
-    DatagramCodec::new("fixtures", &[b"a fixed key of the fixtures".to_vec()]).expect("a codec")
+    DatagramCodec::new("fixtures", &[b"a fixed key of the fixtures".to_vec()]).expect("a valid codec")
 }
 
 fn record(number: u8) -> MemberRecord {
@@ -38,13 +39,13 @@
     record
 }
 
-/// One whose address has the longer form, without a zone or metadata.
+/// Returns a record with an IPv6 address, the longer form, and without zone and metadata.
 fn ipv6_record() -> MemberRecord {
-    let address: SocketAddr = "[2001:db8::7]:65535".parse().expect("an address");
+    let address: SocketAddr = "[2001:db8::7]:65535".parse().expect("a valid address");
     MemberRecord { address, zone: "".into(), metadata: [].into(), ..record(7) }
 }
 
-/// Each kind of datagram and of gossip, by the name of its file.
+/// Returns a datagram of each kind, and with each kind of update, with the name of its fixture.
 fn datagrams() -> Vec<(&'static str, Datagram)> {
     let receiver = InstanceId(0x3132_3334_3536_3738);
     let header = DatagramHeader { sender: record(1).instance, receiver, sequence: 0x4142_4344_4546_4748 };
@@ -136,19 +137,20 @@
     assert_eq!(tested, fixture_names);
 }
 
-/// Members that find each other, lose datagrams, die, stand still, are split, leave and come back.
+/// Simulated members that join, lose datagrams, die, are paused, are partitioned, leave and restart.
 struct Simulation {
     members: Vec<Option<Membership>>,
     now: Micros,
     datagrams: u64,
-    /// All that the members wanted done, in a running digest, and how much that was.
+    /// A running digest of all effects of the members.
     digest: u64,
     effect_count: u64,
 }
 
 const MEMBERS: u64 = 12;
 
-/// A change by a number for its kind, as the kinds' names are no part of what is kept.
+/// Describes a change by a number for its kind, because the fixture must not depend on the names of the
+/// variants.
 fn describe_change(change: &MembershipChange) -> String {
     match change {
         MembershipChange::Joined(instance) => format!("0 {instance}"),
@@ -201,7 +203,7 @@
             alderstile_cluster::content_digest(format!("{} {sender} {text}", self.digest).as_bytes());
     }
 
-    /// Carries what is sent; every seventh datagram is lost, and those between the sides of a split.
+    /// Delivers sent datagrams, except every seventh one and those between the sides of a partition.
     fn deliver(&mut self, sender: usize, effects: Vec<MembershipEffect>, partition: &[u64]) {
         let mut pending = vec![(sender, effects)];
         while let Some((sender, effects)) = pending.pop() {
@@ -241,7 +243,8 @@
     }
 }
 
-/// The order of random draws and of iteration is in each byte that is sent.
+/// The sent bytes depend on the order of random draws and of iterations, so this test detects changes of
+/// either.
 #[test]
 fn a_simulated_schedule_sends_the_recorded_bytes() {
     let mut simulation = Simulation::new();
--- a/crates/alderstile-cluster/tests/membership_datagrams.rs
+++ b/crates/alderstile-cluster/tests/membership_datagrams.rs
@@ -1,4 +1,4 @@
-//! Members' datagrams: which are accepted, and that whatever comes does no harm.
+//! Membership datagrams: which ones are accepted, and that arbitrary input does no harm.
 
 mod support;
 
@@ -18,14 +18,15 @@
     let mut receiver = member(1, &[2]);
     let ping = |to: u64, sequence, codec: &DatagramCodec| {
         let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(to), sequence };
-        // It would bring a member that nobody knows.
+        // If accepted, this update would add an unknown member.
         let update = MemberUpdate::Alive(record(9));
         codec.encode(header, &Message::Ping { nonce: 1, record: record(2) }, &[&update]).0
     };
     let receive =
         |receiver: &mut Membership, bytes: &[u8]| receiver.handle_datagram(Micros(0), address(2), bytes);
-    let other_key = DatagramCodec::new("test", &[b"another key of a length".to_vec()]).expect("a codec");
-    let other_name = DatagramCodec::new("other", &[KEY.to_vec()]).expect("a codec");
+    let other_key =
+        DatagramCodec::new("test", &[b"another key of a length".to_vec()]).expect("a valid codec");
+    let other_name = DatagramCodec::new("other", &[KEY.to_vec()]).expect("a valid codec");
     for codec in [&other_key, &other_name] {
         assert_eq!(receive(&mut receiver, &ping(1_000, 1, codec)), []);
     }
@@ -41,7 +42,7 @@
         assert_eq!(receive(&mut receiver, &corrupted), [], "byte {i}");
         assert_eq!(receive(&mut receiver, &valid[..i]), [], "truncated to {i} bytes");
     }
-    // Made for another process here: it is told who is here, and nothing else.
+    // A datagram for another instance at this address is answered with this instance, and otherwise ignored.
     let reply = receive(&mut receiver, &ping(77, 1, &codec()));
     assert!(matches!(reply[..], [MembershipEffect::Send { .. }]), "{reply:?}");
     assert_eq!((receiver.counters().wrong_instance, receiver.counters().accepted), (1, 0));
@@ -55,7 +56,7 @@
 #[test]
 fn each_sequence_number_is_accepted_once_in_any_order() {
     let mut receiver = member(1, &[2]);
-    // Whether a datagram with that number is accepted in.
+    // Returns whether a datagram with this sequence number is accepted.
     let mut receive = |sequence: u64| {
         let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence };
         let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[]);
@@ -78,7 +79,7 @@
     let (old, new) = (KEY.to_vec(), b"the key that comes next".to_vec());
     let codecs = [vec![old.clone()], vec![old.clone(), new.clone()], vec![new.clone(), old], vec![new]];
     for pair in codecs.windows(2) {
-        let codec = |keys| DatagramCodec::new("test", keys).expect("a codec");
+        let codec = |keys| DatagramCodec::new("test", keys).expect("a valid codec");
         let mut members = vec![member_with(1, codec(&pair[0]), &[2]), member_with(2, codec(&pair[1]), &[1])];
         advance(&mut members, &mut Micros(0), Micros::from_millis(5_000));
         assert!(members.iter().all(|m| m.counters().unauthenticated == 0 && m.counters().accepted > 3));
@@ -147,7 +148,7 @@
 }
 
 proptest! {
-    // The same cases each time.
+    // The fixed seed generates the same cases in each run.
     #![proptest_config(ProptestConfig {
         rng_seed: RngSeed::Fixed(46),
         failure_persistence: None,
@@ -178,12 +179,13 @@
     fn any_bytes_are_decoded_or_rejected(bytes in prop::collection::vec(any::<u8>(), 0..1_400)) {
         let mut receiver = member(1, &[2]);
         prop_assert_eq!(receiver.handle_datagram(Micros(0), address(2), &bytes), []);
-        // The same from a broken member that has the key.
+        // The same bytes, sent by a faulty member that has the key.
         receiver.handle_datagram(Micros(0), address(2), &codec().sign_payload(&bytes));
         prop_assert_eq!(receiver.live_count(), receiver.peers().filter(|other| other.state.is_live()).count() + 1);
     }
 
-    /// Whatever members with the key say: no panic, no more than is allowed is sent, the sums hold.
+    /// Arbitrary updates from members with the key cause no panic, keep the member counts consistent, and
+    /// leave no deadline in the past.
     #[test]
     fn no_update_breaks_the_member_counts(
         steps in prop::collection::vec((any_update(), any::<u64>(), 0..3_000u64), 1..60),
--- a/crates/alderstile-cluster/tests/membership_failure_detection.rs
+++ b/crates/alderstile-cluster/tests/membership_failure_detection.rs
@@ -1,4 +1,4 @@
-//! Failure detection: who is found, suspected, dead, and found again.
+//! Failure detection: how members join, become suspect and dead, and recover.
 
 mod support;
 
@@ -14,7 +14,7 @@
 
 #[test]
 fn members_find_each_other_through_the_one_reachable_seed() {
-    // The first seed does not exist.
+    // There is no member at the address of the first seed.
     let mut members = vec![member(2, &[]), member(3, &[]), member(4, &[])];
     let mut now = Micros(0);
     advance(&mut members, &mut now, Micros::from_millis(30_000));
@@ -28,7 +28,7 @@
 fn a_silent_member_is_suspected_before_it_is_dead_and_a_leaving_one_is_left() {
     let mut members = vec![member(1, &[2, 3, 4]), member(2, &[1, 3, 4]), member(3, &[1, 2, 4])];
     let mut now = Micros(0);
-    // Number 4 never was: it is silent from the start.
+    // Member 4 is known to the others but does not exist, so it never answers.
     let changes = advance(&mut members, &mut now, Micros::from_millis(15_000));
     let silent = InstanceId(4_000);
     let suspected = changes.iter().position(|change| *change == (0, MembershipChange::Suspected(silent)));
@@ -40,7 +40,7 @@
     assert_eq!(members[0].live_count(), 2);
 }
 
-/// Sends a member an update in the name of number 3, which never was.
+/// Sends a member an update in the name of member 3, which does not exist.
 fn send_update(member: &mut Membership, sequence: u64, update: &MemberUpdate) {
     let header = DatagramHeader { sender: InstanceId(3_000), receiver: member.local().instance, sequence };
     let (bytes, _) = codec().encode(header, &Message::Nack { nonce: 0 }, &[update]);
@@ -49,7 +49,7 @@
 
 #[test]
 fn two_members_that_consider_each_other_dead_recover_with_one_ping_and_its_ack() {
-    // A member that hears in an ack that it is held dead refutes that to the sender at once.
+    // A member that receives its own death with an ack refutes it to the sender at once.
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3])];
     for (i, other) in [(0, 2_000), (1, 1_000)] {
         send_update(&mut members[i], 1, &MemberUpdate::Dead { instance: InstanceId(other), incarnation: 1 });
@@ -86,7 +86,7 @@
 fn each_dead_member_is_probed_in_turn_when_few_members_are_live() {
     let mut observer = member(1, &[2, 3, 4, 5, 6]);
     for n in [2, 4, 5, 6, 3] {
-        // The last word is the end of who says it.
+        // The updates come from member 3, so its own death is the last of them.
         send_update(
             &mut observer,
             n,
@@ -95,7 +95,9 @@
     }
     assert_eq!(observer.live_count(), 1);
     let mut now = Micros(0);
-    // A first turn in the order of chance, then each turn in five periods; later in ten thirds of one for each, more than five.
+    // The first round is in random order within 6 periods; then each round takes five periods. After 300 s,
+    // the interval for each address is 10/3 periods, less than the five periods of a round, so rounds still
+    // take about as long.
     for (wait, periods, rounds) in [(0, 6, 1), (0, 30, 6), (300, 30, 5)] {
         now = now + Micros::from_millis(wait * 1_000);
         observer.handle_timeout(now);
@@ -117,7 +119,8 @@
 
 #[test]
 fn a_member_that_joins_at_the_end_of_a_round_is_pinged_evenly() {
-    // If all put it into what is left of the round, nobody pings it in the other periods, round after round.
+    // If all members inserted the new one into the rest of their current round, they would ping it in the
+    // same few periods of each round, and no member would ping it in the others.
     let known: Vec<u64> = (1..=40).collect();
     let mut members: Vec<Membership> = known.iter().map(|n| member(*n, &known)).collect();
     let mut now = Micros(0);
@@ -138,7 +141,8 @@
         });
     }
     longest_gap = longest_gap.max(now - last_ping_at);
-    // Forty members, each at a period of its own: none in ten periods has a chance of e^-10.
+    // Forty members ping it once per round of forty periods, at independent times: the probability of ten
+    // periods without a ping is e^-10.
     assert!(longest_gap < Micros::from_millis(10_000), "{:.1} s without a ping", longest_gap.as_secs_f64());
 }
 
@@ -147,7 +151,7 @@
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3]), member(3, &[1, 2])];
     let mut now = Micros(0);
     advance(&mut members, &mut now, Micros::from_millis(3_000));
-    // Number 1 alone: an hour later, as if its machine had slept.
+    // Only the clock of member 1 advances by an hour, as if its machine had been suspended.
     now = now + Micros(3_600_000_000);
     let effects = members[0].handle_timeout(now);
     assert!(
@@ -183,7 +187,7 @@
     let later = members[0].counters().sent - first;
     assert!(first >= 4 && later >= 5, "{first} datagrams in the first minute, {later} in the next ten");
     assert!(later < 10 * first, "{first} datagrams in the first minute, {later} in the next ten");
-    // And finds them when they come.
+    // The seed is found once it starts.
     members.push(member(1, &[]));
     advance(&mut members, &mut now, Micros::from_millis(240_000));
     assert_eq!(members[0].live_count(), 2);
--- a/crates/alderstile-cluster/tests/membership_identity.rs
+++ b/crates/alderstile-cluster/tests/membership_identity.rs
@@ -1,4 +1,4 @@
-//! What members state of themselves: names, addresses, metadata, incarnations.
+//! The identity of members: names, addresses, metadata and incarnations.
 
 mod support;
 
@@ -13,7 +13,8 @@
 #[test]
 fn a_restarted_member_replaces_its_earlier_instance() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3])];
-    // Number 3 returns as another process at the same address; the others still hold the old one alive.
+    // Member 3 restarts as another process at the same address, while the others still consider the old one
+    // alive.
     let restarted = MemberRecord { instance: InstanceId(33), ..record(3) };
     members.push(joining_member(restarted, 9, Micros(0)));
     let mut now = Micros(0);
@@ -43,7 +44,7 @@
     }
     assert_eq!(state(&members[0], InstanceId(2_000)), Some(MemberState::Alive));
     assert_eq!(state(&members[0], InstanceId(5_000)), Some(MemberState::Alive));
-    // When one of them has gone the other has the name.
+    // After one of the two has gone, the conflict is resolved.
     members.pop();
     let changes = advance(&mut members, &mut now, Micros::from_millis(20_000));
     assert!(changes.contains(&(0, MembershipChange::NameConflictResolved("n2".into()))), "{changes:?}");
@@ -69,7 +70,7 @@
 
 #[test]
 fn the_highest_incarnation_does_not_overflow() {
-    // The next incarnation would overflow: a panic where overflows are checked.
+    // Raising the highest incarnation would overflow, and panic in builds with overflow checks.
     let mut receiver = member(1, &[2]);
     let header = DatagramHeader { sender: InstanceId(2_000), receiver: InstanceId(1_000), sequence: 1 };
     let highest = MemberUpdate::Suspect {
--- a/crates/alderstile-cluster/tests/membership_model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -1,5 +1,6 @@
-//! Membership against a model that knows who runs and who can reach whom: whatever happens, a while later all members that run
-//! and reach each other see just each other alive.
+//! Model-based test of membership. The model knows which members run and which can reach each other. After
+//! any sequence of steps and some time, all running members that reach each other have exactly each other as
+//! live members.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -13,15 +14,17 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
 const NODES: usize = 5;
-/// After this long without a change all views are to be right, as `docs/cluster.md` derives it for five members: until two that
-/// can reach each other again have asked, a round at the worst health, a probe that waits as long, a suspicion and its check.
+/// The time without a change after which all views must be correct. `docs/cluster.md` derives it for five
+/// members as the sum of the time until two members that can reach each other again have contacted each
+/// other, a round of probes at the worst local health, a probe with its timeout at that health, a suspicion,
+/// and its final probe.
 const CONVERGENCE_TIME: Micros = Micros::from_millis(36_000);
-/// Views are looked at each so often meanwhile.
+/// The interval at which views are checked while they converge.
 const CHECK_INTERVAL: Micros = Micros::from_millis(500);
-/// The longest time after which a view was still wrong.
+/// The longest time after which a view was still incorrect, in milliseconds, over all cases.
 static MAX_CONVERGENCE_MS: AtomicU64 = AtomicU64::new(0);
 
-/// Who runs, and who is on the other side of a split.
+/// Which members run, and which are on the second side of a partition.
 #[derive(Clone, Debug)]
 struct ModelState {
     running: [bool; NODES],
@@ -35,7 +38,7 @@
     Start(usize),
     Partition([bool; NODES]),
     Heal,
-    /// A process stands still for that long.
+    /// Pauses the process of a member for a time in milliseconds.
     Pause(usize, u64),
     Advance(u64),
     Settle,
@@ -76,7 +79,8 @@
         model
     }
 
-    /// A member that is the last one cannot be asked by anyone; the rest is allowed at any time.
+    /// A running member can be killed, leave or be paused; a stopped one can be started. All other steps are
+    /// always allowed.
     fn preconditions(model: &ModelState, step: &Step) -> bool {
         match step {
             Step::Kill(node) | Step::Leave(node) | Step::Pause(node, _) => model.running[*node],
@@ -93,7 +97,7 @@
 }
 
 fn address(node: usize) -> SocketAddr {
-    format!("127.0.0.{}:7946", node + 1).parse().expect("an address")
+    format!("127.0.0.{}:7946", node + 1).parse().expect("a valid address")
 }
 
 impl Cluster {
@@ -108,13 +112,14 @@
             config_digest: 1,
             metadata: [].into(),
         };
-        let codec = DatagramCodec::new("model", &[b"a key that is long enough".to_vec()]).expect("a codec");
+        let codec =
+            DatagramCodec::new("model", &[b"a key that is long enough".to_vec()]).expect("a valid codec");
         let config = MembershipConfig::with_period(Micros::from_millis(1_000));
         let seeds = (0..NODES).map(address).collect();
         self.members[node] = Some(Membership::new(config, codec, local, seeds, self.instances, self.now));
     }
 
-    /// Carries what is sent, to those that run and are on the same side.
+    /// Delivers sent datagrams to running members on the same side of the partition.
     fn deliver(&mut self, model: &ModelState, sender: usize, effects: Vec<MembershipEffect>) {
         let mut pending: Vec<(usize, Vec<MembershipEffect>)> = vec![(sender, effects)];
         while let Some((sender, effects)) = pending.pop() {
@@ -131,7 +136,7 @@
         }
     }
 
-    /// Lets time pass for all but one that stands still.
+    /// Advances the time for all members except a paused one.
     fn advance(&mut self, model: &ModelState, span: Micros, paused: Option<usize>) {
         let until = self.now + span;
         loop {
@@ -146,7 +151,7 @@
         self.now = until;
     }
 
-    /// The views that are wrong: by whom, whom it sees, whom it should see.
+    /// Returns the incorrect views, as member, observed names and expected names.
     fn incorrect_views(&self, model: &ModelState) -> Vec<(usize, Vec<String>, Vec<String>)> {
         let mut incorrect_views = Vec::new();
         for (node, member) in self.members.iter().enumerate() {
@@ -165,7 +170,8 @@
         incorrect_views
     }
 
-    /// Lets the time pass that views have, and looks when they were wrong last.
+    /// Advances the time by [`CONVERGENCE_TIME`], records when views were last incorrect, and checks them at
+    /// the end.
     fn settle(&mut self, model: &ModelState) {
         let begin = self.now;
         while self.now < begin + CONVERGENCE_TIME {
@@ -227,7 +233,7 @@
     }
 }
 
-/// Plays these steps.
+/// Runs a fixed sequence of steps.
 fn run_steps(steps: &[Step]) {
     let mut model = ModelState { running: [true; NODES], partition: [false; NODES] };
     let mut cluster = Cluster::init_test(&model);
@@ -239,14 +245,14 @@
     }
 }
 
-/// Members by their numbers.
+/// Returns a partition with these members on the second side.
 fn partition_of(members: &[usize]) -> [bool; NODES] {
     std::array::from_fn(|node| members.contains(&node))
 }
 
 #[test]
 fn a_new_member_and_an_existing_one_find_each_other_in_a_partition() {
-    // Neither knows the other: only their seeds tell them.
+    // The two members do not know each other and can only find each other through their seeds.
     run_steps(&[
         Step::Kill(3),
         Step::Start(3),
@@ -276,7 +282,7 @@
 
 #[test]
 fn a_member_isolated_again_considers_all_others_dead_despite_degraded_local_health() {
-    // Bad local health must not stretch its periods.
+    // Degraded local health must not lengthen the periods of a member.
     let isolate = Step::Partition(partition_of(&[3]));
     run_steps(&[
         Step::Advance(40_000),
@@ -291,7 +297,7 @@
 
 #[test]
 fn members_find_each_other_when_the_partition_changes() {
-    // Both hold the other dead: each dead member has to be probed in turn.
+    // The members consider each other dead, so each dead member must be probed in turn.
     run_steps(&[
         Step::Partition(partition_of(&[2, 4])),
         Step::Advance(5_964),
@@ -303,12 +309,13 @@
     ]);
 }
 
-/// So many cases by chance from this seed on.
+/// Runs this number of random cases from a seed.
 fn run_random_cases(cases: u32, seed: u64) {
     let config = ProptestConfig {
         cases,
         rng_seed: RngSeed::Fixed(seed),
-        // A case that fails is written into this file by hand: what is played must not hang on what was found before.
+        // Failing cases are added to this file by hand, so that the cases of a run do not depend on earlier
+        // failures.
         failure_persistence: None,
         max_global_rejects: 65_536,
         ..ProptestConfig::default()
@@ -329,8 +336,9 @@
     run_random_cases(128, 48);
 }
 
-/// A longer search, by hand: `VIEWS_CASES=10000 VIEWS_SEED=1 cargo test --release -p alderstile-cluster --test membership_model --
-/// --ignored --nocapture`; each of four threads plays a quarter of the cases with a seed of its own.
+/// Runs more random cases: `VIEWS_CASES=10000 VIEWS_SEED=1 cargo test --release -p alderstile-cluster --test
+/// membership_model -- --ignored --nocapture`. Each of four threads runs a quarter of the cases with its own
+/// seed.
 #[test]
 #[ignore = "long random search, run by hand"]
 fn long_random_search() {
--- a/crates/alderstile-cluster/tests/subsetting.rs
+++ b/crates/alderstile-cluster/tests/subsetting.rs
@@ -1,4 +1,4 @@
-//! Subsetting: hosts' dues, churn, differing views, widening, and bad input.
+//! Subsetting: hosts' loads, traffic moved by changes, differing views, widening, and invalid input.
 
 mod support;
 
@@ -17,7 +17,7 @@
     nodes_with_traffic(count, |_| 1.0)
 }
 
-/// What each host gets of all nodes' traffic.
+/// Returns the load of each host from all nodes together.
 fn host_loads(nodes: &[SubsetNode], table: &[TrafficShares]) -> BTreeMap<ServerId, f64> {
     let mut host_loads = BTreeMap::new();
     for (node, shares) in nodes.iter().zip(table) {
@@ -26,7 +26,7 @@
     host_loads
 }
 
-/// The busiest host over its due.
+/// Returns the maximum load of a host relative to its target load.
 fn max_relative_load(nodes: &[SubsetNode], hosts: &[SubsetHost], table: &[TrafficShares]) -> f64 {
     let (weights, total_traffic): (f64, f64) =
         (hosts.iter().map(|host| host.weight).sum(), nodes.iter().map(|node| node.traffic).sum());
@@ -37,7 +37,8 @@
     hosts.iter().map(relative_load).fold(0.0, f64::max)
 }
 
-/// What nodes that are in both tables move, in nodes' traffic.
+/// Returns the traffic moved between two tables by nodes that are in both, where 1 is the traffic of one
+/// node.
 fn moved_traffic(before: (&[SubsetNode], &[TrafficShares]), after: (&[SubsetNode], &[TrafficShares])) -> f64 {
     let after: BTreeMap<&str, &TrafficShares> = after.0.iter().map(|node| &*node.name).zip(after.1).collect();
     let share_of = |shares: &TrafficShares, id: &ServerId| shares.get(id).copied().unwrap_or(0.0);
@@ -50,8 +51,9 @@
     moved_traffic
 }
 
-/// What a newcomer's own_hosts hosts have too much must go elsewhere, or what a host is due must come to it: the least that any way moves
-/// whose hosts all have their dues before and after.
+/// Returns the minimum traffic that other nodes must move when the node with this row joins: the load by
+/// which the node alone exceeds the target loads of its hosts must go elsewhere. No method that gives all
+/// hosts their target loads before and after the change moves less.
 fn min_moved_traffic(row: &TrafficShares, hosts: &[SubsetHost]) -> f64 {
     let weights: f64 = hosts.iter().map(|host| host.weight).sum();
     let excess =
@@ -61,7 +63,8 @@
 
 #[test]
 fn every_host_receives_its_target_load_and_a_new_node_or_host_moves_little_traffic() {
-    // As asked for: the busiest at most 1.05 of its due, at most 1.5 times the least moved, nobody unserved.
+    // The requirements are: no host above 1.05 times its target load, at most 1.5 times the minimum traffic
+    // moved, and every node using its minimum number of hosts.
     let params = SubsettingParams::default();
     let mut worst = (0.0f64, 0.0f64, 0.0f64);
     for n in [1, 2, 3, 7, 15, 30, 100, 300] {
@@ -75,7 +78,8 @@
                 base.iter()
                     .all(|row| (row.values().sum::<f64>() - 1.0).abs() < 1e-9 && row.len() >= h.min(20))
             );
-            // Adding one and taking it out again move the same.
+            // Adding a node or host and removing it again move the same traffic. A host that joins must
+            // receive its target load, which is the minimum that has to move.
             let (least, moves) = (
                 min_moved_traffic(&more_nodes[n], &hosts[..h]),
                 moved_traffic((&nodes[..n], &base), (&nodes, &more_nodes)),
@@ -87,12 +91,12 @@
             worst = (worst.0.max(max_load), worst.1.max(by_node), worst.2.max(by_host));
             assert!(
                 max_load < 1.05 && by_node < 1.5 && by_host < 1.5,
-                "{n} nodes, {h} hosts: maximum relative load {max_load}, traffic moved relative to the minimum by a node {by_node}, by a host {by_host}"
+                "{n} nodes, {h} hosts: load {max_load}, moved by a node {by_node}, by a host {by_host}"
             );
         }
     }
     println!(
-        "maximum relative load {:.4}; traffic moved relative to the minimum: {:.2} by a node, {:.2} by a host",
+        "relative to the target, load {:.4}; to the minimum, moved by a node {:.2}, by a host {:.2}",
         worst.0, worst.1, worst.2
     );
 }
@@ -117,7 +121,7 @@
     nodes.iter_mut().step_by(6).for_each(|node| node.traffic = 5.0);
     let table = share_table(SubsettingParams::default(), &nodes, &hosts);
     assert!(max_relative_load(&nodes, &hosts, &table) < 1.02);
-    // Where nobody tells, the sum is off by what chance makes of it.
+    // If no node reports its traffic, the loads deviate at random, by a bounded amount.
     let uniform: Vec<SubsetNode> =
         nodes.iter().map(|node| SubsetNode { traffic: 1.0, ..node.clone() }).collect();
     assert!(
@@ -127,7 +131,7 @@
 
 #[test]
 fn host_loads_stay_within_a_bound_when_node_views_differ() {
-    // Each node has its own_hosts view: it lacks a tenth of the nodes and a tenth of the hosts, others in each view.
+    // In each node's view, a different tenth of the nodes and a different tenth of the hosts are missing.
     let (nodes, hosts) = (nodes(120), hosts(60));
     let mut rows = Vec::new();
     for (n, node) in nodes.iter().enumerate() {
@@ -163,7 +167,8 @@
     let uniform: Vec<SubsetHost> =
         hosts(90).into_iter().map(|host| SubsetHost { weight: 1.0, ..host }).collect();
     assert!(own_zone_share(&nodes(90), &uniform) > 0.9);
-    // Half of zone 0's hosts are gone: what it has goes to its own_hosts nodes, the rest abroad, and all hosts have their dues.
+    // Zone 0 lacks half of its hosts. The remaining ones serve nodes of their own zone, the rest of the
+    // traffic goes to other zones, and all hosts have their target loads.
     let fewer_hosts: Vec<SubsetHost> =
         uniform.iter().filter(|host| host.zone != 0 || host.id.0 % 2 == 0).copied().collect();
     let share = own_zone_share(&nodes(90), &fewer_hosts);
@@ -172,7 +177,8 @@
 
 #[test]
 fn a_subset_is_spread_over_failure_groups() {
-    // Three groups of thirty, subsets of six: two of each at most four times out of five, never all from one.
+    // With three groups of thirty hosts and subsets of six, the quota of a group is about four. A group has at
+    // most five hosts of a subset, and no subset is in a single group.
     let hosts: Vec<SubsetHost> = hosts(90)
         .into_iter()
         .enumerate()
@@ -212,13 +218,13 @@
     };
     let own_hosts = used(&subset.host_uses(seconds(1.0), &BTreeSet::new(), &BTreeSet::new()));
     assert!((8..20).contains(&own_hosts.len()), "{}", own_hosts.len());
-    // A few are out of reach: the others do.
+    // Three hosts are unreachable: the others of the subset take their load.
     let three: BTreeSet<ServerId> = own_hosts.iter().take(3).copied().collect();
     assert_eq!(used(&subset.host_uses(seconds(1.5), &three, &BTreeSet::new())), own_hosts);
-    // A cold host gets its due and no more, whoever else can't be reached.
+    // A host that is warming up receives its share and no more, even if others are unreachable.
     let warming_up: BTreeSet<ServerId> =
         hosts.iter().map(|host| host.id).filter(|id| !own_hosts.contains(id)).take(9).collect();
-    // All of its own_hosts hosts are out of reach: as many others take their parts.
+    // All hosts of the subset are unreachable: the same number of other hosts takes their shares.
     let uses = subset.host_uses(seconds(2.0), &own_hosts, &warming_up);
     let added: BTreeSet<ServerId> = used(&uses).difference(&own_hosts).copied().collect();
     assert_eq!(added.len(), own_hosts.len());
@@ -226,14 +232,14 @@
     let added_share: f64 =
         added.iter().map(|id| if let HostUse::Assigned(share) = uses[id] { share } else { 0.0 }).sum();
     assert!((added_share - 1.0).abs() < 1e-9, "{added_share}");
-    // They are back: nothing changes at once, and not all in one moment later.
+    // The hosts are reachable again: the subset stays for the retention time and then shrinks gradually.
     let sizes: Vec<usize> = (3..60)
         .map(|s| used(&subset.host_uses(seconds(f64::from(s)), &BTreeSet::new(), &BTreeSet::new())).len())
         .collect();
     assert_eq!(sizes[..13], [2 * own_hosts.len(); 13]);
     assert_eq!(*sizes.last().expect("sizes"), own_hosts.len());
     assert!(sizes.windows(2).all(|pair| pair[0] - pair[1] <= added.len() / 2), "{sizes:?}");
-    // Nothing at all can be reached: what is known stays in use, and the list is all that there is.
+    // No host is reachable: the subset stays in use, because there are no alternatives in the list.
     let all: BTreeSet<ServerId> = hosts.iter().map(|host| host.id).collect();
     assert!(used(&subset.host_uses(seconds(70.0), &all, &warming_up)).is_superset(&own_hosts));
 }
--- a/crates/alderstile-cluster/tests/subsetting_compatibility.rs
+++ b/crates/alderstile-cluster/tests/subsetting_compatibility.rs
@@ -1,4 +1,5 @@
-//! Shares and assigned hosts as the version before worked them out (cc53de7): the same to nine digits.
+//! Compatibility of subsetting: shares and assigned hosts match the fixtures recorded with commit cc53de7, to
+//! nine digits.
 
 mod support;
 
--- a/crates/alderstile-cluster/tests/support/members.rs
+++ b/crates/alderstile-cluster/tests/support/members.rs
@@ -1,4 +1,4 @@
-//! Members driven by hand: their records, and the carrying of their datagrams in simulated time.
+//! Members in simulated time: their records, and the delivery of their datagrams.
 
 use std::net::SocketAddr;
 
@@ -11,11 +11,11 @@
 pub const KEY: &[u8] = b"sixteen bytes or more";
 
 pub fn codec() -> DatagramCodec {
-    DatagramCodec::new("test", &[KEY.to_vec()]).expect("a codec")
+    DatagramCodec::new("test", &[KEY.to_vec()]).expect("a valid codec")
 }
 
 pub fn address(n: u64) -> SocketAddr {
-    format!("127.0.0.{n}:7946").parse().expect("an address")
+    format!("127.0.0.{n}:7946").parse().expect("a valid address")
 }
 
 pub fn record(n: u64) -> MemberRecord {
@@ -39,19 +39,20 @@
     member_with(n, codec(), known)
 }
 
-/// One that knows nobody and has number 1 as its seed.
+/// Returns a member that knows no other member and has member 1 as its seed.
 pub fn joining_member(record: MemberRecord, random_seed: u64, now: Micros) -> Membership {
     let config = MembershipConfig::with_period(period());
     Membership::new(config, codec(), record, vec![address(1)], random_seed, now)
 }
 
-/// The member that has something to do next, and when.
+/// Returns the earliest deadline and the index of its member.
 pub fn next_due(members: &[Membership]) -> (Micros, usize) {
     let due = members.iter().enumerate().map(|(i, member)| (member.next_timeout(), i));
     due.min().expect("members")
 }
 
-/// Carries all datagrams between these until nobody has anything to say; returns what changed, by whom.
+/// Delivers all datagrams between these members until none is left. Returns the changes and the index of the
+/// member that reported each.
 pub fn deliver(
     members: &mut [Membership],
     now: Micros,
@@ -60,7 +61,7 @@
     deliver_observed(members, now, effects, &mut |_, _| {})
 }
 
-/// The same; what is sent is shown too, with where it goes.
+/// Does the same as [`deliver`], and passes each datagram with its destination to `observe`.
 pub fn deliver_observed(
     members: &mut [Membership],
     now: Micros,
@@ -85,7 +86,8 @@
     changes
 }
 
-/// Lets time pass for all of them.
+/// Advances the time of all members by `span`. Returns the changes and the index of the member that reported
+/// each.
 pub fn advance(members: &mut [Membership], now: &mut Micros, span: Micros) -> Vec<(usize, MembershipChange)> {
     let until = *now + span;
     let mut changes = Vec::new();
--- a/crates/alderstile-cluster/tests/support/mod.rs
+++ b/crates/alderstile-cluster/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers that the test files share.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Helpers shared by the test files.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub mod members;
 pub mod simulated_cluster;
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -1,4 +1,5 @@
-//! A simulated cluster: cores of the replicated configuration with_settings clocks, disks and a network that fail, in simulated time.
+//! A simulated cluster: state machines of the replicated configuration with faulty clocks, disks and network,
+//! in simulated time.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -15,14 +16,14 @@
 pub const KEY: &[u8] = b"sixteen bytes or more";
 
 pub fn codec() -> DatagramCodec {
-    DatagramCodec::new("test", &[KEY.to_vec()]).expect("a codec")
+    DatagramCodec::new("test", &[KEY.to_vec()]).expect("a valid codec")
 }
 
 pub fn address(n: usize) -> SocketAddr {
-    format!("10.0.{}.{}:7950", n / 200, n % 200 + 1).parse().expect("an address")
+    format!("10.0.{}.{}:7950", n / 200, n % 200 + 1).parse().expect("a valid address")
 }
 
-/// Anything but what starts with_settings a `!` is fine.
+/// Accepts any document that does not begin with `!`.
 pub fn validate_document(document: &[u8]) -> Result<(), InvalidDocument> {
     if document.first() == Some(&b'!') {
         Err(InvalidDocument("the key ! is unknown".to_owned()))
@@ -31,27 +32,27 @@
     }
 }
 
-/// One process: its core, its clock and what it did.
+/// One process: its state machine, its clock, and a record of its activity.
 pub struct Process {
     pub core: Option<ReplicatedConfig>,
-    /// When it started, true time, microseconds.
+    /// When the process started, in microseconds of true time.
     pub started_at_us: u64,
-    /// The clock_rate of its clock.
+    /// The rate of the process's clock relative to true time.
     pub clock_rate: f64,
-    /// Counts its starts: wakes of an earlier one don't count.
+    /// The number of starts. Wakes scheduled before the last start are ignored.
     pub incarnation: u64,
     pub disk: Option<PersistedState>,
     pub disk_fails: bool,
     pub paused: bool,
     pub backlog: Vec<(SocketAddr, Vec<u8>)>,
     pub region: usize,
-    /// What it active_spans on, and when.
+    /// The time spans in which the process acted on a version.
     pub active_spans: Vec<ActiveSpan>,
-    /// Bytes sent in each second.
+    /// The number of bytes sent in each second.
     pub sent_bytes_per_second: Vec<u32>,
 }
 
-/// A span in which a process active_spans on a version, true time, microseconds.
+/// A time span in which a process acted on a version, in microseconds of true time.
 pub struct ActiveSpan {
     pub version: u64,
     pub from_us: f64,
@@ -63,7 +64,7 @@
     Wake(usize, u64),
 }
 
-/// Processes and what is between them, in simulated time.
+/// The processes and the network between them, in simulated time.
 pub struct SimulatedCluster {
     pub now: u64,
     pub rng: Pcg64Mcg,
@@ -76,9 +77,9 @@
     pub last_sequence: u64,
     pub loss: f64,
     pub duplication: f64,
-    /// Of regions that don't hear each other.
+    /// Whether the regions cannot reach each other.
     pub partitioned: bool,
-    /// Of single processes that hear and are heard by nobody.
+    /// For each process, whether it can neither send nor receive.
     pub isolated: Vec<bool>,
     pub delay: [(u64, u64); 2],
     pub outcomes: BTreeMap<u64, ProposalOutcome>,
@@ -127,7 +128,7 @@
             duplication: 0.0,
             partitioned: false,
             isolated: vec![false; count],
-            // Within a region and between them.
+            // Minimum and maximum delay within a region and between regions, in microseconds.
             delay: [(200, 1_500), (20_000, 45_000)],
             outcomes: BTreeMap::new(),
             activated_at_us: vec![BTreeMap::new(); count],
@@ -273,7 +274,8 @@
         self.record_active_version(n);
     }
 
-    /// Notes what a process acts on, and until when it does if it hears nothing more.
+    /// Records the version that a process acts on, and until when it does so if it receives no further
+    /// datagram.
     pub fn record_active_version(&mut self, n: usize) {
         let Some(core) = &self.processes[n].core else { return };
         let version = core.active_version();
@@ -371,7 +373,8 @@
         self.processes[n].core.as_ref()
     }
 
-    /// How long a version was active_spans on after a later one had begun to be, at max_delay, in seconds: none below 0.
+    /// Returns the maximum time that a version was acted on after a later one had become active, in seconds,
+    /// or 0 if never.
     pub fn max_version_overlap_seconds(&self) -> f64 {
         let active_spans = || self.processes.iter().flat_map(|process| &process.active_spans);
         let mut starts: BTreeMap<u64, f64> = BTreeMap::new();
@@ -387,7 +390,8 @@
     }
 }
 
-/// A document of about this size, of which few bytes differ between two numbers.
+/// Returns a document of approximately this size. Documents with different numbers differ in only a few
+/// bytes.
 pub fn document_of_size(n: u64, size: usize) -> Vec<u8> {
     let mut text = "settings of a fleet, many keys that stay as they are; ".repeat(size / 54).into_bytes();
     let at = text.len() / 2;
