--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -144,7 +144,7 @@
             json!({"settings": {"extra": group_load(json!("NaN"))}}),
             "for key shadow.settings.extra.group_load: expected",
         ),
-        (json!({"settings": {"extra": {"group_load": 3}}}), "no value unless extra.groups is true"),
+        (json!({"settings": {"extra": {"group_load": 3}}}), "no value unless the key extra.groups is true"),
         (
             json!({"settings": {"classes": [{"aim": 300000}]}}),
             "invalid value \"1\" for key shadow.settings.classes: expected",
--- a/src/load_signal.rs
+++ b/src/load_signal.rs
@@ -5,7 +5,7 @@
 //! connections while the delay is high. If the delays of such a server were taken for loads, its
 //! recorded load would be close to zero and it would receive all new connections.
 //!
-//! A value is ambiguous if it is far below the last load of its connection or below the typical
+//! A value is ambiguous if it is far below the last load of its connection or far below the typical
 //! load of connections. A single such value may come from a client that became idle. The value is a
 //! delay if another ambiguous value follows at the interval of delay reports, either on the same
 //! connection or with both values far below the loads of their own connections. Otherwise, it is a
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -258,9 +258,11 @@
 fn group_load(values: &SettingValues, groups: bool) -> Result<f64, SettingsError> {
     let load = values.number("extra.group_load");
     match (groups, &load) {
-        (false, Ok(load)) => {
-            Err(values.invalid("extra.group_load", &load.to_string(), "no value unless extra.groups is true"))
-        }
+        (false, Ok(load)) => Err(values.invalid(
+            "extra.group_load",
+            &load.to_string(),
+            "no value unless the key extra.groups is true",
+        )),
         _ => load.or_else(default_if_missing(DEFAULT_GROUP_LOAD)),
     }
 }
