--- a/crates/alderstile-cluster/src/host_assignment/mod.rs
+++ b/crates/alderstile-cluster/src/host_assignment/mod.rs
@@ -196,8 +196,7 @@
             let last = self.assigned.get(&id);
             let assigned = match host_use {
                 HostUse::Assigned(share) => Endpoint {
-                    // The mean weight is 1, because the decisions count in connections of a host with weight
-                    // 1.
+                    // The mean weight is 1: the decisions count in connections of an average host.
                     weight: share * used_hosts,
                     joined: joined_at(last, had_ready_host, now),
                     ..*entry
--- a/crates/alderstile-cluster/src/membership/anti_entropy.rs
+++ b/crates/alderstile-cluster/src/membership/anti_entropy.rs
@@ -86,8 +86,8 @@
         Message::SyncPage { is_last: members.len() >= following_count, members }
     }
 
-    /// Returns the members after an instance and those up to it, both including the local member where it
-    /// belongs. Each list is longer than what fits on a page, or complete.
+    /// Returns the members after an instance, and the members up to it; the local member is in one of the
+    /// lists. Each list is complete, or longer than what fits on a page.
     fn page_candidates(&self, after: InstanceId) -> (Vec<PageEntry>, Vec<PageEntry>) {
         let next = InstanceId(after.0.saturating_add(1));
         let mut following: Vec<PageEntry> =
--- a/crates/alderstile-cluster/src/membership/gossip.rs
+++ b/crates/alderstile-cluster/src/membership/gossip.rs
@@ -5,8 +5,8 @@
 use super::datagram::MemberUpdate;
 use super::record::InstanceId;
 
-/// The number of transmissions of an update per doubling of the number of members (lambda in SWIM section
-/// 4.1). With fewer, some members never receive the update.
+/// An update is transmitted this many times the base-2 logarithm of the number of members (lambda in SWIM
+/// section 4.1). With a smaller factor, some members never receive it.
 const RETRANSMIT_MULTIPLIER: u32 = 3;
 
 /// Returns how many times one member sends an update in a cluster with this number of members.
--- a/crates/alderstile-cluster/src/membership/receive.rs
+++ b/crates/alderstile-cluster/src/membership/receive.rs
@@ -44,8 +44,8 @@
         }
         let declared_dead = self.incarnation_declared_dead(&updates);
         updates.into_iter().for_each(|update| self.apply_update(update));
-        // Notifies a sender that considers this member dead right away, unless the reply to its message does
-        // so.
+        // A sender that considers this member dead receives the refutation now, unless the reply to its
+        // message contains it.
         let is_answered = matches!(message, Message::Ping { .. } | Message::SyncRequest { .. });
         let is_stale = declared_dead.is_some_and(|incarnation| incarnation < self.local.incarnation);
         if !is_answered && !self.leaving && is_stale {
@@ -139,7 +139,7 @@
     /// Handles the record of the instance at an address to which this member sent a datagram for another
     /// instance, or for none.
     fn handle_identify(&mut self, sender: InstanceId) {
-        // The sender has not yet been notified that it is considered dead.
+        // The ping notifies the sender that it is considered dead; no earlier datagram has done so.
         if self.peers.get(sender).is_some_and(|peer| peer.state == MemberState::Dead) {
             let nonce = self.new_nonce();
             self.ping(sender, nonce);
--- a/crates/alderstile-cluster/src/subsetting/rendezvous.rs
+++ b/crates/alderstile-cluster/src/subsetting/rendezvous.rs
@@ -28,7 +28,7 @@
 
 /// Returns all hosts in the order in which a node prefers them, by rank. No failure group exceeds twice its
 /// proportional part of a subset before all other groups have reached theirs. If
-/// [`SubsettingParams::prefer_own_zone`] is set, hosts in the node's zone come first.
+/// [`SubsettingParams::prefer_own_zone`] is set, most hosts of a subset are in the node's zone.
 pub fn preference_order(params: SubsettingParams, node: &SubsetNode, hosts: &[SubsetHost]) -> Vec<ServerId> {
     let mut group_quotas = failure_group_quotas(params, hosts);
     let (mut own_zone, mut other_zones, mut over_quota) = (Vec::new(), Vec::new(), Vec::new());
@@ -62,7 +62,8 @@
     ranked.into_iter().map(|(_, host)| host)
 }
 
-/// Returns the number of hosts of each failure group that precede all hosts over quota.
+/// Returns the quota of each failure group, in hosts. Hosts within the quotas precede all others in the
+/// preference order; a fractional quota is rounded up.
 fn failure_group_quotas(params: SubsettingParams, hosts: &[SubsetHost]) -> BTreeMap<u16, f64> {
     let total_weight: f64 = hosts.iter().map(|host| bounded_weight(host.weight)).sum();
     let mut quotas: BTreeMap<u16, f64> = BTreeMap::new();
--- a/crates/alderstile-cluster/tests/membership_compatibility.rs
+++ b/crates/alderstile-cluster/tests/membership_compatibility.rs
@@ -34,8 +34,8 @@
         config_digest: 0x2122_2324_2526_2728,
         metadata: [].into(),
     };
-    record.set_metadata(b't', &[42]).expect("it fits");
-    record.set_metadata(4, b"cold").expect("it fits");
+    record.set_metadata(b't', &[42]).expect("metadata within the bound");
+    record.set_metadata(4, b"cold").expect("metadata within the bound");
     record
 }
 
@@ -132,7 +132,8 @@
 fn each_recorded_datagram_is_tested() {
     let tested: BTreeSet<String> = datagrams().iter().map(|(name, _)| (*name).to_owned()).collect();
     let files = std::fs::read_dir(fixtures()).expect("the fixtures directory");
-    let names = files.map(|file| file.expect("a file").file_name().into_string().expect("a name"));
+    let names =
+        files.map(|file| file.expect("a readable entry").file_name().into_string().expect("a UTF-8 name"));
     let fixture_names: BTreeSet<String> = names.filter(|name| name.ends_with(".bin")).collect();
     assert_eq!(tested, fixture_names);
 }
@@ -264,7 +265,7 @@
     simulation.members[9] = None;
     if let Some(member) = &mut simulation.members[0] {
         member.set_config_digest(8);
-        member.set_metadata(b't', &[42]).expect("it fits");
+        member.set_metadata(b't', &[42]).expect("metadata within the bound");
     }
     simulation.run_for(400, None, &[1, 2]);
     simulation.run_for(100, None, &[]);
--- a/crates/alderstile-cluster/tests/membership_identity.rs
+++ b/crates/alderstile-cluster/tests/membership_identity.rs
@@ -53,7 +53,7 @@
 #[test]
 fn metadata_within_its_bound_and_config_digests_reach_other_members() {
     let mut members = vec![member(1, &[2, 3]), member(2, &[1, 3]), member(3, &[1, 2])];
-    members[0].set_metadata(4, b"cold").expect("it fits");
+    members[0].set_metadata(4, b"cold").expect("metadata within the bound");
     members[0].set_config_digest(99);
     assert_eq!(members[0].set_metadata(5, &[0; MAX_METADATA_BYTES]), Err(RecordError::MetadataLength));
     let mut now = Micros(0);
@@ -63,7 +63,7 @@
         (received.metadata_value(4), received.metadata_value(5), received.config_digest),
         (Some(&b"cold"[..]), None, 99)
     );
-    members[0].set_metadata(4, b"").expect("removal fits");
+    members[0].set_metadata(4, b"").expect("removed metadata");
     advance(&mut members, &mut now, Micros::from_millis(5_000));
     assert_eq!(members[2].peer(InstanceId(1_000)).expect("known").record.metadata_value(4), None);
 }
--- a/crates/alderstile-cluster/tests/membership_model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -40,7 +40,9 @@
     Heal,
     /// Pauses the process of a member for a time in milliseconds.
     Pause(usize, u64),
+    /// Advances the time, in milliseconds.
     Advance(u64),
+    /// Waits for [`CONVERGENCE_TIME`] and checks all views.
     Settle,
 }
 
@@ -123,14 +125,14 @@
     fn deliver(&mut self, model: &ModelState, sender: usize, effects: Vec<MembershipEffect>) {
         let mut pending: Vec<(usize, Vec<MembershipEffect>)> = vec![(sender, effects)];
         while let Some((sender, effects)) = pending.pop() {
-            for sent in effects {
-                let MembershipEffect::Send { to, datagram: bytes } = sent else { continue };
+            for effect in effects {
+                let MembershipEffect::Send { to, datagram: bytes } = effect else { continue };
                 let to = (0..NODES).find(|node| address(*node) == to).expect("a node");
                 if let Some(member) =
                     self.members[to].as_mut().filter(|_| model.partition[sender] == model.partition[to])
                 {
-                    let answer = member.handle_datagram(self.now, address(sender), &bytes);
-                    pending.push((to, answer));
+                    let replies = member.handle_datagram(self.now, address(sender), &bytes);
+                    pending.push((to, replies));
                 }
             }
         }
@@ -157,14 +159,14 @@
         for (node, member) in self.members.iter().enumerate() {
             let Some(member) = member else { continue };
             let live_peers = member.peers().filter(|other| other.state.is_live());
-            let mut seen: Vec<String> = live_peers.map(|other| other.record.name.to_string()).collect();
-            seen.sort();
+            let mut observed: Vec<String> = live_peers.map(|other| other.record.name.to_string()).collect();
+            observed.sort();
             let is_reachable = |other: &usize| {
                 *other != node && model.running[*other] && model.partition[*other] == model.partition[node]
             };
             let expected: Vec<String> = (0..NODES).filter(is_reachable).map(|n| format!("n{n}")).collect();
-            if seen != expected {
-                incorrect_views.push((node, seen, expected));
+            if observed != expected {
+                incorrect_views.push((node, observed, expected));
             }
         }
         incorrect_views
@@ -173,11 +175,11 @@
     /// Advances the time by [`CONVERGENCE_TIME`], records when views were last incorrect, and checks them at
     /// the end.
     fn settle(&mut self, model: &ModelState) {
-        let begin = self.now;
-        while self.now < begin + CONVERGENCE_TIME {
+        let start = self.now;
+        while self.now < start + CONVERGENCE_TIME {
             self.advance(model, CHECK_INTERVAL, None);
             if !self.incorrect_views(model).is_empty() {
-                MAX_CONVERGENCE_MS.fetch_max((self.now - begin).0 / 1_000, Ordering::Relaxed);
+                MAX_CONVERGENCE_MS.fetch_max((self.now - start).0 / 1_000, Ordering::Relaxed);
             }
         }
         let incorrect_views = self.incorrect_views(model);
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -41,9 +41,11 @@
     pub clock_rate: f64,
     /// The number of starts. Wakes scheduled before the last start are ignored.
     pub incarnation: u64,
+    /// The persisted state; non-voters have none.
     pub disk: Option<PersistedState>,
     pub disk_fails: bool,
     pub paused: bool,
+    /// Datagrams received while the process is paused.
     pub backlog: Vec<(SocketAddr, Vec<u8>)>,
     pub region: usize,
     /// The time spans in which the process acted on a version.
@@ -66,25 +68,33 @@
 
 /// The processes and the network between them, in simulated time.
 pub struct SimulatedCluster {
+    /// True time, in microseconds.
     pub now: u64,
     pub rng: Pcg64Mcg,
     pub voters: usize,
     pub settings: ReplicationSettings,
     pub processes: Vec<Process>,
+    /// Scheduled events by time in microseconds, sequence number, and slot in `events`.
     pub queue: BinaryHeap<Reverse<(u64, u64, usize)>>,
     pub events: Vec<Option<Event>>,
     pub free_slots: Vec<usize>,
     pub last_sequence: u64,
+    /// The probabilities that a datagram is lost or duplicated.
     pub loss: f64,
     pub duplication: f64,
     /// Whether the regions cannot reach each other.
     pub partitioned: bool,
     /// For each process, whether it can neither send nor receive.
     pub isolated: Vec<bool>,
+    /// Minimum and maximum delay within a region and between regions, in microseconds.
     pub delay: [(u64, u64); 2],
+    /// The outcomes of proposals by nonce.
     pub outcomes: BTreeMap<u64, ProposalOutcome>,
+    /// For each process, when each version became active, in microseconds.
     pub activated_at_us: Vec<BTreeMap<u64, u64>>,
+    /// The documents of all versions.
     pub documents: BTreeMap<u64, Vec<u8>>,
+    /// Whether processes crash at random before an effect is executed.
     pub crash_between_effects: bool,
 }
 
@@ -128,7 +138,6 @@
             duplication: 0.0,
             partitioned: false,
             isolated: vec![false; count],
-            // Minimum and maximum delay within a region and between regions, in microseconds.
             delay: [(200, 1_500), (20_000, 45_000)],
             outcomes: BTreeMap::new(),
             activated_at_us: vec![BTreeMap::new(); count],
@@ -213,9 +222,9 @@
     pub fn deliver(&mut self, n: usize, from: SocketAddr, bytes: &[u8]) {
         let now = self.local_time(n);
         if let Some(core) = &mut self.processes[n].core {
-            let before = core.next_timeout();
+            let timeout_before = core.next_timeout();
             let effects = core.handle_datagram(now, from, bytes);
-            let is_earlier = core.next_timeout() < before;
+            let is_earlier = core.next_timeout() < timeout_before;
             self.execute_effects(n, effects);
             if is_earlier {
                 self.schedule_wake(n);
@@ -223,13 +232,13 @@
         }
     }
 
-    pub fn propose(&mut self, n: usize, nonce: u64, expect: u64, document: &[u8]) {
+    pub fn propose(&mut self, n: usize, nonce: u64, expected_version: u64, document: &[u8]) {
         let now = self.local_time(n);
         if self.processes[n].paused {
             return;
         }
         if let Some(core) = &mut self.processes[n].core {
-            let effects = core.propose(now, nonce, expect, document.to_vec());
+            let effects = core.propose(now, nonce, expected_version, document.to_vec());
             self.execute_effects(n, effects);
             self.schedule_wake(n);
         }
