--- a/crates/alderstile-node/src/control/configured_node.rs
+++ b/crates/alderstile-node/src/control/configured_node.rs
@@ -1,23 +1,23 @@
-//! What the replicated configuration needs of the node that follows it.
+//! Interface between the replicated configuration and the node that applies it.
 
 use std::rc::Rc;
 
 use crate::config::Config;
 
-/// A node whose configuration is replicated: it is told what to put in force.
+/// A node whose configuration is replicated.
 pub trait ConfiguredNode {
-    /// The configuration in force.
+    /// Returns the current configuration.
     fn config(&self) -> Rc<Config>;
 
-    /// Puts another configuration in force.
+    /// Replaces the current configuration.
     fn apply_config(&self, config: Config);
 
-    /// Counts a version that was applied, or rejected.
+    /// Counts a version that was applied or rejected.
     fn count_reconfiguration(&self, applied: bool);
 
-    /// Sends nothing new to a host.
+    /// Stops sending new work to a host.
     fn take_host_out_of_service(&self, host: &str);
 
-    /// Sends new work to a host again, unless an operator took it out at this node.
+    /// Resumes sending new work to a host, unless an operator took it out of service at this node.
     fn return_host_to_service(&self, host: &str);
 }
--- a/crates/alderstile-node/src/control/host_assignment.rs
+++ b/crates/alderstile-node/src/control/host_assignment.rs
@@ -1,4 +1,5 @@
-//! Keeps this node's subset of the hosts up to date with the members, and tells them this node's traffic.
+//! Updates this node's host subset as the membership changes, and gossips this node's traffic level to the
+//! other members.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,10 +14,10 @@
 use crate::control::membership::ClusterMembership;
 use crate::node::Node;
 
-/// How often the assignment is computed anew from the members, the hosts and what this node can't reach.
+/// Interval at which the assignment is recomputed from the members, the hosts and the unreachable hosts.
 const UPDATE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Limits this node to its subset of the hosts from now on.
+/// Limits this node to its subset of the hosts.
 pub fn enable(node: &Node, subsetting: &SubsettingConfig) {
     let config = node.config();
     let me = SubsetNode { name: config.name.as_str().into(), zone: config.settings.zone, traffic: 0.0 };
@@ -35,7 +36,7 @@
     });
 }
 
-/// Follows the members for as long as the node runs.
+/// Updates the host assignment for as long as the node runs.
 pub async fn run(node: Rc<Node>, membership: Rc<ClusterMembership>) {
     let mut logged_counts = None;
     loop {
@@ -56,11 +57,11 @@
     }
 }
 
-/// The other live members, in the form that subsetting takes.
+/// Returns the other live members in the form that subsetting uses.
 fn live_peers(membership: &ClusterMembership, config: &Config) -> Vec<SubsetNode> {
     membership.map_live_peers(|record| SubsetNode {
         name: record.name.clone(),
-        // A zone that the settings do not name is none of theirs.
+        // A zone that the settings do not name is mapped to a number that no configured zone has.
         zone: zone_number(&config.zones, &record.zone).unwrap_or(u16::MAX),
         traffic: traffic_from_metadata(record.metadata_value(TRAFFIC_METADATA_TAG)),
     })
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -1,4 +1,5 @@
-//! This node's membership in its cluster: the socket, the clock and the log of the core, which has none of them.
+//! This node's membership in its cluster: provides the socket, the clock and the log to the membership core,
+//! which does no I/O.
 
 use std::cell::RefCell;
 use std::io;
@@ -22,60 +23,60 @@
 use crate::config::{ClusterConfig, Config};
 use crate::lifecycle::upgrade_state::MemberIdentity;
 
-/// While the other process of this node has the address, binding is retried this often.
+/// Interval of bind attempts while this node's other process has the address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Pause after a failed receive: should errors go on, they must not take the whole core.
+/// Pause after a failed receive, so that persistent errors do not occupy the core.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
-/// Sending that this member leaves takes one turn of the runtime.
+/// Time limit for sending this member's leave message, which takes one turn of the runtime.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
-/// A process that takes over starts its incarnation and sequence numbers this far above those of its predecessor, which
-/// goes on using some meanwhile.
+/// Amount by which a successor's incarnation and sequence numbers start above those of its predecessor, which
+/// continues to use some in the meantime.
 const TAKEOVER_GAP: u64 = 1 << 32;
-/// The most addresses of other members that are handed over to a successor.
+/// Maximum number of other members' addresses that are handed over to a successor.
 const MAX_HANDED_OVER_PEERS: usize = 64;
 
-/// Keys of the settings that differ by node.
-const SETTINGS_OF_ONE_NODE: [&str; 2] = ["my_zone", "index"];
+/// Keys of the settings that differ between nodes.
+const NODE_SPECIFIC_SETTINGS: [&str; 2] = ["my_zone", "index"];
 
-/// The status of one member. The names of the JSON are the operators' words.
+/// Status of one member. The JSON keys are those of the admin interface.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemberStatus {
-    /// Its node's name.
+    /// Name of its node.
     pub name: String,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Where others reach it.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
-    /// Its instance: another one after each restart.
+    /// Identifier of its instance, which changes at each restart.
     #[serde(rename = "session")]
     pub instance: String,
     /// Its latest incarnation.
     pub incarnation: u64,
-    /// Digest of the settings that it goes by.
+    /// Digest of its settings.
     #[serde(rename = "settings")]
     pub config_digest: String,
-    /// For how long it has had its state, milliseconds.
+    /// Time since it entered its state, milliseconds.
     #[serde(rename = "for_ms")]
     pub state_age_ms: u64,
-    /// It is this member.
+    /// Whether it is this member.
     #[serde(rename = "me")]
     pub is_local: bool,
 }
 
-/// The status of all members of the cluster, as this one sees them.
+/// Status of all members of the cluster, as seen by this one.
 #[derive(Clone, Debug, Serialize)]
 pub struct MembershipStatus {
-    /// The cluster's name.
+    /// Name of the cluster.
     pub cluster: String,
-    /// Lifeguard's local health multiplier: 0 is best.
+    /// Lifeguard's local health multiplier; 0 is best.
     #[serde(rename = "health")]
     pub local_health: u32,
-    /// Names that two live processes claim.
+    /// Names claimed by two live processes.
     #[serde(rename = "claimed")]
     pub name_conflicts: Vec<String>,
-    /// All members that are remembered, by name.
+    /// All known members, sorted by name.
     pub members: Vec<MemberStatus>,
 }
 
@@ -91,11 +92,11 @@
 }
 
 impl ClusterMembership {
-    /// A member that knows its seeds at most, or that goes on in place of its predecessor.
+    /// Creates a member that knows only its seeds, or one that continues its predecessor's membership.
     ///
     /// # Errors
     ///
-    /// This node's name or zone does not fit into a member's record.
+    /// Returns an error if this node's name or zone does not fit into a member record.
     pub fn new(
         config: &Config,
         cluster: &ClusterConfig,
@@ -112,7 +113,7 @@
         }
         let local = local_record(config, cluster, instance, incarnation);
         local.validate()?;
-        // Two processes of one member draw differently.
+        // Two processes of one member use different random sequences.
         let seed = config.seed ^ instance ^ sequence;
         let members = Membership::new(cluster.settings, cluster.codec.clone(), local, seeds, seed, Micros(0));
         Ok(ClusterMembership {
@@ -130,41 +131,43 @@
         Micros(u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Binds the socket. While another process has the address, it is retried for as long as `retry` says so.
+    /// Binds the socket. While another process has the address, binding is retried for as long as `retry`
+    /// returns true.
     ///
     /// # Errors
     ///
-    /// The socket can't be bound.
+    /// Returns an error if the socket cannot be bound.
     pub async fn bind(&self, retry: impl Fn() -> bool) -> io::Result<UdpSocket> {
         loop {
             match UdpSocket::bind(self.listen).await {
                 Err(error) if error.kind() == io::ErrorKind::AddrInUse && retry() => {
                     tokio::time::sleep(BIND_RETRY_DELAY).await;
                 }
-                done => return done,
+                result => return result,
             }
         }
     }
 
-    /// Takes part until the socket is released.
+    /// Runs the membership until the socket is released.
     pub async fn run(self: Rc<Self>, socket: UdpSocket) {
         info!(cluster = %self.cluster_name, listen = %self.listen, "membership started");
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.started_at + Duration::from_micros(self.members.borrow().next_timeout().0);
+            let timeout_at = self.started_at + Duration::from_micros(self.members.borrow().next_timeout().0);
             tokio::select! {
                 received = socket.recv_from(&mut data) => match received {
                     Ok((length, from)) => {
                         let effects = self.members.borrow_mut().handle_datagram(self.now(), from, &data[..length]);
                         self.apply(&socket, effects);
                     }
-                    // A member that is down refused what was sent to it; should errors go on, they must not take the core.
+                    // Reported after a member that is down refused a datagram. Persistent errors must not
+                    // occupy the core.
                     Err(error) => {
                         debug!(%error, "membership receive failed");
                         tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                     }
                 },
-                () = tokio::time::sleep_until(due.into()) => {
+                () = tokio::time::sleep_until(timeout_at.into()) => {
                     let effects = self.members.borrow_mut().handle_timeout(self.now());
                     self.apply(&socket, effects);
                 }
@@ -181,30 +184,30 @@
     fn apply(&self, socket: &UdpSocket, effects: Vec<MembershipEffect>) {
         for effect in effects {
             match effect {
-                // Lost where the system has no room for it, as on the way.
+                // A datagram that does not fit into the send buffer is dropped, as the network may drop any.
                 MembershipEffect::Send { to, datagram } => {
                     if let Err(error) = socket.try_send_to(&datagram, to) {
-                        debug!(%to, %error, "membership datagram lost");
+                        debug!(%to, %error, "membership datagram dropped");
                     }
                 }
-                MembershipEffect::Changed(change) => self.log(&change),
+                MembershipEffect::Changed(change) => self.log_change(&change),
             }
         }
     }
 
-    fn log(&self, change: &MembershipChange) {
+    fn log_change(&self, change: &MembershipChange) {
         match change {
             MembershipChange::Joined(instance) => info!(member = %self.describe(*instance), "member joined"),
             MembershipChange::Suspected(instance) => {
-                info!(member = %self.describe(*instance), "member suspected: no answer to probes")
+                info!(member = %self.describe(*instance), "member suspected: no reply to probes")
             }
             MembershipChange::Recovered(instance) => {
-                info!(member = %self.describe(*instance), "member alive again")
+                info!(member = %self.describe(*instance), "member recovered")
             }
-            MembershipChange::Died(instance) => warn!(member = %self.describe(*instance), "member dead"),
+            MembershipChange::Died(instance) => warn!(member = %self.describe(*instance), "member died"),
             MembershipChange::Left(instance) => info!(member = %self.describe(*instance), "member left"),
             MembershipChange::Replaced(instance) => {
-                info!(member = %self.describe(*instance), "member replaced by another process")
+                info!(member = %self.describe(*instance), "member replaced by a new instance")
             }
             MembershipChange::NameConflict(name) => {
                 let addresses = self.live_addresses_of(name).join(",");
@@ -218,7 +221,7 @@
         }
     }
 
-    /// A member's name and address, or its instance where no more is known.
+    /// Returns a member's name and address, or its instance if nothing else is known.
     fn describe(&self, instance: InstanceId) -> String {
         match self.members.borrow().peer(instance) {
             Some(member) => format!("{} ({})", member.record.name, member.record.address),
@@ -232,54 +235,54 @@
         live.map(|member| member.record.address.to_string()).collect()
     }
 
-    /// Tells the others the digest of another configuration.
+    /// Announces the digest of a changed configuration to the other members.
     pub fn update_config_digest(&self, config: &Config) {
         self.members.borrow_mut().set_config_digest(settings_digest(config));
     }
 
-    /// Authenticates datagrams by other keys from now on.
+    /// Replaces the keys that authenticate datagrams.
     pub fn set_keys(&self, cluster: &ClusterConfig) {
         self.members.borrow_mut().set_codec(cluster.codec.clone());
     }
 
-    /// Sets a piece of this member's metadata, which the others learn by gossip.
+    /// Sets a field of this member's metadata, which the others receive by gossip.
     pub fn set_metadata(&self, tag: u8, bytes: &[u8]) {
         if let Err(error) = self.members.borrow_mut().set_metadata(tag, bytes) {
             warn!(tag, %error, "member metadata not set");
         }
     }
 
-    /// A value for each of the other members that is alive or suspected.
+    /// Maps the record of each other member that is alive or suspected.
     pub fn map_live_peers<T>(&self, each: impl Fn(&MemberRecord) -> T) -> Vec<T> {
         let members = self.members.borrow();
         members.peers().filter(|member| member.state.is_live()).map(|member| each(&member.record)).collect()
     }
 
-    /// This member's name.
+    /// Returns this member's name.
     pub fn local_name(&self) -> String {
         self.members.borrow().local().name.to_string()
     }
 
-    /// Where others reach this member.
+    /// Returns the address at which other members reach this one.
     pub fn local_address(&self) -> SocketAddr {
         self.members.borrow().local().address
     }
 
-    /// Releases the socket: the other process of this node goes on as the same member.
+    /// Releases the socket, so that this node's other process can continue as the same member.
     pub fn release_socket(&self) {
         self.release_socket.notify_one();
     }
 
-    /// Tells the others that this member leaves, and waits until that is sent.
+    /// Announces that this member leaves, and waits until the announcement is sent.
     pub async fn leave(&self) {
         self.leave.notify_one();
-        // A member that never had its socket can tell nobody.
+        // A member that never had its socket cannot send the announcement.
         if timeout(LEAVE_TIMEOUT, self.left.notified()).await.is_err() {
-            debug!("leave of this member not sent");
+            debug!("leave announcement not sent");
         }
     }
 
-    /// What the process that takes over needs to go on as the same member.
+    /// Returns the state that a successor needs to continue as the same member.
     pub fn handover_state(&self) -> MemberIdentity {
         let members = self.members.borrow();
         let alive = members.peers().filter(|member| member.state == MemberState::Alive);
@@ -291,12 +294,12 @@
         }
     }
 
-    /// Members by state, and datagrams sent and received.
+    /// Returns the member counts by state and the datagram counters.
     pub fn stats(&self) -> MembershipStats {
         self.members.borrow().stats()
     }
 
-    /// The status of all members, sorted by name.
+    /// Returns the status of all members, sorted by name.
     pub fn status(&self) -> MembershipStatus {
         let members = self.members.borrow();
         let now = self.now();
@@ -328,7 +331,7 @@
     }
 }
 
-/// A number for a new instance, never 0.
+/// Returns a random identifier for a new instance, never 0.
 fn new_instance(seed: u64) -> u64 {
     std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), seed).max(1)
 }
@@ -346,12 +349,12 @@
     }
 }
 
-/// Digest of the settings that all nodes have alike.
+/// Computes the digest of the settings that all nodes share.
 fn settings_digest(config: &Config) -> u64 {
     let mut settings = config.source.get("settings").cloned().unwrap_or_default();
     if let Some(fields) = settings.as_object_mut() {
-        for own in SETTINGS_OF_ONE_NODE {
-            fields.remove(own);
+        for key in NODE_SPECIFIC_SETTINGS {
+            fields.remove(key);
         }
     }
     alderstile_cluster::content_digest(Value::to_string(&settings).as_bytes())
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between the decisions of nodes: datagrams, lost or late at any time.
+//! Gossip between the nodes' decisions, in datagrams that may be lost or delayed.
 
 use std::cell::RefCell;
 use std::io;
@@ -11,28 +11,28 @@
 
 use crate::node::Node;
 
-/// The longest message of the protocol, bytes.
+/// Maximum length of a gossip message, bytes.
 pub const MAX_MESSAGE: usize = 256;
 
-/// Pause after a failed receive: should errors go on, they must not take the whole core.
+/// Pause after a failed receive, so that persistent errors do not occupy the core.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// While the other process of this node has the address, binding is retried this often.
+/// Interval of bind attempts while this node's other process has the address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The gossip channel of this process. Of two processes of a node one has the socket at a time.
+/// The gossip channel of this process. Only one of a node's two processes has the socket at a time.
 #[derive(Default)]
 pub struct GossipChannel(RefCell<Option<Rc<GossipSocket>>>);
 
 impl GossipChannel {
-    /// Sends a message to all nodes, where this process has the socket.
+    /// Sends a message to all nodes if this process has the socket.
     pub fn broadcast(&self, message: &[u8]) {
         if let Some(socket) = self.0.borrow().as_ref() {
             socket.broadcast(message);
         }
     }
 
-    /// Receives until the other process is to have the socket.
+    /// Receives messages until the socket is released to the other process.
     pub async fn run(self: Rc<Self>, node: Rc<Node>, socket: Rc<GossipSocket>) {
         self.0.replace(Some(socket.clone()));
         tokio::select! {
@@ -42,7 +42,7 @@
         self.0.replace(None);
     }
 
-    /// Does the same as soon as the process before this one releases the socket.
+    /// Runs the channel as soon as the predecessor releases the socket.
     pub async fn run_after_predecessor(self: Rc<Self>, node: Rc<Node>) {
         loop {
             match GossipSocket::bind(&node).await {
@@ -54,7 +54,7 @@
                     tokio::time::sleep(BIND_RETRY_DELAY).await;
                 }
                 Err(error) => {
-                    return warn!(%error, "gossip socket not bound, serving without gossip");
+                    return warn!(%error, "gossip socket not bound; serving without gossip");
                 }
             }
         }
@@ -64,16 +64,16 @@
 /// The socket on which this node gossips.
 pub struct GossipSocket {
     socket: UdpSocket,
-    /// Reaches all nodes at once.
+    /// Address that reaches all nodes at once.
     broadcast_address: SocketAddr,
 }
 
 impl GossipSocket {
-    /// Binds the socket of the configuration; none where nodes may not gossip.
+    /// Binds the configured socket. Returns `None` if gossip is disabled or not configured.
     ///
     /// # Errors
     ///
-    /// The socket can't be bound.
+    /// Returns an error if the socket cannot be bound.
     pub async fn bind(node: &Node) -> io::Result<Option<Rc<Self>>> {
         let config = node.config();
         let (Some(listen), Some(broadcast_address)) = (config.peer_listen, config.peer_broadcast) else {
@@ -83,27 +83,27 @@
             return Ok(None);
         }
         let socket = UdpSocket::bind(listen).await?;
-        // Until the runtime has polled it once, a send without waiting would block.
+        // Until the runtime has polled the socket once, a non-blocking send reports that it would block.
         socket.writable().await?;
         Ok(Some(Rc::new(GossipSocket { socket, broadcast_address })))
     }
 
-    /// Sends a message to all nodes; it is lost where the system has no room for it.
+    /// Sends a message to all nodes. The message is dropped if it does not fit into the send buffer.
     pub fn broadcast(&self, message: &[u8]) {
         if message.len() > MAX_MESSAGE {
-            warn!(bytes = message.len(), "gossip message too long, not sent");
+            warn!(bytes = message.len(), "gossip message exceeds the maximum length; not sent");
         } else if let Err(error) = self.socket.try_send_to(message, self.broadcast_address) {
-            debug!(%error, "gossip message lost");
+            debug!(%error, "gossip message dropped");
         }
     }
 
-    /// Hands messages of configured nodes to the decisions, for as long as it runs.
+    /// Passes the messages of configured nodes to the decisions, for as long as it runs.
     pub async fn receive(self: Rc<Self>, node: Rc<Node>) {
         let mut buffer = [0; MAX_MESSAGE + 1];
         loop {
             match self.socket.recv_from(&mut buffer).await {
                 Ok((length, from)) => deliver(&node, from, &buffer[..length]),
-                // A node that is down refused what was sent to it; the next receive is fine.
+                // Reported after a node that is down refused a datagram. The next receive succeeds.
                 Err(error) => {
                     debug!(%error, "gossip receive failed");
                     tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
--- a/crates/alderstile-node/src/control/replicated_config/apply.rs
+++ b/crates/alderstile-node/src/control/replicated_config/apply.rs
@@ -1,4 +1,4 @@
-//! What a node does when a version is committed, and when it becomes active.
+//! Actions of a node when a version is committed and when it becomes active.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -12,15 +12,15 @@
 use crate::config::Config;
 use crate::control::configured_node::ConfiguredNode;
 
-/// What the node has applied of the replicated configuration.
+/// The part of the replicated configuration that the node has applied.
 pub(super) struct AppliedConfig {
     node: Weak<dyn ConfiguredNode>,
-    /// 0 while the node follows its own file.
+    /// The applied version; 0 while the node uses its own file.
     version: Cell<u64>,
     document: RefCell<ConfigDocument>,
-    /// Hosts taken out, for the active version or one that waits.
+    /// Hosts taken out of service by the active version or by one that is not active yet.
     hosts_out: RefCell<BTreeSet<String>>,
-    /// Why the node doesn't follow the active version.
+    /// Why the active version was not applied.
     rejection: RefCell<Option<DocumentError>>,
 }
 
@@ -35,35 +35,37 @@
         }
     }
 
-    /// The version that the node follows; 0 if none.
+    /// Returns the version that the node has applied, or 0 if none.
     pub fn version(&self) -> u64 {
         self.version.get()
     }
 
-    /// Why the node doesn't follow the active version.
+    /// Returns why the active version was not applied.
     pub fn rejection(&self) -> Option<String> {
         self.rejection.borrow().as_ref().map(DocumentError::to_string)
     }
 
-    /// The node, unless the version is not newer than what it follows.
-    fn node_for(&self, version: u64) -> Option<Rc<dyn ConfiguredNode>> {
+    /// Returns the node if the version is newer than the applied one.
+    fn node_if_newer(&self, version: u64) -> Option<Rc<dyn ConfiguredNode>> {
         self.node.upgrade().filter(|_| version > self.version.get())
     }
 
-    /// A version was committed and is not active yet: until then the stricter of both applies, whichever version another node follows.
+    /// Prepares for a version that is committed but not active yet. Until activation the stricter of the two
+    /// versions applies, whichever version another node uses.
     pub fn prepare(&self, version: u64, document: &[u8], activates_in: Micros) {
-        let Some(node) = self.node_for(version) else { return };
+        let Some(node) = self.node_if_newer(version) else { return };
         let Ok(document) = ConfigDocument::parse(document) else { return };
         info!(version, activates_in_ms = activates_in.0 / 1_000, "configuration version committed");
-        self.take_hosts_out(&*node, &document.hosts_out);
+        self.take_hosts_out_of_service(&*node, &document.hosts_out);
         if let Ok(Some(config)) = document.interim_config(&node.config()) {
             node.apply_config(config);
         }
     }
 
-    /// A version has become active: it is applied or rejected as a whole, by the same checks as a file at SIGHUP.
+    /// Applies or rejects a version that has become active, as a whole, with the checks that a file passes at
+    /// SIGHUP.
     pub fn activate(&self, version: u64, document: &[u8]) {
-        let Some(node) = self.node_for(version) else { return };
+        let Some(node) = self.node_if_newer(version) else { return };
         let parsed = ConfigDocument::parse(document).and_then(|document| {
             let config = document.config_for(&node.config())?;
             Ok((document, config))
@@ -71,7 +73,7 @@
         match parsed {
             Ok((document, config)) => self.apply(&*node, version, document, config),
             Err(reason) => {
-                error!(version, %reason, "configuration version rejected; the one before stays in force");
+                error!(version, %reason, "configuration version rejected; the previous version remains in use");
                 node.count_reconfiguration(false);
                 self.rejection.replace(Some(reason));
             }
@@ -79,36 +81,38 @@
     }
 
     fn apply(&self, node: &dyn ConfiguredNode, version: u64, document: ConfigDocument, config: Config) {
-        info!(version, "configuration version active");
+        info!(version, "configuration version activated");
         node.apply_config(config);
         node.count_reconfiguration(true);
-        self.take_hosts_out(node, &document.hosts_out);
-        self.put_hosts_back(node, &document.hosts_out);
+        self.take_hosts_out_of_service(node, &document.hosts_out);
+        self.return_hosts_to_service(node, &document.hosts_out);
         self.rejection.replace(None);
         self.version.set(version);
         self.document.replace(document);
     }
 
-    fn take_hosts_out(&self, node: &dyn ConfiguredNode, hosts: &BTreeSet<String>) {
+    fn take_hosts_out_of_service(&self, node: &dyn ConfiguredNode, hosts: &BTreeSet<String>) {
         for host in hosts {
             if self.hosts_out.borrow_mut().insert(host.clone()) {
-                info!(host = %host, "host taken out by the replicated configuration");
+                info!(host = %host, "host taken out of service by the replicated configuration");
                 node.take_host_out_of_service(host);
             }
         }
     }
 
-    /// Puts back the hosts that are not among `still_out`, but for those that an operator took out at this node.
-    fn put_hosts_back(&self, node: &dyn ConfiguredNode, still_out: &BTreeSet<String>) {
-        let back: Vec<String> = self.hosts_out.borrow().difference(still_out).cloned().collect();
-        for host in back {
+    /// Returns the hosts that are not in `still_out` to service, except those that an operator took out at
+    /// this node.
+    fn return_hosts_to_service(&self, node: &dyn ConfiguredNode, still_out: &BTreeSet<String>) {
+        let returned: Vec<String> = self.hosts_out.borrow().difference(still_out).cloned().collect();
+        for host in returned {
             self.hosts_out.borrow_mut().remove(&host);
-            info!(host = %host, "host put back by the replicated configuration");
+            info!(host = %host, "host returned to service by the replicated configuration");
             node.return_host_to_service(&host);
         }
     }
 
-    /// A file at SIGHUP with the replicated settings in place of its own, once a version is followed.
+    /// Returns the file read at SIGHUP, with the replicated settings in place of its own if a version is
+    /// applied.
     pub fn overlay_file(&self, file: Value) -> Value {
         let version = self.version.get();
         if version == 0 {
@@ -118,8 +122,8 @@
         if overlaid != file {
             warn!(
                 version,
-                "settings of the file differ from the replicated ones, which stay in force; \
-                 `alderstile settings propose` changes them at all nodes"
+                "file settings ignored: they differ from the replicated settings, which remain in use; \
+                 change those with `alderstile settings propose`"
             );
         }
         overlaid
--- a/crates/alderstile-node/src/control/replicated_config/client.rs
+++ b/crates/alderstile-node/src/control/replicated_config/client.rs
@@ -1,4 +1,5 @@
-//! Calls of the operators' commands to a running node: show the replicated configuration, and propose another one.
+//! Client of the operators' commands: shows a running node's replicated configuration, and proposes another
+//! one.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,37 +9,40 @@
 use super::status::ReplicationStatus;
 use crate::admin::client;
 
-/// A proposal of which nothing is heard is sent this often: the same document is the same proposal.
+/// Maximum number of times a proposal without a reply is sent. Proposing the same document again is
+/// idempotent.
 const MAX_PROPOSAL_ATTEMPTS: usize = 5;
 
-/// Why a call failed.
+/// Reason why a call failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The document is rejected, and changes nothing.
+    /// The document is rejected and changes nothing.
     #[error("{0}")]
     Rejected(String),
-    /// Nothing was heard of the proposal.
-    #[error("no word from a leader: it may still be agreed on; look at `alderstile settings show`")]
+    /// No outcome of the proposal was received.
+    #[error(
+        "no reply from a leader: the proposal may still be committed; check with `alderstile settings show`"
+    )]
     Pending,
-    /// The node can't be called.
+    /// The node cannot be reached or its response is invalid.
     #[error("{0}: {1}")]
     Io(SocketAddr, io::Error),
 }
 
-/// The status of a node's replica.
+/// Requests the status of a node's replica.
 ///
 /// # Errors
-/// The node can't be called, or its answer can't be read.
+/// Returns an error if the node cannot be reached or its response cannot be parsed.
 pub fn status(admin: SocketAddr) -> Result<ReplicationStatus, CallError> {
     let text =
         client::get(admin, "/settings").map_err(|error| CallError::Io(admin, io::Error::other(error)))?;
     serde_json::from_str(&text).map_err(|error| CallError::Io(admin, error.into()))
 }
 
-/// Proposes a document as the version after `expected_version`; returns its version.
+/// Proposes a document as the version after `expected_version`. Returns the committed version.
 ///
 /// # Errors
-/// The document is rejected, nothing is heard of it, or the node can't be called.
+/// Returns an error if the document is rejected, no outcome is received, or the node cannot be reached.
 pub fn propose(admin: SocketAddr, expected_version: u64, document: &[u8]) -> Result<u64, CallError> {
     let path = format!("/settings/after/{expected_version}");
     for _ in 0..MAX_PROPOSAL_ATTEMPTS {
@@ -50,7 +54,7 @@
     Err(CallError::Pending)
 }
 
-/// The version that was committed; none while the proposal is pending.
+/// Returns the committed version, or `None` while the proposal is pending.
 fn committed_version(admin: SocketAddr, answer: &client::Answer) -> Result<Option<u64>, CallError> {
     let body = answer.body.trim();
     match answer.status {
@@ -61,9 +65,10 @@
         202 => Ok(None),
         409 | 413 => Err(CallError::Rejected(body.to_owned())),
         404 => {
-            let what = "the node goes by its own file (no [control] in its cluster's file)";
-            Err(CallError::Io(admin, io::Error::other(what)))
+            let reason =
+                "configuration replication is disabled at the node: its cluster file has no table [control]";
+            Err(CallError::Io(admin, io::Error::other(reason)))
         }
-        status => Err(CallError::Io(admin, io::Error::other(format!("answered {status}")))),
+        status => Err(CallError::Io(admin, io::Error::other(format!("unexpected HTTP status {status}")))),
     }
 }
--- a/crates/alderstile-node/src/control/replicated_config/document.rs
+++ b/crates/alderstile-node/src/control/replicated_config/document.rs
@@ -1,4 +1,5 @@
-//! The replicated document: the settings that all nodes share, and the hosts that are out at all of them.
+//! The replicated document: the settings that all nodes share, and the hosts that are out of service at all
+//! nodes.
 
 use std::collections::BTreeSet;
 
@@ -9,30 +10,30 @@
 use crate::config::{Config, ConfigError};
 
 /// Keys of the settings that belong to each node's own file.
-const NODE_SETTINGS: [&str; 2] = ["my_zone", "index"];
-/// Where the limit of attempts stands in a configuration's file.
+const NODE_SPECIFIC_SETTINGS: [&str; 2] = ["my_zone", "index"];
+/// JSON pointer to the attempt limit in a configuration file.
 const MAX_ATTEMPTS_POINTER: &str = "/settings/allowed/max_attempts";
-/// The most hosts that are out: bounds the document.
+/// Maximum number of hosts out of service. Bounds the document.
 const MAX_HOSTS: usize = 1_000;
-/// The longest name of a host, bytes.
+/// Maximum length of a host's name, bytes.
 const MAX_HOST_NAME: usize = 200;
 
-/// Why a document can't be used.
+/// Reason why a document is invalid.
 #[derive(Debug, Error)]
 pub enum DocumentError {
-    /// It is not JSON, or a key is unknown, missing or of another kind.
+    /// It is not JSON, or a key is unknown, missing or of the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// It holds a setting of each node's own.
+    /// It contains a setting that belongs to each node's own file.
     #[error("the key settings.{0}: each node's own, stays in its file")]
     NodeSetting(&'static str),
-    /// Too many hosts are out.
+    /// It takes too many hosts out of service.
     #[error("the key hosts_out: at most {MAX_HOSTS} hosts are wanted")]
     TooManyHosts,
     /// The name of a host is empty or too long.
     #[error("the key hosts_out: {0:?}: names of 1 to {MAX_HOST_NAME} bytes are wanted")]
     HostName(String),
-    /// The settings can't be used.
+    /// The settings are invalid.
     #[error("{0}")]
     Config(#[from] ConfigError),
 }
@@ -41,68 +42,73 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ConfigDocument {
-    /// The settings, as in a configuration's file, without `my_zone` and `index`, which are each node's own.
+    /// The settings, as in a configuration file, except for `my_zone` and `index`, which belong to each
+    /// node's own file.
     pub settings: Map<String, Value>,
-    /// Hosts that nothing new is sent to, whatever discovery lists.
+    /// Hosts that receive no new work, whatever discovery lists.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub hosts_out: BTreeSet<String>,
 }
 
 impl ConfigDocument {
-    /// Reads a document, and checks what can be checked without a node.
+    /// Parses a document and runs the checks that need no node.
     ///
     /// # Errors
-    /// It is in no known form, holds a node's own setting, or its hosts are out of bounds.
+    /// Returns an error if the document is malformed, contains a node-specific setting, or exceeds a limit on
+    /// hosts.
     pub fn parse(bytes: &[u8]) -> Result<Self, DocumentError> {
         let document: ConfigDocument = serde_json::from_slice(bytes)?;
-        if let Some(key) = NODE_SETTINGS.into_iter().find(|key| document.settings.contains_key(*key)) {
+        if let Some(key) = NODE_SPECIFIC_SETTINGS.into_iter().find(|key| document.settings.contains_key(*key))
+        {
             return Err(DocumentError::NodeSetting(key));
         }
         if document.hosts_out.len() > MAX_HOSTS {
             return Err(DocumentError::TooManyHosts);
         }
-        let unusable = |host: &&String| host.is_empty() || host.len() > MAX_HOST_NAME;
-        match document.hosts_out.iter().find(unusable) {
+        let is_invalid = |host: &&String| host.is_empty() || host.len() > MAX_HOST_NAME;
+        match document.hosts_out.iter().find(is_invalid) {
             Some(host) => Err(DocumentError::HostName(host.clone())),
             None => Ok(document),
         }
     }
 
-    /// A node's file with these settings in place of its own.
+    /// Returns a node's file with these settings in place of its own.
     pub fn overlay(&self, file: &Value) -> Value {
         let mut file = file.clone();
         if let Some(fields) = file.as_object_mut() {
-            let before = fields.remove("settings").unwrap_or_default();
+            let node_settings = fields.remove("settings").unwrap_or_default();
             let mut settings = self.settings.clone();
-            let own =
-                NODE_SETTINGS.into_iter().filter_map(|key| Some((key.to_owned(), before.get(key)?.clone())));
-            settings.extend(own);
+            let node_specific = NODE_SPECIFIC_SETTINGS
+                .into_iter()
+                .filter_map(|key| Some((key.to_owned(), node_settings.get(key)?.clone())));
+            settings.extend(node_specific);
             fields.insert("settings".to_owned(), Value::Object(settings));
         }
         file
     }
 
-    /// Checks that a node with this configuration can follow the document, by the code that reads a file at SIGHUP.
+    /// Checks that a node with this configuration can apply the document, with the code that reads a file at
+    /// SIGHUP.
     ///
     /// # Errors
-    /// The settings can't be used with the rest of the node's file.
+    /// Returns an error if the settings are invalid in combination with the rest of the node's file.
     pub fn validate(&self, config: &Config) -> Result<(), DocumentError> {
         self.config_for(config).map(|_| ())
     }
 
-    /// The configuration of a node that follows the document.
+    /// Returns the configuration of a node that has applied the document.
     ///
     /// # Errors
-    /// The settings can't be used with the rest of the node's file.
+    /// Returns an error if the settings are invalid in combination with the rest of the node's file.
     pub fn config_for(&self, config: &Config) -> Result<Config, DocumentError> {
         Ok(config.reloaded(self.overlay(&config.source))?.config)
     }
 
-    /// The configuration of a node until the document is active, where that is another one: attempts are limited by the lower number
-    /// of the two, whichever version the other nodes follow.
+    /// Returns a node's configuration until the document is active, or `None` if it does not change. Attempts
+    /// are limited by the lower of the two limits, whichever version the other nodes use.
     ///
     /// # Errors
-    /// The settings can't be used with the rest of the node's file.
+    /// Returns an error if the settings are invalid in combination with the rest of the node's file.
     pub fn interim_config(&self, config: &Config) -> Result<Option<Config>, DocumentError> {
         let max_attempts = |file: &Value| file.pointer(MAX_ATTEMPTS_POINTER).and_then(Value::as_u64);
         let new = self.settings.get("allowed").and_then(|allowed| allowed.get("max_attempts"));
--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -1,7 +1,8 @@
-//! This node's replica of the cluster's configuration: socket, clock, disk and log for a core that has none of them.
+//! This node's replica of the cluster's configuration: provides the socket, clock, disk and log to the core,
+//! which does no I/O.
 //!
-//! `apply` says what the node does by a version, `status` what operators see, `propose` how they change it.
-//! `docs/replicated-config.md` has the design.
+//! The `apply` module applies versions to the node, `status` reports to operators, and `propose` submits
+//! their changes. `docs/replicated-config.md` describes the design.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -41,27 +42,30 @@
 use status::role_name;
 use store::{StoreError, VoterStore};
 
-/// Key of the membership metadata that holds a member's port for announcements.
+/// Key of the membership metadata field that holds a member's port for announcements.
 const PORT_METADATA_KEY: u8 = b'c';
-/// How often the order of the members is brought up to date.
+/// Interval at which the order of the members is updated.
 const MEMBERS_INTERVAL: Duration = Duration::from_secs(1);
-/// How long receiving pauses after an error: should errors go on, they must not take the processor.
-const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(5);
-/// A voter whose store another process holds tries again this often, and takes part without a vote meanwhile.
+/// Pause after a failed receive, so that persistent errors do not occupy the processor.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
+/// Interval at which a voter retries to open a store that another process has. It participates without a vote
+/// in the meantime.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// A voter with another list of voters is logged this often at most: it sends several messages a second.
-const MISMATCH_LOG_INTERVAL: Duration = Duration::from_secs(60);
-/// A node whose version was superseded is ready again after so many leases, although it hasn't the new one.
+/// Minimum interval between log lines about voters with a different list, which send several messages per
+/// second.
+const MIN_MISMATCH_LOG_INTERVAL: Duration = Duration::from_secs(60);
+/// Number of leases after which a node whose version was superseded is ready again without having the new
+/// version.
 const MAX_SUPERSEDED_LEASES: f64 = 3.0;
 
-/// Why a node can't take part in the replication.
+/// Reason why a node cannot participate in the replication.
 #[derive(Debug, Error)]
 pub enum ReplicaError {
-    /// The store is of a voter in another list of voters.
+    /// The store belongs to a voter in a different voter list.
     #[error(transparent)]
     Store(StoreError),
-    /// The address for datagrams can't be bound.
-    #[error("control.listen {0}: {1}")]
+    /// The address for datagrams cannot be bound.
+    #[error("cannot bind control.listen {0}: {1}")]
     Bind(SocketAddr, std::io::Error),
 }
 
@@ -74,17 +78,17 @@
     applied: AppliedConfig,
     store: RefCell<Option<VoterStore>>,
     socket: RefCell<Option<Rc<UdpSocket>>>,
-    /// The core's next timeout may have changed.
+    /// Notified when the core's next timeout may have changed.
     timeout_changed: Notify,
     lease_expired: Cell<bool>,
     mismatch_logged_at: Cell<Option<Instant>>,
     next_nonce: Cell<u64>,
-    /// Who waits for the end of a proposal, by its nonce.
+    /// Channels to the callers that wait for the outcome of a proposal, by nonce.
     proposers: RefCell<BTreeMap<u64, oneshot::Sender<ProposalOutcome>>>,
 }
 
 impl ConfigReplica {
-    /// A replica that has heard of no version.
+    /// Creates a replica that knows no version.
     pub fn new<N: ConfiguredNode + 'static>(config: &ReplicationConfig, node: &Rc<N>) -> Self {
         let node: Weak<N> = Rc::downgrade(node);
         let node: Weak<dyn ConfiguredNode> = node;
@@ -108,29 +112,29 @@
         Micros(u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// Takes part in the replication for as long as the node runs.
+    /// Participates in the replication for as long as the node runs.
     ///
     /// # Errors
-    /// The store is of another list of voters, or the address can't be bound.
+    /// Returns an error if the store belongs to a different voter list, or the address cannot be bound.
     pub async fn run(self: Rc<Self>, cluster: Rc<ClusterMembership>) -> Result<(), ReplicaError> {
         loop {
-            let votes = self.open_store()?;
+            let is_voter = self.open_store()?;
             let bound_before = self.bound_address();
-            let socket = self.bind(votes).await?;
+            let socket = self.bind(is_voter).await?;
             let listen = self.config.listen;
             let port = socket.local_addr().map_or(listen.port(), |address| address.port());
             cluster.set_metadata(PORT_METADATA_KEY, &port.to_le_bytes());
-            if bound_before.is_none() || votes {
+            if bound_before.is_none() || is_voter {
                 let address = SocketAddr::new(listen.ip(), port);
-                info!(%address, voter = votes, "listening for configuration versions");
+                info!(%address, voter = is_voter, "listening for configuration versions");
             }
-            let waits_for_store = self.config.settings.local_voter.is_some() && !votes;
-            let until = waits_for_store.then(|| Instant::now() + STORE_RETRY_INTERVAL);
+            let awaits_store = self.config.settings.local_voter.is_some() && !is_voter;
+            let until = awaits_store.then(|| Instant::now() + STORE_RETRY_INTERVAL);
             self.serve(&socket, port, &cluster, until).await;
         }
     }
 
-    /// Opens a voter's store; whether this process has it, and so may vote.
+    /// Opens a voter's store. Returns whether this process has it and may therefore vote.
     fn open_store(&self) -> Result<bool, ReplicaError> {
         let (Some(me), Some(dir), Some(node)) =
             (self.config.settings.local_voter, &self.config.state_dir, self.node.upgrade())
@@ -157,7 +161,7 @@
                 let version = entry.position.version;
                 info!(voter, term, version, "voter hard state restored");
             }
-            None => warn!(voter, "voter hard state missing; no vote until each other voter has answered"),
+            None => warn!(voter, "voter hard state missing; not voting until every other voter has replied"),
         }
         self.store.replace(Some(store));
         self.core.replace(new_core(&self.config, &self.node, Some(voter), stored, self.now()));
@@ -167,17 +171,17 @@
         self.socket.borrow().as_ref().and_then(|socket| socket.local_addr().ok())
     }
 
-    /// The socket: a voter's is at the address that all others know, another node's may be at any port.
-    async fn bind(&self, votes: bool) -> Result<Rc<UdpSocket>, ReplicaError> {
+    /// Binds the socket. A voter uses the address that all other nodes know; other nodes may use any port.
+    async fn bind(&self, is_voter: bool) -> Result<Rc<UdpSocket>, ReplicaError> {
         let listen = self.config.listen;
-        let bound = self.bound_address().filter(|bound| !votes || *bound == listen);
+        let bound = self.bound_address().filter(|bound| !is_voter || *bound == listen);
         if let (Some(_), Some(socket)) = (bound, self.socket.borrow().clone()) {
             return Ok(socket);
         }
         self.socket.replace(None);
         let socket = match UdpSocket::bind(listen).await {
-            // The predecessor of this process has it; the membership's metadata tells others of the port.
-            Err(_) if !votes => UdpSocket::bind((listen.ip(), 0)).await,
+            // The predecessor has the address. Other members receive the port with the membership metadata.
+            Err(_) if !is_voter => UdpSocket::bind((listen.ip(), 0)).await,
             bound => bound,
         };
         let socket = Rc::new(socket.map_err(|error| ReplicaError::Bind(listen, error))?);
@@ -185,7 +189,7 @@
         Ok(socket)
     }
 
-    /// Passes datagrams and time to the core, until the store is to be tried again.
+    /// Passes datagrams and timeouts to the core until `until`, when the store is to be retried.
     async fn serve(
         &self,
         socket: &UdpSocket,
@@ -209,10 +213,10 @@
             tokio::select! {
                 received = socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => self.handle_datagram(from, &buffer[..length]),
-                    // A node that is down refused what was sent to it.
+                    // Reported after a node that is down refused a datagram.
                     Err(error) => {
-                        debug!(%error, "receiving configuration versions failed");
-                        tokio::time::sleep(RECEIVE_ERROR_PAUSE).await;
+                        debug!(%error, "configuration datagram receive failed");
+                        tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
                     }
                 },
                 () = tokio::time::sleep_until(due.into()) => self.tick(),
@@ -224,15 +228,16 @@
 
     fn handle_datagram(&self, from: SocketAddr, datagram: &[u8]) {
         let effects = self.core.borrow_mut().handle_datagram(self.now(), from, datagram);
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
     fn tick(&self) {
         let effects = self.core.borrow_mut().tick(self.now());
-        self.carry_out(effects);
+        self.execute(effects);
     }
 
-    /// Brings the order of the members that are no voters up to date: the same at all that see the same members.
+    /// Updates the order of the members that are not voters. Nodes that see the same members compute the same
+    /// order.
     fn update_members(&self, cluster: &ClusterMembership, port: u16) {
         let voters = &self.config.settings.voters;
         let others = cluster.map_live_peers(|record| {
@@ -242,20 +247,20 @@
             (!voters.contains(&address)).then(|| (alderstile_cluster::name_hash(&record.name), address))
         });
         let mut members: Vec<(u64, SocketAddr)> = others.into_iter().flatten().collect();
-        let votes = self.core.borrow().role().is_some();
+        let is_voter = self.core.borrow().role().is_some();
         let (name, address) = (cluster.local_name(), cluster.local_address());
-        let me = SocketAddr::new(address.ip(), port);
-        if !votes && !voters.contains(&me) {
-            members.push((alderstile_cluster::name_hash(&name), me));
+        let own_address = SocketAddr::new(address.ip(), port);
+        if !is_voter && !voters.contains(&own_address) {
+            members.push((alderstile_cluster::name_hash(&name), own_address));
         }
         members.sort_unstable();
-        let place = members.iter().position(|(_, address)| !votes && *address == me);
+        let position = members.iter().position(|(_, address)| !is_voter && *address == own_address);
         let members = members.into_iter().map(|(_, address)| address).collect();
-        self.core.borrow_mut().set_members(members, place);
+        self.core.borrow_mut().set_members(members, position);
     }
 
-    /// Carries effects out in their order; none behind a hard state that can't be persisted.
-    fn carry_out(&self, effects: Vec<Effect>) {
+    /// Executes effects in order. Stops at a hard state that cannot be persisted.
+    fn execute(&self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Persist(state) => {
@@ -276,12 +281,12 @@
         }
     }
 
-    /// Whether what rests on the hard state may be sent.
+    /// Persists a hard state. Returns whether the messages that depend on it may be sent.
     fn persist(&self, state: &PersistedState) -> bool {
         let store = self.store.borrow();
         let Some(store) = store.as_ref() else { return true };
         if let Err(error) = store.save(state) {
-            error!(%error, "voter hard state not persisted; no vote until each other voter has answered");
+            error!(%error, "voter hard state not persisted; not voting until every other voter has replied");
             self.core.borrow_mut().handle_persist_failure(self.now());
             return false;
         }
@@ -292,17 +297,18 @@
         if let Some(socket) = self.socket.borrow().as_ref()
             && let Err(error) = socket.try_send_to(datagram, to)
         {
-            debug!(%to, %error, "datagram not sent");
+            debug!(%to, %error, "configuration datagram dropped");
         }
     }
 
     fn log_voter_list_mismatch(&self, voter: u8) {
         let now = Instant::now();
-        if self.mismatch_logged_at.get().is_none_or(|last| now - last > MISMATCH_LOG_INTERVAL) {
+        if self.mismatch_logged_at.get().is_none_or(|last| now - last > MIN_MISMATCH_LOG_INTERVAL) {
             self.mismatch_logged_at.set(Some(now));
             warn!(
                 voter,
-                "voter with another list of voters ignored; control.voters must be the same everywhere"
+                "message of a voter with a different voter list dropped; \
+                 control.voters must be identical at all nodes"
             );
         }
     }
@@ -314,36 +320,39 @@
         }
         let version = self.applied.version();
         if expired {
-            warn!(version, "configuration lease expired: cut off from the voters; the version stays in use");
+            warn!(
+                version,
+                "configuration lease expired: isolated from the voters; the active version remains in use"
+            );
         } else {
             info!(version, "configuration lease renewed");
         }
     }
 
-    /// A file at SIGHUP as it is put in force: with the replicated settings in place of its own.
+    /// Returns the file read at SIGHUP, with the replicated settings in place of its own.
     pub fn overlay_file(&self, file: Value) -> Value {
         self.applied.overlay_file(file)
     }
 
-    /// Uses other keys from now on.
+    /// Replaces the keys that authenticate datagrams.
     pub fn set_keys(&self, config: &ReplicationConfig) {
         self.core.borrow_mut().set_codec(config.codec.clone());
     }
 
-    /// Whether this node may take clients: not in its first lease before it has heard which version is active, nor, if the cluster's
-    /// file says so, while it is cut off.
+    /// Returns whether this node may accept clients. It may not during its first lease until it knows the
+    /// active version, nor, if the cluster's file says so, while it is isolated.
     pub fn is_ready(&self) -> bool {
         let (core, now) = (self.core.borrow(), self.now());
-        let refuses = self.config.when_isolated == IsolationPolicy::StopAdmitting;
+        let stops_admitting = self.config.when_isolated == IsolationPolicy::StopAdmitting;
         let lease = self.config.settings.lease;
         match core.lease_state(now) {
             LeaseState::Valid => true,
-            LeaseState::Unknown => now >= lease && !refuses,
+            LeaseState::Unknown => now >= lease && !stops_admitting,
             LeaseState::Superseded => {
-                let follows_a_version = self.applied.version() > 0 || core.committed_version() == 0;
-                follows_a_version || now >= lease.scale(MAX_SUPERSEDED_LEASES)
+                let has_applied_version = self.applied.version() > 0 || core.committed_version() == 0;
+                has_applied_version || now >= lease.scale(MAX_SUPERSEDED_LEASES)
             }
-            LeaseState::Expired => !refuses,
+            LeaseState::Expired => !stops_admitting,
         }
     }
 }
@@ -352,9 +361,9 @@
     let path = path.display();
     match error {
         StoreError::Locked => {
-            debug!(%path, "voter store held by another process; taking part without a vote")
+            debug!(%path, "voter store locked by another process; participating without a vote")
         }
-        _ => warn!(%path, %error, "voter store unavailable; taking part without a vote"),
+        _ => warn!(%path, %error, "voter store unavailable; participating without a vote"),
     }
 }
 
@@ -377,6 +386,6 @@
             .map_err(|error| InvalidDocument(error.to_string()))
     };
     let settings = ReplicationSettings { local_voter, ..config.settings.clone() };
-    // Another seed at each start: what an earlier process was told must not count for this one.
+    // Another seed at each start, so that echoes of an earlier process's clock are invalid for this one.
     ReplicatedConfig::new(settings, config.codec.clone(), stored, Box::new(validate), random_seed(), now)
 }
--- a/crates/alderstile-node/src/control/replicated_config/propose.rs
+++ b/crates/alderstile-node/src/control/replicated_config/propose.rs
@@ -9,24 +9,25 @@
 use super::ConfigReplica;
 use super::document::{ConfigDocument, DocumentError};
 
-/// How long a proposal is waited for: an operator's call is answered within two seconds.
+/// How long a call waits for a proposal's outcome. An operator's call is answered within two seconds.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// How a proposal ended, as far as is known in time.
+/// Result of a proposal, as far as it is known in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
-    /// It was committed as this version.
+    /// The document was committed as this version.
     Committed(u64),
-    /// It changes nothing, for this reason.
+    /// The proposal changes nothing, for this reason.
     Rejected(String),
-    /// Nothing was heard in time; it may still be committed.
+    /// No outcome was received in time. The proposal may still be committed.
     Pending,
 }
 
 impl ConfigReplica {
-    /// Proposes a document as the version after `expected_version`, and waits for its end as long as an operator's call may.
+    /// Proposes a document as the version after `expected_version`, and waits for the outcome for as long as
+    /// an operator's call may take.
     pub async fn propose(&self, expected_version: u64, document: &[u8]) -> ProposalResult {
-        let document = match canonical(document) {
+        let document = match canonicalize(document) {
             Ok(document) => document,
             Err(error) => return ProposalResult::Rejected(error.to_string()),
         };
@@ -35,7 +36,7 @@
         let (proposer, outcome) = oneshot::channel();
         self.proposers.borrow_mut().insert(nonce, proposer);
         let effects = self.core.borrow_mut().propose(self.now(), nonce, expected_version, document);
-        self.carry_out(effects);
+        self.execute(effects);
         self.timeout_changed.notify_one();
         let outcome = timeout(PROPOSAL_TIMEOUT, outcome).await;
         self.proposers.borrow_mut().remove(&nonce);
@@ -51,13 +52,14 @@
 
     pub(super) fn finish_proposal(&self, nonce: u64, outcome: ProposalOutcome) {
         if let Some(proposer) = self.proposers.borrow_mut().remove(&nonce) {
-            // The caller may have gone.
+            // The caller may no longer be waiting.
             let _ = proposer.send(outcome);
         }
     }
 }
 
-/// A document in one way of writing: the same one proposed again has the same digest.
-fn canonical(document: &[u8]) -> Result<Vec<u8>, DocumentError> {
+/// Serializes a document in its canonical form, so that proposing the same document again yields the same
+/// digest.
+fn canonicalize(document: &[u8]) -> Result<Vec<u8>, DocumentError> {
     Ok(serde_json::to_vec(&ConfigDocument::parse(document)?)?)
 }
--- a/crates/alderstile-node/src/control/replicated_config/status.rs
+++ b/crates/alderstile-node/src/control/replicated_config/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the replicated configuration: status and metrics. The names are the admin interface's.
+//! Status and metrics of the replicated configuration for operators. The names are those of the admin
+//! interface.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -9,30 +10,31 @@
 
 use super::ConfigReplica;
 
-/// The status of a node's replica.
+/// Status of a node's replica.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ReplicationStatus {
-    /// The active version; 0 before there is one.
+    /// The active version; 0 if none has become active.
     #[serde(rename = "in_force")]
     pub active_version: u64,
-    /// The lease on it: `counts`, `between`, `cut off` or `unheard`, as [`lease_state_name`] maps them.
+    /// State of the lease on it: `counts`, `between`, `cut off` or `unheard`, as [`lease_state_name`] maps
+    /// them.
     #[serde(rename = "standing")]
     pub lease_state: String,
-    /// The latest version that is known to be committed.
+    /// The latest version known to be committed.
     #[serde(rename = "known")]
     pub committed_version: u64,
-    /// It becomes active after this, milliseconds.
+    /// Time until that version becomes active, milliseconds.
     #[serde(rename = "waits_ms")]
     pub activates_in_ms: u64,
-    /// How long ago it is known to have been the latest, milliseconds.
+    /// Time since that version was last known to be the latest, milliseconds.
     #[serde(rename = "age_ms")]
     pub staleness_ms: Option<u64>,
-    /// `leader`, `follower`, `candidate` or `learner`; none at a node that is no voter.
+    /// `leader`, `follower`, `candidate` or `learner`; `None` if the node is not a voter.
     #[serde(rename = "voter")]
     pub role: Option<String>,
-    /// The voter that leads, as far as a voter knows.
+    /// Address of the leader, if this node is a voter that knows it.
     pub leader: Option<SocketAddr>,
-    /// Why this node doesn't follow the active version.
+    /// Why the active version was not applied at this node.
     #[serde(rename = "refused")]
     pub rejection: Option<String>,
     /// Digest of the active document.
@@ -41,7 +43,7 @@
     pub document: Value,
 }
 
-/// The admin interface's name for the state of a lease.
+/// Returns the admin interface's name for a lease state.
 pub fn lease_state_name(state: LeaseState) -> &'static str {
     match state {
         LeaseState::Unknown => "unheard",
@@ -51,7 +53,7 @@
     }
 }
 
-/// The admin interface's name for a voter's role.
+/// Returns the admin interface's name for a voter's role.
 pub fn role_name(role: Role) -> &'static str {
     match role {
         Role::Learner => "learner",
@@ -62,7 +64,7 @@
 }
 
 impl ConfigReplica {
-    /// The status for operators.
+    /// Returns the status for operators.
     pub fn status(&self) -> ReplicationStatus {
         let (core, now) = (self.core.borrow(), self.now());
         let document = core.active_document();
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The metrics, as text.
+    /// Renders the metrics as text.
     pub fn metrics(&self) -> String {
         let (core, now) = (self.core.borrow(), self.now());
         let mut text = String::new();
--- a/crates/alderstile-node/src/control/replicated_config/store.rs
+++ b/crates/alderstile-node/src/control/replicated_config/store.rs
@@ -1,7 +1,7 @@
-//! A voter's hard state on disk, with the document of its entry.
+//! Persistent storage of a voter's hard state and the document of its log entry.
 //!
-//! One value, replaced whole: written beside, synced, renamed into its place, and the folder synced. An embedded store would have no
-//! other use here.
+//! The store is a single value that is replaced atomically: written to a temporary file, synced and renamed,
+//! after which the directory is synced. An embedded database would have no other use here.
 
 use std::fs::{File, TryLockError};
 use std::io::{self, Write};
@@ -15,47 +15,47 @@
 
 use crate::state_file;
 
-/// The format of the file; another one is not read.
+/// Version of the file format. Files of other versions are not read.
 const FORMAT: u8 = 1;
-/// Offsets of the fields, bytes: numbers are little-endian, the document follows the last one.
-const VOTERS_AT: usize = 1;
-const TERM_AT: usize = 9;
-const VOTE_AT: usize = 17;
-const ENTRY_TERM_AT: usize = 18;
-const VERSION_AT: usize = 26;
-const DIGEST_AT: usize = 34;
-const LENGTH_AT: usize = 42;
-const DOCUMENT_AT: usize = 46;
-/// The digest of all bytes before it, at the end.
+/// Offsets of the fields, bytes. Integers are little-endian, and the document follows the last field.
+const VOTERS_DIGEST_OFFSET: usize = 1;
+const TERM_OFFSET: usize = 9;
+const VOTE_OFFSET: usize = 17;
+const ENTRY_TERM_OFFSET: usize = 18;
+const VERSION_OFFSET: usize = 26;
+const DIGEST_OFFSET: usize = 34;
+const LENGTH_OFFSET: usize = 42;
+const DOCUMENT_OFFSET: usize = 46;
+/// Length of the digest of all preceding bytes, at the end of the file.
 const CHECKSUM_BYTES: usize = 8;
-/// Stands for a vote that was not given.
+/// Encodes that no vote was given.
 const NO_VOTE: u8 = u8::MAX;
 
-/// Why a store can't be opened or written.
+/// Reason why a store cannot be opened or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Another process of this node has it.
-    #[error("another process has it")]
+    /// Another process of this node has the store.
+    #[error("voter store is locked by another process")]
     Locked,
-    /// It is of a voter in another list of voters.
-    #[error("{}: it is of another list of voters", .0.display())]
+    /// The store belongs to a voter in a different voter list.
+    #[error("{}: voter store belongs to a different voter list", .0.display())]
     VoterListMismatch(PathBuf),
-    /// The disk failed.
+    /// An I/O operation failed.
     #[error("{}: {source}", .path.display())]
     Io {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What happened.
+        /// The I/O error.
         source: io::Error,
     },
 }
 
-/// What a store's file holds.
+/// Content of a store's file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreFile {
-    /// Digest of the list of voters.
+    /// Digest of the voter list.
     pub voters_digest: u64,
-    /// The state.
+    /// The voter's persisted state.
     pub state: PersistedState,
 }
 
@@ -63,20 +63,22 @@
 pub struct VoterStore {
     path: PathBuf,
     voters_digest: u64,
-    /// Locked for as long as the process has the store.
+    /// Lock on the store, held for as long as the process has it.
     _lock: File,
 }
 
 impl VoterStore {
-    /// The file of the voter with that name.
+    /// Returns the path of the store of the voter with this name.
     pub fn path(dir: &Path, name: &str) -> PathBuf {
         state_file::path(dir, name, "voter")
     }
 
-    /// Opens a voter's store, and reads what it holds: nothing where it is new or damaged. A damaged file is set aside.
+    /// Opens a voter's store and reads its state, which is `None` if the file is new or corrupted. A
+    /// corrupted file is renamed.
     ///
     /// # Errors
-    /// Another process has it, it is of another list of voters, or the disk failed.
+    /// Returns an error if another process has the store, it belongs to a different voter list, or an I/O
+    /// operation fails.
     pub fn open(path: &Path, voters_digest: u64) -> Result<(Self, Option<PersistedState>), StoreError> {
         let store = VoterStore { path: path.to_owned(), voters_digest, _lock: lock(path)? };
         let bytes = match std::fs::read(path) {
@@ -88,35 +90,39 @@
             Some(file) if file.voters_digest == voters_digest => Ok((store, Some(file.state))),
             Some(_) => Err(StoreError::VoterListMismatch(path.to_owned())),
             None => {
-                let aside = path.with_extension("damaged");
-                warn!(path = %path.display(), aside = %aside.display(), "voter store damaged; set aside");
-                std::fs::rename(path, &aside).map_err(|error| io_error(path, error))?;
+                let renamed_path = path.with_extension("damaged");
+                warn!(
+                    path = %path.display(),
+                    renamed_to = %renamed_path.display(),
+                    "voter store corrupted; file renamed"
+                );
+                std::fs::rename(path, &renamed_path).map_err(|error| io_error(path, error))?;
                 Ok((store, None))
             }
         }
     }
 
-    /// Puts a hard state on disk, and waits until it is synced.
+    /// Writes a hard state to disk and waits until it is synced.
     ///
     /// # Errors
-    /// The disk failed; what was stored before stays.
+    /// Returns an error if an I/O operation fails. The previous state remains stored.
     pub fn save(&self, state: &PersistedState) -> Result<(), StoreError> {
-        let value = encode(self.voters_digest, state);
-        self.replace(&value).map_err(|error| io_error(&self.path, error))
+        let bytes = encode(self.voters_digest, state);
+        self.replace(&bytes).map_err(|error| io_error(&self.path, error))
     }
 
-    fn replace(&self, value: &[u8]) -> io::Result<()> {
-        let new = self.path.with_extension("voter-new");
-        let mut file = File::create(&new)?;
-        file.write_all(value)?;
+    fn replace(&self, bytes: &[u8]) -> io::Result<()> {
+        let temporary_path = self.path.with_extension("voter-new");
+        let mut file = File::create(&temporary_path)?;
+        file.write_all(bytes)?;
         file.sync_all()?;
-        std::fs::rename(&new, &self.path)?;
-        // The new name too has to be there after a loss of power.
+        std::fs::rename(&temporary_path, &self.path)?;
+        // The rename must also survive a power loss.
         self.path.parent().map_or(Ok(()), |dir| File::open(dir)?.sync_all())
     }
 }
 
-/// Locks the store: two processes of one node must not both vote.
+/// Locks the store, so that two processes of one node never both vote.
 fn lock(path: &Path) -> Result<File, StoreError> {
     let lock_path = path.with_extension("voter-lock");
     let lock = File::create(&lock_path).map_err(|error| io_error(&lock_path, error))?;
@@ -147,10 +153,10 @@
     bytes
 }
 
-/// Reads a store's file; none where it is cut short, damaged or in another format.
+/// Decodes a store's file. Returns `None` if it is truncated, corrupted or in another format.
 pub fn decode(bytes: &[u8]) -> Option<StoreFile> {
-    let least = DOCUMENT_AT + CHECKSUM_BYTES;
-    if bytes.len() < least || bytes.len() > least + MAX_DOCUMENT || bytes[0] != FORMAT {
+    let min_length = DOCUMENT_OFFSET + CHECKSUM_BYTES;
+    if bytes.len() < min_length || bytes.len() > min_length + MAX_DOCUMENT || bytes[0] != FORMAT {
         return None;
     }
     let (checked, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>()?;
@@ -159,25 +165,25 @@
     }
     let entry = VersionHeader {
         position: LogPosition {
-            term: u64_at(checked, ENTRY_TERM_AT)?,
-            version: u64_at(checked, VERSION_AT)?,
+            term: u64_at(checked, ENTRY_TERM_OFFSET)?,
+            version: u64_at(checked, VERSION_OFFSET)?,
         },
-        digest: u64_at(checked, DIGEST_AT)?,
-        length: u32::from_le_bytes(checked.get(LENGTH_AT..DOCUMENT_AT)?.try_into().ok()?),
+        digest: u64_at(checked, DIGEST_OFFSET)?,
+        length: u32::from_le_bytes(checked.get(LENGTH_OFFSET..DOCUMENT_OFFSET)?.try_into().ok()?),
     };
-    let document = checked.get(DOCUMENT_AT..)?.to_vec();
+    let document = checked.get(DOCUMENT_OFFSET..)?.to_vec();
     if document.len() != entry.length as usize
         || alderstile_cluster::content_digest(&document) != entry.digest
     {
         return None;
     }
-    let vote = Some(checked[VOTE_AT]).filter(|vote| *vote != NO_VOTE);
-    let hard_state = HardState { term: u64_at(checked, TERM_AT)?, vote, entry };
+    let vote = Some(checked[VOTE_OFFSET]).filter(|vote| *vote != NO_VOTE);
+    let hard_state = HardState { term: u64_at(checked, TERM_OFFSET)?, vote, entry };
     let state = PersistedState { hard_state, document };
-    Some(StoreFile { voters_digest: u64_at(checked, VOTERS_AT)?, state })
+    Some(StoreFile { voters_digest: u64_at(checked, VOTERS_DIGEST_OFFSET)?, state })
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> Option<u64> {
-    let number = bytes.get(at..)?.first_chunk::<8>()?;
+fn u64_at(bytes: &[u8], offset: usize) -> Option<u64> {
+    let number = bytes.get(offset..)?.first_chunk::<8>()?;
     Some(u64::from_le_bytes(*number))
 }
--- a/crates/alderstile-node/tests/replicated_config_applied.rs
+++ b/crates/alderstile-node/tests/replicated_config_applied.rs
@@ -1,4 +1,4 @@
-//! What a node does by a version: settings and hosts out, while it waits and once it is active.
+//! Application of a version at a node: settings and hosts out of service, before and after activation.
 
 use alderstile_node::discovery::endpoint_list::server_id;
 use alderstile_node::lifecycle::reload::reload;
@@ -9,49 +9,53 @@
 use support::{StubHost, run, start_node};
 
 #[test]
-fn an_active_version_applies_and_until_then_the_stricter_of_both() {
+fn a_version_applies_once_active_and_until_then_the_stricter_of_both_versions_applies() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, _watch, control, dir) = single_voter_node(86, &[&hosts[0], &hosts[1]]).await;
-        let out = |host: &str| {
+        let (setup, _watch, replica, dir) = single_voter_node(86, &[&hosts[0], &hosts[1]]).await;
+        let is_out = |host: &str| {
             setup
                 .node
                 .decisions
                 .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id(host)))
         };
-        let most = || setup.node.config().settings.max_attempts;
-        let both = document(|document| {
+        let max_attempts = || setup.node.config().settings.max_attempts;
+        let first = document(|document| {
             document["settings"]["allowed"]["max_attempts"] = 2.into();
             document["hosts_out"] = json!(["s-1"]);
         });
-        assert_eq!(propose_until_committed(&control, &both).await, 1);
-        // Agreed and not in force yet: fewer attempts and a host out count at once.
-        assert_eq!((control.status().active_version, most(), out("s-1")), (0, 2, true));
-        wait_until_active(&control, 1).await;
-        assert_eq!((most(), out("s-1"), out("s-2")), (2, true, false));
+        assert_eq!(propose_until_committed(&replica, &first).await, 1);
+        // Committed but not active yet: the lower attempt limit and the host out of service already apply.
+        assert_eq!((replica.status().active_version, max_attempts(), is_out("s-1")), (0, 2, true));
+        wait_until_active(&replica, 1).await;
+        assert_eq!((max_attempts(), is_out("s-1"), is_out("s-2")), (2, true, false));
         assert!(setup.node.admin.metrics_text().contains("router.hosts_down:1|g"));
         let wider = document(|document| {
             document["settings"]["allowed"]["max_attempts"] = 5.into();
             document["settings"]["obligations"]["fall_multiple"] = 3.0.into();
             document["hosts_out"] = json!(["s-2"]);
         });
-        assert_eq!(propose_until_committed(&control, &wider).await, 2);
-        assert_eq!(control.status().active_version, 1);
-        assert_eq!((most(), out("s-1"), out("s-2")), (2, true, true), "both are out until it counts");
-        wait_until_active(&control, 2).await;
-        assert_eq!((most(), out("s-1"), out("s-2")), (5, false, true));
-        // The file at SIGHUP can't undo what is agreed; its other keys count.
+        assert_eq!(propose_until_committed(&replica, &wider).await, 2);
+        assert_eq!(replica.status().active_version, 1);
+        assert_eq!(
+            (max_attempts(), is_out("s-1"), is_out("s-2")),
+            (2, true, true),
+            "both hosts are out until the version is active"
+        );
+        wait_until_active(&replica, 2).await;
+        assert_eq!((max_attempts(), is_out("s-1"), is_out("s-2")), (5, false, true));
+        // The file read at SIGHUP does not override the replicated settings; its other keys apply.
         let path = dir.join("file.json");
         let mut file = setup.node.config().source.clone();
         file["settings"]["allowed"]["max_attempts"] = 1.into();
         file["discovery"] = "127.0.0.1:9".into();
-        std::fs::write(&path, file.to_string()).expect("written");
+        std::fs::write(&path, file.to_string()).expect("written file");
         reload(&setup.node, Some(&path), |_| None);
-        assert_eq!((most(), setup.node.config().discovery.port()), (5, 9));
-        let figures = setup.node.admin.metrics_text();
-        assert!(figures.contains("router.agreed_version:2|g"), "{figures}");
+        assert_eq!((max_attempts(), setup.node.config().discovery.port()), (5, 9));
+        let metrics = setup.node.admin.metrics_text();
+        assert!(metrics.contains("router.agreed_version:2|g"), "{metrics}");
         assert!(setup.node.admin.is_ready());
-        std::fs::remove_dir_all(&dir).expect("taken away");
+        std::fs::remove_dir_all(&dir).expect("removed directory");
     });
 }
 
@@ -59,23 +63,23 @@
 fn a_host_taken_out_by_an_operator_stays_out_when_the_document_puts_it_back() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch, control, dir) = single_voter_node(87, &[&host]).await;
-        let out = || {
+        let (setup, _watch, replica, dir) = single_voter_node(87, &[&host]).await;
+        let is_out = || {
             setup
                 .node
                 .decisions
                 .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
-        propose_until_committed(&control, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
-        wait_until_active(&control, 1).await;
+        propose_until_committed(&replica, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
+        wait_until_active(&replica, 1).await;
         setup.node.admin.apply_maintenance(
             "s-1",
             alderstile_node::admin::maintenance_store::MaintenanceState::OutOfService,
         );
-        propose_until_committed(&control, &document(|_| {})).await;
-        wait_until_active(&control, 2).await;
-        assert!(out(), "by hand");
-        std::fs::remove_dir_all(&dir).expect("taken away");
+        propose_until_committed(&replica, &document(|_| {})).await;
+        wait_until_active(&replica, 2).await;
+        assert!(is_out(), "taken out of service by an operator");
+        std::fs::remove_dir_all(&dir).expect("removed directory");
     });
 }
 
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -1,4 +1,5 @@
-//! What cc53de7 stored and answered of the replicated configuration: a voter's store, the admin interface's JSON and metrics.
+//! Compatibility of the replicated configuration with what commit cc53de7 wrote: a voter's store, and the
+//! JSON and metric names of the admin interface.
 
 use std::path::PathBuf;
 use std::time::Duration;
@@ -23,7 +24,7 @@
     [env!("CARGO_MANIFEST_DIR"), "tests/fixtures/replicated_config", name].iter().collect()
 }
 
-/// A document with hosts out, as voters store it.
+/// Returns a document with hosts out of service, as voters store it.
 fn stored_document() -> Vec<u8> {
     let document = document(|document| document["hosts_out"] = json!(["s-1", "s-2"]));
     let document = ConfigDocument::parse(document.to_string().as_bytes()).expect("a document");
@@ -41,26 +42,26 @@
     PersistedState { hard_state, document: document.to_vec() }
 }
 
-const VOTERS: u64 = 0x0102_0304_0506_0708;
+const VOTERS_DIGEST: u64 = 0x0102_0304_0506_0708;
 
 #[test]
-fn a_store_of_the_version_before_is_read_and_written_as_the_same_bytes() {
+fn a_store_of_the_previous_version_is_read_and_written_as_the_same_bytes() {
     let dir = folder("store-fixture");
     let path = VoterStore::path(&dir, "n/1");
     assert_eq!(path.file_name().and_then(|name| name.to_str()), Some("alderstile-n%2F1.voter"));
     std::fs::copy(fixture("voter_store.bin"), &path).expect("copied");
-    let (store, found) = VoterStore::open(&path, VOTERS).expect("opened");
+    let (store, restored) = VoterStore::open(&path, VOTERS_DIGEST).expect("opened");
     let document = stored_document();
-    assert_eq!(found, Some(stored_state(&document)));
-    std::fs::remove_file(&path).expect("taken away");
+    assert_eq!(restored, Some(stored_state(&document)));
+    std::fs::remove_file(&path).expect("removed");
     store.save(&stored_state(&document)).expect("saved");
     let written = std::fs::read(&path).expect("read");
     assert!(written == std::fs::read(fixture("voter_store.bin")).expect("read"));
-    std::fs::remove_dir_all(&dir).expect("taken away");
+    std::fs::remove_dir_all(&dir).expect("removed");
 }
 
-/// What a voter answers that has been told everything.
-fn shown() -> ReplicationStatus {
+/// Returns the status of a voter with a value in every field.
+fn full_status() -> ReplicationStatus {
     ReplicationStatus {
         active_version: 8,
         lease_state: "cut off".to_owned(),
@@ -76,19 +77,19 @@
 }
 
 #[test]
-fn the_admin_interface_s_answers_keep_their_keys() {
-    for (name, shown) in
-        [("settings_full.json", shown()), ("settings_empty.json", ReplicationStatus::default())]
+fn the_admin_interface_s_json_keeps_its_keys() {
+    for (name, status) in
+        [("settings_full.json", full_status()), ("settings_empty.json", ReplicationStatus::default())]
     {
         let text = std::fs::read_to_string(fixture(name)).expect("read");
-        assert_eq!(serde_json::to_string(&shown).expect("JSON"), text, "{name}");
+        assert_eq!(serde_json::to_string(&status).expect("JSON"), text, "{name}");
         let read: ReplicationStatus = serde_json::from_str(&text).expect("readable");
         assert_eq!(serde_json::to_string(&read).expect("JSON"), text, "{name}");
     }
 }
 
 #[test]
-fn states_and_roles_keep_the_admin_interface_s_names() {
+fn lease_states_and_roles_keep_their_names_in_the_admin_interface() {
     let states = [LeaseState::Unknown, LeaseState::Valid, LeaseState::Superseded, LeaseState::Expired];
     assert_eq!(states.map(lease_state_name), ["unheard", "counts", "between", "cut off"]);
     let roles = [Role::Learner, Role::Follower, Role::PreCandidate, Role::Candidate, Role::Leader];
@@ -108,15 +109,15 @@
     (status, text)
 }
 
-/// The time since the last news depends on the moment: any number stands for it.
+/// Parses a status and clears `age_ms`, which depends on the time of the call.
 fn without_age(text: &str) -> Value {
-    let mut shown: Value = serde_json::from_str(text).expect("JSON");
-    assert!(shown["age_ms"].is_u64() || shown["age_ms"].is_null(), "{shown}");
-    shown["age_ms"] = Value::Null;
-    shown
+    let mut status: Value = serde_json::from_str(text).expect("JSON");
+    assert!(status["age_ms"].is_u64() || status["age_ms"].is_null(), "{status}");
+    status["age_ms"] = Value::Null;
+    status
 }
 
-/// Names and kinds of the metrics of a text, without their values.
+/// Returns the names and kinds of the metrics in a text, without their values.
 fn metric_names(text: &str) -> String {
     let names = text.lines().filter(|line| line.contains("agreed_")).map(|line| {
         let (name, value) = line.split_once(':').expect("a value");
@@ -125,11 +126,12 @@
     names.collect()
 }
 
-/// What a node that is the only voter answers before and after a version, each under the name of its fixture.
-async fn answers() -> Vec<(&'static str, String)> {
+/// Returns the responses of a node that is the only voter, before and after a version, each with the name of
+/// its fixture.
+async fn responses() -> Vec<(&'static str, String)> {
     let host = StubHost::new("s-1").await;
-    let (setup, _watch, control, dir) = single_voter_node(89, &[&host]).await;
-    let before = serde_json::to_string(&control.status()).expect("JSON");
+    let (setup, _watch, replica, dir) = single_voter_node(89, &[&host]).await;
+    let before = serde_json::to_string(&replica.status()).expect("JSON");
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let to = listener.local_addr().expect("bound");
     spawn_local(server::run(setup.node.admin.clone(), listener));
@@ -143,11 +145,11 @@
     };
     let (status, text) = call(to, "POST", "/settings/after/7", "{\"setings\": {}}").await;
     let rejected = format!("{status}\n{text}");
-    wait_until_active(&control, 1).await;
+    wait_until_active(&replica, 1).await;
     let (status, after) = call(to, "GET", "/settings", "").await;
     assert_eq!(status, "HTTP/1.1 200");
     let (_, counters) = call(to, "GET", "/control/counters", "").await;
-    std::fs::remove_dir_all(&dir).expect("taken away");
+    std::fs::remove_dir_all(&dir).expect("removed");
     vec![
         ("settings_before.json", before),
         ("proposed.txt", proposed),
@@ -158,14 +160,14 @@
 }
 
 #[test]
-fn a_node_answers_as_the_version_before_did() {
+fn a_node_responds_as_the_previous_version_did() {
     run(async {
-        for (name, text) in answers().await {
-            let wanted = std::fs::read_to_string(fixture(name)).expect("read");
+        for (name, text) in responses().await {
+            let expected = std::fs::read_to_string(fixture(name)).expect("read");
             if name.ends_with(".json") {
-                assert_eq!(without_age(&text), without_age(&wanted), "{name}");
+                assert_eq!(without_age(&text), without_age(&expected), "{name}");
             } else {
-                assert_eq!(text, wanted, "{name}");
+                assert_eq!(text, expected, "{name}");
             }
         }
     });
--- a/crates/alderstile-node/tests/replicated_config_table.rs
+++ b/crates/alderstile-node/tests/replicated_config_table.rs
@@ -1,4 +1,4 @@
-//! The table `[control]` of a cluster's file.
+//! Parsing of the table `[control]` of a cluster file.
 
 use alderstile_node::config::ClusterConfig;
 
@@ -6,12 +6,15 @@
 use support::replicated_config::KEY;
 
 #[test]
-fn a_faulty_table_is_rejected_with_its_key() {
-    let fine = format!(
+fn an_invalid_table_is_rejected_and_the_error_names_the_key() {
+    let valid = format!(
         "name = \"edge\"\nlisten = \"127.0.0.1:7946\"\nkeys = [\"{KEY}\"]\n[control]\nlisten = \"127.0.0.1:7950\"\n\
          voters = [\"127.0.0.2:7950\", \"127.0.0.3:7950\"]\n"
     );
-    let config = ClusterConfig::parse("c.toml", &fine).expect("fine").replication.expect("a table");
+    let config = ClusterConfig::parse("c.toml", &valid)
+        .expect("valid cluster file")
+        .replication
+        .expect("table [control]");
     assert_eq!((config.settings.local_voter, config.settings.lease.0), (None, 2_500_000));
     for (from, to, key) in [
         ("127.0.0.1:7950", "127.0.0.1:0", "control.listen"),
@@ -27,7 +30,7 @@
         ("voters", "cut_off = \"stop\"\nvoters", "unknown variant `stop`"),
         ("voters", "what = 1\nvoters", "unknown field `what`"),
     ] {
-        let error = ClusterConfig::parse("c.toml", &fine.replacen(from, to, 1)).err().map(|e| e.to_string());
+        let error = ClusterConfig::parse("c.toml", &valid.replacen(from, to, 1)).err().map(|e| e.to_string());
         assert!(error.as_ref().is_some_and(|error| error.contains(key)), "{to}: {error:?}");
     }
 }
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -1,4 +1,4 @@
-//! Nodes that go by a replicated configuration: one alone in this process, and documents for it.
+//! Test support for the replicated configuration: a node that is the only voter, and documents for it.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -19,11 +19,11 @@
 pub fn folder(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("replicated-config-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("created directory");
     dir
 }
 
-/// The settings that all nodes of the tests have alike, as a document.
+/// Returns a document with the settings that all nodes of the tests share, modified by `change`.
 pub fn document(change: impl FnOnce(&mut Value)) -> Value {
     let mut settings = node_config("127.0.0.1:1", "127.0.0.1:1")["settings"].take();
     settings.as_object_mut().expect("an object").remove("my_zone");
@@ -32,7 +32,7 @@
     document
 }
 
-/// A node that is the only voter, in this process.
+/// Starts a node in this process that is the only voter.
 pub async fn single_voter_node(
     net: u8,
     hosts: &[&StubHost],
@@ -45,26 +45,27 @@
          heartbeat_ms = 50\n",
         dir.display()
     );
-    let cluster = ClusterConfig::parse("c.toml", &text).expect("fine");
-    let control = cluster.replication.as_ref().expect("a table");
-    let store = VoterStore::path(&dir, &setup.node.config().name);
-    let (begun, _) = VoterStore::open(&store, control.settings.voters_digest()).expect("opened");
-    begun.save(&PersistedState::genesis()).expect("saved");
-    drop(begun);
-    let member = Rc::new(ClusterMembership::new(&setup.node.config(), &cluster, None).expect("a member"));
-    setup.node.admin.set_membership(member.clone());
-    let control = Rc::new(ConfigReplica::new(control, &setup.node));
-    setup.node.admin.set_replicated_config(control.clone());
-    assert!(!setup.node.admin.is_ready(), "not before it knows which version counts");
-    spawn_local(control.clone().run(member));
-    (setup, watch, control, dir)
+    let cluster = ClusterConfig::parse("c.toml", &text).expect("valid cluster file");
+    let replication = cluster.replication.as_ref().expect("table [control]");
+    let path = VoterStore::path(&dir, &setup.node.config().name);
+    let (store, _) = VoterStore::open(&path, replication.settings.voters_digest()).expect("opened store");
+    store.save(&PersistedState::genesis()).expect("saved state");
+    drop(store);
+    let membership =
+        Rc::new(ClusterMembership::new(&setup.node.config(), &cluster, None).expect("valid member"));
+    setup.node.admin.set_membership(membership.clone());
+    let replica = Rc::new(ConfigReplica::new(replication, &setup.node));
+    setup.node.admin.set_replicated_config(replica.clone());
+    assert!(!setup.node.admin.is_ready(), "not ready before the active version is known");
+    spawn_local(replica.clone().run(membership));
+    (setup, watch, replica, dir)
 }
 
-pub async fn propose_until_committed(control: &ConfigReplica, document: &Value) -> u64 {
+pub async fn propose_until_committed(replica: &ConfigReplica, document: &Value) -> u64 {
     loop {
-        let expect = control.status().committed_version;
+        let expected_version = replica.status().committed_version;
         if let ProposalResult::Committed(version) =
-            control.propose(expect, document.to_string().as_bytes()).await
+            replica.propose(expected_version, document.to_string().as_bytes()).await
         {
             return version;
         }
@@ -72,13 +73,13 @@
     }
 }
 
-pub async fn wait_until_active(control: &ConfigReplica, version: u64) {
-    while control.status().active_version < version {
+pub async fn wait_until_active(replica: &ConfigReplica, version: u64) {
+    while replica.status().active_version < version {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// A document with this limit of attempts.
-pub fn with_attempts(most: u64) -> Value {
-    document(|document| document["settings"]["allowed"]["max_attempts"] = most.into())
+/// Returns a document with this attempt limit.
+pub fn with_attempts(max_attempts: u64) -> Value {
+    document(|document| document["settings"]["allowed"]["max_attempts"] = max_attempts.into())
 }
