--- a/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
+++ b/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
@@ -1,21 +1,23 @@
-//! Iterative proportional fitting (Deming and Stephan 1940; Sinkhorn and Knopp 1967): a table is scaled, its rows to the nodes'
-//! traffic and its columns to the hosts' dues by turns, until both fit. Of all tables that fit it is the one nearest to the one
-//! begun with, so nodes stay in their zone as far as the dues allow, and what a newcomer brings moves little.
+//! Iterative proportional fitting (Deming and Stephan 1940; Sinkhorn and Knopp 1967): scales the rows of a
+//! table to the nodes' traffic and its columns to the hosts' target loads, alternately, until both match.
+//!
+//! Of all tables that match, the result is the closest to the initial one. Traffic therefore stays in its
+//! zone as far as the target loads allow, and a new node or host moves little of it.
 
 use super::share_table::Preferences;
 use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, bounded_weight};
 
-/// The table fits when no host is further from its due than this part of it.
+/// The table matches when the relative deviation of every host from its target load is below this.
 const TOLERANCE: f64 = 2e-3;
-/// Turns at most: a table that can't fit must not keep the node busy.
+/// The maximum number of iterations: a table that cannot match must not keep the node busy.
 const MAX_ITERATIONS: usize = 200;
-/// What a host in another zone counts at first beside one in the own zone.
+/// The initial weight of a host in another zone relative to one in the node's own zone.
 const OTHER_ZONE_WEIGHT: f64 = 0.01;
 
-/// The cells of one node's row: a host's place, and the traffic that goes there.
+/// One node's row: host indices and the traffic sent to each.
 type Row = Vec<(usize, f64)>;
 
-/// Each node's shares of its traffic, from the preferences to begin with.
+/// Returns each node's traffic shares, fitted from its initial preferences.
 pub(super) fn fitted_shares(
     params: SubsettingParams,
     nodes: &[&SubsetNode],
@@ -23,21 +25,21 @@
     preferences: &[Preferences],
 ) -> Vec<TrafficShares> {
     let traffic: Vec<f64> = nodes.iter().map(|node| bounded_weight(node.traffic)).collect();
-    let dues = host_dues(hosts, traffic.iter().sum());
+    let target_loads = host_target_loads(hosts, traffic.iter().sum());
     let mut rows = initial_rows(params, nodes, hosts, preferences);
     for _ in 0..MAX_ITERATIONS {
         scale_rows(&mut rows, &traffic);
         let received = column_sums(&rows, hosts.len());
-        if max_deviation(&received, &dues) < TOLERANCE {
+        if max_deviation(&received, &target_loads) < TOLERANCE {
             break;
         }
-        scale_columns(&mut rows, &received, &dues);
+        scale_columns(&mut rows, &received, &target_loads);
     }
     rows.into_iter().map(|row| normalized(row, hosts)).collect()
 }
 
-/// The part of all traffic that is due to each host, by its weight.
-fn host_dues(hosts: &[SubsetHost], total_traffic: f64) -> Vec<f64> {
+/// Returns the traffic that each host should receive, in proportion to its weight.
+fn host_target_loads(hosts: &[SubsetHost], total_traffic: f64) -> Vec<f64> {
     let total_weight: f64 = hosts.iter().map(|host| bounded_weight(host.weight)).sum();
     hosts.iter().map(|host| bounded_weight(host.weight) / total_weight * total_traffic).collect()
 }
@@ -49,8 +51,8 @@
     preferences: &[Preferences],
 ) -> Vec<Row> {
     let initial_weight = |node: &SubsetNode, host: &SubsetHost| {
-        let is_far = params.prefer_own_zone && host.zone != node.zone;
-        bounded_weight(host.weight) * if is_far { OTHER_ZONE_WEIGHT } else { 1.0 }
+        let is_other_zone = params.prefer_own_zone && host.zone != node.zone;
+        bounded_weight(host.weight) * if is_other_zone { OTHER_ZONE_WEIGHT } else { 1.0 }
     };
     let row = |(node, preferences): (&&SubsetNode, &Preferences)| {
         let cell =
@@ -67,8 +69,8 @@
     }
 }
 
-fn scale_columns(rows: &mut [Row], received: &[f64], dues: &[f64]) {
-    rows.iter_mut().flatten().for_each(|(host, cell)| *cell *= dues[*host] / received[*host]);
+fn scale_columns(rows: &mut [Row], received: &[f64], target_loads: &[f64]) {
+    rows.iter_mut().flatten().for_each(|(host, cell)| *cell *= target_loads[*host] / received[*host]);
 }
 
 fn column_sums(rows: &[Row], hosts: usize) -> Vec<f64> {
@@ -77,8 +79,12 @@
     sums
 }
 
-fn max_deviation(received: &[f64], dues: &[f64]) -> f64 {
-    received.iter().zip(dues).map(|(received, due)| (received / due - 1.0).abs()).fold(0.0, f64::max)
+fn max_deviation(received: &[f64], target_loads: &[f64]) -> f64 {
+    received
+        .iter()
+        .zip(target_loads)
+        .map(|(received, target)| (received / target - 1.0).abs())
+        .fold(0.0, f64::max)
 }
 
 fn normalized(row: Row, hosts: &[SubsetHost]) -> TrafficShares {
