--- a/crates/alderstile-cluster/src/membership/mod.rs
+++ b/crates/alderstile-cluster/src/membership/mod.rs
@@ -69,8 +69,7 @@
     codec: DatagramCodec,
     local: MemberRecord,
     rng: Pcg64Mcg,
-    /// The latest time passed by a caller. If the clock goes back, time stands still until the clock catches
-    /// up.
+    /// The latest time passed by a caller. If the clock goes back, this time stays until the clock catches up.
     now: Micros,
     peers: PeerTable,
     name_conflicts: BTreeSet<Box<str>>,
