--- a/crates/alderstile-cluster/src/replicated_config/activation.rs
+++ b/crates/alderstile-cluster/src/replicated_config/activation.rs
@@ -14,7 +14,7 @@
     Unknown,
     /// The lease is valid and the node acts on the version.
     Valid,
-    /// The lease has expired, and a later version is committed but not active yet.
+    /// No lease is valid, and a later version is committed but not active yet.
     Superseded,
     /// The lease has expired and no later version is known: the node is isolated from the voters.
     Expired,
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ActiveVersion {
     pub header: VersionHeader,
-    /// Start of the lease; `None` until an announcement has been received.
+    /// Start of the lease; `None` until this version is known to have been the latest.
     pub latest_at: Option<Micros>,
 }
 
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns when the lease on the active version expires unless it is renewed, or `None` if no
-    /// announcement has been received.
+    /// Returns when the lease on the active version expires unless it is renewed, or `None` if none has
+    /// started.
     pub fn lease_ends_at(&self) -> Option<Micros> {
         self.active.latest_at.map(|latest_at| latest_at + self.settings.lease)
     }
--- a/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
+++ b/crates/alderstile-cluster/src/replicated_config/chunked_transfer.rs
@@ -8,8 +8,8 @@
 use super::delta::{apply_delta, encode_delta};
 use super::message::{Chunk, ChunkRequest, MAX_CHUNK, MAX_DOCUMENT};
 
-/// Maximum number of stored documents, including those in use. The most recent ones serve as bases for
-/// deltas.
+/// Number of stored documents above which the oldest ones that are not in use are evicted. The most recent
+/// ones serve as bases for deltas.
 const MAX_CACHED_DOCUMENTS: usize = 8;
 /// Maximum number of concurrent fetches. Bounds the memory that announcements of many digests can consume.
 const MAX_FETCHES: usize = 4;
@@ -23,13 +23,16 @@
 /// A document that is being fetched.
 struct Fetch {
     from: SocketAddr,
+    /// Digest of the document that the received bytes are a delta against; 0 for the full document.
     base: u64,
+    /// Number of bytes to receive; `None` before the first chunk.
     total: Option<u32>,
     /// The contiguous bytes received so far, from the start.
     bytes: Vec<u8>,
     /// Chunks received ahead of a gap, by offset.
     out_of_order: BTreeMap<u32, Vec<u8>>,
     retransmit_at: Micros,
+    /// Number of consecutive requests without an answer.
     unanswered: u32,
 }
 
@@ -113,7 +116,8 @@
         self.documents.contains_key(&digest)
     }
 
-    /// Stores a document and evicts the oldest ones that are not in use. Returns its digest.
+    /// Stores a document and returns its digest. Above the limit, the oldest documents not in use are
+    /// evicted.
     pub fn insert(&mut self, document: Vec<u8>, in_use: &[u64]) -> u64 {
         let digest = crate::content_digest(&document);
         self.insertion_order.retain(|other| *other != digest);
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -90,9 +90,9 @@
             documents.insert(stored.document, &[]);
             stored.hard_state
         });
-        let raft = settings.local_voter.map(|me| {
+        let raft = settings.local_voter.map(|id| {
             let rng = Pcg64Mcg::seed_from_u64(rng.random());
-            Raft::new(me, settings.voters.len(), settings.heartbeat, hard_state, rng, now)
+            Raft::new(id, settings.voters.len(), settings.heartbeat, hard_state, rng, now)
         });
         let genesis = HardState::genesis().entry;
         let clock_offset_us = rng.random_range(1 << 61..1 << 62);
--- a/crates/alderstile-cluster/src/replicated_config/proposal.rs
+++ b/crates/alderstile-cluster/src/replicated_config/proposal.rs
@@ -83,7 +83,7 @@
         self.own.as_ref().map(|own| own.request.digest)
     }
 
-    /// Discards other nodes' proposals: a voter that is no longer leader cannot determine their outcome.
+    /// Discards all pending proposals. A voter that is no longer leader cannot determine their outcome.
     pub fn discard_pending(&mut self) {
         self.pending.clear();
     }
--- a/crates/alderstile-cluster/src/replicated_config/raft/election.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/election.rs
@@ -65,8 +65,8 @@
     /// it.
     pub(super) fn has_leader_contact(&self, now: Micros) -> bool {
         let timeout = self.heartbeats(ELECTION_TIMEOUT_HEARTBEATS);
-        let heard = self.leader_contact_at.is_some_and(|received_at| now < received_at + timeout);
-        self.role == Role::Leader || (self.leader.is_some() && heard)
+        let is_recent = self.leader_contact_at.is_some_and(|received_at| now < received_at + timeout);
+        self.role == Role::Leader || (self.leader.is_some() && is_recent)
     }
 
     pub(super) fn handle_pre_vote(
--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -1,7 +1,7 @@
 //! Raft (Ongaro and Ousterhout 2014) with pre-vote and check-quorum (Ongaro's thesis 2014, sections 9.6 and
 //! 6.2), on a log of one entry.
 //!
-//! Each entry holds a full document that replaces all earlier ones, so the log is always compacted to its
+//! Each entry denotes a full document that replaces all earlier ones, so the log is always compacted to its
 //! last entry. The entry's index is its version, and entries are ordered by [`LogPosition`]: term, then
 //! version. An append carries the entry's header; a follower acknowledges it once the document is persisted.
 //! A new leader first rewrites its entry under its own term, in place of Raft's empty entry (section 8), and
@@ -48,15 +48,15 @@
 /// Role of a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It has lost its hard state and does not vote.
+    /// The voter has lost its hard state and does not vote.
     Learner,
-    /// It follows a leader or waits for one.
+    /// The voter follows a leader or waits for one.
     Follower,
-    /// It asks the other voters whether they would elect it.
+    /// The voter asks the others whether they would elect it.
     PreCandidate,
-    /// It requests votes.
+    /// The voter requests votes.
     Candidate,
-    /// It is the leader.
+    /// The voter is the leader.
     Leader,
 }
 
--- a/crates/alderstile-cluster/src/replicated_config/subscription.rs
+++ b/crates/alderstile-cluster/src/replicated_config/subscription.rs
@@ -102,8 +102,9 @@
     }
 
     fn random_voter(&mut self) -> Option<SocketAddr> {
-        let me = self.settings.local_voter.map(usize::from);
-        let others: Vec<usize> = (0..self.settings.voters.len()).filter(|voter| Some(*voter) != me).collect();
+        let own_index = self.settings.local_voter.map(usize::from);
+        let others: Vec<usize> =
+            (0..self.settings.voters.len()).filter(|voter| Some(*voter) != own_index).collect();
         if others.is_empty() {
             return None;
         }
--- a/crates/alderstile-cluster/tests/replicated_config_faults.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_faults.rs
@@ -30,7 +30,8 @@
             2 => cluster.partitioned = !cluster.partitioned,
             3 => cluster.isolated[n] = !cluster.isolated[n],
             4 => (0..count).for_each(|n| cluster.resume(n)),
-            // At most one voter loses its state: recovery needs the states of all other voters.
+            // At most one voter loses its state: two could not recover, as each needs the states of all
+            // others.
             5 if !lost_disk && n < voters => {
                 lost_disk = true;
                 cluster.kill(n);
--- a/crates/alderstile-node/src/control/replicated_config/document.rs
+++ b/crates/alderstile-node/src/control/replicated_config/document.rs
@@ -21,13 +21,13 @@
 /// Reason why a document is invalid.
 #[derive(Debug, Error)]
 pub enum DocumentError {
-    /// It is not JSON, or a key is unknown, missing or of the wrong type.
+    /// The document is not JSON, or a key is unknown, missing or of the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// It contains a setting that belongs to each node's own file.
+    /// The document contains a setting that belongs to each node's own file.
     #[error("the key settings.{0}: each node's own, stays in its file")]
     NodeSetting(&'static str),
-    /// It takes too many hosts out of service.
+    /// The document takes too many hosts out of service.
     #[error("the key hosts_out: at most {MAX_HOSTS} hosts are wanted")]
     TooManyHosts,
     /// The name of a host is empty or too long.
