--- a/crates/alderstile-node/src/admin/client.rs
+++ b/crates/alderstile-node/src/admin/client.rs
@@ -1,4 +1,4 @@
-//! A client of the admin server, for the command line.
+//! HTTP client of the admin server, used by the command line.
 
 use std::fmt::Write as _;
 use std::io::{self, Read, Write};
@@ -8,96 +8,96 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// A node answers within two seconds; one that doesn't has other faults.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Timeout of a request: a working node answers within two seconds.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Why a call failed.
+/// Why a request failed.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The node can't be reached, or its answer is not HTTP.
+    /// The node can't be reached, or its response is not HTTP.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The node has no such path: only members of a cluster have those that are read here.
-    #[error("the node is a member of no cluster (started without --cluster)")]
+    /// The node does not have the path: only members of a cluster have the paths that are read here.
+    #[error("the node is not a member of a cluster (started without --cluster)")]
     NotFound,
-    /// The node answered with another status.
-    #[error("answered {0}")]
+    /// The node responded with another status.
+    #[error("unexpected HTTP status {0}")]
     Status(u16),
 }
 
-/// An answer of the admin server.
+/// A response of the admin server.
 #[derive(Debug)]
-pub struct Answer {
-    /// The HTTP status.
+pub struct AdminResponse {
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The response body.
     pub body: String,
 }
 
-/// Reads a path.
+/// Sends a GET request to a path and returns the response body.
 ///
 /// # Errors
 ///
-/// The node can't be reached, or does not answer with 200.
+/// Fails if the node can't be reached or its status is not 200.
 pub fn get(admin: SocketAddr, path: &str) -> Result<String, CallError> {
     let head = format!("GET {path} HTTP/1.1\r\nHost: {admin}\r\nConnection: close\r\n\r\n");
-    let answer = call(admin, &head, &[])?;
-    match answer.status {
-        200 => Ok(answer.body),
+    let response = send_request(admin, &head, &[])?;
+    match response.status {
+        200 => Ok(response.body),
         404 => Err(CallError::NotFound),
         status => Err(CallError::Status(status)),
     }
 }
 
-/// Sends a body to a path.
+/// Sends a POST request with a body to a path and returns the response.
 ///
 /// # Errors
 ///
-/// The node can't be reached, or its answer is not HTTP.
-pub fn post(admin: SocketAddr, path: &str, body: &[u8]) -> io::Result<Answer> {
+/// Fails if the node can't be reached or its response is not HTTP.
+pub fn post(admin: SocketAddr, path: &str, body: &[u8]) -> io::Result<AdminResponse> {
     let length = body.len();
     let head = format!(
         "POST {path} HTTP/1.1\r\nHost: {admin}\r\nContent-Length: {length}\r\nConnection: close\r\n\r\n"
     );
-    call(admin, &head, body)
+    send_request(admin, &head, body)
 }
 
-fn call(admin: SocketAddr, head: &str, body: &[u8]) -> io::Result<Answer> {
-    let mut stream = TcpStream::connect_timeout(&admin, ANSWER_TIMEOUT)?;
-    stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
+fn send_request(admin: SocketAddr, head: &str, body: &[u8]) -> io::Result<AdminResponse> {
+    let mut stream = TcpStream::connect_timeout(&admin, REQUEST_TIMEOUT)?;
+    stream.set_read_timeout(Some(REQUEST_TIMEOUT))?;
     stream.write_all(head.as_bytes())?;
     stream.write_all(body)?;
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
     let (head, body) = text.split_once("\r\n\r\n").ok_or(io::ErrorKind::InvalidData)?;
     let status = head.split(' ').nth(1).and_then(|status| status.parse().ok());
-    Ok(Answer { status: status.ok_or(io::ErrorKind::InvalidData)?, body: body.to_owned() })
+    Ok(AdminResponse { status: status.ok_or(io::ErrorKind::InvalidData)?, body: body.to_owned() })
 }
 
-/// The members, as the admin server answers them, as a table.
+/// Formats the members, as returned by the admin server, as a table.
 ///
 /// # Errors
 ///
-/// The text is not JSON.
+/// Fails if the text is not JSON.
 pub fn members_table(members: &str) -> Result<String, serde_json::Error> {
     let status: Value = serde_json::from_str(members)?;
-    let mut table = format!("cluster {}\n", plain(&status["cluster"]));
+    let mut table = format!("cluster {}\n", plain_text(&status["cluster"]));
     add_row(&mut table, ["NAME", "STATE", "ZONE", "ADDRESS", "SETTINGS", "SECONDS", ""]);
     for member in status["members"].as_array().into_iter().flatten() {
         add_member(&mut table, member);
     }
     for name in status["claimed"].as_array().into_iter().flatten() {
-        table.push_str(&format!("two processes claim the name {}\n", plain(name)));
+        table.push_str(&format!("name conflict: two processes use the name {}\n", plain_text(name)));
     }
     if status["health"].as_u64().unwrap_or_default() > 0 {
         let health = &status["health"];
-        table.push_str(&format!("this member's own probes fail: health {health} of 8, 0 is best\n"));
+        table.push_str(&format!("local health {health} of 8 (0 is best): probes sent by this member fail\n"));
     }
     Ok(table)
 }
 
 fn add_member(table: &mut String, member: &Value) {
-    let text = |key: &str| plain(&member[key]);
+    let text = |key: &str| plain_text(&member[key]);
     let seconds = format!("{:.1}", member["for_ms"].as_f64().unwrap_or_default() / 1e3);
     let note = if member["me"] == true { "this one" } else { "" };
     let (name, state, zone) = (text("name"), text("state"), text("zone"));
@@ -107,11 +107,11 @@
 
 fn add_row(table: &mut String, cells: [&str; 7]) {
     let [name, state, zone, address, settings, seconds, note] = cells;
-    // Writing to a string can't fail.
+    // Writing to a `String` never fails.
     let _ =
         writeln!(table, "{name:<16} {state:<8} {zone:<12} {address:<22} {settings:<17} {seconds:>8}  {note}");
 }
 
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/alderstile-node/src/admin/maintenance_store.rs
+++ b/crates/alderstile-node/src/admin/maintenance_store.rs
@@ -1,4 +1,5 @@
-//! Hosts that operators took out of service or put back, kept on disk for the next process of this node.
+//! The maintenance file: hosts that operators took out of service or returned, stored for the node's next
+//! process.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -12,24 +13,26 @@
 
 use crate::state_file;
 
-/// The version of the file's format; a file of another one is not read.
+/// The version of the file's format; files with another version are rejected.
 const FORMAT_VERSION: u32 = 1;
-/// A host that returned longer ago is an ordinary one again, and its entry goes: far above any warm-up.
-const RETURN_REMEMBERED: Micros = Micros::from_millis(3_600_000);
+/// How long the return of a host is remembered, far longer than any warm-up; its entry is removed afterwards.
+const RETURN_RETENTION: Micros = Micros::from_millis(3_600_000);
 
-/// What an operator decided about a host. The names in the file and between processes are the operators' words.
+/// The maintenance state that an operator set for a host. The file and the upgrade channel use the serialized
+/// names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MaintenanceState {
-    /// Nothing new goes to it.
+    /// The host receives no new requests.
     #[serde(rename = "out")]
     OutOfService,
-    /// It was put back at this time, in microseconds of the node's clock; it warms up from then on.
+    /// The host was returned to service at this time, in microseconds of the node's clock, and warms up from
+    /// then on.
     #[serde(rename = "back")]
     ReturnedAt(u64),
 }
 
 impl MaintenanceState {
-    /// Tells the decisions.
+    /// Applies the state to the balancer.
     pub fn apply(self, balancer: &mut Balancer, now: Micros, host: ServerId) {
         match self {
             MaintenanceState::OutOfService => balancer.begin_maintenance(now, host),
@@ -40,22 +43,22 @@
         }
     }
 
-    /// Whether a host returned so long ago that its entry is of no more use.
+    /// Returns whether the host returned so long ago that its entry can be removed.
     fn is_obsolete(self, now: Micros) -> bool {
-        matches!(self, MaintenanceState::ReturnedAt(since) if Micros(since) + RETURN_REMEMBERED < now)
+        matches!(self, MaintenanceState::ReturnedAt(since) if Micros(since) + RETURN_RETENTION < now)
     }
 }
 
-/// Why a file of an earlier process is not used.
+/// Why the file of an earlier process is rejected.
 #[derive(Debug, Error)]
 enum LoadError {
-    #[error("{0}")]
+    #[error("invalid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("version {0}")]
+    #[error("unsupported format version: expected {FORMAT_VERSION}, found {0}")]
     FormatVersion(u32),
 }
 
-/// The hosts that operators named, and what they decided about each.
+/// The maintenance states that operators have set, by host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MaintenanceStore {
     #[serde(rename = "version")]
@@ -64,40 +67,41 @@
 }
 
 impl MaintenanceStore {
-    /// The hosts by name, and the state of each.
+    /// Iterates over the hosts by name, each with its state.
     pub fn hosts(&self) -> impl Iterator<Item = (&str, MaintenanceState)> {
         self.hosts.iter().map(|(host, state)| (host.as_str(), *state))
     }
 
-    /// Sets a host's state, and forgets hosts that returned long ago.
+    /// Sets a host's state and removes entries of hosts that returned long ago.
     pub fn set(&mut self, host: &str, state: MaintenanceState, now: Micros) {
         self.hosts.retain(|_, state| !state.is_obsolete(now));
         self.hosts.insert(host.to_owned(), state);
     }
 
-    /// Reads what an earlier process of the node left; empty where there is nothing.
+    /// Loads the file that an earlier process of the node left; returns an empty store if there is none.
     ///
-    /// A file that can't be read is set aside and logged: keeping a host out for a damaged file would be as wrong as
-    /// using it.
+    /// A damaged file is logged and renamed, and all hosts are in service: it is no more reason to keep a
+    /// host out of service than to use it.
     pub fn load(dir: &Path, node_name: &str) -> Self {
         let path = file_path(dir, node_name);
         let bytes = match std::fs::read(&path) {
             Ok(bytes) => bytes,
             Err(error) if error.kind() == io::ErrorKind::NotFound => return MaintenanceStore::default(),
             Err(error) => {
-                warn!(path = %path.display(), %error, "maintenance file not readable, all hosts in service");
+                warn!(path = %path.display(), %error, "maintenance file not read, all hosts in service");
                 return MaintenanceStore::default();
             }
         };
         match MaintenanceStore::decode(&bytes) {
             Ok(store) => {
-                let out = store.hosts.values().filter(|state| **state == MaintenanceState::OutOfService);
-                info!(hosts_out = out.count(), "maintenance file loaded");
+                let in_maintenance =
+                    store.hosts.values().filter(|state| **state == MaintenanceState::OutOfService);
+                info!(hosts_out = in_maintenance.count(), "maintenance file loaded");
                 store
             }
             Err(error) => {
                 warn!(path = %path.display(), %error, "maintenance file damaged, all hosts in service");
-                set_aside(&path);
+                rename_damaged(&path);
                 MaintenanceStore::default()
             }
         }
@@ -111,25 +115,26 @@
         }
     }
 
-    /// Writes the file for the next process: beside the old one, then in its place, so that no reader sees half of it.
+    /// Writes the file for the next process. It is written under a temporary name and then renamed, so that
+    /// no reader sees an incomplete file.
     ///
     /// # Errors
     ///
-    /// The file can't be written.
+    /// Fails if the file can't be written.
     pub fn save(&self, dir: &Path, node_name: &str) -> io::Result<()> {
         let path = file_path(dir, node_name);
         let complete = MaintenanceStore { format_version: FORMAT_VERSION, ..self.clone() };
-        // Two processes of one node may write at once.
+        // During an upgrade two processes of the node may write at the same time.
         let temporary = path.with_extension(format!("new-{}", std::process::id()));
         std::fs::write(&temporary, serde_json::to_vec(&complete)?)?;
         std::fs::rename(&temporary, &path)
     }
 }
 
-fn set_aside(path: &Path) {
-    let aside = path.with_extension("damaged");
-    if let Err(error) = std::fs::rename(path, &aside) {
-        warn!(path = %aside.display(), %error, "damaged maintenance file not set aside");
+fn rename_damaged(path: &Path) {
+    let renamed = path.with_extension("damaged");
+    if let Err(error) = std::fs::rename(path, &renamed) {
+        warn!(path = %renamed.display(), %error, "damaged maintenance file not renamed");
     }
 }
 
--- a/crates/alderstile-node/src/admin/metrics.rs
+++ b/crates/alderstile-node/src/admin/metrics.rs
@@ -1,18 +1,18 @@
-//! The metrics of one process: counters since its start, gauges of the moment, and their statsd text.
+//! The metrics of one process: counters since its start, current gauges, and their statsd text.
 //!
-//! Each event is counted once, where it happens. No I/O.
+//! Each event is counted once, where it occurs. No I/O.
 
 use std::fmt::Write;
 
 use alderstile_cluster::membership::MembershipStats;
 use alderstile_cluster::subsetting::SubsetCounts;
 
-/// How a request ended, as its client sees it.
+/// The outcome of a request as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Its connection came up.
+    /// Its connection was established.
     Success,
-    /// It was rejected; the client may come again.
+    /// It was rejected; the client may retry.
     Rejected,
     /// It failed.
     Failure,
@@ -31,38 +31,38 @@
 #[derive(Clone, Debug, Default)]
 pub struct Counters {
     classes: Vec<ClassCounters>,
-    /// Attempts whose line was written completely to a host.
+    /// Attempts whose first line was completely written to a host.
     pub attempts_sent: u64,
-    /// Configurations applied while the process runs, from a file or replicated.
+    /// Configurations applied after the start, from a file or replicated.
     pub configs_applied: u64,
-    /// Configurations rejected while the process runs.
+    /// Configurations rejected after the start.
     pub configs_rejected: u64,
 }
 
-/// What holds at the moment of asking.
+/// Current values, sampled when the metrics are rendered.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Gauges {
-    /// Connections taken and not ended.
+    /// Client connections accepted and not ended.
     pub inflight: usize,
-    /// Hosts in the list.
+    /// Hosts in the endpoint list.
     pub hosts_listed: usize,
-    /// Listed hosts that get nothing new now, out of service or by decision.
-    pub hosts_down: usize,
-    /// Where each node uses a subset of the hosts.
+    /// Listed hosts that receive no new requests now, being out of service or avoided by the balancer.
+    pub hosts_unavailable: usize,
+    /// The host counts of the subset, if the node uses one.
     pub subset: Option<SubsetCounts>,
-    /// The members of the cluster, where the node is one.
+    /// The membership statistics, if the node is a member of a cluster.
     pub members: Option<MembershipStats>,
 }
 
 impl Counters {
-    /// Adds counters for classes that have none yet; a class keeps its number and its counts.
+    /// Adds counters for new classes; existing classes keep their numbers and counts.
     pub fn register_classes(&mut self, names: &[String]) {
         for name in names.iter().skip(self.classes.len()) {
             self.classes.push(ClassCounters { name: statsd_name(name), ..ClassCounters::default() });
         }
     }
 
-    /// Counts the end of a request of a class.
+    /// Counts the outcome of a request of a class.
     pub fn count_outcome(&mut self, class: u16, outcome: RequestOutcome) {
         let Some(class) = self.classes.get_mut(usize::from(class)) else { return };
         match outcome {
@@ -72,7 +72,7 @@
         }
     }
 
-    /// All metrics as statsd text, a line each. The names are what operators' dashboards read.
+    /// Renders all metrics as statsd text, one per line. Operators' dashboards depend on their names.
     pub fn render(&self, gauges: Gauges) -> String {
         let mut text = StatsdText::default();
         for class in &self.classes {
@@ -85,7 +85,7 @@
         text.counter("reconfig_failed", self.configs_rejected);
         text.gauge("inflight", gauges.inflight as u64);
         text.gauge("hosts_listed", gauges.hosts_listed as u64);
-        text.gauge("hosts_down", gauges.hosts_down as u64);
+        text.gauge("hosts_down", gauges.hosts_unavailable as u64);
         if let Some(subset) = gauges.subset {
             text.gauge("subset_used", subset.in_use as u64);
             text.gauge("subset_added", subset.added as u64);
@@ -116,33 +116,33 @@
     text.counter("members_refuted", counters.refutations);
 }
 
-/// Metrics of the statsd format, gathered line by line.
+/// Builds statsd text line by line.
 #[derive(Debug, Default)]
 pub struct StatsdText(String);
 
 impl StatsdText {
-    /// Adds a count that only grows.
+    /// Appends a counter, which only increases.
     pub fn counter(&mut self, name: &str, value: u64) {
         self.line(name, value, 'c');
     }
 
-    /// Adds a value of the moment.
+    /// Appends a gauge, which is a current value.
     pub fn gauge(&mut self, name: &str, value: u64) {
         self.line(name, value, 'g');
     }
 
     fn line(&mut self, name: &str, value: u64, kind: char) {
-        // Writing to a string cannot fail.
+        // Writing to a `String` never fails.
         let _ = writeln!(self.0, "router.{name}:{value}|{kind}");
     }
 
-    /// The lines so far.
+    /// Returns the text.
     pub fn into_string(self) -> String {
         self.0
     }
 }
 
-/// A class's name with `_` for each character that separates the fields of a statsd line.
+/// Returns a class's name with each statsd field separator, space and control character replaced by `_`.
 fn statsd_name(class: &str) -> String {
     class.replace(|c: char| matches!(c, ':' | '|' | '@' | '#') || c.is_whitespace() || c.is_control(), "_")
 }
--- a/crates/alderstile-node/src/admin/mod.rs
+++ b/crates/alderstile-node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Administration: the operators' HTTP server and its client, metrics, and hosts taken out for maintenance.
+//! Administration: the admin HTTP server and its client, metrics, and host maintenance.
 
 pub mod client;
 pub mod maintenance_store;
--- a/crates/alderstile-node/src/admin/server.rs
+++ b/crates/alderstile-node/src/admin/server.rs
@@ -1,7 +1,7 @@
-//! The admin HTTP server: HTTP/1.1, one call a connection.
+//! The admin HTTP server: HTTP/1.1, one request per connection.
 //!
-//! Callers have descriptors of their own, and the oldest open call makes way for a new one: neither a crowd of clients
-//! nor callers that never finish their call keep the next one out.
+//! Its connections have reserved descriptors, and at their limit the oldest connection is closed for a new
+//! one: neither many clients nor admin requests that are never completed can block the next admin request.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -26,72 +26,74 @@
 use crate::config::MAX_ADMIN_CONNECTIONS;
 use crate::control::replicated_config::{ConfigReplica, ProposalResult};
 
-/// A call that is not finished by then is dropped: callers wait no longer than 1 s for their answer.
-const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest head of a call, bytes; the least that hyper can be given.
-const MAX_HEAD: usize = 8 << 10;
-/// The longest body of a call that needs none, bytes.
-const MAX_BODY: usize = 4 << 10;
-/// What is read of a longer body, bytes: closing over unread bytes would destroy the answer.
-const MAX_BODY_READ: usize = 1 << 18;
-/// Pause after a failed accept: out of descriptors, it would fail again at once.
+/// Timeout of a request, after which its connection is closed; callers wait no longer than 1 s for a
+/// response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum length of a request head, in bytes; the minimum that hyper accepts.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// Maximum length of the body of a request that needs none, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 10;
+/// How much of a longer body is read, in bytes: closing a socket with unread bytes resets it, and the
+/// response is lost.
+const MAX_READ_BYTES: usize = 1 << 18;
+/// Delay after a failed accept: without free descriptors the next one would fail at once.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts calls until it is dropped.
+/// Accepts and serves connections until the future is dropped.
 pub async fn run(admin: Rc<AdminService>, listener: TcpListener) {
-    let mut calls: VecDeque<JoinHandle<()>> = VecDeque::new();
+    let mut connections: VecDeque<JoinHandle<()>> = VecDeque::new();
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                make_room(&mut calls);
-                calls.push_back(spawn_local(serve_call(admin.clone(), stream)));
-                // Callers that have said something are answered before the next is accepted.
+                close_oldest_if_full(&mut connections);
+                connections.push_back(spawn_local(serve_connection(admin.clone(), stream)));
+                // Requests that have already arrived are answered before the next connection is accepted.
                 tokio::task::yield_now().await;
             }
             Err(error) => {
-                warn!(%error, "admin call not accepted");
+                warn!(%error, "admin connection not accepted");
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Drops the oldest call where the limit is reached.
-fn make_room(calls: &mut VecDeque<JoinHandle<()>>) {
-    calls.retain(|call| !call.is_finished());
-    if calls.len() >= MAX_ADMIN_CONNECTIONS
-        && let Some(oldest) = calls.pop_front()
+/// Closes the oldest connection if the limit is reached.
+fn close_oldest_if_full(connections: &mut VecDeque<JoinHandle<()>>) {
+    connections.retain(|connection| !connection.is_finished());
+    if connections.len() >= MAX_ADMIN_CONNECTIONS
+        && let Some(oldest) = connections.pop_front()
     {
         oldest.abort();
     }
 }
 
-async fn serve_call(admin: Rc<AdminService>, stream: TcpStream) {
-    // A connection that can't be set so is broken and will say so.
+async fn serve_connection(admin: Rc<AdminService>, stream: TcpStream) {
+    // A connection on which the option can't be set is broken and fails later.
     stream.set_nodelay(true).unwrap_or_default();
     let service = service_fn(|request| {
         let admin = admin.clone();
         async move { Ok::<_, Infallible>(handle(&admin, request).await) }
     });
     let mut server = hyper::server::conn::http1::Builder::new();
-    server.keep_alive(false).max_buf_size(MAX_HEAD).header_read_timeout(None);
-    match timeout(CALL_TIMEOUT, server.serve_connection(TokioIo::new(stream), service)).await {
+    server.keep_alive(false).max_buf_size(MAX_HEAD_BYTES).header_read_timeout(None);
+    match timeout(REQUEST_TIMEOUT, server.serve_connection(TokioIo::new(stream), service)).await {
         Ok(Ok(())) => {}
-        Ok(Err(error)) => debug!(%error, "admin call failed"),
-        Err(_) => debug!("admin call timed out"),
+        Ok(Err(error)) => debug!(%error, "admin connection failed"),
+        Err(_) => debug!("admin connection timed out"),
     }
 }
 
-/// What a path names.
+/// The resource that a path names.
 enum Route {
     Ready,
     Metrics,
     Members,
-    /// The replicated configuration in force.
+    /// The active version of the replicated configuration.
     ReplicatedConfig,
-    /// A proposal of a configuration that follows this version.
+    /// A proposal of the configuration that follows this version.
     Proposal(u64),
-    /// Taking a host out of service, or putting it back.
+    /// Takes a host out of service or returns it.
     HostMaintenance {
         host: String,
         online: bool,
@@ -99,7 +101,7 @@
 }
 
 impl Route {
-    /// The paths are those of the operators' tools.
+    /// Parses a path; operators' tools depend on the paths.
     fn parse(path: &str) -> Option<Self> {
         match path {
             "/control/ready" => Some(Route::Ready),
@@ -120,7 +122,7 @@
             "offline" => false,
             _ => return None,
         };
-        // A slash is part of a host's name only where it is written as %2F.
+        // Names with a slash are rejected, whether or not it is escaped as %2F.
         let host = percent_encoding::percent_decode_str(host).decode_utf8().ok()?;
         (!host.contains('/')).then(|| Route::HostMaintenance { host: host.into_owned(), online })
     }
@@ -135,7 +137,7 @@
     fn max_body(&self) -> usize {
         match self {
             Route::ReplicatedConfig | Route::Proposal(_) => MAX_DOCUMENT,
-            _ => MAX_BODY,
+            _ => MAX_BODY_BYTES,
         }
     }
 }
@@ -143,7 +145,7 @@
 async fn handle(admin: &AdminService, request: Request<Incoming>) -> Response<Full<Bytes>> {
     let (head, body) = request.into_parts();
     let route = Route::parse(head.uri.path());
-    let max_body = route.as_ref().map_or(MAX_BODY, Route::max_body);
+    let max_body = route.as_ref().map_or(MAX_BODY_BYTES, Route::max_body);
     let Some(body) = read_body(body, max_body).await else {
         return respond(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large\n");
     };
@@ -163,7 +165,7 @@
             Some(replica) => propose(&replica, previous_version, &body).await,
             None => not_found(),
         },
-        Route::HostMaintenance { host, online } => maintain(admin, &host, online).await,
+        Route::HostMaintenance { host, online } => set_host_online(admin, &host, online).await,
     }
 }
 
@@ -175,7 +177,7 @@
     }
 }
 
-/// Without a cluster there is no such path.
+/// Returns the members; without a cluster the path does not exist.
 fn members(admin: &AdminService) -> Response<Full<Bytes>> {
     match admin.membership() {
         Some(membership) => json(&membership.status()),
@@ -191,7 +193,7 @@
     }
 }
 
-async fn maintain(admin: &AdminService, host: &str, online: bool) -> Response<Full<Bytes>> {
+async fn set_host_online(admin: &AdminService, host: &str, online: bool) -> Response<Full<Bytes>> {
     match admin.set_host_online(host, online).await {
         Ok(true) => respond(StatusCode::OK, if online { "online\n" } else { "offline\n" }),
         Ok(false) => respond(StatusCode::NOT_FOUND, "no such host\n"),
@@ -202,10 +204,10 @@
     }
 }
 
-/// Reads a body; none where it is longer than this.
+/// Reads a body; returns `None` if it is longer than `max` bytes.
 async fn read_body(mut body: Incoming, max: usize) -> Option<Vec<u8>> {
     let (mut length, mut read) = (0, Vec::new());
-    while length < MAX_BODY_READ
+    while length < MAX_READ_BYTES
         && let Some(Ok(frame)) = body.frame().await
     {
         let data = frame.data_ref().map(Bytes::as_ref).unwrap_or_default();
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -1,4 +1,4 @@
-//! What the admin server answers from: readiness, metrics, and hosts taken out of service.
+//! The state behind the admin server: readiness, metrics and host maintenance.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
 use crate::lifecycle::process::Process;
 use crate::proxy::clients::Clients;
 
-/// The admin interface of one node, and the parts of the node that it asks.
+/// The admin interface of one node, with the components that it queries.
 pub struct AdminService {
     config: Rc<ActiveConfig>,
     decisions: Rc<Decisions>,
@@ -29,7 +29,7 @@
 }
 
 impl AdminService {
-    /// Loads the maintenance file that an earlier process left, and tells the decisions what it says.
+    /// Loads the maintenance file of an earlier process and applies it to the balancer.
     pub fn new(
         config: Rc<ActiveConfig>,
         decisions: Rc<Decisions>,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Whether new clients may be sent to this process.
+    /// Returns whether new clients may be sent to this process.
     pub fn is_ready(&self) -> bool {
         let config_known = self.replicated_config().is_none_or(|replica| replica.is_ready());
         config_known
@@ -63,37 +63,37 @@
             && !self.process.is_shutting_down()
     }
 
-    /// Makes this node a member of a cluster.
+    /// Sets this node's membership in its cluster.
     pub fn set_membership(&self, membership: Rc<ClusterMembership>) {
         self.membership.replace(Some(membership));
     }
 
-    /// This node's membership in its cluster, where it has one.
+    /// Returns this node's membership, if it is a member of a cluster.
     pub fn membership(&self) -> Option<Rc<ClusterMembership>> {
         self.membership.borrow().clone()
     }
 
-    /// Makes this node follow the cluster's replicated configuration.
+    /// Sets this node's replica of the cluster's configuration.
     pub fn set_replicated_config(&self, replica: Rc<ConfigReplica>) {
         self.replicated_config.replace(Some(replica));
     }
 
-    /// The replicated configuration, where this node follows one.
+    /// Returns this node's replica of the configuration, if the configuration is replicated.
     pub fn replicated_config(&self) -> Option<Rc<ConfigReplica>> {
         self.replicated_config.borrow().clone()
     }
 
-    /// The hosts that operators named at this node, and the state of each.
+    /// Returns the maintenance states that operators have set, by host.
     pub fn maintained_hosts(&self) -> BTreeMap<String, MaintenanceState> {
         self.maintenance.borrow().hosts().map(|(host, state)| (host.to_owned(), state)).collect()
     }
 
-    /// The metrics as statsd text.
+    /// Renders the metrics as statsd text.
     pub fn metrics_text(&self) -> String {
         let gauges = self.decisions.decide(|balancer, now| Gauges {
             inflight: self.clients.in_flight(),
             hosts_listed: balancer.maintenance().listed_count(),
-            hosts_down: balancer.unavailable_servers(now),
+            hosts_unavailable: balancer.unavailable_servers(now),
             subset: self.decisions.assigned_host_counts(),
             members: self.membership().map(|membership| membership.stats()),
         });
@@ -101,12 +101,13 @@
         self.clients.render_metrics(gauges) + &replicated_config
     }
 
-    /// Takes a host out of service, or puts it back. It holds in the decisions, on disk and at the other process of
-    /// this node once this returns; false where no such host is known.
+    /// Takes a host out of service or returns it. When this returns, the state has been applied to the
+    /// balancer, written to disk and sent to the node's other process. Returns `false` if the host is
+    /// unknown.
     ///
     /// # Errors
     ///
-    /// The maintenance file can't be written; the decisions go by the new state all the same.
+    /// Fails if the maintenance file can't be written; the balancer uses the new state nevertheless.
     pub async fn set_host_online(&self, host: &str, online: bool) -> io::Result<bool> {
         let id = server_id(host);
         let (known, out) = self.decisions.decide(|balancer, _| {
@@ -127,7 +128,7 @@
         Ok(known)
     }
 
-    /// Sets a host's maintenance state here and in the decisions, without writing the file.
+    /// Sets a host's maintenance state in the store and the balancer, without writing the file.
     pub fn apply_maintenance(&self, host: &str, state: MaintenanceState) {
         self.maintenance.borrow_mut().set(host, state, self.decisions.clock.now());
         self.decisions.decide(|balancer, now| state.apply(balancer, now, server_id(host)));
--- a/crates/alderstile-node/src/commands/check_config.rs
+++ b/crates/alderstile-node/src/commands/check_config.rs
@@ -1,13 +1,13 @@
-//! `check-config`: reads and checks the files, and says what they hold.
+//! `check-config`: validates the configuration and the cluster file, and summarizes them.
 
-use super::{CommandError, Files};
+use super::{CommandError, FilePaths};
 
-/// Checks the files; returns a line that sums them up.
+/// Validates the files and returns a one-line summary.
 ///
 /// # Errors
 ///
-/// A file can't be used.
-pub fn run(files: Files<'_>) -> Result<String, CommandError> {
+/// Fails if a file can't be read or is invalid.
+pub fn run(files: FilePaths<'_>) -> Result<String, CommandError> {
     let config = files.load_config()?;
     let cluster = files.load_cluster()?;
     let (name, listen, classes) = (&config.name, config.listen, config.classes.len());
--- a/crates/alderstile-node/src/commands/members.rs
+++ b/crates/alderstile-node/src/commands/members.rs
@@ -1,20 +1,20 @@
-//! `members`: shows the members of the cluster, as a running node sees them.
+//! `members`: prints the members of the cluster as a running node sees them.
 
 use std::net::SocketAddr;
 
-use super::{CommandError, Files};
+use super::{CommandError, FilePaths};
 use crate::admin::client;
 
-/// The text to print: a table, or the node's answer as it is.
+/// Returns the text to print: a table, or with `json` the node's response unchanged.
 ///
 /// # Errors
 ///
-/// No node is named, or it can't be asked.
-pub fn run(files: Files<'_>, admin: Option<SocketAddr>, json: bool) -> Result<String, CommandError> {
+/// Fails if no admin address is known, or the node can't be reached or returns an error.
+pub fn run(files: FilePaths<'_>, admin: Option<SocketAddr>, json: bool) -> Result<String, CommandError> {
     let admin = files.admin_address(admin)?;
-    let answer = client::get(admin, "/members").map_err(|error| CommandError::Members { admin, error })?;
+    let response = client::get(admin, "/members").map_err(|error| CommandError::Members { admin, error })?;
     if json {
-        return Ok(answer + "\n");
+        return Ok(response + "\n");
     }
-    client::members_table(&answer).map_err(|error| CommandError::MembersAnswer { admin, error })
+    client::members_table(&response).map_err(|error| CommandError::MembersResponse { admin, error })
 }
--- a/crates/alderstile-node/src/commands/mod.rs
+++ b/crates/alderstile-node/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The subcommands of the program, and the errors with which they end.
+//! The subcommands of the program and their errors.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -16,16 +16,16 @@
 pub mod serve;
 pub mod settings;
 
-/// The files that the command line names.
+/// The file paths given on the command line.
 #[derive(Clone, Copy, Debug)]
-pub struct Files<'a> {
-    /// The configuration; without, the environment names it.
+pub struct FilePaths<'a> {
+    /// The configuration file; if not given, `ROUTER_CONFIG` names it.
     pub config: Option<&'a Path>,
-    /// The cluster's file.
+    /// The cluster file.
     pub cluster: Option<&'a Path>,
 }
 
-impl Files<'_> {
+impl FilePaths<'_> {
     fn load_config(&self) -> Result<Config, ConfigError> {
         Config::load(self.config, env)
     }
@@ -34,9 +34,9 @@
         self.cluster.map(ClusterConfig::load).transpose()
     }
 
-    /// The address of a node's admin server: the one that is named, or the configuration's.
-    fn admin_address(&self, named: Option<SocketAddr>) -> Result<SocketAddr, CommandError> {
-        match named {
+    /// Returns the address of a node's admin server: the given one, or the configuration's.
+    fn admin_address(&self, given: Option<SocketAddr>) -> Result<SocketAddr, CommandError> {
+        match given {
             Some(address) => Ok(address),
             None => self.load_config()?.admin_addr.ok_or(CommandError::NoAdminAddress),
         }
@@ -46,14 +46,14 @@
 /// Why a command failed.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The cluster's file can't be used.
+    /// The cluster file is invalid.
     #[error(transparent)]
     ClusterConfig(#[from] ClusterConfigError),
-    /// Neither the command line nor the configuration names an admin server.
-    #[error("where? name the operators' address with --admin")]
+    /// Neither the command line nor the configuration gives an admin address.
+    #[error("no admin address: set --admin, or admin_addr in the configuration")]
     NoAdminAddress,
     /// The members can't be read from a node.
     #[error("{admin}: {error}")]
@@ -63,9 +63,9 @@
         /// Why.
         error: client::CallError,
     },
-    /// A node's answer is not JSON.
+    /// A node's response is not JSON.
     #[error("{admin}: {error}")]
-    MembersAnswer {
+    MembersResponse {
         /// The node's admin server.
         admin: SocketAddr,
         /// Why.
@@ -74,7 +74,7 @@
     /// The replicated configuration can't be read from a node.
     #[error(transparent)]
     ReplicatedConfig(#[from] CallError),
-    /// The replicated configuration can't be shown.
+    /// The replicated configuration can't be formatted.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
     /// A document can't be read.
@@ -85,7 +85,7 @@
         /// Why.
         error: std::io::Error,
     },
-    /// A document can't be used.
+    /// A document is invalid.
     #[error("{}: {error}", .file.display())]
     Document {
         /// The document's file.
@@ -93,7 +93,7 @@
         /// Why.
         error: DocumentError,
     },
-    /// A proposal was rejected, or nothing was heard of it.
+    /// A proposal was rejected, or its result is unknown.
     #[error("{}: {error}", .file.display())]
     Proposal {
         /// The document's file.
@@ -101,14 +101,14 @@
         /// Why.
         error: CallError,
     },
-    /// The cluster's file has no table for the replicated configuration.
-    #[error("the cluster's file has no [control]; name it with --cluster")]
+    /// The cluster file is not given or has no table for the replicated configuration.
+    #[error("no [control] table: set --cluster to a cluster file that has one")]
     NoReplication,
-    /// This node has no vote on the replicated configuration.
-    #[error("{0}: this node is none of control.voters")]
+    /// This node is not a voter of the replicated configuration.
+    #[error("this node's address {0} is not in control.voters")]
     NotAVoter(SocketAddr),
-    /// A voter's state is not written over.
-    #[error("{}: is there already, and stays as it is", .0.display())]
+    /// A voter's state exists and is not overwritten.
+    #[error("{}: already exists, not overwritten", .0.display())]
     VoterStateExists(PathBuf),
     /// A voter's state can't be written.
     #[error(transparent)]
@@ -116,13 +116,13 @@
 }
 
 impl CommandError {
-    /// Whether the input is at fault: the same command would fail again.
-    pub fn is_faulty_input(&self) -> bool {
+    /// Returns whether the input is invalid, so that the same command would fail again.
+    pub fn is_invalid_input(&self) -> bool {
         match self {
             CommandError::ReplicatedConfig(error) | CommandError::Proposal { error, .. } => {
                 matches!(error, CallError::Rejected(_))
             }
-            CommandError::Members { .. } | CommandError::MembersAnswer { .. } | CommandError::Json(_) => {
+            CommandError::Members { .. } | CommandError::MembersResponse { .. } | CommandError::Json(_) => {
                 false
             }
             _ => true,
--- a/crates/alderstile-node/src/commands/serve.rs
+++ b/crates/alderstile-node/src/commands/serve.rs
@@ -1,4 +1,4 @@
-//! `serve`: starts a node's parts, and runs them until a signal comes and all clients have left.
+//! `serve`: starts a node's components and runs them until a signal arrives and all clients have left.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 use tracing::{error, info, warn};
 
-use super::{Files, env};
+use super::{FilePaths, env};
 use crate::admin::server;
 use crate::config::{ClusterConfig, ClusterConfigError, Config, ConfigError};
 use crate::control::host_assignment;
@@ -26,72 +26,72 @@
 use crate::node::Node;
 use crate::proxy::{listener, session};
 
-/// How often a process that takes over checks whether it can serve.
+/// Interval at which a successor checks whether it can serve.
 const READINESS_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Why a node could not start.
+/// Why a node can't start.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The cluster's file can't be used.
+    /// The cluster file is invalid.
     #[error(transparent)]
     ClusterConfig(#[from] ClusterConfigError),
     /// The runtime can't be built.
-    #[error("runtime: {0}")]
+    #[error("runtime not started: {0}")]
     Runtime(io::Error),
-    /// The signals can't be handled.
-    #[error("signals: {0}")]
+    /// The signal handlers can't be installed.
+    #[error("signal handlers not installed: {0}")]
     Signals(io::Error),
-    /// Another process is taking over already.
+    /// Another process is already taking over the node.
     #[error(transparent)]
     AlreadyJoined(#[from] AlreadyJoined),
-    /// This node can't be a member of its cluster.
-    #[error("cluster: {0}")]
+    /// This node's member record is invalid.
+    #[error("cluster not joined: {0}")]
     Membership(#[from] RecordError),
-    /// The socket of the membership can't be bound.
-    #[error("cluster: listen {address}: {error}")]
+    /// The membership socket can't be bound.
+    #[error("membership socket {address} not bound: {error}")]
     MembershipSocket {
         /// The address.
         address: SocketAddr,
         /// Why.
         error: io::Error,
     },
-    /// The admin server's socket can't be bound.
-    #[error("admin_addr {address}: {error}")]
+    /// The admin server's listener can't be bound.
+    #[error("admin listener {address} not bound: {error}")]
     AdminSocket {
         /// The address.
         address: SocketAddr,
         /// Why.
         error: io::Error,
     },
-    /// The clients' socket can't be bound.
-    #[error("listen {address}: {error}")]
+    /// The listener for clients can't be bound.
+    #[error("client listener {address} not bound: {error}")]
     ClientSocket {
         /// The address.
         address: SocketAddr,
         /// Why.
         error: io::Error,
     },
-    /// The socket for gossip can't be bound.
-    #[error("peer_listen: {0}")]
+    /// The gossip socket can't be bound.
+    #[error("gossip socket not bound: {0}")]
     GossipSocket(io::Error),
 }
 
-/// Serves until a signal comes and all clients have been told to move.
+/// Runs a node until a signal arrives and all clients have been migrated or handed over.
 ///
 /// # Errors
 ///
-/// The node can't start.
-pub fn run(files: Files<'_>) -> Result<(), ServeError> {
+/// Fails if the node can't start.
+pub fn run(files: FilePaths<'_>) -> Result<(), ServeError> {
     let cluster = files.load_cluster()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     LocalSet::new().block_on(&runtime.map_err(ServeError::Runtime)?, serve(files, cluster.as_ref()))
 }
 
-async fn serve(files: Files<'_>, cluster: Option<&ClusterConfig>) -> Result<(), ServeError> {
-    // Handled before anything else is done: unhandled, a signal ends the process.
+async fn serve(files: FilePaths<'_>, cluster: Option<&ClusterConfig>) -> Result<(), ServeError> {
+    // Installed first: without a handler, a signal ends the process at once.
     let mut signals = Signals::install().map_err(ServeError::Signals)?;
     let predecessor = match Config::identity(files.config, env) {
         Some(identity) => upgrade::join(&identity).await?,
@@ -108,8 +108,8 @@
     start_admin_server(&node)?;
     let gossip = Rc::new(GossipChannel::default());
     let accepting = match predecessor {
-        None => start_alone(&node, &gossip).await?,
-        Some(predecessor) => start_beside(&node, &gossip, predecessor),
+        None => start_without_predecessor(&node, &gossip).await?,
+        Some(predecessor) => start_as_successor(&node, &gossip, predecessor),
     };
     spawn_local(watch::run(node.decisions.clone()));
     spawn_local(node.clone().run(move |message| gossip.broadcast(message)));
@@ -118,7 +118,7 @@
         reload::reload_keys(&node, files.cluster);
     };
     signals.until_stop(reload).await;
-    // Reloads still count: clients are served by the configuration in force until the last one has left.
+    // Reloads still apply: clients are served with the active configuration until the last one has left.
     signals.reload_until(shutdown::run(node.clone(), accepting), reload).await;
     Ok(())
 }
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Waits until something is done, and reloads at each SIGHUP.
+    /// Waits for a future to complete, and reloads at each SIGHUP.
     async fn reload_until(&mut self, done: impl Future<Output = ()>, reload: impl Fn()) {
         tokio::pin!(done);
         loop {
@@ -162,7 +162,8 @@
     }
 }
 
-/// Makes the node a member of its cluster, with what the cluster's file asks for.
+/// Starts the membership in the cluster, and the replicated configuration and subsets that the cluster file
+/// configures.
 async fn join_cluster(
     node: &Rc<Node>,
     cluster: &ClusterConfig,
@@ -192,14 +193,14 @@
 
 async fn run_replica(replica: Rc<ConfigReplica>, membership: Rc<ClusterMembership>) {
     if let Err(error) = replica.run(membership).await {
-        error!(%error, "configuration replication stopped; the configuration in force stays");
+        error!(%error, "configuration replication stopped, active configuration kept");
     }
 }
 
 async fn run_membership_after_predecessor(node: Rc<Node>, membership: Rc<ClusterMembership>) {
     match membership.bind(|| node.process.other_process().is_some()).await {
         Ok(socket) => membership.run(socket).await,
-        Err(error) => warn!(%error, "membership socket not bound, serving without the other members"),
+        Err(error) => warn!(%error, "membership socket not bound, serving without membership"),
     }
 }
 
@@ -210,8 +211,11 @@
     Ok(())
 }
 
-/// Starts to accept clients where no other process of this node serves.
-async fn start_alone(node: &Rc<Node>, gossip: &Rc<GossipChannel>) -> Result<JoinHandle<()>, ServeError> {
+/// Starts to accept clients if no other process of this node is running.
+async fn start_without_predecessor(
+    node: &Rc<Node>,
+    gossip: &Rc<GossipChannel>,
+) -> Result<JoinHandle<()>, ServeError> {
     let listener = bind_clients(node)?;
     if let Some(socket) = GossipSocket::bind(node).await.map_err(ServeError::GossipSocket)? {
         spawn_local(gossip.clone().run(node.clone(), socket));
@@ -220,8 +224,12 @@
     Ok(spawn_local(listener::run(node.clone(), listener)))
 }
 
-/// Starts beside the process that serves, and takes over from it.
-fn start_beside(node: &Rc<Node>, gossip: &Rc<GossipChannel>, predecessor: Predecessor) -> JoinHandle<()> {
+/// Starts while the predecessor serves, and takes the node over from it.
+fn start_as_successor(
+    node: &Rc<Node>,
+    gossip: &Rc<GossipChannel>,
+    predecessor: Predecessor,
+) -> JoinHandle<()> {
     node.take_over(&predecessor.state);
     spawn_local(gossip.clone().run_after_predecessor(node.clone()));
     let ended = upgrade::follow(node, predecessor);
@@ -230,32 +238,33 @@
         ended.await;
         upgrade::accept_successors(successor).await;
     });
-    spawn_local(accept_beside(node.clone()))
+    spawn_local(accept_as_successor(node.clone()))
 }
 
-/// Accepts clients beside the process that serves, as soon as they can be served.
-async fn accept_beside(node: Rc<Node>) {
+/// Accepts clients together with the predecessor, as soon as this process can serve them.
+async fn accept_as_successor(node: Rc<Node>) {
     while !node.decisions.can_serve() {
         sleep(READINESS_POLL_INTERVAL).await;
     }
     receive_connections(&node);
     if let Some(other) = node.process.other_process() {
         other.request_listener().await;
-        // It was sent before the answer; this process may not have read it.
+        // The listener was sent before the acknowledgement, but this process may not have received it yet.
         sleep(READINESS_POLL_INTERVAL).await;
     }
     let listener = match shared_or_own_listener(&node) {
         Ok(listener) => listener,
-        Err(error) => return error!(%error, "clients' socket not bound, no clients accepted"),
+        Err(error) => return error!(%error, "client listener not bound, no clients accepted"),
     };
-    // Before anyone hears that this process is ready: the other one may be told to stop for it.
+    // Sent before the admin server reports this process as ready: the predecessor may then be stopped at
+    // once.
     if let Some(other) = node.process.other_process() {
         other.send_ready().await;
     }
     listener::run(node, listener).await;
 }
 
-/// Takes connections over that the other process hands to this one.
+/// Starts to receive the connections that the predecessor hands over.
 fn receive_connections(node: &Rc<Node>) {
     match connection_handover::bind(&node.config()) {
         Ok(Some(socket)) => {
@@ -266,15 +275,15 @@
             spawn_local(connection_handover::receive(node.clone(), socket, resume));
         }
         Ok(None) => {}
-        Err(error) => warn!(%error, "handover socket not bound, connections can't be handed to this process"),
+        Err(error) => warn!(%error, "handover socket not bound, no connections received from predecessor"),
     }
 }
 
-/// The other process's listener where it shares it, or one of this process on the same address.
+/// Returns the listener that the predecessor shares, or binds a separate one to the same address.
 fn shared_or_own_listener(node: &Node) -> Result<TcpListener, ServeError> {
     match node.process.take_shared_listener().map(listener::from_shared) {
         Some(Ok(listener)) => {
-            info!(node = %node.config().name, "accepting clients beside the predecessor");
+            info!(node = %node.config().name, "listener shared with predecessor");
             Ok(listener)
         }
         _ => bind_clients(node),
@@ -286,6 +295,6 @@
     let failed = |error| ServeError::ClientSocket { address: config.listen, error };
     let listener = listener::bind_clients(&config).map_err(failed)?;
     let address = listener.local_addr().map_err(failed)?;
-    info!(node = %config.name, %address, "listening for clients");
+    info!(node = %config.name, %address, "client listener bound");
     Ok(listener)
 }
--- a/crates/alderstile-node/src/commands/settings.rs
+++ b/crates/alderstile-node/src/commands/settings.rs
@@ -1,32 +1,33 @@
-//! `settings`: shows the replicated configuration, proposes another one, and begins a voter's state.
+//! `settings`: prints the replicated configuration, proposes a new version, and initializes a voter's state.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use alderstile_cluster::replicated_config::PersistedState;
 
-use super::{CommandError, Files};
+use super::{CommandError, FilePaths};
 use crate::control::replicated_config::client;
 use crate::control::replicated_config::document::ConfigDocument;
 use crate::control::replicated_config::store::VoterStore;
 
-/// The version in force at a node, and its document, as JSON.
+/// Returns a node's active version and its document as JSON.
 ///
 /// # Errors
 ///
-/// No node is named, or it can't be asked.
-pub fn show(files: Files<'_>, admin: Option<SocketAddr>) -> Result<String, CommandError> {
+/// Fails if no admin address is known, or the node can't be reached or returns an error.
+pub fn show(files: FilePaths<'_>, admin: Option<SocketAddr>) -> Result<String, CommandError> {
     let status = client::status(files.admin_address(admin)?)?;
     Ok(serde_json::to_string_pretty(&status)?)
 }
 
-/// Proposes a document as the version after `expected_version`, or after the one that the node knows.
+/// Proposes a document as the version after `expected_version`, by default after the latest one that the node
+/// knows.
 ///
 /// # Errors
 ///
-/// The document is at fault or rejected, or nothing was heard of the proposal.
+/// Fails if the document is invalid, the proposal is rejected, or its result is unknown.
 pub fn propose(
-    files: Files<'_>,
+    files: FilePaths<'_>,
     admin: Option<SocketAddr>,
     file: PathBuf,
     expected_version: Option<u64>,
@@ -43,7 +44,7 @@
     }
 }
 
-/// Reads a document, and checks what can be checked without a node.
+/// Reads a document and validates it as far as possible without a node.
 fn read_document(file: &PathBuf) -> Result<Vec<u8>, CommandError> {
     let document =
         std::fs::read(file).map_err(|error| CommandError::DocumentFile { file: file.clone(), error })?;
@@ -53,12 +54,12 @@
     }
 }
 
-/// Begins a voter's state before its very first start; never in place of one that is there.
+/// Initializes a voter's state before its very first start; never overwrites an existing one.
 ///
 /// # Errors
 ///
-/// This node is no voter, its state exists, or it can't be written.
-pub fn init(files: Files<'_>) -> Result<String, CommandError> {
+/// Fails if this node is not a voter, its state exists, or the state can't be written.
+pub fn init(files: FilePaths<'_>) -> Result<String, CommandError> {
     let name = files.load_config()?.name;
     let replication = files.load_cluster()?.and_then(|cluster| cluster.replication);
     let replication = replication.ok_or(CommandError::NoReplication)?;
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster's file (TOML): the other members, the keys, host subsets and the replicated configuration.
+//! The cluster file (TOML): seeds, authentication keys, host subsets and the replicated configuration.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,21 +10,21 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// No subset is meant to have more hosts, and no host more nodes.
+/// Maximum number of hosts in a node's subset, and of nodes that use a host.
 const MAX_SUBSET_SIZE: usize = 10_000;
-/// The shortest lease, in heartbeats: one, the patience with the teller, and one lost message.
+/// Minimum lease, in heartbeats: one heartbeat, the timeout of the upstream, and one lost message.
 const MIN_LEASE_HEARTBEATS: f64 = 5.0;
-/// The longest hold and the longest lease, seconds.
-const MAX_HOLD_S: f64 = 3_600.0;
-/// Default protocol period, milliseconds.
+/// Maximum retention of an added host and maximum lease, in seconds.
+const MAX_RETENTION_S: f64 = 3_600.0;
+/// Default period of the membership protocol, in milliseconds.
 const DEFAULT_PERIOD_MS: u64 = 1_000;
-/// One key, or two while one replaces the other.
+/// Maximum number of authentication keys: two while one replaces the other.
 const MAX_KEYS: usize = 2;
 
-/// Why a cluster's file can't be used.
+/// Why a cluster file is rejected.
 #[derive(Debug, Error)]
 pub enum ClusterConfigError {
-    /// It can't be read.
+    /// The file can't be read.
     #[error("{path}: {error}")]
     File {
         /// The file.
@@ -32,7 +32,7 @@
         /// Why.
         error: std::io::Error,
     },
-    /// It is not TOML, or a key is unknown, missing or of another kind.
+    /// The file is not TOML, or a key is unknown, missing or of the wrong type.
     #[error("{path}: {error}")]
     Toml {
         /// The file.
@@ -40,19 +40,19 @@
         /// Why.
         error: toml::de::Error,
     },
-    /// A key has a value that can't be used.
+    /// A key has an invalid value.
     #[error("{path}: the key {key}: {fault}")]
     Key {
         /// The file.
         path: String,
         /// The key.
         key: String,
-        /// What is wrong with its value.
+        /// What was expected and found.
         fault: String,
     },
 }
 
-/// A key with a value that can't be used.
+/// A key with an invalid value.
 struct InvalidKey {
     key: String,
     fault: String,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The file as it is written: its keys are the operators' words.
+/// The cluster file as written; its keys are part of the operators' interface.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct File {
@@ -110,43 +110,43 @@
     }
 }
 
-/// What an isolated node does: one that has not heard for the lease's time which version is the latest.
+/// What a node does while it is isolated: its lease expired before any source confirmed the latest version.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub enum IsolationPolicy {
-    /// It goes on with the configuration that it has.
+    /// The node continues to serve with the configuration that it has.
     #[default]
     #[serde(rename = "go-on")]
     KeepServing,
-    /// It is not ready: it admits no new clients.
+    /// The node reports that it is not ready and admits no new clients.
     #[serde(rename = "refuse")]
     StopAdmitting,
 }
 
-/// The replicated configuration, as a node takes part in it.
+/// The settings of a node's replica of the configuration.
 #[derive(Clone)]
 pub struct ReplicationConfig {
-    /// Where this node hears of versions, UDP.
+    /// The UDP address on which this node receives versions.
     pub listen: SocketAddr,
-    /// Encodes and authenticates the datagrams.
+    /// Encodes and authenticates replication datagrams.
     pub codec: replicated_config::DatagramCodec,
-    /// The settings of the core.
+    /// The settings of the replication protocol.
     pub settings: replicated_config::ReplicationSettings,
-    /// Where a voter stores its state.
+    /// The directory in which a voter stores its state.
     pub state_dir: Option<PathBuf>,
     /// What this node does while it is isolated.
     pub when_isolated: IsolationPolicy,
 }
 
-/// Each node uses a subset of the hosts.
+/// The sizes and rules by which each node uses a subset of the hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SubsettingConfig {
-    /// Hosts that a node uses.
+    /// The number of hosts that a node uses.
     pub hosts_per_node: usize,
-    /// Nodes that use a host, at least.
+    /// The minimum number of nodes that use a host.
     pub nodes_per_host: usize,
-    /// Hosts of the own zone first.
+    /// Whether hosts of the node's own zone are preferred.
     pub prefer_own_zone: bool,
-    /// How long a host that was added is kept after it was last needed.
+    /// How long an added host is retained after it was last needed.
     pub added_host_retention: Micros,
 }
 
@@ -155,28 +155,28 @@
 pub struct ClusterConfig {
     /// The cluster's name.
     pub name: String,
-    /// Where datagrams of other members arrive.
+    /// The UDP address on which this member receives datagrams.
     pub listen: SocketAddr,
-    /// Where others are told to send them.
+    /// The UDP address that is advertised to other members.
     pub advertise: SocketAddr,
-    /// Members that are asked by one that knows nobody.
+    /// Members that are contacted to join the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Encodes and authenticates the datagrams.
+    /// Encodes and authenticates membership datagrams.
     pub codec: DatagramCodec,
     /// The settings of the membership protocol.
     pub settings: MembershipConfig,
-    /// Each node uses a subset of the hosts; all of them where this is not set.
+    /// How hosts are divided into subsets; each node uses all hosts if this is not set.
     pub subsetting: Option<SubsettingConfig>,
-    /// The configuration is replicated; each node goes by its own file where this is not set.
+    /// The replicated configuration; each node uses its own file if this is not set.
     pub replication: Option<ReplicationConfig>,
 }
 
 impl ClusterConfig {
-    /// Reads and checks a file.
+    /// Reads and validates a file.
     ///
     /// # Errors
     ///
-    /// The file can't be read, is not TOML, or a key is at fault.
+    /// Fails if the file can't be read, is not TOML, or a key is unknown, missing or invalid.
     pub fn load(path: &Path) -> Result<Self, ClusterConfigError> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path)
@@ -184,11 +184,11 @@
         Self::parse(&shown, &text)
     }
 
-    /// Checks a text; `path` is what errors name.
+    /// Parses and validates the text of a file; errors name it as `path`.
     ///
     /// # Errors
     ///
-    /// The text is not TOML, or a key is at fault.
+    /// Fails if the text is not TOML, or a key is unknown, missing or invalid.
     pub fn parse(path: &str, text: &str) -> Result<Self, ClusterConfigError> {
         let file: File = toml::from_str(text)
             .map_err(|error| ClusterConfigError::Toml { path: path.to_owned(), error })?;
@@ -201,7 +201,10 @@
 
     fn from_file(file: File) -> Result<Self, InvalidKey> {
         if file.name.is_empty() || file.name.len() > MAX_CLUSTER_NAME_BYTES {
-            return Err(InvalidKey::new("name", format!("1 to {MAX_CLUSTER_NAME_BYTES} bytes are wanted")));
+            return Err(InvalidKey::new(
+                "name",
+                format!("expected 1 to {MAX_CLUSTER_NAME_BYTES} bytes, found {}", file.name.len()),
+            ));
         }
         let keys = parse_keys(&file.keys)?;
         check_port("listen", file.listen)?;
@@ -234,23 +237,23 @@
         let key = hex::decode(text).ok().filter(|key| key.len() >= MIN_KEY_BYTES);
         let digits = 2 * MIN_KEY_BYTES;
         let invalid = || {
-            InvalidKey::new(format!("keys[{i}]"), format!("at least {digits} hexadecimal digits are wanted"))
+            InvalidKey::new(format!("keys[{i}]"), format!("expected at least {digits} hexadecimal digits"))
         };
         keys.push(key.ok_or_else(invalid)?);
     }
     if keys.is_empty() || keys.len() > MAX_KEYS {
-        return Err(InvalidKey::new("keys", "one key is wanted, or two while one takes the other's place"));
+        return Err(InvalidKey::new("keys", "expected one key, or two while one replaces the other"));
     }
     Ok(keys)
 }
 
 fn unusable_keys() -> InvalidKey {
-    InvalidKey::new("keys", "can't be used")
+    InvalidKey::new("keys", "rejected by the datagram codec")
 }
 
 fn check_port(key: &str, address: SocketAddr) -> Result<(), InvalidKey> {
     if address.port() == 0 {
-        return Err(InvalidKey::new(key, "a port is wanted that others can know"));
+        return Err(InvalidKey::new(key, "expected a port other than 0, so that other nodes can reach it"));
     }
     Ok(())
 }
@@ -260,19 +263,22 @@
 }
 
 fn unreachable_address(key: impl Into<String>, address: SocketAddr) -> InvalidKey {
-    InvalidKey::new(key, format!("{address}: an address is wanted that others can reach"))
+    InvalidKey::new(
+        key,
+        format!("expected an address and a port that other nodes can reach, found {address}"),
+    )
 }
 
 fn parse_membership(file: &File) -> Result<MembershipConfig, InvalidKey> {
     let period_ms = file.period_ms.unwrap_or(DEFAULT_PERIOD_MS);
     if !(50..=60_000).contains(&period_ms) {
-        return Err(InvalidKey::new("period_ms", format!("{period_ms}: 50 to 60000 is wanted")));
+        return Err(InvalidKey::new("period_ms", format!("expected 50 to 60000, found {period_ms}")));
     }
     let mut settings = MembershipConfig::with_period(Micros::from_millis(period_ms));
     settings.suspicion_multiplier = file.suspicion.unwrap_or(settings.suspicion_multiplier);
     if !(1.0..=100.0).contains(&settings.suspicion_multiplier) {
         let suspicion = settings.suspicion_multiplier;
-        return Err(InvalidKey::new("suspicion", format!("{suspicion}: 1 to 100 is wanted")));
+        return Err(InvalidKey::new("suspicion", format!("expected 1 to 100, found {suspicion}")));
     }
     Ok(settings)
 }
@@ -280,11 +286,11 @@
 fn parse_subsets(table: SubsetsTable) -> Result<SubsettingConfig, InvalidKey> {
     for (key, value) in [("subsets.size", table.size), ("subsets.users", table.users)] {
         if !(1..=MAX_SUBSET_SIZE).contains(&value) {
-            return Err(InvalidKey::new(key, format!("{value}: 1 to {MAX_SUBSET_SIZE} is wanted")));
+            return Err(InvalidKey::new(key, format!("expected 1 to {MAX_SUBSET_SIZE}, found {value}")));
         }
     }
-    if !(1.0..=MAX_HOLD_S).contains(&table.hold_s) {
-        let fault = format!("{}: seconds from 1 to {MAX_HOLD_S} are wanted", table.hold_s);
+    if !(1.0..=MAX_RETENTION_S).contains(&table.hold_s) {
+        let fault = format!("expected 1 to {MAX_RETENTION_S} seconds, found {}", table.hold_s);
         return Err(InvalidKey::new("subsets.hold_s", fault));
     }
     Ok(SubsettingConfig {
@@ -304,7 +310,10 @@
     let position = table.voters.iter().position(|voter| *voter == table.listen);
     let voter = position.and_then(|position| u8::try_from(position).ok());
     if voter.is_some() && table.state_dir.is_none() {
-        return Err(InvalidKey::new("control.state_dir", "a voter wants a lasting place for its memory"));
+        return Err(InvalidKey::new(
+            "control.state_dir",
+            "missing, but a voter needs a persistent directory for its state",
+        ));
     }
     let settings = parse_replication_settings(&table, voter)?;
     Ok(ReplicationConfig {
@@ -323,7 +332,7 @@
     let mut settings = replicated_config::ReplicationSettings::new(table.voters.clone(), voter);
     if let Some(heartbeat_ms) = table.heartbeat_ms {
         if !(20..=10_000).contains(&heartbeat_ms) {
-            let fault = format!("{heartbeat_ms}: 20 to 10000 is wanted");
+            let fault = format!("expected 20 to 10000, found {heartbeat_ms}");
             return Err(InvalidKey::new("control.heartbeat_ms", fault));
         }
         settings.heartbeat = Micros::from_millis(heartbeat_ms);
@@ -331,11 +340,14 @@
     settings.lease = parse_lease(table.lease_s, settings.heartbeat)?;
     settings.drift = table.drift.unwrap_or(settings.drift);
     if !(0.0..=0.1).contains(&settings.drift) {
-        return Err(InvalidKey::new("control.drift", format!("{}: 0 to 0.1 is wanted", settings.drift)));
+        return Err(InvalidKey::new("control.drift", format!("expected 0 to 0.1, found {}", settings.drift)));
     }
     settings.fanout = table.fanout.unwrap_or(settings.fanout);
     if !(2..=64).contains(&settings.fanout) {
-        return Err(InvalidKey::new("control.fanout", format!("{}: 2 to 64 is wanted", settings.fanout)));
+        return Err(InvalidKey::new(
+            "control.fanout",
+            format!("expected 2 to 64, found {}", settings.fanout),
+        ));
     }
     Ok(settings)
 }
@@ -343,7 +355,10 @@
 fn check_voters(voters: &[SocketAddr]) -> Result<(), InvalidKey> {
     let max = replicated_config::MAX_VOTERS;
     if voters.is_empty() || voters.len() > max {
-        return Err(InvalidKey::new("control.voters", format!("{}: 1 to {max} are wanted", voters.len())));
+        return Err(InvalidKey::new(
+            "control.voters",
+            format!("expected 1 to {max} addresses, found {}", voters.len()),
+        ));
     }
     for (i, voter) in voters.iter().enumerate() {
         let key = format!("control.voters[{i}]");
@@ -351,18 +366,19 @@
             return Err(unreachable_address(key, *voter));
         }
         if voters[..i].contains(voter) {
-            return Err(InvalidKey::new(key, format!("{voter}: named twice")));
+            return Err(InvalidKey::new(key, format!("duplicate address {voter}")));
         }
     }
     Ok(())
 }
 
-/// The lease: the shortest one that the heartbeat allows where none is given.
+/// Parses the lease; defaults to the minimum that the heartbeat allows.
 fn parse_lease(lease_s: Option<f64>, heartbeat: Micros) -> Result<Micros, InvalidKey> {
     let min_s = heartbeat.scale(MIN_LEASE_HEARTBEATS).as_secs_f64();
     let lease_s = lease_s.unwrap_or(min_s);
-    if !(min_s..=MAX_HOLD_S).contains(&lease_s) {
-        let fault = format!("{lease_s}: {min_s} (five heartbeats) to {MAX_HOLD_S} s are wanted");
+    if !(min_s..=MAX_RETENTION_S).contains(&lease_s) {
+        let fault =
+            format!("expected {min_s} (five heartbeats) to {MAX_RETENTION_S} seconds, found {lease_s}");
         return Err(InvalidKey::new("control.lease_s", fault));
     }
     Ok(Micros((lease_s * 1e6) as u64))
--- a/crates/alderstile-node/src/config/mod.rs
+++ b/crates/alderstile-node/src/config/mod.rs
@@ -1,7 +1,7 @@
-//! The configuration of a node: reading its file, checking it, and replacing it while the node runs.
+//! The configuration of a node: reads its file, validates it, and replaces it while the node runs.
 //!
-//! The keys of the file, of the environment and of the cluster's file are the operators' words; each is mapped to a
-//! field here and in the submodules, and nowhere else.
+//! The keys of the file, the environment variables and the keys of the cluster file are part of the
+//! operators' interface. Only this module and its submodules map them to fields.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -27,28 +27,29 @@
 pub use cluster::{ClusterConfig, ClusterConfigError, IsolationPolicy, ReplicationConfig, SubsettingConfig};
 pub use reload::ReloadedConfig;
 
-/// Descriptors that are no connections of clients or to hosts: the runtime's, the listeners, discovery, gossip, logs.
-const OWN_DESCRIPTORS: usize = 24;
-/// The most calls of the admin server at once; their descriptors are reserved.
+/// Descriptors reserved for other uses than client and host connections: runtime, listeners, discovery,
+/// gossip, logs.
+const BASE_DESCRIPTORS: usize = 24;
+/// Maximum number of concurrent connections to the admin server; their descriptors are reserved.
 pub const MAX_ADMIN_CONNECTIONS: usize = 8;
 
-/// Environment variables that stand above the file, each with the key that it replaces.
+/// Keys of the file that an environment variable overrides, each with the variable's name.
 const OVERRIDES: [(&str, &str); 4] = [
     ("name", "ROUTER_NAME"),
     ("listen", "ROUTER_LISTEN"),
     ("discovery", "ROUTER_DISCOVERY"),
     ("admin_addr", "ROUTER_ADMIN_ADDR"),
 ];
-/// The key of the cached endpoint list, which is no part of what the operators configure.
+/// The key of the cached endpoint list, which is not part of the operators' configuration.
 const CACHED_ENDPOINTS_KEY: &str = "known";
 
-/// Why a configuration can't be used.
+/// Why a configuration is rejected.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// No file was named.
-    #[error("no configuration: name a file with --config or ROUTER_CONFIG")]
+    /// No file is named.
+    #[error("no configuration file: set --config or ROUTER_CONFIG")]
     NoFile,
-    /// The file cannot be read.
+    /// The file can't be read.
     #[error("{path}: {error}")]
     File {
         /// The file.
@@ -64,83 +65,84 @@
         /// Why.
         error: serde_json::Error,
     },
-    /// A key is missing or has a value that cannot be used.
+    /// A key is unknown, missing or has an invalid value.
     #[error(transparent)]
     Key(#[from] SettingsError),
-    /// The cached endpoint list cannot be read.
+    /// The cached endpoint list is malformed.
     #[error("the key known: {0}")]
     CachedEndpoints(serde_json::Error),
 }
 
-/// The configuration of a node.
+/// The validated configuration of a node.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen: SocketAddr,
-    /// Where the admin server listens, if anywhere.
+    /// The address of the admin server, if it is enabled.
     pub admin_addr: Option<SocketAddr>,
-    /// Where a process leaves files for the next one of this node, if anywhere.
+    /// The directory for files that a process leaves to the node's next one, if any.
     pub state_dir: Option<PathBuf>,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Descriptors that the node may hold: as the file says, and no more than the system allows.
+    /// Maximum number of open descriptors: the configured limit, or the system's if that is lower.
     pub max_descriptors: usize,
-    /// Where gossip of other nodes arrives.
+    /// The address on which gossip of other nodes is received.
     pub peer_listen: Option<SocketAddr>,
-    /// The nodes by their numbers, this one included.
+    /// The addresses of all nodes by their numbers, this one included.
     pub peers: Vec<SocketAddr>,
-    /// Reaches all nodes at once.
+    /// The address that reaches all nodes at once.
     pub peer_broadcast: Option<SocketAddr>,
-    /// The endpoint list as last known.
+    /// The last known endpoint list.
     pub cached_endpoints: EndpointList,
-    /// The classes by their numbers, which they keep for the process's life.
+    /// The names of the classes by their numbers; a class keeps its number until the process ends.
     pub classes: Vec<String>,
-    /// Classes that a later configuration no longer names: they take no new requests.
+    /// Classes that a later configuration no longer contains; they admit no new requests.
     pub retired_classes: BTreeSet<String>,
-    /// The zones by their numbers.
+    /// The names of the zones by their numbers.
     pub zones: Vec<String>,
-    /// How long a connection to a host may take.
+    /// Timeout for connecting to a host.
     pub connect_timeout: Duration,
-    /// How long a graceful shutdown may take.
+    /// Maximum duration of a graceful shutdown.
     pub shutdown_timeout: Duration,
-    /// Where lists are pushed: how long something new may still go to a host after its drain was told.
+    /// With pushed endpoint lists: how long a host may still receive new requests after its drain was
+    /// announced.
     pub push_drain_grace: Option<Micros>,
-    /// The settings of the decisions.
+    /// The settings of the balancer.
     pub settings: BalancerSettings,
-    /// The settings of a second instance that only watches.
+    /// The settings of the shadow instance, if it is enabled.
     pub shadow: Option<BalancerSettings>,
-    /// The file as it was read, without the cached endpoint list.
+    /// The file as read, without the cached endpoint list.
     pub source: Value,
 }
 
-/// What the processes of one node have in common.
+/// What identifies the processes of one node to each other.
 #[derive(Clone, Debug)]
 pub struct NodeIdentity {
     /// The node's name.
     pub name: String,
-    /// The directory where they find each other.
+    /// The directory in which they find each other.
     pub dir: PathBuf,
 }
 
 impl Config {
-    /// Reads and checks a file; `env` gives the variables that stand above it.
+    /// Reads and validates a file; `env` returns the variables that override its keys.
     ///
     /// # Errors
     ///
-    /// No file is named, it can't be read, or a key is at fault.
+    /// Fails if no file is named, it can't be read, or a key is missing or invalid.
     pub fn load(path: Option<&Path>, env: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         Self::from_file_value(Self::read(path, &env)?, env)
     }
 
-    /// Reads a file; none named means the one that the environment names.
+    /// Reads a file as JSON, by default the one that `ROUTER_CONFIG` names.
     ///
     /// # Errors
     ///
-    /// No file is named, it can't be read, or it is not JSON.
+    /// Fails if no file is named, it can't be read, or it is not JSON.
     pub fn read(path: Option<&Path>, env: impl Fn(&str) -> Option<String>) -> Result<Value, ConfigError> {
         let path = path.map(Path::to_path_buf).or_else(|| env("ROUTER_CONFIG").map(Into::into));
         let path = path.ok_or(ConfigError::NoFile)?;
@@ -150,11 +152,11 @@
         serde_json::from_str(&text).map_err(|error| ConfigError::Json { path: shown, error })
     }
 
-    /// Checks what a file holds; `env` gives the variables that stand above it.
+    /// Validates the content of a file; `env` returns the variables that override its keys.
     ///
     /// # Errors
     ///
-    /// A key is missing or has a value that can't be used.
+    /// Fails if a key is missing or invalid.
     pub fn from_file_value(
         mut value: Value,
         env: impl Fn(&str) -> Option<String>,
@@ -166,12 +168,13 @@
             }
         }
         let config = Self::parse(value)?;
-        // Without an admin server there is nothing to leave.
+        // Without an admin server there is no state to leave to the next process.
         let state_dir = config.admin_addr.and_then(|_| env("TMPDIR")).map(PathBuf::from);
         Ok(Config { state_dir, source, ..config })
     }
 
-    /// Who a starting process is, also where its file can't be used; none where it can't find others of its node.
+    /// Returns the identity of a starting process, even if its file is invalid; `None` if it can't find other
+    /// processes of its node.
     pub fn identity(path: Option<&Path>, env: impl Fn(&str) -> Option<String>) -> Option<NodeIdentity> {
         let file = Self::read(path, &env).unwrap_or_default();
         let text = |key: &str| file.get(key).and_then(Value::as_str).map(str::to_owned);
@@ -180,9 +183,9 @@
         Some(NodeIdentity { name, dir: env("TMPDIR")?.into() })
     }
 
-    /// Descriptors that are reserved for the node itself.
+    /// Returns the number of descriptors that are not available to client and host connections.
     pub fn reserved_descriptors(&self) -> usize {
-        OWN_DESCRIPTORS + self.admin_addr.map_or(0, |_| MAX_ADMIN_CONNECTIONS)
+        BASE_DESCRIPTORS + self.admin_addr.map_or(0, |_| MAX_ADMIN_CONNECTIONS)
     }
 }
 
--- a/crates/alderstile-node/src/config/parse.rs
+++ b/crates/alderstile-node/src/config/parse.rs
@@ -1,4 +1,4 @@
-//! Checks a configuration and gives it its defaults.
+//! Validates a configuration and applies defaults.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,31 +12,31 @@
 use super::{Config, ConfigError, shadow};
 use crate::discovery::endpoint_list::EndpointList;
 
-/// Default limit of the descriptors that a node holds.
+/// Default limit of the node's open descriptors.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
-/// Default time-out of a connection to a host.
+/// Default timeout for connecting to a host.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Default deadline of a request.
 const DEFAULT_DEADLINE: Micros = Micros::from_millis(1_000);
-/// No deadline makes a shutdown wait longer than this.
+/// Upper bound of the request deadline that a shutdown waits for.
 const MAX_DEADLINE_AT_SHUTDOWN: Micros = Micros::from_millis(3_000);
-/// The platform kills a node this long after the longest deadline.
+/// Time after the longest request deadline at which the platform kills a node.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 /// Default interval at which the endpoint list must be polled.
 const POLL_INTERVAL: Micros = Micros::from_millis(10_000);
-/// The same where lists are pushed: what this machine's agent has counts as told also while no watch is open, so a watch
-/// that broke is opened again at once. Calls reach the agent alone.
+/// The same interval for pushed lists. What the machine's local agent knows counts as received by the node
+/// even while no watch is open, so a broken watch is reopened at once; the requests reach that agent only.
 const POLL_INTERVAL_PUSHED: Micros = Micros::from_millis(200);
 
-/// Default time for which something new may go to a host after its drain was told.
+/// Default time for which a host may still receive new requests after its drain was announced.
 const DEFAULT_DRAIN_GRACE: Micros = Micros::from_millis(500);
-/// The part of that time that a line needs to get to the host.
+/// The part of that time reserved for a line to reach the host.
 const DRAIN_GRACE_MARGIN: Micros = Micros::from_millis(100);
 
 const ADDRESS: &str = "an address and a port";
 
-/// A configuration's parts, which are read in different ways.
+/// The sections of a configuration, which are parsed differently.
 struct Sections {
     settings: Value,
     shadow: Option<Value>,
@@ -54,11 +54,11 @@
 }
 
 impl Config {
-    /// Checks a configuration.
+    /// Parses and validates a configuration.
     ///
     /// # Errors
     ///
-    /// A key is missing or has a value that can't be used.
+    /// Fails if a key is unknown, missing or invalid.
     pub fn parse(value: Value) -> Result<Self, ConfigError> {
         let sections = Sections::of(value);
         check_deadlines_and_attempts(&sections.settings)?;
@@ -69,7 +69,7 @@
         let longest_deadline = parse_longest_deadline(&values, classes.len())?;
         let settings = settings::parse(&values)?;
         let push_drain_grace = parse_push_drain_grace(&values, &settings)?;
-        let settings = adapted_to_sockets(settings);
+        let settings = adapted_to_subscription(settings);
         let shadow = sections.shadow.map(|section| shadow::parse(section, &values, classes.len()));
         let shadow = shadow.transpose()?.flatten();
         Ok(Config {
@@ -106,7 +106,7 @@
     keys.list("peers").into_iter().map(|text| text.parse().map_err(|_| invalid(text))).collect()
 }
 
-/// The seed; another one at each start where none is given.
+/// Parses the seed; by default it is random at each start.
 fn parse_seed(keys: &SettingValues) -> Result<u64, SettingsError> {
     let Ok(text) = keys.text("seed") else {
         return Ok(std::hash::BuildHasher::hash_one(&std::hash::RandomState::new(), 0));
@@ -119,7 +119,8 @@
     Ok(limit.or_else(default_if_missing(DEFAULT_MAX_DESCRIPTORS))?.min(system_max_descriptors()))
 }
 
-/// Descriptors that the system lets this process hold: with a limit above that the node's own would not be reserved.
+/// Returns the system's descriptor limit for this process. With a higher configured limit, the node's
+/// reserved descriptors would not be available.
 fn system_max_descriptors() -> usize {
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     limit.map_or(usize::MAX, |limit| usize::try_from(limit).unwrap_or(usize::MAX))
@@ -136,8 +137,8 @@
     let names = names.collect::<Result<Vec<_>, _>>()?;
     match (1..names.len()).find(|i| names[..*i].contains(&names[*i])) {
         None => Ok(names),
-        Some(twice) => {
-            Err(values.invalid(&format!("classes.{twice}.name"), &names[twice], "a name of its own"))
+        Some(duplicate) => {
+            Err(values.invalid(&format!("classes.{duplicate}.name"), &names[duplicate], "a unique name"))
         }
     }
 }
@@ -169,7 +170,7 @@
     Ok((!settings.must_subscribe).then_some(grace - DRAIN_GRACE_MARGIN))
 }
 
-/// Refuses what is not a whole number above 0, also a text that reads like one.
+/// Rejects values other than whole numbers above 0, including text that contains a number.
 fn check_positive(value: &Value, path: &str) -> Result<(), SettingsError> {
     match value {
         Value::Number(number) if number.as_u64().is_some_and(|number| number > 0) => Ok(()),
@@ -179,7 +180,8 @@
     }
 }
 
-/// Refuses deadlines and numbers of attempts that are not positive; a key that is absent has its default.
+/// Rejects latency objectives, deadlines, timeouts and attempt limits that are not positive; keys that are
+/// missing are not checked.
 fn check_deadlines_and_attempts(settings: &Value) -> Result<(), SettingsError> {
     if let Some(allowed) = settings.get("allowed") {
         for key in ["max_attempts", "connect_timeout"] {
@@ -194,8 +196,9 @@
     Ok(())
 }
 
-/// On sockets the endpoint list is always subscribed to; where the settings say that it is pushed, it is polled often.
-pub fn adapted_to_sockets(mut settings: BalancerSettings) -> BalancerSettings {
+/// Adapts the settings to discovery over sockets: the endpoint list is always subscribed to, and renewed at
+/// short intervals if the settings call for pushed lists.
+pub fn adapted_to_subscription(mut settings: BalancerSettings) -> BalancerSettings {
     let pushed = !std::mem::replace(&mut settings.must_subscribe, true);
     if pushed {
         settings.max_poll_interval = POLL_INTERVAL_PUSHED;
--- a/crates/alderstile-node/src/config/reload.rs
+++ b/crates/alderstile-node/src/config/reload.rs
@@ -1,4 +1,4 @@
-//! Replacing the configuration of a node that runs.
+//! Replaces the configuration of a running node.
 
 use alderstile::settings::{SettingValues, SettingsError};
 use alderstile::types::BalancerSettings;
@@ -7,7 +7,7 @@
 use super::values::plain_text;
 use super::{Config, ConfigError, without_cached_endpoints};
 
-/// Keys that count from the next start on, whatever a reload says.
+/// Keys whose values are fixed until the next start; a reload defers them.
 const FIXED_KEYS: [&str; 10] = [
     "name",
     "listen",
@@ -20,25 +20,25 @@
     "settings.my_zone",
     "seed",
 ];
-/// Keys of a class that depend on its semantics, so that a new class may lack them.
+/// Keys of a class that depend on its semantics; a new class may omit them.
 const KEYS_BY_SEMANTICS: [&str; 2] = ["window", "group"];
 
-/// A configuration for a node that runs.
+/// A configuration that replaces the one of a running node.
 #[derive(Debug)]
 pub struct ReloadedConfig {
-    /// The configuration.
+    /// The configuration to apply.
     pub config: Config,
-    /// Keys whose new values wait for the next start.
+    /// Changed keys whose new values take effect at the next start.
     pub deferred_keys: Vec<&'static str>,
 }
 
 impl Config {
-    /// The configuration that replaces this one. Each key that this one's file has the new one must have too: a default
-    /// would hide a lost key.
+    /// Returns the configuration that replaces this one. Each key of the current file must be in the new one
+    /// too: otherwise a key lost by mistake would silently fall back to its default.
     ///
     /// # Errors
     ///
-    /// A key is missing or has a value that can't be used.
+    /// Fails if a key is unknown, missing or invalid.
     pub fn reloaded(&self, value: Value) -> Result<ReloadedConfig, ConfigError> {
         if !value.is_object() {
             let whole = plain_text(&value);
@@ -48,7 +48,7 @@
             return Err(SettingsError::MissingKey(key).into());
         }
         let source = without_cached_endpoints(value.clone());
-        // Keys that can't change are checked all the same.
+        // Fixed keys are validated too.
         let new = Self::parse(value)?;
         let is_deferred = |key: &&str| value_at(&self.source, key) != value_at(&source, key);
         let deferred_keys = FIXED_KEYS.into_iter().filter(is_deferred).collect();
@@ -56,7 +56,7 @@
         Ok(ReloadedConfig { config, deferred_keys })
     }
 
-    /// This configuration with the values of another one that may change while the node runs.
+    /// Returns this configuration with those values of `new` that may change while the node runs.
     fn with_new_settings(&self, new: Config) -> Self {
         let mut classes = self.classes.clone();
         classes.extend(new.classes.iter().filter(|class| !self.classes.contains(class)).cloned());
@@ -65,7 +65,8 @@
             let settings = with_classes_numbered(settings, &new.classes, &classes, old);
             BalancerSettings { zone: old.zone, ..settings }
         };
-        // A retired class is watched by the settings that the shadow instance, or this one, has of it.
+        // For a retired class, the shadow instance uses the previous shadow's settings, or the active ones if
+        // there was none.
         let old_shadow = self.shadow.as_ref().unwrap_or(&self.settings);
         Config {
             settings: renumbered(new.settings.clone(), &self.settings),
@@ -81,7 +82,8 @@
     }
 }
 
-/// The settings with their classes in the order of `numbered`; a class that `names` lacks keeps its old settings.
+/// Returns the settings with their classes in the order of `numbered`; a class that is not in `names` keeps
+/// its old settings.
 fn with_classes_numbered(
     settings: BalancerSettings,
     names: &[String],
@@ -96,13 +98,13 @@
     BalancerSettings { classes, ..settings }
 }
 
-/// The value at a path of keys joined by points.
+/// Returns the value at a path of keys joined by dots.
 fn value_at(value: &Value, path: &str) -> Option<Value> {
     path.split('.').try_fold(value.clone(), |value, key| value.get(key).cloned())
 }
 
-/// The path of the first key of the old values that the new ones lack. Classes are compared with those of the same name,
-/// and may vanish; other lists are values.
+/// Returns the path of the first key that is in the old values but not in the new ones. Classes are compared
+/// by name and may be removed; other lists are treated as plain values.
 fn first_missing_key(old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Null, _) => None,
@@ -123,7 +125,8 @@
     }
 }
 
-/// A new class needs the keys that all old ones have, but for those that depend on its semantics.
+/// Returns the first key that all old classes have but a new class lacks, except for keys that depend on its
+/// semantics.
 fn first_missing_common_key(old: &[Value], new: &Value) -> Option<String> {
     let has = |item: &Value, key: &str| item.get(key).is_some_and(|value| !value.is_null());
     let keys = old.first().and_then(Value::as_object).into_iter().flat_map(Map::keys);
--- a/crates/alderstile-node/src/config/shadow.rs
+++ b/crates/alderstile-node/src/config/shadow.rs
@@ -1,17 +1,18 @@
-//! The section `shadow`: settings of a second instance that decides beside the active one and changes nothing.
+//! The section `shadow`: settings of a second balancer that decides on the same events as the active one; its
+//! decisions are only compared, never applied.
 
 use alderstile::settings::{self, SettingValues, SettingsError, default_if_missing};
 use alderstile::types::BalancerSettings;
 use serde_json::Value;
 
-use super::parse::adapted_to_sockets;
+use super::parse::adapted_to_subscription;
 use super::values::{plain_text, setting_values};
 
-/// Parses the section; none where the instance is off. The section is checked all the same.
+/// Parses and validates the section; returns `None` if the instance is off.
 ///
 /// # Errors
 ///
-/// A key is unknown, or has a value that can't be used.
+/// Fails if a key is unknown, missing or invalid.
 pub fn parse(
     mut section: Value,
     active: &SettingValues,
@@ -29,14 +30,14 @@
     let on = keys.flag("on").or_else(default_if_missing(false))?;
     keys.reject_unread(&keys)?;
     let complete = own.overlaid_on(active);
-    let settings = adapted_to_sockets(settings::parse(&complete)?);
+    let settings = adapted_to_subscription(settings::parse(&complete)?);
     own.reject_unread(&complete)?;
     if settings.classes.len() != class_count {
-        // Both instances get the same requests.
+        // Both instances receive the same requests.
         return Err(own.invalid(
             "classes",
             &settings.classes.len().to_string(),
-            "as many classes as are served",
+            "the number of classes of the active settings",
         ));
     }
     Ok(on.then_some(settings))
--- a/crates/alderstile-node/src/config/successor.rs
+++ b/crates/alderstile-node/src/config/successor.rs
@@ -1,4 +1,4 @@
-//! The configuration of a process that takes over from another one.
+//! The configuration of a successor process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -10,12 +10,13 @@
 use crate::lifecycle::upgrade_state::UpgradeState;
 
 impl Config {
-    /// The configuration of a successor: its own file, unless the predecessor would reject that at a reload. What the
-    /// predecessor has learned counts.
+    /// Returns the configuration of a successor: its own file, unless the predecessor would reject it at a
+    /// reload. The endpoint list, and unless the file changes it the address of discovery, are the
+    /// predecessor's.
     ///
     /// # Errors
     ///
-    /// The predecessor's configuration can't be used.
+    /// Fails if the predecessor's configuration is invalid.
     pub fn for_successor(
         predecessor: &UpgradeState,
         path: Option<&Path>,
@@ -27,10 +28,11 @@
             Self::from_file_value(file, &env)
         });
         let mut config = own.unwrap_or_else(|error| {
-            warn!(%error, "configuration file rejected, the predecessor's stays in force");
+            warn!(%error, "configuration file rejected, configuration of predecessor kept");
             in_force.clone()
         });
-        // A new value in the file counts; otherwise the predecessor knows better than the environment of a start.
+        // An address that is new in the file applies. Otherwise the predecessor's is more recent than the
+        // environment's, which dates from the start.
         config.discovery = match (discovery_of(&in_force.source), discovery_of(&config.source)) {
             (old, Some(new)) if old != Some(new) => new,
             _ => predecessor.discovery.unwrap_or(config.discovery),
--- a/crates/alderstile-node/src/config/values.rs
+++ b/crates/alderstile-node/src/config/values.rs
@@ -1,9 +1,10 @@
-//! JSON flattened to the values by path that settings are read from.
+//! Flattens JSON to the values by path that the settings parser reads.
 
 use alderstile::settings::SettingValues;
 use serde_json::Value;
 
-/// The values by path: objects by their keys, lists of plain values joined by commas, lists of objects by their number.
+/// Returns the values by path: objects by key, lists of objects by index and count, lists of plain values
+/// joined by commas.
 pub fn setting_values(prefix: &'static str, value: &Value) -> SettingValues {
     let mut pairs = Vec::new();
     flatten(String::new(), value, &mut pairs);
@@ -33,7 +34,7 @@
     }
 }
 
-/// A value as the text that settings are read from.
+/// Returns a value as the text that the settings parser reads.
 pub fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -105,7 +105,7 @@
         let mut instance = new_instance(config.seed);
         let (mut incarnation, mut sequence) = (1, 0);
         if let Some(predecessor) = predecessor {
-            instance = predecessor.session;
+            instance = predecessor.instance;
             incarnation = predecessor.incarnation.saturating_add(TAKEOVER_GAP);
             sequence = predecessor.counter.saturating_add(TAKEOVER_GAP);
             seeds.extend(&predecessor.alive_members);
@@ -284,7 +284,7 @@
         let members = self.members.borrow();
         let alive = members.peers().filter(|member| member.state == MemberState::Alive);
         MemberIdentity {
-            session: members.local().instance.0,
+            instance: members.local().instance.0,
             incarnation: members.local().incarnation,
             counter: members.last_sequence(),
             alive_members: alive.map(|member| member.record.address).take(MAX_HANDED_OVER_PEERS).collect(),
--- a/crates/alderstile-node/src/control/replicated_config/client.rs
+++ b/crates/alderstile-node/src/control/replicated_config/client.rs
@@ -51,7 +51,7 @@
 }
 
 /// The version that was committed; none while the proposal is pending.
-fn committed_version(admin: SocketAddr, answer: &client::Answer) -> Result<Option<u64>, CallError> {
+fn committed_version(admin: SocketAddr, answer: &client::AdminResponse) -> Result<Option<u64>, CallError> {
     let body = answer.body.trim();
     match answer.status {
         200 => match body.parse() {
--- a/crates/alderstile-node/src/lifecycle/connection_handover.rs
+++ b/crates/alderstile-node/src/lifecycle/connection_handover.rs
@@ -1,5 +1,8 @@
-//! Handing sockets over to the successor, in datagrams on a private socket: the listener for clients, and both sockets of
-//! each connection with all that is known of it. Clients and hosts notice nothing.
+//! Connection handover: passes open sockets to the successor process during an upgrade.
+//!
+//! The sockets travel as `SCM_RIGHTS` descriptors in datagrams on a private Unix socket: the listener for
+//! clients, and for each connection the client's and the host's socket together with the connection's state.
+//! Neither clients nor hosts observe the handover.
 
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
@@ -25,59 +28,61 @@
 use crate::node::Node;
 use crate::proxy::relay::RelayState;
 
-/// The largest datagram: two buffers and a line of 4 KiB at most each, with every byte written as a number.
+/// Maximum length of a datagram: two buffers and a line of at most 4 KiB each, every byte encoded as a
+/// number.
 const MAX_DATAGRAM_BYTES: usize = 64 << 10;
-/// The most descriptors in a datagram.
+/// Maximum number of descriptors in a datagram.
 const MAX_SOCKETS: usize = 2;
-/// How long the other process may take to read a datagram: its clients wait as long.
+/// Timeout for the other process to read a datagram; the client of the connection waits for that long.
 const READ_TIMEOUT: Duration = Duration::from_millis(300);
-/// How long receiving pauses after an error.
-const RECEIVE_PAUSE: Duration = Duration::from_millis(5);
+/// Delay before the next receive after an error.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// A connection that is handed over. The names on the wire are those of the first version.
+/// The state of a connection that is handed over. The names on the wire are those of the first version.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HandedOverConnection {
-    /// The client's first line, without its end.
+    /// The client's first line, without its line terminator.
     #[serde(rename = "line")]
     pub first_line: String,
     /// The host's name.
     pub host: String,
-    /// Bytes of the client that were not forwarded.
+    /// Bytes received from the client and not yet forwarded.
     pub from_client: Vec<u8>,
-    /// Bytes of the host that were not forwarded.
+    /// Bytes received from the host and not yet forwarded.
     pub from_host: Vec<u8>,
-    /// What was observed of the forwarded lines.
+    /// The state of the relay after the lines that were forwarded.
     #[serde(rename = "carried")]
     pub relay_state: RelayState,
-    /// How many attempts it took.
+    /// The number of attempts made for the request.
     pub attempts: u32,
-    /// How many milliseconds the attempt took that was established.
+    /// The duration of the successful attempt, in milliseconds.
     #[serde(rename = "up_ms")]
     pub setup_ms: u64,
-    /// How many milliseconds ago the request came.
+    /// The time since the request arrived, in milliseconds.
     pub age_ms: u64,
-    /// The number under which the successor acknowledges the connection. A process of an older version gives none.
+    /// The number with which the successor acknowledges the connection; absent from processes of older
+    /// versions.
     #[serde(rename = "number", default)]
     pub ack_number: Option<u64>,
 }
 
-/// What a datagram contains beside its descriptors.
+/// The payload of a datagram, without its descriptors.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum HandoverMessage {
-    /// A connection, with the client's socket and the host's.
+    /// A connection; its descriptors are the client's and the host's socket, in this order.
     Connection(HandedOverConnection),
-    /// The listener for clients.
+    /// The listener for clients, the only descriptor.
     #[serde(rename = "door")]
     Listener,
 }
 
-/// Why a datagram can't be used.
+/// Why a datagram is rejected.
 #[derive(Debug, Error)]
 enum DatagramError {
-    #[error("{0}")]
+    #[error("malformed message: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("{0} sockets")]
+    #[error("expected 2 sockets for a connection or 1 for the listener, found {0}")]
     SocketCount(usize),
 }
 
@@ -85,12 +90,12 @@
     dir.join(format!("alderstile-{:016x}.pass", server_id(name).0))
 }
 
-/// The socket on which this process receives what its predecessor hands over; none where the node has no directory for
-/// state. It must be bound before this process says that it serves.
+/// Binds the socket on which this process receives from its predecessor; returns `None` if the node has no
+/// state directory. It must be bound before this process reports that it is ready.
 ///
 /// # Errors
 ///
-/// The socket can't be bound.
+/// Fails if a stale socket can't be removed or the new one can't be bound.
 pub fn bind(config: &Config) -> io::Result<Option<UnixDatagram>> {
     let Some(dir) = &config.state_dir else { return Ok(None) };
     let path = socket_path(dir, &config.name);
@@ -100,11 +105,11 @@
     }
 }
 
-/// The socket through which this process hands over to its successor.
+/// Connects to the socket of the successor, to which this process hands over.
 ///
 /// # Errors
 ///
-/// No successor has bound its socket.
+/// Fails if the node has no state directory or no successor has bound its socket.
 pub fn connect(config: &Config) -> io::Result<UnixDatagram> {
     let dir = config.state_dir.as_deref().ok_or(io::ErrorKind::NotFound)?;
     let socket = UnixDatagram::unbound()?;
@@ -112,11 +117,11 @@
     Ok(socket)
 }
 
-/// Hands a connection over; its datagram is sent once this returns.
+/// Hands a connection over; its datagram has been sent when this returns.
 ///
 /// # Errors
 ///
-/// The successor has ended, or does not read in time.
+/// Fails if the successor has ended or does not read within the timeout.
 pub async fn send(
     to: &UnixDatagram,
     connection: HandedOverConnection,
@@ -125,11 +130,12 @@
     send_message(to, &HandoverMessage::Connection(connection), &sockets.map(AsFd::as_fd)).await
 }
 
-/// Shares the listener for clients: both processes accept from its one queue, so that no client is lost when this one ends.
+/// Shares the listener for clients. Both processes accept from the same queue, so that no client is lost when
+/// this process ends.
 ///
 /// # Errors
 ///
-/// The successor has ended, or does not read in time.
+/// Fails if the successor has ended or does not read within the timeout.
 pub async fn share_listener(to: &UnixDatagram, listener: &impl AsFd) -> io::Result<()> {
     send_message(to, &HandoverMessage::Listener, &[listener.as_fd()]).await
 }
@@ -152,8 +158,10 @@
     Ok(())
 }
 
-/// Receives what the predecessor hands over, until it has ended; `on_connection` is called with each connection and its two
-/// sockets. The socket's path is removed then, or this process would hand connections over to itself.
+/// Receives connections and the shared listener from the predecessor until it has ended.
+///
+/// Calls `on_connection` with each connection and its two sockets. Finally removes the socket's path:
+/// otherwise this process would later hand its connections over to itself.
 pub async fn receive(
     node: Rc<Node>,
     from: UnixDatagram,
@@ -161,7 +169,7 @@
 ) {
     let predecessor_ended = async {
         node.process.predecessor_ended.notified().await;
-        // What it sent last may not be read yet.
+        // Its last datagrams may not have been read yet.
         sleep(READ_TIMEOUT).await;
     };
     tokio::select! {
@@ -171,7 +179,7 @@
     let config = node.config();
     let Some(dir) = &config.state_dir else { return };
     if let Err(error) = std::fs::remove_file(socket_path(dir, &config.name)) {
-        warn!(%error, "hand-over socket not removed");
+        warn!(%error, "handover socket not removed");
     }
 }
 
@@ -187,15 +195,15 @@
         let (length, sockets) = match received {
             Ok(received) => received,
             Err(error) => {
-                warn!(%error, "handed-over sockets not received");
-                sleep(RECEIVE_PAUSE).await;
+                warn!(%error, "handover datagram not received");
+                sleep(RECEIVE_RETRY_DELAY).await;
                 continue;
             }
         };
         match parse(&data[..length], sockets.len()) {
             Ok(HandoverMessage::Connection(connection)) => {
                 if std::mem::take(&mut first) {
-                    info!("receiving handed-over connections");
+                    info!("first connection received from predecessor");
                 }
                 on_connection(connection, sockets.into_iter().map(TcpStream::from).collect());
             }
@@ -203,12 +211,12 @@
                 let listener = sockets.into_iter().map(TcpListener::from).next();
                 node.process.set_shared_listener(listener);
             }
-            Err(error) => warn!(%error, "handed-over sockets dropped"),
+            Err(error) => warn!(%error, "handover datagram dropped"),
         }
     }
 }
 
-/// The length of a datagram, and the descriptors that came with it.
+/// Receives a datagram; returns its length and its descriptors.
 fn receive_datagram(from: &UnixDatagram, data: &mut [u8]) -> io::Result<(usize, Vec<OwnedFd>)> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_SOCKETS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
--- a/crates/alderstile-node/src/lifecycle/mod.rs
+++ b/crates/alderstile-node/src/lifecycle/mod.rs
@@ -1,4 +1,4 @@
-//! The life of the process: stop, reload, and upgrade to another process of the same node.
+//! Process lifecycle: shutdown, configuration reload, and upgrade to another process of the same node.
 
 pub mod connection_handover;
 pub mod process;
--- a/crates/alderstile-node/src/lifecycle/reload.rs
+++ b/crates/alderstile-node/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
-//! Reloading the configuration at SIGHUP, while the node runs.
+//! Configuration reload on SIGHUP.
 //!
-//! A file is applied completely or rejected completely. What the node is built round (its addresses, limits, zones and
-//! name) waits for the next start.
+//! A file is applied completely or rejected completely. Keys that are fixed while the process runs
+//! (addresses, limits, zones and the name) take effect at the next start.
 
 use std::path::Path;
 
@@ -10,10 +10,11 @@
 use crate::config::{ClusterConfig, Config, ReloadedConfig};
 use crate::node::Node;
 
-/// Reads the file again, and applies it. A faulty one changes nothing, and its fault is logged.
+/// Reads the configuration file again and applies it. An invalid file changes nothing, and its error is
+/// logged.
 ///
-/// The environment's discovery address counted for the start: from here on the file's does, or a reload could never
-/// change it.
+/// The environment overrides the discovery address only at the start. From the first reload on, the file's
+/// address applies; otherwise a reload could never change it.
 pub fn reload(node: &Node, path: Option<&Path>, env: impl Fn(&str) -> Option<String>) {
     let with_replicated_settings = |file| match node.admin.replicated_config() {
         Some(replica) => replica.overlay_file(file),
@@ -27,7 +28,7 @@
             node.clients.count(|counters| counters.configs_applied += 1);
         }
         Err(error) => {
-            error!(%error, "configuration reload rejected, the one in force stays");
+            error!(%error, "configuration reload rejected, active configuration kept");
             node.clients.count(|counters| counters.configs_rejected += 1);
         }
     }
@@ -46,7 +47,7 @@
     }
 }
 
-/// Reads the cluster's file again, of which only the keys can change while the node runs.
+/// Reads the cluster file again. Only its authentication keys can change while the node runs.
 pub fn reload_keys(node: &Node, path: Option<&Path>) {
     let Some((path, membership)) = path.zip(node.admin.membership()) else { return };
     match ClusterConfig::load(path) {
@@ -55,8 +56,8 @@
             if let (Some(replica), Some(config)) = (node.admin.replicated_config(), &config.replication) {
                 replica.set_keys(config);
             }
-            info!("cluster keys reloaded, all else of the file is deferred to the next start");
+            info!("cluster keys reloaded, all other keys of the cluster file deferred to the next start");
         }
-        Err(error) => error!(%error, "cluster file rejected, the keys in force stay"),
+        Err(error) => error!(%error, "cluster file rejected, active cluster keys kept"),
     }
 }
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned shutdown: every client is migrated, or handed over to the successor, before this process ends.
+//! Graceful shutdown: migrates every client, or hands it over to the successor, before the process ends.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,29 +10,32 @@
 use super::connection_handover;
 use crate::node::Node;
 
-/// The part of the shutdown's time that is left after the migrations: the last clients' lines and ends must pass in it.
+/// Time reserved after the migrations for the last clients' lines and connection closes to be forwarded.
 const CLOSING_TIME: Duration = Duration::from_millis(600);
-/// How long the listener stays open at least: new connections still come for up to 0.4 s after a shutdown began, also where
-/// the longest request, and with it the shutdown, is short.
+/// Minimum time for which the listener stays open after the shutdown began. New connections still arrive for
+/// up to 0.4 s, even if the longest request deadline, and with it the shutdown, is short.
 const LATE_ARRIVALS: Duration = Duration::from_millis(450);
-/// How long before the shutdown's end those that still wait for a host are answered, and those without a first line closed.
-/// A request that came up to 0.4 s after the shutdown began has had all of its time by then: the shutdown's time is that of
-/// the longest request and 0.7 s. For hosts that hang, and requests that may wait longer than a shutdown.
+/// How long before the shutdown's deadline clients that still wait for a host are answered, and those that
+/// have sent no first line are closed.
+///
+/// The shutdown takes the longest request deadline plus 0.7 s, so a request that arrives up to 0.4 s after it
+/// began has had all of its time by then. The cutoff covers hosts that hang and requests whose deadline
+/// exceeds the shutdown's.
 const PENDING_CUTOFF_MARGIN: Duration = Duration::from_millis(250);
-/// How long before the shutdown's end the process ends, whatever is still open.
+/// How long before the shutdown's deadline the process ends, even if connections are still open.
 const END_MARGIN: Duration = Duration::from_millis(50);
-/// How often some clients are migrated, and it is checked whether all have gone.
+/// Interval at which a batch of clients is migrated and the remaining connections are checked.
 const STEP: Duration = Duration::from_millis(20);
-/// How often it is checked whether the listener is closed.
+/// Interval at which it is checked whether the listener is closed.
 const LISTENER_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The times of a shutdown.
+/// The points in time of a shutdown's phases.
 #[derive(Clone, Copy)]
 struct Schedule {
     start: Instant,
-    /// Clients are served as usual until then.
+    /// Clients are served as usual until then, and migrated afterwards.
     migrations_start: Instant,
-    /// All clients are told to migrate by then.
+    /// All clients have been told to migrate by then.
     migrations_end: Instant,
     pending_cutoff: Instant,
     end: Instant,
@@ -52,11 +55,14 @@
     }
 }
 
-/// Answers and migrates every client; returns when no connection is open any more. Where another process of this node
-/// serves, the clients' address is that one's at once: this one never says that it is not ready there.
+/// Answers and migrates every client; returns once no connection is open.
+///
+/// If the node's other process serves, it takes over the clients' address at once, and this process never
+/// reports on that address that it is not ready.
 ///
-/// The clients are served as usual for the first half of the time, then migrated one after the other: sent away in one
-/// moment, they could all meet another node that was stopped before this one and has not come back.
+/// Clients are served as usual for the first half of the time and then migrated gradually: if all were
+/// migrated at once, they could all connect to another node that was stopped before this one and has not
+/// restarted yet.
 pub async fn run(node: Rc<Node>, accepting: JoinHandle<()>) {
     let schedule = Schedule::starting_now(node.config().shutdown_timeout);
     info!(clients = node.clients.established(), "shutdown started");
@@ -71,15 +77,15 @@
         leave_to_other_process(&node, &accepting, schedule).await;
     }
     migrate_gradually(&node, schedule).await;
-    // Each client that is established from now on is migrated, or handed over, by its own session.
+    // A connection that is established from now on is migrated, or handed over, by its own session.
     if node.clients.handover_socket().is_none() {
         node.clients.migrate_all();
     }
     if !node.process.other_process_serves() {
         sleep_until(schedule.start + LATE_ARRIVALS).await;
     }
-    // The task that has the listener closes it, in the step in which nobody is queued: whom the system has accepted is a
-    // client, and must be answered.
+    // The accept task closes the listener only when its queue is empty: connections that the kernel has
+    // already accepted belong to clients, which must be answered.
     node.process.stop_accepting.notify_one();
     drop(accepting.await);
     wait_for_connections(&node, schedule).await;
@@ -88,7 +94,7 @@
     info!("shutdown complete");
 }
 
-/// Starts the task that makes the last call at its time; dropping the result cancels it.
+/// Starts the task that cuts off pending clients at the scheduled time; dropping the result cancels it.
 fn spawn_pending_cutoff(node: &Node, schedule: Schedule) -> JoinSet<()> {
     let process = node.process.clone();
     let mut task = JoinSet::new();
@@ -99,7 +105,7 @@
     task
 }
 
-/// Leaves the cluster, unless another process continues as the same member.
+/// Leaves the cluster, unless the other process continues as the same member.
 async fn leave_cluster(node: &Node) {
     if !node.process.other_process_serves()
         && let Some(cluster) = node.admin.membership()
@@ -108,11 +114,12 @@
     }
 }
 
-/// Stops accepting, releases the sockets that only one process may have, and hands connections over to a successor.
+/// Stops accepting, releases the sockets that only one process may have open, and hands connections over to a
+/// successor.
 async fn leave_to_other_process(node: &Node, accepting: &JoinHandle<()>, schedule: Schedule) {
-    info!("shutdown leaves the clients' address to the other process");
+    info!("client address left to the other process");
     node.process.stop_accepting.notify_one();
-    // A successor that can't serve yet never comes to its listener.
+    // The task does not finish in a successor that can't serve yet: it has not opened its listener.
     while !accepting.is_finished() && Instant::now() < schedule.migrations_end {
         sleep(LISTENER_CHECK_INTERVAL).await;
     }
@@ -121,11 +128,11 @@
     node.admin.membership().iter().for_each(|cluster| cluster.release_socket());
     let Some(other) = node.process.other_process() else { return };
     other.send_stopped_accepting();
-    // A successor that is stopped first has nobody to hand connections over to: its predecessor takes none back.
+    // A successor that is stopped first migrates its clients: its predecessor accepts no connections back.
     if other.is_successor {
         match connection_handover::connect(&node.config()) {
             Ok(socket) => node.clients.hand_over_all(socket),
-            Err(error) => warn!(%error, "connections can't be handed over"),
+            Err(error) => warn!(%error, "handover socket not connected, clients migrated instead"),
         }
     }
 }
@@ -143,7 +150,7 @@
     while node.clients.connection_descriptors() > 0 {
         if Instant::now() + END_MARGIN >= schedule.end {
             let descriptors = node.clients.connection_descriptors();
-            return warn!(descriptors, "shutdown time over with connections open");
+            return warn!(descriptors, "shutdown deadline reached with open connections");
         }
         sleep(STEP).await;
     }
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -1,8 +1,8 @@
-//! Upgrade: a process that is started beside the one that serves (its predecessor) takes the node over from it. Until the
-//! predecessor ends both are one node, and exchange messages on a private channel.
+//! Upgrade: a new process (the successor) takes the node over from the running one (the predecessor).
 //!
-//! A channel that breaks tells each side that the other process has ended: nothing depends on files or process numbers that
-//! outlive their process.
+//! Until the predecessor ends, both processes act as one node and exchange messages on a private channel.
+//! Each side takes a broken channel as the end of the other process: nothing depends on files or process ids,
+//! which could outlive their process.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -25,43 +25,45 @@
 use crate::discovery::endpoint_list::server_id;
 use crate::node::Node;
 
-/// The version of the channel's messages; a process that has another one is not joined.
+/// The version of the channel's messages; a process with another version is not joined.
 const VERSION: u32 = 1;
-/// The longest message: an endpoint list, and ids that may each be as long as a client's line.
+/// Maximum length of a message: an endpoint list, and request ids that may each be as long as a client's
+/// line.
 const MAX_MESSAGE_BYTES: u64 = 24 << 20;
-/// How often it is checked whether the number of descriptors in use has changed.
+/// Interval at which it is checked whether the number of descriptors in use has changed.
 const DESCRIPTOR_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How long accepting processes pauses after an error.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// Delay before the next accept after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Why the channel to another process can't be used.
+/// Why the channel to another process is rejected or closed.
 #[derive(Debug, Error)]
 enum ChannelError {
     #[error("{0}")]
     Io(#[from] io::Error),
-    #[error("no message within {} ms", MESSAGE_TIMEOUT.as_millis())]
+    #[error("timed out after {} ms", MESSAGE_TIMEOUT.as_millis())]
     Timeout,
-    #[error("a malformed message: {0}")]
+    #[error("malformed message: {0}")]
     Malformed(#[from] serde_json::Error),
-    #[error("a message that is cut off or too long")]
+    #[error("message truncated or longer than {MAX_MESSAGE_BYTES} bytes")]
     Truncated,
-    #[error("version {0}, not {VERSION}")]
+    #[error("unsupported message version: expected {VERSION}, found {0}")]
     Version(u32),
-    #[error("a message out of turn")]
-    OutOfTurn,
+    #[error("unexpected message")]
+    UnexpectedMessage,
 }
 
-/// Another process takes the node over already.
+/// Another process is already taking over from the predecessor.
 #[derive(Debug, Error)]
-#[error("another process is already taking over from the one that serves")]
+#[error("another process is already taking over this node")]
 pub struct AlreadyJoined;
 
-/// The path of the channel's socket; a short one, since the system allows no long ones.
+/// Returns the path of the channel's socket. The name is hashed, as the system limits the length of socket
+/// paths.
 fn socket_path(dir: &Path, name: &str) -> PathBuf {
     dir.join(format!("alderstile-{:016x}.sock", server_id(name).0))
 }
 
-/// Both directions of the channel's stream.
+/// The channel's stream, split into its two directions.
 struct MessageStream {
     reader: BufReader<OwnedReadHalf>,
     writer: OwnedWriteHalf,
@@ -73,7 +75,7 @@
         MessageStream { reader: BufReader::new(reader), writer }
     }
 
-    async fn read_in_time(&mut self) -> Result<UpgradeMessage, ChannelError> {
+    async fn read_with_timeout(&mut self) -> Result<UpgradeMessage, ChannelError> {
         let message = timeout(MESSAGE_TIMEOUT, read(&mut self.reader)).await;
         message.map_err(|_| ChannelError::Timeout)??.ok_or(ChannelError::Truncated)
     }
@@ -83,7 +85,7 @@
     }
 }
 
-/// Reads a message; none at the stream's end.
+/// Reads a message; returns `None` at the end of the stream.
 async fn read(reader: &mut BufReader<OwnedReadHalf>) -> Result<Option<UpgradeMessage>, ChannelError> {
     let mut line = Vec::new();
     reader.take(MAX_MESSAGE_BYTES).read_until(b'\n', &mut line).await?;
@@ -101,25 +103,25 @@
     Ok(())
 }
 
-/// The process that serves, before this one takes the node over from it.
+/// The predecessor, joined but not yet replaced.
 pub struct Predecessor {
-    /// Its state.
+    /// Its state at the time of joining.
     pub state: UpgradeState,
     stream: MessageStream,
 }
 
-/// Joins the process of this node that serves; none where there is none, or none that can be joined.
+/// Joins the running process of this node; returns `None` if there is none or it can't be joined.
 ///
 /// # Errors
 ///
-/// Another process has joined it already.
+/// Fails if another process has already joined it.
 pub async fn join(identity: &NodeIdentity) -> Result<Option<Predecessor>, AlreadyJoined> {
     let path = socket_path(&identity.dir, &identity.name);
     let stream = match UnixStream::connect(&path).await {
         Ok(stream) => stream,
         Err(error) => {
             if error.kind() != io::ErrorKind::NotFound {
-                info!(path = %path.display(), %error, "upgrade socket can't be connected to, starting alone");
+                info!(path = %path.display(), %error, "upgrade socket not connected, no predecessor joined");
             }
             return Ok(None);
         }
@@ -130,22 +132,22 @@
         Ok(UpgradeMessage::State(state)) if state.version != VERSION => ChannelError::Version(state.version),
         Ok(UpgradeMessage::State(state)) if state.name == identity.name => {
             let (hosts, in_maintenance) = (state.endpoints.endpoints.len(), state.host_maintenance.len());
-            info!(hosts, in_maintenance, "joined the process that serves");
+            info!(hosts, in_maintenance, "predecessor joined");
             return Ok(Some(Predecessor { state: *state, stream }));
         }
-        Ok(_) => ChannelError::OutOfTurn,
+        Ok(_) => ChannelError::UnexpectedMessage,
         Err(error) => error,
     };
-    warn!(%error, "the process that serves can't be joined, starting alone from the file");
+    warn!(%error, "predecessor not joined, starting from the configuration file");
     Ok(None)
 }
 
 async fn request_state(stream: &mut MessageStream) -> Result<UpgradeMessage, ChannelError> {
     stream.write(&UpgradeMessage::Join { version: VERSION }).await?;
-    stream.read_in_time().await
+    stream.read_with_timeout().await
 }
 
-/// Exchanges messages with the predecessor until it ends.
+/// Sets the channel to the predecessor; the returned future exchanges messages until the predecessor ends.
 pub fn follow(node: &Rc<Node>, predecessor: Predecessor) -> impl Future<Output = ()> + use<> {
     let Predecessor { state, stream } = predecessor;
     let (outgoing, messages) = mpsc::unbounded_channel();
@@ -154,17 +156,18 @@
     let node = node.clone();
     async move {
         exchange_messages(&node, &channel, stream, messages).await;
-        info!("channel to predecessor closed");
+        info!("upgrade channel to predecessor closed");
         node.process.predecessor_ended.notify_one();
     }
 }
 
-/// Lets successors join this process, one after the other.
+/// Accepts successors, at most one at a time.
 pub async fn accept_successors(node: Rc<Node>) {
     let config = node.config();
     let Some(dir) = &config.state_dir else { return };
     let path = socket_path(dir, &config.name);
-    // Removes the path even if a process that could not be joined still listens there: successors join this one.
+    // Removes the path even if a process that could not be joined still listens on it: successors join this
+    // one.
     if let Err(error) = std::fs::remove_file(&path)
         && error.kind() != io::ErrorKind::NotFound
     {
@@ -173,7 +176,7 @@
     let listener = match UnixListener::bind(&path) {
         Ok(listener) => listener,
         Err(error) => {
-            return warn!(path = %path.display(), %error, "no successor can join: upgrade socket not bound");
+            return warn!(path = %path.display(), %error, "upgrade socket not bound, no successor can join");
         }
     };
     let mut successors = JoinSet::new();
@@ -181,22 +184,22 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 successors.spawn_local(serve_successor(node.clone(), MessageStream::new(stream)));
-                // Those that have ended are no longer kept.
+                // Drops the tasks that have finished.
                 while successors.try_join_next().is_some() {}
             }
             Err(error) => {
                 warn!(path = %path.display(), %error, "successor not accepted");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
 async fn serve_successor(node: Rc<Node>, mut stream: MessageStream) {
-    let error = match stream.read_in_time().await {
+    let error = match stream.read_with_timeout().await {
         Ok(UpgradeMessage::Join { .. }) if node.process.other_process().is_some() => {
-            warn!("a third process wants to join and is rejected");
-            // It ends with or without the message.
+            warn!("third process rejected");
+            // The third process ends even if it does not receive the message.
             return stream.write(&UpgradeMessage::AlreadyJoined).await.unwrap_or_default();
         }
         Ok(UpgradeMessage::Join { version: VERSION }) => match admit_successor(&node, stream).await {
@@ -204,18 +207,18 @@
             Err(error) => error,
         },
         Ok(UpgradeMessage::Join { version }) => ChannelError::Version(version),
-        Ok(_) => ChannelError::OutOfTurn,
+        Ok(_) => ChannelError::UnexpectedMessage,
         Err(error) => error,
     };
-    warn!(%error, "a process that wants to join is rejected");
+    warn!(%error, "joining process rejected");
 }
 
-/// Sends the successor this process's state, and exchanges messages with it until it ends.
+/// Sends this process's state to the successor and exchanges messages with it until it ends.
 async fn admit_successor(node: &Node, mut stream: MessageStream) -> Result<(), ChannelError> {
     info!("successor joined");
     let (outgoing, messages) = mpsc::unbounded_channel();
     let channel = UpgradeChannel::to_successor(outgoing);
-    // Set first, so that what is sent from here on comes after the state.
+    // Set first, so that messages queued from now on follow the state.
     node.process.set_other_process(Some(channel.clone()));
     let state = UpgradeMessage::State(Box::new(node.hand_over_state(VERSION)));
     if let Err(error) = stream.write(&state).await {
@@ -225,11 +228,12 @@
     }
     exchange_messages(node, &channel, stream, messages).await;
     node.decisions.continue_without_successor();
-    info!("channel to successor closed, this process continues to serve");
+    info!("upgrade channel to successor closed, this process continues to serve");
     Ok(())
 }
 
-/// Exchanges messages with the other process until the stream ends or fails; that process is then taken to have ended.
+/// Exchanges messages with the other process until the stream ends or fails, which is taken as the end of
+/// that process.
 async fn exchange_messages(
     node: &Node,
     channel: &UpgradeChannel,
@@ -254,7 +258,7 @@
     channel.close();
 }
 
-/// Sends the messages queued, and the number of descriptors in use whenever it has changed.
+/// Sends queued messages, and the number of descriptors in use whenever it has changed.
 async fn send_messages(
     node: &Node,
     mut writer: OwnedWriteHalf,
@@ -282,7 +286,7 @@
         UpgradeMessage::DescriptorsInUse(descriptors) => channel.descriptors_in_use.set(descriptors),
         UpgradeMessage::Ready { number } => {
             channel.set_serves(true);
-            info!("successor serves");
+            info!("successor ready");
             channel.send(UpgradeMessage::Ack { number });
         }
         UpgradeMessage::ShareListener { number } => {
@@ -299,7 +303,7 @@
         UpgradeMessage::StoppedAccepting => channel.set_serves(false),
         UpgradeMessage::Ack { number } => channel.on_ack(number),
         UpgradeMessage::Join { .. } | UpgradeMessage::State(_) | UpgradeMessage::AlreadyJoined => {
-            return Err(ChannelError::OutOfTurn);
+            return Err(ChannelError::UnexpectedMessage);
         }
     }
     Ok(())
--- a/crates/alderstile-node/src/lifecycle/upgrade_channel.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_channel.rs
@@ -1,4 +1,4 @@
-//! The channel to the other process of this node during an upgrade: its messages, and the acknowledgements awaited.
+//! The upgrade channel to the node's other process: its messages and pending acknowledgements.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -14,84 +14,84 @@
 use super::upgrade_state::UpgradeState;
 use crate::admin::maintenance_store::MaintenanceState;
 
-/// How long a message that is awaited may take: a process that sends none until then is taken to have none.
+/// Timeout for a message or an acknowledgement; after it, none is expected any more.
 pub const MESSAGE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A message on the channel, one JSON line each. The names on the wire are those of its first version.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum UpgradeMessage {
-    /// The successor's first message.
+    /// The first message of a successor.
     Join {
         /// The version of the channel's messages.
         version: u32,
     },
-    /// The predecessor's first message.
+    /// The predecessor's answer to [`UpgradeMessage::Join`]: its state.
     #[serde(rename = "hello")]
     State(Box<UpgradeState>),
-    /// The predecessor's first message to a third process, which then ends.
+    /// The predecessor's answer to a third process, which then ends.
     #[serde(rename = "taken")]
     AlreadyJoined,
-    /// The number of descriptors that the sender uses.
+    /// The number of descriptors that the sender has open.
     #[serde(rename = "held")]
     DescriptorsInUse(usize),
-    /// The sender accepts clients; acknowledged.
+    /// Reports that the sender accepts clients; acknowledged.
     Ready {
         /// The number of the acknowledgement.
         number: u64,
     },
-    /// The successor can receive sockets, and requests the listener for clients; acknowledged.
+    /// Requests the listener for clients: the successor can now receive sockets; acknowledged.
     #[serde(rename = "door")]
     ShareListener {
         /// The number of the acknowledgement.
         number: u64,
     },
-    /// The maintenance state of a host has changed; acknowledged.
+    /// Reports a change of a host's maintenance state; acknowledged.
     #[serde(rename = "host")]
     HostMaintenance {
         /// The number of the acknowledgement.
         number: u64,
         /// The host's name.
         host: String,
-        /// Its maintenance state.
+        /// The host's new maintenance state.
         #[serde(rename = "stand")]
         state: MaintenanceState,
     },
-    /// An acknowledgement: what was requested is done.
+    /// Acknowledges a message after it has been processed.
     #[serde(rename = "done")]
     Ack {
-        /// The number in the request.
+        /// The number of the acknowledged message.
         number: u64,
     },
-    /// The id of a request that the sender has admitted.
+    /// Reports the id of a request that the sender has admitted.
     #[serde(rename = "id")]
     RequestId(String),
-    /// The sender accepts no more clients.
+    /// Reports that the sender accepts no more clients.
     #[serde(rename = "closed")]
     StoppedAccepting,
 }
 
-/// The channel has ended, and with it the other process.
+/// The channel is closed, as the other process has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the other process has ended")]
 pub struct ChannelClosed;
 
-/// The channel to the other process of this node.
+/// The sending side of the channel to the node's other process, and what is known of that process.
 pub struct UpgradeChannel {
     outgoing: mpsc::UnboundedSender<UpgradeMessage>,
-    /// The number of descriptors that the other process uses.
+    /// The number of descriptors that the other process has open.
     pub descriptors_in_use: Cell<usize>,
     serves: Cell<bool>,
-    /// Whether the other process is the successor of this one, and not its predecessor.
+    /// Whether the other process is this one's successor; otherwise it is the predecessor.
     pub is_successor: bool,
     next_number: Cell<u64>,
-    awaited: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
+    pending_acks: RefCell<BTreeMap<u64, oneshot::Sender<()>>>,
 }
 
-/// An acknowledgement that is awaited until this is dropped.
+/// A pending acknowledgement; dropping it stops waiting for it.
 pub struct PendingAck {
     channel: Rc<UpgradeChannel>,
-    /// Its number.
+    /// The number that the acknowledgement will carry.
     pub number: u64,
     acknowledged: oneshot::Receiver<()>,
 }
@@ -101,7 +101,7 @@
     ///
     /// # Errors
     ///
-    /// The other process has ended.
+    /// Fails if the other process ends first.
     pub async fn acknowledged(&mut self) -> Result<(), ChannelClosed> {
         (&mut self.acknowledged).await.map_err(|_| ChannelClosed)
     }
@@ -109,17 +109,18 @@
 
 impl Drop for PendingAck {
     fn drop(&mut self) {
-        self.channel.awaited.borrow_mut().remove(&self.number);
+        self.channel.pending_acks.borrow_mut().remove(&self.number);
     }
 }
 
 impl UpgradeChannel {
-    /// A channel to a successor that has just joined.
+    /// Creates the channel to a successor that has just joined and does not accept clients yet.
     pub fn to_successor(outgoing: mpsc::UnboundedSender<UpgradeMessage>) -> Rc<Self> {
         Self::new(outgoing, 0, true)
     }
 
-    /// A channel to the predecessor, which uses so many descriptors, and serves until it says otherwise.
+    /// Creates the channel to the predecessor, which has `descriptors_in_use` descriptors open and accepts
+    /// clients until it reports otherwise.
     pub fn to_predecessor(
         outgoing: mpsc::UnboundedSender<UpgradeMessage>,
         descriptors_in_use: usize,
@@ -138,11 +139,11 @@
             serves: Cell::new(!is_successor),
             is_successor,
             next_number: Cell::new(0),
-            awaited: RefCell::default(),
+            pending_acks: RefCell::default(),
         })
     }
 
-    /// Whether the other process accepts clients, so that this one may end.
+    /// Returns whether the other process accepts clients, so that this one may end.
     pub fn serves(&self) -> bool {
         self.serves.get()
     }
@@ -152,35 +153,35 @@
         self.serves.set(serves);
     }
 
-    /// Expects an acknowledgement under a new number.
+    /// Allocates a number and registers a pending acknowledgement for it.
     pub fn expect_ack(self: &Rc<Self>) -> PendingAck {
         let number = self.next_number.replace(self.next_number.get() + 1);
         let (sender, acknowledged) = oneshot::channel();
-        self.awaited.borrow_mut().insert(number, sender);
+        self.pending_acks.borrow_mut().insert(number, sender);
         PendingAck { channel: self.clone(), number, acknowledged }
     }
 
-    /// Records an acknowledgement; nobody may await it any more.
+    /// Completes a pending acknowledgement; does nothing if it is no longer awaited.
     pub fn on_ack(&self, number: u64) {
-        let awaited = self.awaited.borrow_mut().remove(&number);
-        awaited.map(|awaited| awaited.send(()));
+        let pending = self.pending_acks.borrow_mut().remove(&number);
+        pending.map(|pending| pending.send(()));
     }
 
-    /// Ends the waiting for acknowledgements: the other process has ended.
+    /// Fails all pending acknowledgements after the other process has ended.
     pub fn close(&self) {
-        self.awaited.borrow_mut().clear();
+        self.pending_acks.borrow_mut().clear();
     }
 
-    /// Sends a message; it is lost where the other process has ended.
+    /// Queues a message; it is lost if the other process has ended.
     pub fn send(&self, message: UpgradeMessage) {
         let _ended = self.outgoing.send(message);
     }
 
-    /// Sends a message and waits for its acknowledgement, but no longer than [`MESSAGE_TIMEOUT`]: a call of operators must
-    /// be answered.
+    /// Sends a message and waits for its acknowledgement, for [`MESSAGE_TIMEOUT`] at most: the admin request
+    /// that caused it must be answered.
     async fn request(self: &Rc<Self>, message: impl FnOnce(u64) -> UpgradeMessage) {
         let mut ack = self.expect_ack();
-        // Where the channel is broken the other process has ended, and nothing will be acknowledged.
+        // A failed send means that the other process has ended and will not acknowledge.
         let sent = self.outgoing.send(message(ack.number)).is_ok();
         if sent && timeout(MESSAGE_TIMEOUT, ack.acknowledged()).await.is_err() {
             let timeout_ms = MESSAGE_TIMEOUT.as_millis();
@@ -188,7 +189,8 @@
         }
     }
 
-    /// Sends the maintenance state of a host; it is in force at the other process once this returns.
+    /// Sends a host's maintenance state; the other process has applied it when this returns, unless it timed
+    /// out or ended.
     pub async fn send_host_maintenance(self: &Rc<Self>, host: &str, state: MaintenanceState) {
         self.request(|number| UpgradeMessage::HostMaintenance { number, host: host.to_owned(), state }).await;
     }
@@ -198,17 +200,17 @@
         self.send(UpgradeMessage::RequestId(String::from_utf8_lossy(id).into_owned()));
     }
 
-    /// Sends that this process accepts no more clients.
+    /// Reports that this process accepts no more clients.
     pub fn send_stopped_accepting(&self) {
         self.send(UpgradeMessage::StoppedAccepting);
     }
 
-    /// Requests the listener for clients. It has been sent once this returns, or will not be.
+    /// Requests the listener for clients. When this returns, it has been sent or will not be sent.
     pub async fn request_listener(self: &Rc<Self>) {
         self.request(|number| UpgradeMessage::ShareListener { number }).await;
     }
 
-    /// Sends that this process accepts clients.
+    /// Reports that this process accepts clients.
     pub async fn send_ready(self: &Rc<Self>) {
         self.request(|number| UpgradeMessage::Ready { number }).await;
     }
--- a/crates/alderstile-node/src/lifecycle/upgrade_state.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -1,4 +1,4 @@
-//! What a process tells its successor, so that both are one node; pure.
+//! The state that a process sends to its successor, so that both act as one node. No I/O.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,41 +10,42 @@
 use crate::admin::maintenance_store::MaintenanceState;
 use crate::discovery::endpoint_list::EndpointList;
 
-/// The state of the predecessor, as its first message tells it. The names on the wire are those of the first version.
+/// The predecessor's state, as sent in its first message. The names on the wire are those of the first
+/// version.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct UpgradeState {
     /// The version of the channel's messages.
     pub version: u32,
     /// The node's name.
     pub name: String,
-    /// The configuration in force, without the cached list.
+    /// The active configuration, without the cached endpoint list.
     pub config: Value,
-    /// The address of discovery.
+    /// The address of discovery that the predecessor uses.
     pub discovery: Option<SocketAddr>,
-    /// The endpoint list, complete.
+    /// The complete endpoint list.
     #[serde(rename = "list")]
     pub endpoints: EndpointList,
-    /// The maintenance states of the hosts that operators have named.
+    /// The maintenance states that operators have set, by host.
     #[serde(rename = "hosts")]
     pub host_maintenance: BTreeMap<String, MaintenanceState>,
-    /// Ids of requests that are open, or ended recently.
+    /// Ids of requests that are open or ended recently.
     #[serde(rename = "ids")]
     pub request_ids: Vec<String>,
-    /// The number of descriptors in use.
+    /// The number of descriptors that the predecessor has open.
     #[serde(rename = "held")]
     pub descriptors_in_use: usize,
-    /// What was counted for the retry budget. None where that is not known, as from a process of an older version.
+    /// The buckets of the retry budget; `None` if unknown, as from a process of an older version.
     #[serde(rename = "spent", default)]
     pub retry_budget: Option<Vec<RetryBudgetAges>>,
-    /// What remains of the lease on the endpoint list, in microseconds. None where that is not known.
+    /// The remaining lease on the endpoint list, in microseconds; `None` if unknown.
     #[serde(rename = "lease_left", default)]
     pub lease_remaining_us: Option<u64>,
-    /// This node as a member of its cluster, where it is one.
+    /// The node's identity in its cluster, if it is a member of one.
     #[serde(default)]
     pub member: Option<MemberIdentity>,
 }
 
-/// A bucket of the retry budget's window, with ages in place of times; on the wire an array in this order.
+/// A bucket of the retry budget's window with ages instead of times; on the wire an array in this order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u64, u64, u32, u32)", into = "(u64, u64, u32, u32)")]
 pub struct RetryBudgetAges {
@@ -52,9 +53,9 @@
     pub first_event_us: u64,
     /// The age of its last event, in microseconds.
     pub last_event_us: u64,
-    /// Requests admitted.
+    /// The number of requests admitted.
     pub admitted: u32,
-    /// Retries made.
+    /// The number of retries made.
     pub retries: u32,
 }
 
@@ -92,16 +93,17 @@
     }
 }
 
-/// What a process needs to continue as the same member of the cluster.
+/// The state with which a process continues as the same member of the cluster.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct MemberIdentity {
-    /// The member's session.
-    pub session: u64,
+    /// The id of the member's instance.
+    #[serde(rename = "session")]
+    pub instance: u64,
     /// The incarnation of its last record about itself.
     pub incarnation: u64,
     /// The counter of its last datagram.
     pub counter: u64,
-    /// Addresses of members that are alive.
+    /// The addresses of members that are alive.
     #[serde(rename = "known")]
     pub alive_members: Vec<SocketAddr>,
 }
--- a/crates/alderstile-node/src/main.rs
+++ b/crates/alderstile-node/src/main.rs
@@ -1,34 +1,34 @@
-//! The command line: its arguments, the log, and the exit codes.
+//! The command line: arguments, log setup and exit codes.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use alderstile_node::commands::{CommandError, Files, check_config, members, serve, settings};
+use alderstile_node::commands::{CommandError, FilePaths, check_config, members, serve, settings};
 use clap::{Parser, Subcommand, ValueEnum};
 use tracing::error;
 use tracing_subscriber::EnvFilter;
 
 /// Exit code of a command that failed.
 const FAILED: u8 = 1;
-/// Exit code of `settings` where the input is at fault.
-const FAULTY_INPUT: u8 = 2;
+/// Exit code of `settings` for invalid input.
+const INVALID_INPUT: u8 = 2;
 
 /// alderstile balances long-lived connections over hosts
 ///
-/// The configuration is a JSON file: the one that --config or ROUTER_CONFIG names. ROUTER_NAME, ROUTER_LISTEN and
-/// ROUTER_DISCOVERY stand above its name, listen and discovery, ROUTER_ADMIN_ADDR above its admin_addr; at a reload the file's
-/// discovery counts. RUST_LOG sets what is logged (info if not set).
+/// The configuration is the JSON file named by --config or ROUTER_CONFIG. ROUTER_NAME, ROUTER_LISTEN,
+/// ROUTER_DISCOVERY and ROUTER_ADMIN_ADDR override its keys name, listen, discovery and admin_addr; a reload
+/// uses the file's discovery. RUST_LOG sets the log filter (default: info).
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// How log lines look, on standard error
+    /// Format of the log on standard error
     #[arg(long, value_enum, default_value = "text", global = true)]
     log_format: LogFormat,
-    /// The configuration's file
+    /// Path of the configuration file
     #[arg(long, global = true)]
     config: Option<PathBuf>,
-    /// The cluster's file; without it the node knows of no others
+    /// Path of the cluster file; without it the node is not a member of a cluster
     #[arg(long, global = true)]
     cluster: Option<PathBuf>,
     #[command(subcommand)]
@@ -45,26 +45,27 @@
 enum Command {
     /// Serve clients until SIGTERM or SIGINT
     ///
-    /// Then all of them are told to move, or passed on to a process started beside this one; SIGHUP reads the configuration again.
+    /// On SIGTERM or SIGINT all clients are migrated, or handed over to a new process of this node. SIGHUP
+    /// reloads the configuration.
     Serve,
-    /// Read and check the configuration, and say what is wrong with it
+    /// Validate the configuration and the cluster file
     CheckConfig,
-    /// Show the members of the cluster, as a running node sees them
+    /// Show the members of the cluster as a running node sees them
     Members {
-        /// The node's operators' address; without, the configuration's
+        /// Address of the node's admin server [default: the configuration's]
         #[arg(long)]
         admin: Option<SocketAddr>,
-        /// As the node tells it, one JSON object
+        /// Print the node's response, one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Settings that all nodes of the cluster agree on
+    /// Show or change the configuration that all nodes of the cluster share
     Settings {
-        /// A node's operators' address; without, the configuration's
+        /// Address of a node's admin server [default: the configuration's]
         #[arg(long, global = true)]
         admin: Option<SocketAddr>,
         #[command(subcommand)]
-        what: SettingsCommand,
+        command: SettingsCommand,
     },
     /// Print the version
     Version,
@@ -72,30 +73,32 @@
 
 #[derive(Subcommand)]
 enum SettingsCommand {
-    /// Show the version in force at a node, and its document
+    /// Show a node's active version and its document
     Show,
-    /// Propose a document (JSON: settings, hosts_out) as the next version, and print its number
+    /// Propose a document (JSON with the keys settings and hosts_out) as the next version, and print its
+    /// number
     Propose {
-        /// The document
+        /// Path of the document
         file: PathBuf,
-        /// The version that it is to follow: another one in force turns it down; without, the one that the node knows now
+        /// Version that the document must follow: the proposal is rejected if another one is the latest
+        /// [default: the latest that the node knows]
         #[arg(long)]
         expect: Option<u64>,
     },
-    /// Begin a voter's memory, before its very first start
+    /// Initialize a voter's state before its very first start
     Init,
 }
 
 fn main() -> ExitCode {
     let args = Args::parse();
     start_log(args.log_format);
-    let files = Files { config: args.config.as_deref(), cluster: args.cluster.as_deref() };
+    let files = FilePaths { config: args.config.as_deref(), cluster: args.cluster.as_deref() };
     match args.command {
         Command::Serve => finish(serve::run(files).map(|()| String::new()), |_| FAILED),
-        Command::CheckConfig => finish(check_config::run(files).map(line), |_| FAILED),
+        Command::CheckConfig => finish(check_config::run(files).map(with_newline), |_| FAILED),
         Command::Members { admin, json } => finish(members::run(files, admin, json), |_| FAILED),
-        Command::Settings { admin, what } => {
-            finish(run_settings(files, admin, what).map(line), settings_exit_code)
+        Command::Settings { admin, command } => {
+            finish(run_settings(files, admin, command).map(with_newline), settings_exit_code)
         }
         Command::Version => {
             println!("alderstile {}", env!("CARGO_PKG_VERSION"));
@@ -108,14 +111,14 @@
     let filter = EnvFilter::try_from_default_env().unwrap_or_else(|_| EnvFilter::new("info"));
     let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr);
     match format {
-        // The platform's log has a time of its own.
+        // The platform's log adds timestamps.
         LogFormat::Text => log.with_ansi(false).without_time().init(),
         LogFormat::Json => log.json().init(),
     }
 }
 
 fn run_settings(
-    files: Files<'_>,
+    files: FilePaths<'_>,
     admin: Option<SocketAddr>,
     command: SettingsCommand,
 ) -> Result<String, CommandError> {
@@ -127,14 +130,14 @@
 }
 
 fn settings_exit_code(error: &CommandError) -> u8 {
-    if error.is_faulty_input() { FAULTY_INPUT } else { FAILED }
+    if error.is_invalid_input() { INVALID_INPUT } else { FAILED }
 }
 
-fn line(text: String) -> String {
+fn with_newline(text: String) -> String {
     text + "\n"
 }
 
-/// Prints what a command says, or logs why it failed.
+/// Prints a command's output, or logs its error; returns the exit code.
 fn finish<E: std::error::Error>(result: Result<String, E>, exit_code: impl Fn(&E) -> u8) -> ExitCode {
     match result {
         Ok(text) => {
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! What operators and deployments of cc53de7 rely on: the configuration's and the cluster file's keys, the maintenance
-//! file, the admin interface's answers, the metrics' names and the command line's output.
+//! What operators and deployments of cc53de7 rely on: the configuration's and the cluster file's keys, the
+//! maintenance file, the admin interface's answers, the metrics' names and the command line's output.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -68,8 +68,8 @@
         value.as_object_mut().and_then(|fields| fields.remove(key));
     }
     value["settings"]["obligations"].as_object_mut().and_then(|fields| fields.remove("must_ask_in"));
-    // A node that never watched, or watched without a pause, would be of no use on sockets. Where lists are pushed its own
-    // agent is asked, and what that has counts at once.
+    // A node that never watched, or watched without a pause, would be of no use on sockets. Where lists are
+    // pushed its own agent is asked, and what that has counts at once.
     for (discovery, wanted) in [("subscribe", 10_000_000), ("automatic", 200_000)] {
         value["settings"]["discovery"] = discovery.into();
         let config = Config::parse(value.clone()).expect("fine");
--- a/crates/alderstile-node/tests/shutdown.rs
+++ b/crates/alderstile-node/tests/shutdown.rs
@@ -36,8 +36,8 @@
 
 #[test]
 fn who_waits_at_the_door_when_a_stop_ends_is_answered() {
-    // Found in the lab (rolling, seed 4): a client whose connection the system had taken in during the last millisecond
-    // of a stop was closed with no answer.
+    // Found in the lab (rolling, seed 4): a client whose connection the system had taken in during the last
+    // millisecond of a stop was closed with no answer.
     run(async {
         let setup = start(|config| config["settings"]["classes"][0]["give_up"] = json!(1000)).await;
         // With nobody to be moved it ends half-way.
--- a/crates/alderstile-node/tests/support/fleet.rs
+++ b/crates/alderstile-node/tests/support/fleet.rs
@@ -125,7 +125,8 @@
         (out.status.code(), text)
     }
 
-    /// Proposes until it is agreed on: a leader may have to be elected, or the version before to count, first.
+    /// Proposes until it is agreed on: a leader may have to be elected, or the version before to count,
+    /// first.
     pub fn commit(&self, n: u8, document: &Value) -> u64 {
         let began = Instant::now();
         loop {
--- a/crates/alderstile-node/tests/support/processes.rs
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -139,7 +139,8 @@
     pub other: Vec<String>,
 }
 
-/// Comes as a client does, one after the other, until told to stop; each stays until it is moved or for a while.
+/// Comes as a client does, one after the other, until told to stop; each stays until it is moved or for a
+/// while.
 pub fn clients(address: SocketAddr, seen: Rc<RefCell<Seen>>, stop: Rc<std::cell::Cell<bool>>, lane: u64) {
     spawn_local(async move {
         for number in 0.. {
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -43,7 +43,8 @@
         assert_eq!(old.figure("hosts_down").await, 2);
         assert_eq!(old.call("POST", "/control/hosts/s-2/online").await.expect("an answer").0, 200);
         assert_eq!(new.figure("hosts_down").await, 1);
-        // From one queue, which outlives the old process: with two, what is on its way to the old one's would be reset.
+        // From one queue, which outlives the old process: with two, what is on its way to the old one's would
+        // be reset.
         let port = format!(":{:04X}", address.port());
         let sockets = std::fs::read_to_string("/proc/net/tcp").expect("the system's sockets");
         let listens = |line: &&str| {
@@ -274,8 +275,8 @@
 
 #[test]
 fn a_successor_that_dies_with_connections_unread_costs_them_no_more_than_a_move() {
-    // The system closes what lies unread at a process that ends: the one before holds both sides until it is told that
-    // they have been taken.
+    // The system closes what lies unread at a process that ends: the one before holds both sides until it is
+    // told that they have been taken.
     run(async {
         let (dir, discovery) = (folder("unread"), Discovery::new().await);
         let value = replaceable(&discovery).await;
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -84,7 +84,7 @@
     assert_eq!(hello.retry_budget, Some(vec![(11, 22, 33, 4).into(), (55, 66, 77, 8).into()]));
     assert_eq!(hello.lease_remaining_us, Some(5_250_000));
     let member = hello.member.expect("a member");
-    assert_eq!((member.session, member.incarnation, member.counter), (0x1122_3344_5566_7788, 9, 1234));
+    assert_eq!((member.instance, member.incarnation, member.counter), (0x1122_3344_5566_7788, 9, 1234));
     let known = ["127.0.0.1:7946", "[::1]:7947"].map(|address| address.parse().expect("an address"));
     assert_eq!(member.alive_members, known);
 }
@@ -267,8 +267,8 @@
         assert_eq!(old.call("POST", "/control/hosts/s-4/online").await.expect("an answer").0, 200);
         assert_eq!(new.figure("hosts_down").await, 1);
         stop(old).await;
-        // The new one takes what the old one sent last for 300 ms, and then removes the socket's path by its name: a
-        // further process that has bound it meanwhile is passed no connections, and they are moved.
+        // The new one takes what the old one sent last for 300 ms, and then removes the socket's path by its
+        // name: a further process that has bound it meanwhile is passed no connections, and they are moved.
         sleep(Duration::from_millis(600)).await;
         let back = Process::start_program(&before, &value, &dir).await;
         back.until_ready().await;
--- a/crates/alderstile-sim-adapter/src/instances.rs
+++ b/crates/alderstile-sim-adapter/src/instances.rs
@@ -57,7 +57,8 @@
     ///
     /// # Errors
     ///
-    /// [`AdapterError::Wire`] for a malformed record, [`AdapterError::Settings`] for settings that cannot be used.
+    /// [`AdapterError::Wire`] for a malformed record, [`AdapterError::Settings`] for settings that cannot be
+    /// used.
     pub fn handle_batch(&mut self, header: &Header, body: &[u8]) -> Result<&[u8], AdapterError> {
         self.reply.begin(header.batch);
         let mut records = Records::new(*header, body);
--- a/crates/alderstile-sim-adapter/src/wire/mod.rs
+++ b/crates/alderstile-sim-adapter/src/wire/mod.rs
@@ -1,7 +1,8 @@
 //! The simulator's wire: little-endian, unpadded frames of a header and records.
 //!
-//! A batch holds what happened at one moment, for any number of instances; its reply holds their actions. The record
-//! codes and the order of fields are the wire's; the names here are the terms of [`alderstile::types`].
+//! A batch holds what happened at one moment, for any number of instances; its reply holds their actions. The
+//! record codes and the order of fields are the wire's; the names here are the terms of
+//! [`alderstile::types`].
 
 mod decode;
 mod error;
--- a/crates/alderstile-sim-adapter/tests/settings.rs
+++ b/crates/alderstile-sim-adapter/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Each setting that a deployment states reaches the decisions: the first messages of three of them, as they came.
+//! Each setting that a deployment states reaches the decisions: the first messages of three of them, as they
+//! came.
 
 use alderstile::settings::{self, SettingValues, SettingsError};
 use alderstile::types::*;
