--- a/crates/alderstile-sim-adapter/src/instances.rs
+++ b/crates/alderstile-sim-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of the decisions in this process; they share nothing.
+//! The policy instances of this process, which share no state.
 
 use std::collections::BTreeMap;
 
@@ -9,42 +9,42 @@
 
 use crate::wire::{Header, Record, RecordBody, Records, Reply, WireError};
 
-/// Why the adapter cannot go on.
+/// Why the adapter stops.
 #[derive(Debug, Error)]
 pub enum AdapterError {
     /// A frame is malformed.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// The input ends inside a header.
-    #[error("the input ends inside a batch's header, after {got} bytes")]
-    HeaderCutOff {
-        /// The number of bytes before the end.
-        got: usize,
+    /// The input ends inside a batch's header.
+    #[error("input ended inside a batch header, after {bytes_read} bytes")]
+    TruncatedHeader {
+        /// The number of bytes read of the header.
+        bytes_read: usize,
     },
     /// The input ends inside a batch.
-    #[error("batch {batch}, offset {offset}: the input ends inside the batch")]
-    CutOff {
-        /// The batch.
+    #[error("batch {batch}, offset {offset}: input ended inside the batch")]
+    Truncated {
+        /// The number of the batch.
         batch: u32,
-        /// Where it ends, in bytes from the start of the frame.
+        /// The position of the input's end, in bytes from the start of the frame.
         offset: usize,
     },
-    /// An instance was given settings that cannot be used.
-    #[error("batch {batch}, instance {instance}: settings: {error}")]
+    /// An instance is started with invalid settings.
+    #[error("batch {batch}, instance {instance}: invalid settings: {error}")]
     Settings {
-        /// The batch.
+        /// The number of the batch.
         batch: u32,
-        /// The instance.
+        /// The number of the instance.
         instance: u16,
-        /// What is wrong.
+        /// Why the settings are rejected.
         error: SettingsError,
     },
     /// Reading or writing failed.
-    #[error("input or output failed: {0}")]
+    #[error("input/output failed: {0}")]
     Io(#[from] std::io::Error),
 }
 
-/// All instances of this process, by their numbers.
+/// All policy instances of this process, by number.
 #[derive(Default)]
 pub struct Instances {
     policies: BTreeMap<u16, Policy>,
@@ -57,8 +57,8 @@
     ///
     /// # Errors
     ///
-    /// [`AdapterError::Wire`] for a malformed record, [`AdapterError::Settings`] for settings that cannot be
-    /// used.
+    /// Returns [`AdapterError::Wire`] for a malformed record and [`AdapterError::Settings`] for invalid
+    /// settings.
     pub fn handle_batch(&mut self, header: &Header, body: &[u8]) -> Result<&[u8], AdapterError> {
         self.reply.begin(header.batch);
         let mut records = Records::new(*header, body);
@@ -71,8 +71,8 @@
     fn handle_record(&mut self, header: &Header, record: Record) -> Result<(), AdapterError> {
         let instance = record.instance;
         match record.body {
-            RecordBody::Launch { seed, settings } => self.launch(header, instance, seed, &settings)?,
-            RecordBody::PowerOff => {
+            RecordBody::Start { seed, settings } => self.start(header, instance, seed, &settings)?,
+            RecordBody::Stop => {
                 self.policies.remove(&instance);
             }
             RecordBody::Event(event) => {
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    fn launch(
+    fn start(
         &mut self,
         header: &Header,
         instance: u16,
--- a/crates/alderstile-sim-adapter/src/lib.rs
+++ b/crates/alderstile-sim-adapter/src/lib.rs
@@ -1,6 +1,7 @@
-//! The simulator's adapter: runs many instances of the alderstile decisions behind the simulator's wire.
+//! Simulator adapter: runs many instances of the alderstile policy behind the simulator's wire protocol.
 //!
-//! [`wire`] reads batches and writes replies, [`instances`] keeps the instances. Neither decides anything.
+//! [`wire`] decodes batches and encodes replies, [`instances`] holds the instances. Neither makes decisions
+//! itself.
 
 pub mod instances;
 pub mod wire;
--- a/crates/alderstile-sim-adapter/src/main.rs
+++ b/crates/alderstile-sim-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Reads batches from standard input and answers each on standard output until the input ends.
+//! The adapter program: reads batches from standard input and writes a reply to each to standard output.
 
 use std::io::{self, Read, Write};
 use std::process::ExitCode;
@@ -25,26 +25,29 @@
     while let Some(head) = read_header(&mut input)? {
         let header = Header::parse(&head)?;
         body.clear();
-        // Read piece by piece: the stated length alone must not cost memory.
-        let got = input.by_ref().take(header.body_len()).read_to_end(&mut body)?;
-        if (got as u64) < header.body_len() {
-            return Err(AdapterError::CutOff { batch: header.batch, offset: wire::HEADER_LEN + got });
+        // Reads in pieces instead of allocating the stated length, which may be wrong.
+        let bytes_read = input.by_ref().take(header.body_len()).read_to_end(&mut body)?;
+        if (bytes_read as u64) < header.body_len() {
+            return Err(AdapterError::Truncated {
+                batch: header.batch,
+                offset: wire::HEADER_LEN + bytes_read,
+            });
         }
         output.write_all(instances.handle_batch(&header, &body)?)?;
         output.flush()?;
         batches += 1;
     }
-    info!("end of input after {batches} batches");
+    info!("input ended after {batches} batches");
     Ok(())
 }
 
-/// The bytes of the next header, or none at the end of input.
+/// Reads the next header; returns `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; wire::HEADER_LEN]>, AdapterError> {
     let mut head = Vec::with_capacity(wire::HEADER_LEN);
     input.by_ref().take(wire::HEADER_LEN as u64).read_to_end(&mut head)?;
     match <[u8; wire::HEADER_LEN]>::try_from(head.as_slice()) {
         Ok(head) => Ok(Some(head)),
         Err(_) if head.is_empty() => Ok(None),
-        Err(_) => Err(AdapterError::HeaderCutOff { got: head.len() }),
+        Err(_) => Err(AdapterError::TruncatedHeader { bytes_read: head.len() }),
     }
 }
--- a/crates/alderstile-sim-adapter/src/wire/decode.rs
+++ b/crates/alderstile-sim-adapter/src/wire/decode.rs
@@ -1,4 +1,4 @@
-//! Decoder of a batch's records.
+//! Decodes the records of a batch.
 
 use alderstile::types::{
     Endpoint, EndpointListKind, EndpointState, Event, GroupId, Micros, Outcome, Request, RequestId, ServerId,
@@ -11,37 +11,37 @@
 use super::error::{RecordError, WireError};
 use super::header::{HEADER_LEN, Header};
 
-/// Flag of a request that states its expected load.
+/// Request flag: the request states its expected load.
 const FLAG_HAS_EXPECTED_LOAD: u16 = 1;
-/// Flag of packets of a connection that some server already holds.
+/// Request flag: the packet belongs to a connection that a server already has.
 const FLAG_MID_FLOW: u16 = 8;
 
 /// One record of a batch.
 #[derive(Debug)]
 pub struct Record {
-    /// The instance that it is for.
+    /// The number of the instance that the record is for.
     pub instance: u16,
-    /// What happened.
+    /// What the record tells the instance.
     pub body: RecordBody,
 }
 
-/// What a record holds.
+/// The content of a record.
 #[derive(Debug)]
 pub enum RecordBody {
-    /// An instance starts.
-    Launch {
-        /// The seed of its random numbers.
+    /// The instance starts.
+    Start {
+        /// The seed of the instance's random numbers.
         seed: u64,
-        /// Its settings, as lines of `path=value`.
+        /// The instance's settings, as lines of `path=value`.
         settings: String,
     },
-    /// An instance ends.
-    PowerOff,
-    /// An event for the decisions of an instance.
+    /// The instance stops.
+    Stop,
+    /// An event for the instance's policy.
     Event(Event),
 }
 
-/// The result of parsing a part of a record.
+/// The result of parsing a record or one of its fields.
 type Parsed<T> = Result<T, RecordError>;
 
 /// Iterates over the records of a batch.
@@ -53,30 +53,35 @@
 }
 
 impl<'a> Records<'a> {
-    /// Begins with the bytes after the header.
+    /// Creates an iterator over the records in `body`, the bytes after the header.
     pub fn new(header: Header, body: &'a [u8]) -> Self {
         Records { header, input: body, remaining: header.records, body_len: body.len() }
     }
 
-    /// The position from the start of the frame, in bytes.
+    /// Returns the current position, in bytes from the start of the frame.
     fn offset(&self) -> usize {
         HEADER_LEN + self.body_len - self.input.len()
     }
 
-    /// The next record; none after the last.
+    /// Decodes the next record; returns `None` after the last one.
     ///
     /// # Errors
     ///
-    /// [`WireError::BadRecord`] for a malformed record, [`WireError::LeftOver`] for bytes after the last one.
+    /// Returns [`WireError::InvalidRecord`] for a malformed record and [`WireError::TrailingBytes`] for bytes
+    /// after the last one.
     pub fn next_record(&mut self) -> Result<Option<Record>, WireError> {
         let (batch, offset) = (self.header.batch, self.offset());
         if self.remaining == 0 {
-            let left = self.input.len();
-            return if left == 0 { Ok(None) } else { Err(WireError::LeftOver { batch, offset, left }) };
+            let trailing = self.input.len();
+            return if trailing == 0 {
+                Ok(None)
+            } else {
+                Err(WireError::TrailingBytes { batch, offset, trailing })
+            };
         }
         self.remaining -= 1;
         let parsed = record(&mut self.input);
-        parsed.map(Some).map_err(|error| WireError::BadRecord { batch, offset, error })
+        parsed.map(Some).map_err(|error| WireError::InvalidRecord { batch, offset, error })
     }
 }
 
@@ -88,8 +93,8 @@
         3 => RecordBody::Event(load_signal(input)?),
         4 => RecordBody::Event(Event::ClientDisconnected(RequestId(le_u64.parse_next(input)?))),
         5 => RecordBody::Event(ended(input)?),
-        6 => launch(input)?,
-        7 => RecordBody::PowerOff,
+        6 => start(input)?,
+        7 => RecordBody::Stop,
         8 => RecordBody::Event(probe_completed(input)?),
         9 => RecordBody::Event(request(input)?),
         10 => RecordBody::Event(existing_connection(input)?),
@@ -100,14 +105,14 @@
     Ok(Record { instance, body })
 }
 
-fn launch(input: &mut &[u8]) -> Parsed<RecordBody> {
+fn start(input: &mut &[u8]) -> Parsed<RecordBody> {
     let seed = le_u64.parse_next(input)?;
     let settings: &[u8] = length_take(le_u32).parse_next(input)?;
     let settings = std::str::from_utf8(settings).map_err(|_| RecordError::SettingsNotUtf8)?;
-    Ok(RecordBody::Launch { seed, settings: settings.to_owned() })
+    Ok(RecordBody::Start { seed, settings: settings.to_owned() })
 }
 
-/// An IPv4 address and a port, kept as one number in that order.
+/// Parses an IPv4 address and a port into a server id: the port is the low 16 bits, the address those above.
 fn server(input: &mut &[u8]) -> Parsed<ServerId> {
     let (address, port): (&[u8], u16) = (take(4usize), le_u16).parse_next(input)?;
     let address = address.iter().fold(0u64, |id, byte| id << 8 | u64::from(*byte));
@@ -137,7 +142,7 @@
         3 => EndpointListKind::Failed,
         _ => return Err(RecordError::UnknownListKind),
     };
-    // Not allocated ahead: the stated count alone must not cost memory.
+    // Grows with the input instead of allocating for the stated count, which may be wrong.
     let mut endpoints = Vec::new();
     for _ in 0..count {
         endpoints.push(endpoint(input)?);
@@ -145,7 +150,7 @@
     Ok(Event::EndpointList(kind, endpoints))
 }
 
-/// The fields that requests and existing connections have in common; zero stands for an absent value.
+/// The fields that requests and existing connections have in common; a zero means that the value is absent.
 struct RequestFields {
     id: u64,
     group: u64,
--- a/crates/alderstile-sim-adapter/src/wire/error.rs
+++ b/crates/alderstile-sim-adapter/src/wire/error.rs
@@ -1,74 +1,75 @@
-//! Errors of malformed frames.
+//! Errors for malformed frames.
 
 use thiserror::Error;
 use winnow::error::ParserError;
 use winnow::stream::Stream;
 
-/// Why a frame cannot be read.
+/// Why a frame is rejected.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum WireError {
-    /// The header states a length that no frame has.
-    #[error("batch {batch}, offset 12: a frame length of {len} bytes is out of range")]
-    BadLength {
-        /// The batch.
+    /// The header states an invalid frame length.
+    #[error("batch {batch}, offset 12: frame length of {len} bytes out of range")]
+    InvalidLength {
+        /// The number of the batch.
         batch: u32,
         /// The stated length, in bytes.
         len: u32,
     },
-    /// A record is cut off, unknown or out of range.
+    /// A record is truncated, unknown or has a field out of range.
     #[error("batch {batch}, offset {offset}: {error}")]
-    BadRecord {
-        /// The batch.
+    InvalidRecord {
+        /// The number of the batch.
         batch: u32,
-        /// Where the record begins, in bytes from the start of the frame.
+        /// The position of the record, in bytes from the start of the frame.
         offset: usize,
-        /// What is wrong with it.
+        /// Why the record is rejected.
         error: RecordError,
     },
-    /// Bytes are left after the stated number of records.
-    #[error("batch {batch}, offset {offset}: {left} bytes left after the last record")]
-    LeftOver {
-        /// The batch.
+    /// Bytes follow the stated number of records.
+    #[error("batch {batch}, offset {offset}: {trailing} trailing bytes after the last record")]
+    TrailingBytes {
+        /// The number of the batch.
         batch: u32,
-        /// Where they begin, in bytes from the start of the frame.
+        /// The position of the first trailing byte, in bytes from the start of the frame.
         offset: usize,
-        /// How many bytes.
-        left: usize,
+        /// The number of trailing bytes.
+        trailing: usize,
     },
 }
 
-/// What is wrong with a record.
+/// Why a record is rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum RecordError {
-    /// The frame ends inside it.
-    #[error("the frame ends inside a record")]
-    CutOff,
-    /// No record has this code.
+    /// The frame ends inside the record.
+    #[error("frame ends inside the record")]
+    Truncated,
+    /// The record code is unknown.
     #[error("unknown record code")]
     UnknownCode,
-    /// The settings are not text.
-    #[error("settings that are not UTF-8")]
+    /// The settings are not valid UTF-8.
+    #[error("settings are not valid UTF-8")]
     SettingsNotUtf8,
-    /// No server has this state.
+    /// The server state is unknown.
     #[error("unknown server state")]
     UnknownServerState,
-    /// There is no such kind of endpoint list.
+    /// The kind of endpoint list is unknown.
     #[error("unknown list kind")]
     UnknownListKind,
-    /// There is no such kind of load signal.
-    #[error("unknown note")]
+    /// The kind of load signal is unknown.
+    #[error("unknown load signal")]
     UnknownLoadSignal,
-    /// There is no such outcome.
+    /// The outcome is unknown.
     #[error("unknown outcome")]
     UnknownOutcome,
 }
 
-/// All fields accept any bytes: where one cannot be parsed, the frame ends inside it.
+/// The parsers of all fields accept any bytes, so a failure always means that the frame ends inside the
+/// field.
 impl<I: Stream> ParserError<I> for RecordError {
     type Inner = Self;
 
     fn from_input(_input: &I) -> Self {
-        RecordError::CutOff
+        RecordError::Truncated
     }
 
     fn into_inner(self) -> Result<Self::Inner, Self> {
--- a/crates/alderstile-sim-adapter/src/wire/mod.rs
+++ b/crates/alderstile-sim-adapter/src/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's wire: little-endian, unpadded frames of a header and records.
+//! The simulator's wire protocol: little-endian, unpadded frames of a header and records.
 //!
-//! A batch holds what happened at one moment, for any number of instances; its reply holds their actions. The
-//! record codes and the order of fields are the wire's; the names here are the terms of
+//! A batch contains the events of one point in time for any number of instances; its reply contains their
+//! actions. The simulator defines the record codes and the order of fields; the names here are those of
 //! [`alderstile::types`].
 
 mod decode;
--- a/crates/alderstile-sim-adapter/src/wire/reply.rs
+++ b/crates/alderstile-sim-adapter/src/wire/reply.rs
@@ -1,9 +1,9 @@
-//! Encoder of a batch's reply.
+//! Encodes the reply to a batch.
 
 use alderstile::types::{Action, Micros, RequestId, ServerId};
 use bytes::{BufMut, BytesMut};
 
-/// Codes of the records of a reply.
+/// Record codes of a reply.
 mod code {
     pub const MIGRATE: u8 = 2;
     pub const REJECT: u8 = 3;
@@ -16,9 +16,9 @@
     pub const FORWARD: u8 = 13;
 }
 
-/// The field of a peer message that addresses all other nodes.
+/// The recipient field of a peer message to all other nodes.
 const ALL_PEERS: u32 = u32::MAX;
-/// The field of an endpoint watch that turns it on.
+/// The field of an endpoint watch that enables it.
 const WATCH_ON: u8 = 1;
 
 /// Builds the reply to one batch.
@@ -33,29 +33,29 @@
     pub fn begin(&mut self, batch: u32) {
         self.bytes.clear();
         self.bytes.put_u32_le(batch);
-        // The number of records and the length are known in the end.
+        // The number of records and the length are filled in by `finish`.
         self.bytes.put_u64_le(0);
         self.records = 0;
     }
 
-    /// Appends an action of an instance.
+    /// Appends an instance's action.
     pub fn push(&mut self, instance: u16, action: &Action) {
         self.records += 1;
         match action {
-            Action::Forward(id, server, time_out) => {
+            Action::Forward(id, server, timeout) => {
                 self.put_request(code::FORWARD, instance, *id);
                 self.put_server(*server);
-                self.bytes.put_u32_le(time_out.map_or(0, saturated));
+                self.bytes.put_u32_le(timeout.map_or(0, to_wire_micros));
             }
             Action::Reject(id, retry_after) => {
                 self.put_request(code::REJECT, instance, *id);
-                self.bytes.put_u32_le(retry_after.map_or(0, saturated));
+                self.bytes.put_u32_le(retry_after.map_or(0, to_wire_micros));
             }
             Action::Fail(id) => self.put_request(code::FAIL, instance, *id),
             Action::Migrate(id) => self.put_request(code::MIGRATE, instance, *id),
             Action::SetTimer(after, token) => {
                 self.put_code(code::SET_TIMER, instance);
-                self.bytes.put_u32_le(saturated(*after));
+                self.bytes.put_u32_le(to_wire_micros(*after));
                 self.bytes.put_u64_le(token.0);
             }
             Action::WatchEndpoints => {
@@ -69,17 +69,17 @@
             Action::Broadcast(data) => {
                 self.put_code(code::PEER_MESSAGE, instance);
                 self.bytes.put_u32_le(ALL_PEERS);
-                self.put_counted(data);
+                self.put_length_prefixed(data);
             }
             Action::Log(server, line) => {
                 let about = server.map_or_else(String::new, |server| format!("server {server}: "));
                 self.put_code(code::LOG, instance);
-                self.put_counted(format!("{about}{line}").as_bytes());
+                self.put_length_prefixed(format!("{about}{line}").as_bytes());
             }
         }
     }
 
-    /// The finished frame.
+    /// Completes the frame and returns it.
     pub fn finish(&mut self) -> &[u8] {
         let len = u32::try_from(self.bytes.len()).unwrap_or(u32::MAX);
         self.bytes[4..8].copy_from_slice(&self.records.to_le_bytes());
@@ -103,15 +103,15 @@
         self.bytes.put_u16_le((server.0 & 0xffff) as u16);
     }
 
-    /// Appends bytes behind their count; what exceeds the count's 16 bits is cut off.
-    fn put_counted(&mut self, data: &[u8]) {
+    /// Appends data after its 16-bit length; data beyond 65535 bytes is truncated.
+    fn put_length_prefixed(&mut self, data: &[u8]) {
         let len = u16::try_from(data.len()).unwrap_or(u16::MAX);
         self.bytes.put_u16_le(len);
         self.bytes.put_slice(&data[..usize::from(len)]);
     }
 }
 
-/// A time span in the wire's 32 bits of microseconds.
-fn saturated(span: Micros) -> u32 {
+/// Converts a time span to 32 bits of microseconds, saturating at the maximum.
+fn to_wire_micros(span: Micros) -> u32 {
     u32::try_from(span.0).unwrap_or(u32::MAX)
 }
--- a/crates/alderstile-sim-adapter/tests/codec.rs
+++ b/crates/alderstile-sim-adapter/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Frames built here, read and answered by the adapter.
+//! The wire codec and the adapter program, tested with frames built here.
 
 use alderstile_sim_adapter::instances::{AdapterError, Instances};
 use alderstile_sim_adapter::wire::{HEADER_LEN, Header, RecordBody, Records, Reply, WireError};
@@ -34,35 +34,35 @@
     record
 }
 
-fn launch(instance: u16, text: &str) -> Vec<u8> {
+fn start(instance: u16, text: &str) -> Vec<u8> {
     let len = (text.len() as u32).to_le_bytes();
     record(6, instance, &[&42u64.to_le_bytes(), &len, text.as_bytes()])
 }
 
-fn entry(state: u8) -> Vec<u8> {
-    let mut entry = SERVER.to_vec();
-    entry.extend([1, 0, 0, 0, 2, 0, state]);
-    entry.extend(1.5f32.to_le_bytes());
-    entry.extend(6_100_000u64.to_le_bytes());
-    entry
+fn endpoint(state: u8) -> Vec<u8> {
+    let mut endpoint = SERVER.to_vec();
+    endpoint.extend([1, 0, 0, 0, 2, 0, state]);
+    endpoint.extend(1.5f32.to_le_bytes());
+    endpoint.extend(6_100_000u64.to_le_bytes());
+    endpoint
 }
 
-fn list(instance: u16, kind: u8, entries: &[Vec<u8>]) -> Vec<u8> {
-    let count = (entries.len() as u32).to_le_bytes();
-    record(2, instance, &[&41u32.to_le_bytes(), &[kind], &count, &entries.concat()])
+fn endpoint_list(instance: u16, kind: u8, endpoints: &[Vec<u8>]) -> Vec<u8> {
+    let count = (endpoints.len() as u32).to_le_bytes();
+    record(2, instance, &[&41u32.to_le_bytes(), &[kind], &count, &endpoints.concat()])
 }
 
-fn req(instance: u16, id: u64) -> Vec<u8> {
-    let (group, hint, class, left) = (77u64, 12_000u32, 0u16, 240_000u32);
+fn request(instance: u16, id: u64) -> Vec<u8> {
+    let (group, expected_load, class, remaining) = (77u64, 12_000u32, 0u16, 240_000u32);
     record(
         9,
         instance,
         &[
             &id.to_le_bytes(),
             &group.to_le_bytes(),
-            &hint.to_le_bytes(),
+            &expected_load.to_le_bytes(),
             &class.to_le_bytes(),
-            &left.to_le_bytes(),
+            &remaining.to_le_bytes(),
             &5u64.to_le_bytes(),
             &0u16.to_le_bytes(),
             &9u16.to_le_bytes(),
@@ -71,7 +71,7 @@
 }
 
 fn parse(frame: &[u8]) -> Result<Vec<(u16, RecordBody)>, WireError> {
-    let head: [u8; HEADER_LEN] = frame[..HEADER_LEN].try_into().expect("a whole header");
+    let head: [u8; HEADER_LEN] = frame[..HEADER_LEN].try_into().expect("a complete header");
     let mut records = Records::new(Header::parse(&head)?, &frame[HEADER_LEN..]);
     let mut all = Vec::new();
     while let Some(record) = records.next_record()? {
@@ -81,14 +81,14 @@
 }
 
 fn only_event(record: Vec<u8>) -> Event {
-    match parse(&frame(1, &[record])).expect("a sound frame").pop() {
+    match parse(&frame(1, &[record])).expect("a valid frame").pop() {
         Some((3, RecordBody::Event(event))) => event,
         other => panic!("{other:?}"),
     }
 }
 
 fn answer(instances: &mut Instances, frame: &[u8]) -> Result<Vec<u8>, AdapterError> {
-    let head: [u8; HEADER_LEN] = frame[..HEADER_LEN].try_into().expect("a whole header");
+    let head: [u8; HEADER_LEN] = frame[..HEADER_LEN].try_into().expect("a complete header");
     let header = Header::parse(&head)?;
     instances.handle_batch(&header, &frame[HEADER_LEN..]).map(<[u8]>::to_vec)
 }
@@ -96,8 +96,8 @@
 const ID: ServerId = ServerId(0x0a12_4a07_1f93);
 
 #[test]
-fn every_event_is_read_field_by_field() {
-    let Event::Request(request) = only_event(req(3, 901)) else { panic!() };
+fn every_event_is_decoded_field_by_field() {
+    let Event::Request(request) = only_event(request(3, 901)) else { panic!() };
     assert_eq!((request.id, request.class, request.remaining), (RequestId(901), 0, Micros(240_000)));
     assert_eq!(
         (request.group, request.expected_load, request.key),
@@ -105,32 +105,34 @@
     );
     assert!(request.mid_flow);
 
-    let Event::EndpointList(EndpointListKind::Cached, entries) = only_event(list(3, 2, &[entry(2)])) else {
+    let Event::EndpointList(EndpointListKind::Cached, endpoints) =
+        only_event(endpoint_list(3, 2, &[endpoint(2)]))
+    else {
         panic!()
     };
-    assert_eq!((entries[0].id, entries[0].zone, entries[0].cell), (ID, 1, 2));
-    assert_eq!((entries[0].state, entries[0].weight), (EndpointState::Draining, 1.5));
-    assert_eq!(entries[0].started, Some(Micros(6_100_000)));
+    assert_eq!((endpoints[0].id, endpoints[0].zone, endpoints[0].cell), (ID, 1, 2));
+    assert_eq!((endpoints[0].state, endpoints[0].weight), (EndpointState::Draining, 1.5));
+    assert_eq!(endpoints[0].started, Some(Micros(6_100_000)));
 
     let id = 7u64.to_le_bytes();
-    let note = |sort: u8| record(3, 3, &[&id, &0.5f32.to_le_bytes(), &[0, 0], &SERVER, &[sort]]);
-    assert!(matches!(only_event(note(1)), Event::LoadReported(RequestId(7), load) if load == 0.5));
-    assert!(matches!(only_event(note(2)), Event::DelayReported(ID, ms) if ms == 0.5));
+    let load_signal = |kind: u8| record(3, 3, &[&id, &0.5f32.to_le_bytes(), &[0, 0], &SERVER, &[kind]]);
+    assert!(matches!(only_event(load_signal(1)), Event::LoadReported(RequestId(7), load) if load == 0.5));
+    assert!(matches!(only_event(load_signal(2)), Event::DelayReported(ID, ms) if ms == 0.5));
 
     let value = 0.25f32.to_le_bytes();
-    let done = record(5, 3, &[&id, &900u32.to_le_bytes(), &[1], &[0, 0], &[5], &SERVER, &[1], &value]);
-    let Event::Ended { id: ended, server, outcome, closed, report } = only_event(done) else { panic!() };
+    let ended = record(5, 3, &[&id, &900u32.to_le_bytes(), &[1], &[0, 0], &[5], &SERVER, &[1], &value]);
+    let Event::Ended { id: ended, server, outcome, closed, report } = only_event(ended) else { panic!() };
     assert_eq!((ended, server, outcome, closed), (RequestId(7), ID, Outcome::Reset, true));
     assert_eq!(report, [0.25]);
 
-    let echo = record(8, 3, &[&SERVER, &[3], &900u32.to_le_bytes(), &[0]]);
-    assert!(matches!(only_event(echo), Event::ProbeCompleted { server: ID, outcome: Outcome::Timeout, .. }));
+    let probe = record(8, 3, &[&SERVER, &[3], &900u32.to_le_bytes(), &[0]]);
+    assert!(matches!(only_event(probe), Event::ProbeCompleted { server: ID, outcome: Outcome::Timeout, .. }));
 
     let first = record(11, 3, &[&id, &[0, 0], &SERVER, &900u32.to_le_bytes()]);
     assert!(matches!(only_event(first), Event::Established { id: RequestId(7), latency: Micros(900) }));
 
-    let memo = record(12, 3, &[&2u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"]);
-    assert!(matches!(only_event(memo), Event::PeerMessage(2, data) if data == b"hi"));
+    let peer_message = record(12, 3, &[&2u32.to_le_bytes(), &2u16.to_le_bytes(), b"hi"]);
+    assert!(matches!(only_event(peer_message), Event::PeerMessage(2, data) if data == b"hi"));
 
     let open = record(
         10,
@@ -156,7 +158,7 @@
 }
 
 #[test]
-fn every_action_is_written_byte_by_byte() {
+fn every_action_is_encoded_byte_by_byte() {
     let mut reply = Reply::default();
     reply.begin(12);
     let actions = [
@@ -186,62 +188,63 @@
         record(10, 3, &[&[2, 0], b"ok"]),
     ]
     .concat();
-    let mut wanted = 12u32.to_le_bytes().to_vec();
-    wanted.extend((actions.len() as u32).to_le_bytes());
-    wanted.extend((12 + body.len() as u32).to_le_bytes());
-    wanted.extend(body);
-    assert_eq!(reply.finish(), wanted);
+    let mut expected = 12u32.to_le_bytes().to_vec();
+    expected.extend((actions.len() as u32).to_le_bytes());
+    expected.extend((12 + body.len() as u32).to_le_bytes());
+    expected.extend(body);
+    assert_eq!(reply.finish(), expected);
 }
 
 #[test]
-fn a_batch_is_answered_and_instances_share_nothing() {
+fn batch_is_answered_and_instances_share_no_state() {
     let mut instances = Instances::default();
-    let start = |i| [launch(i, SETTINGS), list(i, 1, &[entry(1)]), req(i, 1)];
-    let alone = answer(&mut Instances::default(), &frame(1, &start(3))).expect("an answer");
-    let both: Vec<Vec<u8>> = start(3).into_iter().chain(start(4)).collect();
+    let start_records = |i| [start(i, SETTINGS), endpoint_list(i, 1, &[endpoint(1)]), request(i, 1)];
+    let alone = answer(&mut Instances::default(), &frame(1, &start_records(3))).expect("an answer");
+    let both: Vec<Vec<u8>> = start_records(3).into_iter().chain(start_records(4)).collect();
     let together = answer(&mut instances, &frame(1, &both)).expect("an answer");
     assert_eq!(alone[12..], together[12..alone.len()]);
-    let again = [record(7, 3, &[]), launch(3, SETTINGS), list(3, 2, &[]), req(3, 2)];
-    let reply = answer(&mut instances, &frame(2, &again)).expect("stop and start in one batch");
+    let again = [record(7, 3, &[]), start(3, SETTINGS), endpoint_list(3, 2, &[]), request(3, 2)];
+    let reply = answer(&mut instances, &frame(2, &again)).expect("a restart in one batch");
     assert_eq!(reply[..4], 2u32.to_le_bytes());
-    let unknown = answer(&mut instances, &frame(3, &[req(9, 1)])).expect("an instance that never started");
+    let unknown = answer(&mut instances, &frame(3, &[request(9, 1)])).expect("an unknown instance");
     assert_eq!(unknown.len(), 12);
     assert_eq!(answer(&mut instances, &frame(4, &[])).expect("an empty batch").len(), 12);
 }
 
 #[test]
-fn malformed_records_are_named_with_their_batch_and_offset() {
-    let whole = list(3, 0, &[entry(1)]);
-    for cut in 1..whole.len() {
-        let mut bad = frame(8, &[launch(3, SETTINGS), whole[..cut].to_vec()]);
-        bad.truncate(bad.len());
-        let offset = HEADER_LEN + launch(3, SETTINGS).len();
-        match parse(&bad) {
-            Err(WireError::BadRecord { batch: 8, offset: at, .. }) => assert_eq!(at, offset),
+fn malformed_record_error_names_batch_and_offset() {
+    let complete = endpoint_list(3, 0, &[endpoint(1)]);
+    for cut in 1..complete.len() {
+        let mut malformed = frame(8, &[start(3, SETTINGS), complete[..cut].to_vec()]);
+        malformed.truncate(malformed.len());
+        let offset = HEADER_LEN + start(3, SETTINGS).len();
+        match parse(&malformed) {
+            Err(WireError::InvalidRecord { batch: 8, offset: at, .. }) => assert_eq!(at, offset),
             other => panic!("{other:?}"),
         }
     }
-    let bad = |record: Vec<u8>| parse(&frame(8, &[record])).expect_err("a malformed record").to_string();
-    assert!(bad(record(99, 3, &[])).contains("unknown record code"));
-    assert!(bad(record(2, 3, &[&[0; 4], &[9], &[0; 4]])).contains("unknown list kind"));
-    assert!(bad(list(3, 0, &[entry(7)])).contains("unknown server state"));
-    // A count that runs past its frame must not size anything.
+    let malformed =
+        |record: Vec<u8>| parse(&frame(8, &[record])).expect_err("a malformed record").to_string();
+    assert!(malformed(record(99, 3, &[])).contains("unknown record code"));
+    assert!(malformed(record(2, 3, &[&[0; 4], &[9], &[0; 4]])).contains("unknown list kind"));
+    assert!(malformed(endpoint_list(3, 0, &[endpoint(7)])).contains("unknown server state"));
+    // A count that exceeds its frame must not cause an allocation of that size.
     let huge = record(2, 3, &[&[0; 4], &[1], &u32::MAX.to_le_bytes()]);
-    assert!(bad(huge).contains("ends inside"));
+    assert!(malformed(huge).contains("ends inside"));
     let text = record(6, 3, &[&[0; 8], &u32::MAX.to_le_bytes()]);
-    assert!(bad(text).contains("ends inside"));
-    let mut long = frame(8, &[req(3, 1)]);
+    assert!(malformed(text).contains("ends inside"));
+    let mut long = frame(8, &[request(3, 1)]);
     long[16..20].copy_from_slice(&0u32.to_le_bytes());
-    assert!(matches!(parse(&long), Err(WireError::LeftOver { left: 41, .. })));
+    assert!(matches!(parse(&long), Err(WireError::TrailingBytes { trailing: 41, .. })));
     for len in [0u32, 19, u32::MAX] {
         let mut head = frame(8, &[]);
         head[12..16].copy_from_slice(&len.to_le_bytes());
-        assert_eq!(parse(&head).expect_err("a bad length"), WireError::BadLength { batch: 8, len });
+        assert_eq!(parse(&head).expect_err("a malformed length"), WireError::InvalidLength { batch: 8, len });
     }
 }
 
 #[test]
-fn settings_name_the_key_that_is_missing_or_bad() {
+fn settings_error_names_missing_or_invalid_key() {
     assert!(settings::parse(&SettingValues::from_lines(SETTINGS)).is_ok());
     let without = |key: &str| -> String {
         SETTINGS.lines().filter(|line| !line.starts_with(key)).map(|line| format!("{line}\n")).collect()
@@ -264,7 +267,7 @@
     ] {
         let text = without(&format!("{key}=")) + &format!("{key}={value}\n");
         match settings::parse(&SettingValues::from_lines(&text)) {
-            Err(SettingsError::InvalidValue { key: named, .. }) => assert_eq!(named, key),
+            Err(SettingsError::InvalidValue { key: reported, .. }) => assert_eq!(reported, key),
             other => panic!("{key}: {other:?}"),
         }
     }
@@ -277,14 +280,16 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may end before it has read all; that is for its exit code to tell.
+    // The adapter may end before it has read all input; the exit code shows whether it failed.
     let _ = child.stdin.take().expect("its input").write_all(input);
     child.wait_with_output().expect("the adapter ends")
 }
 
 #[test]
-fn the_program_answers_and_ends_as_it_should() {
-    let good = [frame(1, &[]), frame(2, &[launch(3, SETTINGS), list(3, 1, &[entry(1)]), req(3, 1)])].concat();
+fn program_answers_batches_and_fails_on_malformed_input() {
+    let good =
+        [frame(1, &[]), frame(2, &[start(3, SETTINGS), endpoint_list(3, 1, &[endpoint(1)]), request(3, 1)])]
+            .concat();
     let output = run(&good);
     assert!(output.status.success());
     assert_eq!(output.stdout[..12], [1u32, 0, 12].map(u32::to_le_bytes).concat());
@@ -294,12 +299,12 @@
         (good[..good.len() - 1].to_vec(), "batch 2"),
         (good[..7].to_vec(), "header"),
         (frame(5, &[record(99, 3, &[])]), "batch 5, offset 20: unknown record code"),
-        (frame(6, &[launch(3, "balancers=2\n")]), "instance 3: settings: the key"),
+        (frame(6, &[start(3, "balancers=2\n")]), "instance 3: invalid settings: the key"),
     ];
     for (input, message) in messages {
         let output = run(&input);
-        let told = String::from_utf8_lossy(&output.stderr).into_owned();
+        let stderr = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success());
-        assert!(told.contains(message) && !told.contains("panicked"), "{told}");
+        assert!(stderr.contains(message) && !stderr.contains("panicked"), "{stderr}");
     }
 }
--- a/crates/alderstile-sim-adapter/tests/settings.rs
+++ b/crates/alderstile-sim-adapter/tests/settings.rs
@@ -1,5 +1,4 @@
-//! Each setting that a deployment states reaches the decisions: the first messages of three of them, as they
-//! came.
+//! Settings: every value in the start messages of three simulated deployments, as recorded, is parsed.
 
 use alderstile::settings::{self, SettingValues, SettingsError};
 use alderstile::types::*;
@@ -9,21 +8,22 @@
 const EGE: &str = include_str!("first/ege-photo-feed.txt");
 
 fn parsed(text: &str) -> BalancerSettings {
-    settings::parse(&SettingValues::from_lines(text)).expect("settings as they came")
+    settings::parse(&SettingValues::from_lines(text)).expect("valid settings")
 }
 
-/// As the node hands its configuration over: the same paths below `settings.`, with further ones.
-fn configured(text: &str, further: &[(&str, &str)]) -> Result<BalancerSettings, SettingsError> {
+/// Parses the settings as the node does: the same paths below `settings.`, with additional ones.
+fn configured(text: &str, additional: &[(&str, &str)]) -> Result<BalancerSettings, SettingsError> {
     let lines = text.lines().filter_map(|line| line.split_once('='));
-    let pairs = lines.chain(further.iter().copied()).map(|(key, value)| (key.to_owned(), value.to_owned()));
+    let pairs =
+        lines.chain(additional.iter().copied()).map(|(key, value)| (key.to_owned(), value.to_owned()));
     settings::parse(&SettingValues::new("settings.", pairs))
 }
 
 #[test]
-fn what_dfa_photo_wire_states_arrives() {
+fn all_settings_of_dfa_photo_wire_are_parsed() {
     let set = parsed(DFA);
     assert_eq!((set.node_count, set.node_index, set.zone), (5, Some(0), 2));
-    assert!(set.removal_is_advisory, "only draining binds");
+    assert!(set.removal_is_advisory, "only draining is binding");
     assert_eq!((set.warm_up, set.warm_up_initial_capacity), (Micros::from_millis(24_000), 0.15));
     assert_eq!((set.overload_multiple, set.overload_window), (3.0, Micros::from_millis(1_500)));
     assert_eq!((set.max_attempts, set.drain_grace), (3, Micros::from_millis(1_000)));
@@ -40,7 +40,7 @@
         late_fail: 0.05,
     };
     assert_eq!(set.prices, prices);
-    assert!(set.tenants.is_empty(), "nobody shares it");
+    assert!(set.tenants.is_empty(), "no tenants");
     assert_eq!(set.cpu_us_per_s, Some(400_000.0));
     let classes: Vec<_> = set
         .classes
@@ -51,10 +51,10 @@
 }
 
 #[test]
-fn what_dogu_feed_states_arrives() {
+fn all_settings_of_dogu_feed_are_parsed() {
     let set = parsed(DOGU);
     assert_eq!((set.node_count, set.zone), (33, 2));
-    assert!(set.removal_is_advisory, "only draining binds");
+    assert!(set.removal_is_advisory, "only draining is binding");
     assert_eq!((set.warm_up, set.warm_up_initial_capacity), (Micros::from_millis(19_000), 0.12));
     assert_eq!((set.overload_multiple, set.overload_window), (1.5, Micros::from_millis(1_500)));
     assert_eq!((set.max_attempts, set.drain_grace), (5, Micros::from_millis(2_000)));
@@ -77,15 +77,16 @@
         .iter()
         .map(|c| (c.latency_objective.0, c.priority_weight, c.message_latency_objective.map(|aim| aim.0)))
         .collect();
-    let wanted = [(800_000, 5.0, Some(50_000)), (800_000, 3.0, Some(50_000)), (500_000, 1.0, Some(150_000))];
-    assert_eq!(classes, wanted);
+    let expected =
+        [(800_000, 5.0, Some(50_000)), (800_000, 3.0, Some(50_000)), (500_000, 1.0, Some(150_000))];
+    assert_eq!(classes, expected);
 }
 
 #[test]
-fn what_ege_photo_feed_states_arrives() {
+fn all_settings_of_ege_photo_feed_are_parsed() {
     let set = parsed(EGE);
     assert_eq!((set.node_count, set.zone), (2, 0));
-    assert!(!set.removal_is_advisory, "being called gone binds as draining does");
+    assert!(!set.removal_is_advisory, "removal is binding, like draining");
     assert_eq!((set.warm_up, set.warm_up_initial_capacity), (Micros::from_millis(24_000), 0.14));
     assert_eq!((set.overload_multiple, set.overload_window), (3.0, Micros::from_millis(3_000)));
     assert_eq!((set.max_attempts, set.drain_grace), (4, Micros::from_millis(500)));
@@ -106,18 +107,18 @@
 }
 
 #[test]
-fn a_configuration_arrives_as_the_first_message_does() {
+fn configuration_is_parsed_like_a_start_message() {
     for text in [DFA, DOGU, EGE] {
         let configured = configured(text, &[]).expect("the same settings");
         assert_eq!(format!("{configured:?}"), format!("{:?}", parsed(text)));
     }
-    // No wire states what a group's work weighs: the briefs do, and configurations can.
+    // The simulator's wire has no field for the load of a group; only a configuration can set it.
     let set = configured(DOGU, &[("extra.group_load", "2")]).expect("settings with a group's load");
     assert_eq!(set.group_load, 2.0);
 }
 
 #[test]
-fn what_cannot_be_a_price_a_share_or_a_limit_is_named() {
+fn error_names_key_of_invalid_price_share_or_limit() {
     for (key, value) in [
         ("charges.cross_zone", "-0.1"),
         ("charges.probe", "dear"),
@@ -126,8 +127,8 @@
         ("allowed.cpu_us_per_s", "-1"),
     ] {
         match configured(DOGU, &[(key, value)]) {
-            Err(SettingsError::InvalidValue { key: named, .. }) => {
-                assert_eq!(named, format!("settings.{key}"))
+            Err(SettingsError::InvalidValue { key: reported, .. }) => {
+                assert_eq!(reported, format!("settings.{key}"))
             }
             other => panic!("{key}: {other:?}"),
         }
