--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -1,4 +1,4 @@
-//! The admin server: what it answers however it is called, the metrics, and hosts taken out of service.
+//! The admin server: responses to valid and malformed requests, metrics, and host maintenance.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -18,43 +18,47 @@
 mod support;
 use support::*;
 
-/// A node with its operators' address.
-struct Operated {
+/// A node with a running admin server.
+struct NodeWithAdmin {
     setup: Setup,
     admin: SocketAddr,
     _watch: Peer,
 }
 
-async fn operated(hosts: &[&Host], change: impl FnOnce(&mut serde_json::Value)) -> Operated {
+async fn start_with_admin(
+    hosts: &[&Host],
+    edit_config: impl FnOnce(&mut serde_json::Value),
+) -> NodeWithAdmin {
     let (setup, watch) = serving_with(hosts, |value| {
         value["admin_addr"] = "127.0.0.1:0".into();
-        change(value);
+        edit_config(value);
     })
     .await;
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let admin = listener.local_addr().expect("bound");
     spawn_local(server::run(setup.node.admin.clone(), listener));
-    Operated { setup, admin, _watch: watch }
+    NodeWithAdmin { setup, admin, _watch: watch }
 }
 
-impl Operated {
-    /// What comes back for these bytes: the status, and all of the answer.
-    async fn say(&self, bytes: &[u8]) -> (u16, String) {
+impl NodeWithAdmin {
+    /// Sends bytes to the admin server and returns the response's status and full text.
+    async fn send(&self, bytes: &[u8]) -> (u16, String) {
         let mut stream = TcpStream::connect(self.admin).await.expect("connected");
         stream.write_all(bytes).await.expect("sent");
         let mut answer = Vec::new();
-        // A head that is too large is answered before all of it was read, and what is unread may reset.
+        // A head that is too large is answered before all of it was read; the unread bytes may reset the
+        // connection.
         let _ = timeout(Duration::from_secs(5), stream.read_to_end(&mut answer)).await.expect("in time");
         let answer = String::from_utf8(answer).expect("text");
         (answer.get(9..12).and_then(|status| status.parse().ok()).unwrap_or(0), answer)
     }
 
-    async fn call(&self, method: &str, path: &str) -> (u16, String) {
-        self.say(format!("{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n").as_bytes()).await
+    async fn request(&self, method: &str, path: &str) -> (u16, String) {
+        self.send(format!("{method} {path} HTTP/1.1\r\nHost: n1\r\n\r\n").as_bytes()).await
     }
 
-    async fn figure(&self, name: &str) -> u64 {
-        let (status, text) = self.call("GET", "/control/counters").await;
+    async fn metric(&self, name: &str) -> u64 {
+        let (status, text) = self.request("GET", "/control/counters").await;
         assert_eq!(status, 200);
         let start = format!("router.{name}:");
         let line = text
@@ -64,33 +68,33 @@
         line.split('|').next().and_then(|value| value.parse().ok()).expect("a number")
     }
 
-    async fn figures(&self, names: &[&str]) -> Vec<u64> {
+    async fn metrics(&self, names: &[&str]) -> Vec<u64> {
         let mut values = Vec::new();
         for name in names {
-            values.push(self.figure(name).await);
+            values.push(self.metric(name).await);
         }
         values
     }
 }
 
-fn dir(name: &str) -> PathBuf {
+fn temp_dir(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("admin-{name}"));
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     dir
 }
 
 #[test]
-fn calls_are_answered_by_their_method_and_path() {
+fn requests_are_routed_by_method_and_path() {
     run(async {
         let host = Host::new("s-1").await;
-        let node = operated(&[&host], |_| {}).await;
-        let (status, text) = node.call("GET", "/control/ready").await;
+        let node = start_with_admin(&[&host], |_| {}).await;
+        let (status, text) = node.request("GET", "/control/ready").await;
         assert_eq!(status, 200);
         assert!(text.to_lowercase().contains("connection: close"), "{text}");
-        let (status, text) = node.call("POST", "/control/ready").await;
+        let (status, text) = node.request("POST", "/control/ready").await;
         assert!(status == 405 && text.to_lowercase().contains("allow: get"), "{text}");
-        let (status, text) = node.call("GET", "/control/hosts/s-1/offline").await;
+        let (status, text) = node.request("GET", "/control/hosts/s-1/offline").await;
         assert!(status == 405 && text.to_lowercase().contains("allow: post"), "{text}");
         let long = format!("/control/hosts/{}/offline", "x".repeat(4096));
         for path in [
@@ -106,53 +110,57 @@
             "/control/hosts/s-1/x/offline",
             &long,
         ] {
-            assert_eq!(node.call("POST", path).await.0, 404, "{path}");
+            assert_eq!(node.request("POST", path).await.0, 404, "{path}");
         }
-        assert_eq!(node.call("POST", "/control/hosts/s%2D1/offline").await.0, 200, "the same id, escaped");
+        assert_eq!(
+            node.request("POST", "/control/hosts/s%2D1/offline").await.0,
+            200,
+            "the same host name, escaped"
+        );
         let body = "x".repeat(9 << 10);
-        let call = format!(
+        let request = format!(
             "POST /control/hosts/s-1/online HTTP/1.1\r\nHost: a\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         );
-        assert_eq!(node.say(call.as_bytes()).await.0, 413);
+        assert_eq!(node.send(request.as_bytes()).await.0, 413);
         assert!(
             node.setup
                 .node
                 .decisions
                 .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1"))),
-            "nothing done"
+            "a rejected request changes nothing"
         );
-        let call = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(64 << 10));
-        let (status, text) = node.say(call.as_bytes()).await;
+        let request = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(64 << 10));
+        let (status, text) = node.send(request.as_bytes()).await;
         assert!(status == 431 || text.is_empty(), "{text}");
-        assert_eq!(node.say(b"\x00\xff\xfe nonsense\r\n\r\n").await.0, 400);
+        assert_eq!(node.send(b"\x00\xff\xfe nonsense\r\n\r\n").await.0, 400);
         let two = b"GET /control/ready HTTP/1.1\r\n\r\nGET /control/ready HTTP/1.1\r\n\r\n";
-        assert_eq!(node.say(two).await.1.matches("HTTP/1.1").count(), 1, "one call a connection");
+        assert_eq!(node.send(two).await.1.matches("HTTP/1.1").count(), 1, "one request per connection");
     });
 }
 
 #[test]
-fn not_ready_is_said_so() {
+fn node_that_is_not_ready_responds_503() {
     run(async {
         let setup = start(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
         let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let admin = listener.local_addr().expect("bound");
         spawn_local(server::run(setup.node.admin.clone(), listener));
-        let mut caller = Peer::connect(admin).await;
-        caller.send("GET /control/ready HTTP/1.1\r\n\r\n").await;
-        assert_eq!(caller.line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
+        let mut connection = Peer::connect(admin).await;
+        connection.send("GET /control/ready HTTP/1.1\r\n\r\n").await;
+        assert_eq!(connection.line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
     });
 }
 
 #[test]
-fn a_call_in_pieces_is_one_call_and_a_cut_one_is_none() {
+fn request_in_pieces_is_processed_once_and_truncated_request_is_ignored() {
     run(async {
         let host = Host::new("s-1").await;
-        let node = operated(&[&host], |_| {}).await;
-        let call = b"POST /control/hosts/s-1/offline HTTP/1.1\r\nHost: n1\r\nContent-Length: 0\r\n\r\n";
-        for cut in 0..call.len() {
+        let node = start_with_admin(&[&host], |_| {}).await;
+        let request = b"POST /control/hosts/s-1/offline HTTP/1.1\r\nHost: n1\r\nContent-Length: 0\r\n\r\n";
+        for cut in 0..request.len() {
             let mut stream = TcpStream::connect(node.admin).await.expect("connected");
-            stream.write_all(&call[..cut]).await.expect("sent");
+            stream.write_all(&request[..cut]).await.expect("sent");
             drop(stream);
         }
         let out = || {
@@ -161,11 +169,11 @@
                 .decisions
                 .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
-        assert_eq!(node.call("GET", "/control/ready").await.0, 200);
-        assert!(!out(), "half a call changes nothing");
+        assert_eq!(node.request("GET", "/control/ready").await.0, 200);
+        assert!(!out(), "an incomplete request changes nothing");
         let mut stream = TcpStream::connect(node.admin).await.expect("connected");
         stream.set_nodelay(true).expect("set");
-        for byte in call {
+        for byte in request {
             stream.write_all(&[*byte]).await.expect("sent");
             tokio::task::yield_now().await;
         }
@@ -177,28 +185,31 @@
 }
 
 #[test]
-fn neither_silent_callers_nor_a_crowd_of_clients_keep_a_caller_out() {
+fn admin_requests_are_answered_despite_silent_connections_and_many_clients() {
     run(async {
         let host = Host::new("s-1").await;
-        let node = operated(&[&host], |value| value["limits"]["sockets"] = 60.into()).await;
-        let mut crowd = Vec::new();
+        let node = start_with_admin(&[&host], |value| value["limits"]["sockets"] = 60.into()).await;
+        let mut clients = Vec::new();
         for _ in 0..100 {
-            crowd.push(TcpStream::connect(node.setup.address).await.expect("connected"));
+            clients.push(TcpStream::connect(node.setup.address).await.expect("connected"));
         }
         let mut silent = Vec::new();
         for _ in 0..3 * MAX_ADMIN_CONNECTIONS {
-            let mut caller = TcpStream::connect(node.admin).await.expect("connected");
-            caller.write_all(b"GET /con").await.expect("sent");
-            silent.push(caller);
+            let mut connection = TcpStream::connect(node.admin).await.expect("connected");
+            connection.write_all(b"GET /con").await.expect("sent");
+            silent.push(connection);
             assert_eq!(
-                timeout(Duration::from_secs(1), node.call("GET", "/control/ready")).await.expect("in time").0,
+                timeout(Duration::from_secs(1), node.request("GET", "/control/ready"))
+                    .await
+                    .expect("in time")
+                    .0,
                 200
             );
         }
-        // The last of them had a place until now, and loses it for saying nothing.
+        // The last of them is still open, and is closed after the request timeout.
         let mut last = silent.pop().expect("one");
         let mut rest = Vec::new();
-        let ended = timeout(Duration::from_secs(4), last.read_to_end(&mut rest)).await.expect("shown out");
+        let ended = timeout(Duration::from_secs(4), last.read_to_end(&mut rest)).await.expect("closed");
         assert!(rest.is_empty(), "{ended:?}");
     });
 }
@@ -207,94 +218,95 @@
 fn each_outcome_is_counted_once() {
     run(async {
         let host = Host::new("s-1").await;
-        let node = operated(&[&host], |_| {}).await;
+        let node = start_with_admin(&[&host], |_| {}).await;
         let names = ["success.chat", "busy.chat", "failure.chat", "backend_calls", "inflight"];
-        assert_eq!(node.figures(&names).await, [0, 0, 0, 0, 0]);
-        assert_eq!(node.figures(&["success.presence", "busy.presence", "failure.presence"]).await, [0, 0, 0]);
+        assert_eq!(node.metrics(&names).await, [0, 0, 0, 0, 0]);
+        assert_eq!(node.metrics(&["success.presence", "busy.presence", "failure.presence"]).await, [0, 0, 0]);
         assert_eq!(
-            node.figures(&["hosts_listed", "hosts_down", "reconfig_ok", "reconfig_failed"]).await,
+            node.metrics(&["hosts_listed", "hosts_down", "reconfig_ok", "reconfig_failed"]).await,
             [1, 0, 0, 0]
         );
         let (client, server) = node.setup.up(1, &host).await;
-        assert_eq!(node.figures(&names).await, [1, 0, 0, 1, 1]);
-        // An id that is open.
-        let mut twin = node.setup.open(1, "d=20000").await;
-        assert_eq!(twin.line().await.as_deref(), Some("ERR"));
-        assert_eq!(node.figures(&names).await, [1, 0, 1, 1, 1]);
+        assert_eq!(node.metrics(&names).await, [1, 0, 0, 1, 1]);
+        // The id of an open request is rejected.
+        let mut duplicate = node.setup.open(1, "d=20000").await;
+        assert_eq!(duplicate.line().await.as_deref(), Some("ERR"));
+        assert_eq!(node.metrics(&names).await, [1, 0, 1, 1, 1]);
         drop(client);
-        while node.figure("inflight").await > 0 {
+        while node.metric("inflight").await > 0 {
             sleep(Duration::from_millis(1)).await;
         }
         drop(server);
-        // Abandoned: it had an attempt, and no outcome.
+        // A request that its client abandons counts as an attempt, but has no outcome.
         let client = node.setup.open(2, "d=20000").await;
         let mut server = host.accept().await;
         server.line().await.expect("the first line");
-        assert_eq!(node.figures(&names).await, [1, 0, 1, 2, 1]);
+        assert_eq!(node.metrics(&names).await, [1, 0, 1, 2, 1]);
         drop(client);
         assert_eq!(server.line().await, None);
-        while node.figure("inflight").await > 0 {
+        while node.metric("inflight").await > 0 {
             sleep(Duration::from_millis(1)).await;
         }
-        // A line that is none, and a class that nobody has, are of no class.
+        // A malformed line and an unknown class are counted for no class.
         for line in ["HELO\r\n", "OPEN 5 5 c=other,d=100\r\n"] {
             let mut client = node.setup.client().await;
             client.send(line).await;
             assert_eq!(client.line().await.as_deref(), Some("ERR"));
         }
-        assert_eq!(node.figures(&names).await, [1, 0, 1, 2, 0]);
-        // Turned away by the only host: three attempts at most, and the host is avoided.
+        assert_eq!(node.metrics(&names).await, [1, 0, 1, 2, 0]);
+        // The only host rejects the request: it ends as rejected within three attempts, and the host is
+        // avoided.
         let mut client = node.setup.open(3, "d=20000").await;
         let mut server = host.accept().await;
         server.line().await.expect("the first line");
         server.send("BUSY\r\n").await;
         assert!(client.line().await.is_some_and(|line| line.starts_with("BUSY")));
-        assert_eq!(node.figures(&names).await, [1, 1, 1, 3, 0]);
-        assert_eq!(node.figure("hosts_down").await, 1);
+        assert_eq!(node.metrics(&names).await, [1, 1, 1, 3, 0]);
+        assert_eq!(node.metric("hosts_down").await, 1);
     });
 }
 
 #[test]
-fn a_host_out_by_hand_gets_nothing_until_it_is_back_whatever_the_list_says() {
+fn host_in_maintenance_receives_no_requests_whatever_the_endpoint_list_contains() {
     run(async {
         let hosts = [Host::new("s-1").await, Host::new("s-2").await];
         let mut open = Vec::new();
-        let mut node = operated(&[&hosts[0], &hosts[1]], |_| {}).await;
-        assert!(node.setup.node.config().state_dir.is_none(), "nothing is kept where no folder is named");
+        let mut node = start_with_admin(&[&hosts[0], &hosts[1]], |_| {}).await;
+        assert!(node.setup.node.config().state_dir.is_none(), "nothing is stored without a state directory");
         for _ in 0..2 {
-            assert_eq!(node.call("POST", "/control/hosts/s-1/offline").await.0, 200);
+            assert_eq!(node.request("POST", "/control/hosts/s-1/offline").await.0, 200);
         }
-        assert_eq!(node.figures(&["hosts_listed", "hosts_down"]).await, [2, 1]);
+        assert_eq!(node.metrics(&["hosts_listed", "hosts_down"]).await, [2, 1]);
         for (seq, health) in [(2, "removed"), (3, "up"), (4, "up")] {
             chunk(&mut node._watch, &list(seq, false, &[hosts[0].entry(health)])).await;
-            let wanted = if health == "removed" { 1 } else { 2 };
-            while node.figure("hosts_listed").await != wanted {
+            let listed = if health == "removed" { 1 } else { 2 };
+            while node.metric("hosts_listed").await != listed {
                 sleep(Duration::from_millis(1)).await;
             }
             open.push(node.setup.up(seq, &hosts[1]).await);
         }
-        assert_eq!(node.call("POST", "/control/hosts/s-1/online").await.0, 200);
-        assert_eq!(node.figure("hosts_down").await, 0);
+        assert_eq!(node.request("POST", "/control/hosts/s-1/online").await.0, 200);
+        assert_eq!(node.metric("hosts_down").await, 0);
     });
 }
 
 #[test]
-fn the_next_process_finds_the_hosts_that_are_out_and_trusts_no_damaged_file() {
-    let (dir, now) = (dir("kept"), alderstile::types::Micros(7_000_000_000));
-    let mut kept = MaintenanceStore::default();
-    kept.set("s-1", MaintenanceState::OutOfService, now);
-    kept.set("s-2", MaintenanceState::ReturnedAt(now.0), now);
-    kept.save(&dir, "n/1").expect("saved");
-    let read: Vec<_> =
-        MaintenanceStore::load(&dir, "n/1").hosts().map(|(host, stand)| (host.to_owned(), stand)).collect();
+fn next_process_loads_the_maintenance_file_and_rejects_a_damaged_one() {
+    let (dir, now) = (temp_dir("kept"), alderstile::types::Micros(7_000_000_000));
+    let mut store = MaintenanceStore::default();
+    store.set("s-1", MaintenanceState::OutOfService, now);
+    store.set("s-2", MaintenanceState::ReturnedAt(now.0), now);
+    store.save(&dir, "n/1").expect("saved");
+    let hosts: Vec<_> =
+        MaintenanceStore::load(&dir, "n/1").hosts().map(|(host, state)| (host.to_owned(), state)).collect();
     assert_eq!(
-        read,
+        hosts,
         [
             ("s-1".to_owned(), MaintenanceState::OutOfService),
             ("s-2".to_owned(), MaintenanceState::ReturnedAt(now.0))
         ]
     );
-    assert_eq!(MaintenanceStore::load(&dir, "n1").hosts().count(), 0, "another node's");
+    assert_eq!(MaintenanceStore::load(&dir, "n1").hosts().count(), 0, "the file belongs to another node");
     let path = dir.join("alderstile-n%2F1.hosts.json");
     let text = std::fs::read(&path).expect("there");
     for damaged in
@@ -302,11 +314,11 @@
     {
         std::fs::write(&path, damaged).expect("written");
         assert_eq!(MaintenanceStore::load(&dir, "n/1").hosts().count(), 0);
-        assert!(!path.exists(), "set aside");
+        assert!(!path.exists(), "renamed");
         assert_eq!(std::fs::read(dir.join("alderstile-n%2F1.hosts.damaged")).expect("there"), damaged);
     }
-    // And a node starts with what was left.
-    kept.save(&dir, "n1").expect("saved");
+    // A node applies the stored states at its start.
+    store.save(&dir, "n1").expect("saved");
     run(async {
         let mut value = config("127.0.0.1:0", "127.0.0.1:1");
         value["admin_addr"] = "127.0.0.1:0".into();
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -1,5 +1,5 @@
-//! What operators and deployments of cc53de7 rely on: the configuration's and the cluster file's keys, the
-//! maintenance file, the admin interface's answers, the metrics' names and the command line's output.
+//! Compatibility with cc53de7: keys of the configuration and the cluster file, the maintenance file, admin
+//! responses, metric names and the output of the commands.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -22,47 +22,47 @@
     std::fs::read_to_string(fixture(name)).unwrap_or_else(|error| panic!("{name}: {error}"))
 }
 
-/// Holds what the code says now against what the version before said.
-fn same(name: &str, now: &str) {
-    assert_eq!(now, recorded(name), "{name}");
+/// Checks that a text is the one recorded from the previous version.
+fn assert_recorded(name: &str, text: &str) {
+    assert_eq!(text, recorded(name), "{name}");
 }
 
-fn folder(name: &str) -> PathBuf {
+fn temp_dir(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     dir
 }
 
-// ---- the configuration's file ----
+// ---- the configuration file ----
 
 fn every_key() -> Value {
     serde_json::from_str(&recorded("config.json")).expect("JSON")
 }
 
-/// JSON pointers of all values that are neither objects nor arrays of objects.
-fn leaves(place: &str, value: &Value, found: &mut Vec<String>) {
+/// Collects the JSON pointers of all values that are neither objects nor arrays of objects.
+fn leaves(pointer: &str, value: &Value, found: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
-            fields.iter().for_each(|(key, value)| leaves(&format!("{place}/{key}"), value, found));
+            fields.iter().for_each(|(key, value)| leaves(&format!("{pointer}/{key}"), value, found));
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            items.iter().enumerate().for_each(|(i, item)| leaves(&format!("{place}/{i}"), item, found));
+            items.iter().enumerate().for_each(|(i, item)| leaves(&format!("{pointer}/{i}"), item, found));
         }
-        _ => found.push(place.to_owned()),
+        _ => found.push(pointer.to_owned()),
     }
 }
 
-/// A key that is no longer read under its name would be taken whatever it says.
+/// A key that is no longer read under its name would be accepted with any value.
 #[test]
-fn each_key_of_the_configuration_is_read_under_its_name() {
-    let mut places = Vec::new();
-    leaves("", &every_key(), &mut places);
+fn each_configuration_key_is_read_under_its_name() {
+    let mut pointers = Vec::new();
+    leaves("", &every_key(), &mut pointers);
     let mut table = String::new();
-    for place in places {
+    for pointer in pointers {
         let mut value = every_key();
-        *value.pointer_mut(&place).expect("a key") = "no such value".into();
-        let path = place.trim_start_matches('/').replace('/', ".");
+        *value.pointer_mut(&pointer).expect("a key") = "no such value".into();
+        let path = pointer.trim_start_matches('/').replace('/', ".");
         let outcome = match Config::parse(value) {
             Ok(_) => "taken",
             Err(error) if error.to_string().contains(&path) => "refused by its name",
@@ -70,11 +70,11 @@
         };
         table.push_str(&format!("{path}: {outcome}\n"));
     }
-    same("config_keys.txt", &table);
+    assert_recorded("config_keys.txt", &table);
 }
 
 #[test]
-fn a_configuration_with_every_key_has_its_values() {
+fn configuration_with_every_key_has_its_values() {
     let config = Config::from_file_value(every_key(), |_| None).expect("fine");
     assert_eq!(config.name, "n/1");
     let address = |text: &str| text.parse::<SocketAddr>().expect("an address");
@@ -93,14 +93,14 @@
     assert_eq!((config.settings.node_count, config.settings.group_load), (2, 2.5));
     let shadow = config.shadow.expect("on");
     assert_eq!((shadow.node_count, shadow.group_load), (50, 3.5));
-    let mut told = every_key();
-    let known = told.as_object_mut().and_then(|fields| fields.remove("known"));
-    assert_eq!(config.source, told);
+    let mut expected = every_key();
+    let known = expected.as_object_mut().and_then(|fields| fields.remove("known"));
+    assert_eq!(config.source, expected);
     assert_eq!(serde_json::to_value(&config.cached_endpoints).ok(), known, "the endpoint list's keys");
 }
 
 #[test]
-fn each_environment_variable_stands_above_its_key() {
+fn each_environment_variable_overrides_its_key() {
     let env = |name: &str| match name {
         "ROUTER_NAME" => Some("n2".to_owned()),
         "ROUTER_LISTEN" => Some("127.0.0.9:1".to_owned()),
@@ -117,10 +117,10 @@
     assert_eq!(config.state_dir.as_deref(), Some(Path::new("/of/its/own")));
 }
 
-// ---- the cluster's file ----
+// ---- the cluster file ----
 
 #[test]
-fn a_cluster_file_with_every_key_has_its_values() {
+fn cluster_file_with_every_key_has_its_values() {
     let config = ClusterConfig::load(&fixture("cluster.toml")).expect("fine");
     assert_eq!((config.name.as_str(), config.listen.port(), config.advertise.port()), ("edge", 19946, 19947));
     assert_eq!(config.seeds.len(), 2);
@@ -143,29 +143,29 @@
 // ---- the maintenance file ----
 
 #[test]
-fn the_maintenance_file_is_read_and_written_as_the_same_bytes() {
-    let dir = folder("maintenance");
+fn maintenance_file_keeps_its_bytes() {
+    let dir = temp_dir("maintenance");
     let path = dir.join("alderstile-n%2F1.hosts.json");
     std::fs::copy(fixture("hosts.json"), &path).expect("copied");
-    let kept = MaintenanceStore::load(&dir, "n/1");
-    let hosts: Vec<(&str, MaintenanceState)> = kept.hosts().collect();
+    let store = MaintenanceStore::load(&dir, "n/1");
+    let hosts: Vec<(&str, MaintenanceState)> = store.hosts().collect();
     let [("s-1", MaintenanceState::OutOfService), ("s-2", MaintenanceState::ReturnedAt(since))] = hosts[..]
     else {
         panic!("{hosts:?}")
     };
     assert!(since > 1_700_000_000_000_000, "microseconds of Unix time");
-    std::fs::remove_file(&path).expect("taken away");
-    kept.save(&dir, "n/1").expect("saved");
+    std::fs::remove_file(&path).expect("removed");
+    store.save(&dir, "n/1").expect("saved");
     assert_eq!(std::fs::read_to_string(&path).expect("there"), recorded("hosts.json"));
-    std::fs::remove_dir_all(&dir).expect("taken away");
+    std::fs::remove_dir_all(&dir).expect("removed");
 }
 
 // ---- a process: admin interface, metrics, command line ----
 
-/// A node's process, ended with its owner.
-struct Running(std::process::Child);
+/// A node's process, killed on drop.
+struct RunningNode(std::process::Child);
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         self.0.kill().unwrap_or_default();
         let _ = self.0.wait();
@@ -175,7 +175,7 @@
 const LISTEN: &str = "127.0.91.1:19000";
 const ADMIN: &str = "127.0.91.1:19001";
 
-/// The files of a node alone in its cluster, and its only voter.
+/// Writes the files of a node that is the only member and voter of its cluster.
 fn write_files(dir: &Path) {
     let mut file = config(LISTEN, "127.0.0.1:1");
     (file["name"], file["admin_addr"]) = ("n/1".into(), ADMIN.into());
@@ -189,31 +189,31 @@
     std::fs::write(dir.join("bad.json"), "{\"setings\": {}}").expect("written");
 }
 
-fn program(dir: &Path, discovery: SocketAddr, words: &[&str]) -> Command {
+fn program(dir: &Path, discovery: SocketAddr, args: &[&str]) -> Command {
     let mut program = Command::new(env!("CARGO_BIN_EXE_alderstile"));
-    program.args(words).arg("--config").arg(dir.join("config.json"));
+    program.args(args).arg("--config").arg(dir.join("config.json"));
     program.arg("--cluster").arg(dir.join("cluster.toml"));
     program.env("TMPDIR", dir).env("ROUTER_DISCOVERY", discovery.to_string());
     program.stderr(Stdio::null());
     program
 }
 
-/// What a command prints and how it ends.
-fn printed(dir: &Path, discovery: SocketAddr, words: &[&str]) -> String {
-    let output = program(dir, discovery, words).output().expect("run");
+/// Runs a command; returns its command line, output and exit code.
+fn printed(dir: &Path, discovery: SocketAddr, args: &[&str]) -> String {
+    let output = program(dir, discovery, args).output().expect("run");
     let text = String::from_utf8(output.stdout).expect("text").replace(&dir.display().to_string(), "DIR");
-    format!("$ alderstile {}\n{text}exit {}\n", words.join(" "), output.status.code().unwrap_or(-1))
+    format!("$ alderstile {}\n{text}exit {}\n", args.join(" "), output.status.code().unwrap_or(-1))
 }
 
-/// All of an answer, its date masked, and its length where that may differ.
-async fn call(method: &str, path: &str, body: &str) -> String {
+/// Sends an admin request; returns the full response with its date masked, and its length where that varies.
+async fn request(method: &str, path: &str, body: &str) -> String {
     let mut peer = Peer::connect(ADMIN.parse().expect("an address")).await;
     let length = body.len();
     peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
         .await;
-    let mut answer = String::new();
-    peer.0.read_to_string(&mut answer).await.expect("an answer");
-    let lines = answer.lines().map(|line| match line.split_once(": ") {
+    let mut response = String::new();
+    peer.0.read_to_string(&mut response).await.expect("a response");
+    let lines = response.lines().map(|line| match line.split_once(": ") {
         Some(("date", _)) => "date: DATE",
         Some(("content-length", _)) if path == "/members" => "content-length: LENGTH",
         _ => line,
@@ -221,7 +221,7 @@
     lines.map(|line| format!("{line}\n")).collect()
 }
 
-/// The name and the kind of each metric, without its value.
+/// Returns the name and kind of each metric, without its value.
 fn metric_names(text: &str) -> String {
     let metrics = text.lines().filter_map(|line| {
         let (rest, kind) = line.rsplit_once('|')?;
@@ -230,13 +230,13 @@
     metrics.collect()
 }
 
-/// The maintenance file with the time at which a host came back masked.
+/// Returns the maintenance file with the time of a host's return masked.
 fn without_time(text: &str) -> String {
     let (head, tail) = text.split_once("\"back\":").expect("a host that is back");
     format!("{head}\"back\":TIME{}", tail.trim_start_matches(|c: char| c.is_ascii_digit()))
 }
 
-/// A text that holds the members as JSON, with what differs from start to start masked.
+/// Returns a text that contains the members as JSON, with the values masked that vary between runs.
 fn masked_members(text: &str) -> String {
     let (Some(start), Some(end)) = (text.find('{'), text.rfind('}')) else { return text.to_owned() };
     let mut members: Value = serde_json::from_str(&text[start..=end]).expect("JSON");
@@ -251,7 +251,7 @@
     format!("{}{members}{}", &text[..start], &text[end + 1..])
 }
 
-/// The table of members with the seconds masked.
+/// Returns the table of members with the seconds masked.
 fn masked_table(text: &str) -> String {
     let seconds = |line: &str| match line.rsplit_once("  this one") {
         Some((rest, _)) => {
@@ -262,8 +262,8 @@
     text.lines().map(seconds).collect()
 }
 
-async fn answers() -> String {
-    let calls = [
+async fn responses() -> String {
+    let requests = [
         ("GET", "/control/ready", ""),
         ("POST", "/control/ready", ""),
         ("GET", "/control/hosts/s-1/offline", ""),
@@ -280,57 +280,57 @@
         ("GET", "/nowhere", ""),
     ];
     let mut all = String::new();
-    for (method, path, body) in calls {
-        all.push_str(&format!("> {method} {path}\n{}\n", call(method, path, body).await));
+    for (method, path, body) in requests {
+        all.push_str(&format!("> {method} {path}\n{}\n", request(method, path, body).await));
     }
     let body = "x".repeat(9 << 10);
-    all.push_str(&format!("> 9 KiB\n{}", call("POST", "/control/hosts/s-1/online", &body).await));
+    all.push_str(&format!("> 9 KiB\n{}", request("POST", "/control/hosts/s-1/online", &body).await));
     all
 }
 
-async fn until(status: &str) {
-    while !call("GET", "/control/ready", "").await.starts_with(&format!("HTTP/1.1 {status}")) {
+async fn wait_until_status(status: &str) {
+    while !request("GET", "/control/ready", "").await.starts_with(&format!("HTTP/1.1 {status}")) {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
-async fn until_reachable() {
+async fn wait_until_reachable() {
     while tokio::net::TcpStream::connect(ADMIN).await.is_err() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
 
 #[test]
-fn a_process_answers_and_prints_what_the_version_before_did() {
+fn process_responds_and_prints_as_the_previous_version_did() {
     run(async {
-        let dir = folder("compatibility");
+        let dir = temp_dir("compatibility");
         write_files(&dir);
         let discovery = Discovery::new().await;
         let at = discovery.0.local_addr().expect("bound");
-        let print = |words: &[&str]| printed(&dir, at, words);
+        let print = |args: &[&str]| printed(&dir, at, args);
         let mut commands = print(&["check-config"]);
         commands.push_str(&print(&["settings", "init"]));
         commands.push_str(&print(&["settings", "init"]));
         commands.push_str(&print(&["settings", "show"]));
-        let _node = Running(program(&dir, at, &["serve"]).spawn().expect("started"));
-        until_reachable().await;
-        let unready = call("GET", "/control/ready", "").await;
-        same("not_ready.txt", &unready);
+        let _node = RunningNode(program(&dir, at, &["serve"]).spawn().expect("started"));
+        wait_until_reachable().await;
+        let not_ready = request("GET", "/control/ready", "").await;
+        assert_recorded("not_ready.txt", &not_ready);
         let hosts = [Host::new("s-1").await, Host::new("s-2").await];
         let entries: Vec<Value> = hosts.iter().map(|host| host.entry("up")).collect();
         let _watch = discovery.watch(&[&list(1, true, &entries)]).await;
-        until("200").await;
-        same("admin.txt", &answers().await);
-        same("metric_names.txt", &metric_names(&call("GET", "/control/counters", "").await));
-        same("members.txt", &masked_members(&call("GET", "/members", "").await));
-        let kept = std::fs::read_to_string(dir.join("alderstile-n%2F1.hosts.json")).expect("there");
-        assert_eq!(without_time(&kept), without_time(&recorded("hosts.json")));
+        wait_until_status("200").await;
+        assert_recorded("admin.txt", &responses().await);
+        assert_recorded("metric_names.txt", &metric_names(&request("GET", "/control/counters", "").await));
+        assert_recorded("members.txt", &masked_members(&request("GET", "/members", "").await));
+        let written = std::fs::read_to_string(dir.join("alderstile-n%2F1.hosts.json")).expect("there");
+        assert_eq!(without_time(&written), without_time(&recorded("hosts.json")));
         commands.push_str(&masked_table(&print(&["members"])));
         commands.push_str(&masked_members(&print(&["members", "--json"])));
         let bad = dir.join("bad.json").display().to_string();
         commands.push_str(&print(&["settings", "propose", &bad]).replace(&dir.display().to_string(), "DIR"));
         commands.push_str(&print(&["version"]));
-        same("commands.txt", &commands);
-        std::fs::remove_dir_all(&dir).expect("taken away");
+        assert_recorded("commands.txt", &commands);
+        std::fs::remove_dir_all(&dir).expect("removed");
     });
 }
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: what it reads, its defaults, and errors that name the key at fault.
+//! The configuration: parsing, defaults, and errors that name the invalid key.
 
 use std::path::Path;
 
@@ -9,28 +9,28 @@
 use support::config;
 
 fn error(value: Value) -> String {
-    Config::parse(value).expect_err("a faulty configuration").to_string()
+    Config::parse(value).expect_err("an invalid configuration").to_string()
 }
 
 #[test]
-fn a_whole_configuration_is_read() {
+fn complete_configuration_is_parsed() {
     let mut value = config("127.0.0.1:1", "127.0.0.1:2");
     value["known"] = json!({"seq": 41, "whole": true, "hosts": [
         {"host": "s-1", "dial": "127.0.0.1:9000", "site": "b", "class": "m2", "block": 3, "health": "draining",
          "share": 1.0, "born_ms": 7}]});
-    let config = Config::parse(value).expect("fine");
+    let config = Config::parse(value).expect("a valid configuration");
     assert_eq!((config.name.as_str(), config.max_descriptors), ("n1", 200));
     assert_eq!(config.classes, ["chat", "presence"]);
     assert_eq!(config.zones, ["a", "b"]);
     assert_eq!(config.settings.classes.len(), 2);
-    assert_eq!(config.shutdown_timeout.as_millis(), 1_900, "the longest request and what the platform adds");
+    assert_eq!(config.shutdown_timeout.as_millis(), 1_900, "the longest deadline plus the platform's margin");
     assert_eq!(config.settings.classes[1].message_latency_objective.map(|aim| aim.0), Some(150_000));
     let entry = config.cached_endpoints.entries(&config.zones)[0];
     assert_eq!((entry.zone, entry.cell, entry.started.map(|at| at.0)), (1, 3, Some(7_000)));
 }
 
 #[test]
-fn the_faulty_key_is_named() {
+fn error_names_missing_or_invalid_key() {
     for key in ["name", "listen", "discovery"] {
         let mut value = config("127.0.0.1:1", "127.0.0.1:2");
         value.as_object_mut().and_then(|fields| fields.remove(key));
@@ -53,32 +53,32 @@
         ("/settings", Value::Null, "the key settings.classes.count is missing"),
         ("/known", json!({"seq": "x"}), "the key known"),
     ];
-    for (place, bad, wanted) in faults {
+    for (pointer, invalid, expected) in faults {
         let mut value = config("127.0.0.1:1", "127.0.0.1:2");
-        *value.pointer_mut(place).expect("a key of the configuration") = bad;
-        let told = error(value);
-        assert!(told.contains(wanted), "{place}: {told}");
+        *value.pointer_mut(pointer).expect("a key of the configuration") = invalid;
+        let message = error(value);
+        assert!(message.contains(expected), "{pointer}: {message}");
     }
 }
 
 #[test]
-fn what_may_be_left_out_has_a_default() {
+fn optional_keys_have_defaults() {
     let mut value = config("127.0.0.1:1", "127.0.0.1:2");
     for key in ["limits", "peers", "seed", "known"] {
         value.as_object_mut().and_then(|fields| fields.remove(key));
     }
     value["settings"]["obligations"].as_object_mut().and_then(|fields| fields.remove("must_ask_in"));
-    // A node that never watched, or watched without a pause, would be of no use on sockets. Where lists are
-    // pushed its own agent is asked, and what that has counts at once.
-    for (discovery, wanted) in [("subscribe", 10_000_000), ("automatic", 200_000)] {
+    // On sockets a node must watch, and with a pause between polls. Pushed lists are polled often: the local
+    // agent is queried, and what it knows counts at once.
+    for (discovery, expected) in [("subscribe", 10_000_000), ("automatic", 200_000)] {
         value["settings"]["discovery"] = discovery.into();
-        let config = Config::parse(value.clone()).expect("fine");
+        let config = Config::parse(value.clone()).expect("a valid configuration");
         assert!(
-            config.settings.must_subscribe && config.settings.max_poll_interval.0 == wanted,
+            config.settings.must_subscribe && config.settings.max_poll_interval.0 == expected,
             "{discovery}"
         );
     }
-    let config = Config::parse(value).expect("fine");
+    let config = Config::parse(value).expect("a valid configuration");
     assert_eq!(
         (config.max_descriptors, config.peers.len(), config.cached_endpoints.endpoints.len()),
         (1_024, 0, 0)
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_file_that_is_none_is_told() {
+fn missing_configuration_file_is_reported() {
     let none = |_: &str| None;
     assert!(matches!(Config::load(None, none), Err(ConfigError::NoFile)));
     let missing = Config::load(Some(Path::new("/nowhere/config.json")), none);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn the_environment_stands_above_the_file() {
+fn environment_overrides_the_file() {
     let path = std::env::temp_dir().join(format!("alderstile-config-{}.json", std::process::id()));
     std::fs::write(&path, config("127.0.0.1:1", "127.0.0.1:2").to_string()).expect("written");
     let env = |name: &str| match name {
@@ -104,27 +104,30 @@
     };
     let read = Config::load(None, env);
     std::fs::remove_file(&path).expect("removed");
-    let config = read.expect("fine");
+    let config = read.expect("a valid configuration");
     assert_eq!((config.listen.to_string(), config.name.as_str()), ("127.0.0.9:90".to_owned(), "n1"));
 }
 
 #[test]
-fn the_watching_instance_is_off_unless_asked_for_and_takes_what_it_is_not_told_from_the_deciding_one() {
+fn shadow_is_off_by_default_and_inherits_missing_settings_from_the_active_instance() {
     let mut value = config("127.0.0.1:1", "127.0.0.1:2");
-    assert!(Config::parse(value.clone()).expect("fine").shadow.is_none());
+    assert!(Config::parse(value.clone()).expect("a valid configuration").shadow.is_none());
     value["shadow"] = json!({"settings": {"balancers": 50}});
-    assert!(Config::parse(value.clone()).expect("fine").shadow.is_none(), "named, but not on");
+    assert!(
+        Config::parse(value.clone()).expect("a valid configuration").shadow.is_none(),
+        "configured, but not on"
+    );
     value["shadow"] =
         json!({"on": true, "settings": {"balancers": 50, "extra": {"groups": true, "group_load": 2.5}}});
-    let config = Config::parse(value).expect("fine");
+    let config = Config::parse(value).expect("a valid configuration");
     let shadow = config.shadow.expect("on");
     assert_eq!((shadow.node_count, shadow.groups, shadow.group_load), (50, true, 2.5));
     assert_eq!(shadow.max_poll_interval, config.settings.max_poll_interval);
-    assert_eq!(config.settings.group_load, 3.0, "absent, it has its default");
+    assert_eq!(config.settings.group_load, 3.0, "a missing key has its default");
 }
 
 #[test]
-fn a_faulty_setting_of_the_new_shape_or_of_the_watching_instance_is_refused_by_its_name() {
+fn invalid_shadow_or_group_load_settings_are_rejected_by_key() {
     let group_load = |value: Value| json!({"groups": true, "group_load": value});
     let faults = [
         (json!({"on": "perhaps"}), "the key shadow.on has the value \"perhaps\""),
@@ -147,74 +150,74 @@
             "the key shadow.settings.classes has the value \"1\"",
         ),
     ];
-    for (section, wanted) in faults {
+    for (section, expected) in faults {
         let mut value = config("127.0.0.1:1", "127.0.0.1:2");
         value["shadow"] = section.clone();
-        let told = error(value);
-        assert!(told.contains(wanted), "{section}: {told}");
+        let message = error(value);
+        assert!(message.contains(expected), "{section}: {message}");
     }
-    for bad in [json!(-1), json!("inf"), json!("three"), json!([1, 2])] {
+    for invalid in [json!(-1), json!("inf"), json!("three"), json!([1, 2])] {
         let mut value = config("127.0.0.1:1", "127.0.0.1:2");
-        value["settings"]["extra"] = group_load(bad.clone());
-        let told = error(value);
-        assert!(told.contains("the key settings.extra.group_load has the value"), "{bad}: {told}");
+        value["settings"]["extra"] = group_load(invalid.clone());
+        let message = error(value);
+        assert!(message.contains("the key settings.extra.group_load has the value"), "{invalid}: {message}");
     }
     let mut value = config("127.0.0.1:1", "127.0.0.1:2");
     value["settings"]["extra"]["unheard_of"] = json!(3);
-    assert!(Config::parse(value).is_ok(), "the platform hands over many keys");
+    assert!(Config::parse(value).is_ok(), "unknown settings are ignored, as the platform sends many");
 }
 
 #[test]
-fn the_operators_address_is_off_unless_named_and_the_environment_stands_above_the_file() {
+fn admin_server_is_off_by_default_and_environment_overrides_its_address() {
     let mut value = config("127.0.0.1:1", "127.0.0.1:2");
     let env = |name: &str| match name {
         "ROUTER_ADMIN_ADDR" => Some("127.0.0.1:7".to_owned()),
         "TMPDIR" => Some("/of/its/own".to_owned()),
         _ => None,
     };
-    let off =
-        Config::from_file_value(value.clone(), |name| env(name).filter(|_| name == "TMPDIR")).expect("fine");
+    let off = Config::from_file_value(value.clone(), |name| env(name).filter(|_| name == "TMPDIR"))
+        .expect("a valid configuration");
     assert_eq!((off.admin_addr, off.state_dir), (None, None));
     value["admin_addr"] = "127.0.0.1:3".into();
-    let file = Config::from_file_value(value.clone(), |_| None).expect("fine");
+    let file = Config::from_file_value(value.clone(), |_| None).expect("a valid configuration");
     assert_eq!(file.admin_addr.map(|address| address.port()), Some(3));
-    let both = Config::from_file_value(value.clone(), env).expect("fine");
+    let both = Config::from_file_value(value.clone(), env).expect("a valid configuration");
     assert_eq!(both.admin_addr.map(|address| address.port()), Some(7));
     assert_eq!(both.state_dir.as_deref(), Some(Path::new("/of/its/own")));
     assert_eq!(
         both.source["admin_addr"], "127.0.0.1:3",
-        "what the file told, for the next one to be held against"
+        "the file's value, with which a reloaded file is compared"
     );
     value["admin_addr"] = "here".into();
     assert!(error(value).contains("the key admin_addr has the value \"here\""));
 }
 
 #[test]
-fn a_faulty_budget_or_doubt_of_clocks_is_refused_by_its_name() {
-    let with = |told: Value| {
+fn invalid_retry_budget_or_clock_tolerance_is_rejected_by_key() {
+    let with = |additional: Value| {
         let mut value = config("127.0.0.1:1", "127.0.0.1:2");
         let obligations = value.pointer_mut("/settings/obligations").and_then(Value::as_object_mut);
-        obligations.expect("obligations").extend(told.as_object().cloned().expect("an object"));
+        obligations.expect("obligations").extend(additional.as_object().cloned().expect("an object"));
         value
     };
-    let whole = json!({"free_resends": 10.0, "resend_ratio": 0.15, "counted_over": 10_000_000, "deadline_drift": 3_200_000,
+    let complete = json!({"free_resends": 10.0, "resend_ratio": 0.15, "counted_over": 10_000_000, "deadline_drift": 3_200_000,
         "gone_is_advice": true, "stamp_doubt": 0});
-    let settings = Config::parse(with(whole)).expect("fine").settings;
+    let settings = Config::parse(with(complete)).expect("a valid configuration").settings;
     let budget = settings.retry_budget.expect("a budget");
     assert_eq!((budget.min_retries, budget.retry_ratio, budget.window.0), (10.0, 0.15, 10_000_000));
     assert_eq!((settings.deadline_tolerance.0, settings.removal_is_advisory), (3_200_000, true));
-    let none = Config::parse(with(json!({}))).expect("fine").settings;
+    let none = Config::parse(with(json!({}))).expect("a valid configuration").settings;
     assert_eq!((none.retry_budget, none.removal_is_advisory, none.start_time_tolerance.0), (None, false, 0));
     let budget = |key: &str, value: Value| {
-        let mut told = json!({"free_resends": 5, "resend_ratio": 0.03, "counted_over": 10_000_000});
-        told[key] = value;
-        told
+        let mut budget = json!({"free_resends": 5, "resend_ratio": 0.03, "counted_over": 10_000_000});
+        budget[key] = value;
+        budget
     };
-    let lacking = "is missing";
+    let missing_key = "is missing";
     let faults = [
-        (json!({"free_resends": 5}), "obligations.resend_ratio", lacking),
-        (json!({"resend_ratio": 0.1, "free_resends": 5}), "obligations.counted_over", lacking),
-        (json!({"counted_over": 5}), "obligations.free_resends", lacking),
+        (json!({"free_resends": 5}), "obligations.resend_ratio", missing_key),
+        (json!({"resend_ratio": 0.1, "free_resends": 5}), "obligations.counted_over", missing_key),
+        (json!({"counted_over": 5}), "obligations.free_resends", missing_key),
         (budget("free_resends", json!(2.5)), "obligations.free_resends", "a whole number"),
         (budget("free_resends", json!(-1)), "obligations.free_resends", "zero or more"),
         (budget("free_resends", json!("NaN")), "obligations.free_resends", "zero or more"),
@@ -227,8 +230,11 @@
         (json!({"stamp_doubt": "soon"}), "obligations.stamp_doubt", "whole number of microseconds"),
         (json!({"gone_is_advice": 1}), "obligations.gone_is_advice", "true or false"),
     ];
-    for (told, key, wanted) in faults {
-        let said = error(with(told.clone()));
-        assert!(said.contains(&format!("settings.{key}")) && said.contains(wanted), "{told}: {said}");
+    for (additional, key, expected) in faults {
+        let message = error(with(additional.clone()));
+        assert!(
+            message.contains(&format!("settings.{key}")) && message.contains(expected),
+            "{additional}: {message}"
+        );
     }
 }
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Reloading the configuration while the node runs, and the configuration of a successor.
+//! Configuration reload, and the configuration of a successor.
 
 use std::path::PathBuf;
 use std::process::Stdio;
@@ -15,8 +15,8 @@
 mod support;
 use support::*;
 
-/// A file of its own for each test.
-fn file(name: &str, value: &Value) -> PathBuf {
+/// Writes a configuration to a file with this name; each test uses its own.
+fn write_config(name: &str, value: &Value) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
     std::fs::write(&path, value.to_string()).expect("written");
     path
@@ -26,31 +26,32 @@
     discovery.0.local_addr().expect("bound").to_string()
 }
 
-/// Answers a call for the whole list.
-async fn whole(discovery: &Discovery, seq: u64, hosts: &[&Host]) {
+/// Answers a request for the complete endpoint list.
+async fn serve_complete_list(discovery: &Discovery, seq: u64, hosts: &[&Host]) {
     let (first, mut call) = discovery.call().await;
-    // A watch from a version of the old discovery's, or from none, may begin with changes alone.
+    // The first request must ask for the complete list: a watch from a version of the old discovery, or
+    // without version, may return only changes.
     assert_eq!(first, "GET /catalog/members HTTP/1.1");
     let body = list(seq, true, &hosts.iter().map(|host| host.entry("up")).collect::<Vec<_>>());
     call.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())).await;
 }
 
 #[test]
-fn the_list_comes_from_the_new_discovery_at_once_and_connections_live_on() {
+fn reloaded_discovery_address_is_used_at_once_and_connections_stay_open() {
     run(async {
         let hosts = [Host::new("s-1").await, Host::new("s-2").await];
         let (setup, mut old) = serving(&[&hosts[0]]).await;
         chunk(&mut old, &list(90, false, &[])).await;
         let (mut client, mut server) = setup.up(1, &hosts[0]).await;
         let new = Discovery::new().await;
-        let path = file("moved", &config("127.0.0.1:0", &address(&new)));
-        // The environment's word is that of the start.
+        let path = write_config("moved", &config("127.0.0.1:0", &address(&new)));
+        // The environment's address applies only at the start.
         reload(&setup.node, Some(&path), |name| {
             (name == "ROUTER_DISCOVERY").then(|| address(&setup.discovery))
         });
         assert_eq!(old.line().await, None, "the old watch is dropped");
-        // Its versions are its own, and lower.
-        whole(&new, 3, &[&hosts[1]]).await;
+        // The new discovery has its own versions, which are lower.
+        serve_complete_list(&new, 3, &[&hosts[1]]).await;
         let (first, mut watch) = new.call().await;
         assert!(first.contains("stream=1&index=3"), "{first}");
         assert!(setup.node.decisions.host(server_id("s-1")).is_none());
@@ -64,30 +65,34 @@
 }
 
 #[test]
-fn a_call_that_is_out_is_dropped_too() {
+fn pending_discovery_request_is_dropped_on_reload() {
     run(async {
         let host = Host::new("s-1").await;
         let setup = start(|_| {}).await;
         let (_, mut pending) = setup.discovery.call().await;
         let new = Discovery::new().await;
-        let path = file("pending", &config("127.0.0.1:0", &address(&new)));
+        let path = write_config("pending", &config("127.0.0.1:0", &address(&new)));
         reload(&setup.node, Some(&path), |_| None);
         assert_eq!(pending.line().await, None);
-        whole(&new, 1, &[&host]).await;
+        serve_complete_list(&new, 1, &[&host]).await;
         setup.until_ready().await;
         setup.up(1, &host).await;
     });
 }
 
 #[test]
-fn a_faulty_file_changes_nothing() {
+fn invalid_file_changes_nothing() {
     run(async {
         let host = Host::new("s-1").await;
         let (setup, mut watch) = serving(&[&host]).await;
         let before = setup.node.decisions.discovery();
-        let mut faulty = config("127.0.0.1:0", "127.0.0.1:1");
-        faulty["limits"]["sockets"] = "many".into();
-        for path in [file("faulty", &faulty), file("none", &Value::Null), PathBuf::from("/nonexistent")] {
+        let mut invalid = config("127.0.0.1:0", "127.0.0.1:1");
+        invalid["limits"]["sockets"] = "many".into();
+        for path in [
+            write_config("faulty", &invalid),
+            write_config("none", &Value::Null),
+            PathBuf::from("/nonexistent"),
+        ] {
             reload(&setup.node, Some(&path), |_| None);
             assert_eq!(setup.node.decisions.discovery(), before);
         }
@@ -97,12 +102,12 @@
 }
 
 #[test]
-fn sighup_reads_the_file_again_and_ends_nothing() {
+fn sighup_reloads_the_file_and_the_process_continues() {
     run(async {
         let (old, new) = (Discovery::new().await, Discovery::new().await);
         let mut value = config("127.0.0.1:0", &address(&old));
         value["settings"]["allowed"]["may_tell"] = false.into();
-        let path = file("sighup", &value);
+        let path = write_config("sighup", &value);
         let mut node = Command::new(env!("CARGO_BIN_EXE_alderstile"))
             .args(["serve", "--config"])
             .arg(&path)
@@ -115,36 +120,36 @@
         let mut log = BufReader::new(node.stderr.take().expect("a log")).lines();
         old.call().await;
         let hangup = async || {
-            let pid = node.id().expect("still there").to_string();
+            let pid = node.id().expect("running").to_string();
             assert!(Command::new("kill").args(["-HUP", &pid]).status().await.expect("sent").success());
         };
         value["listen"] = "nowhere".into();
-        file("sighup", &value);
+        write_config("sighup", &value);
         hangup().await;
         loop {
-            let line = log.next_line().await.expect("a log").expect("a line that names the faulty key");
+            let line = log.next_line().await.expect("a log").expect("a line that names the invalid key");
             if line.contains("the key listen") {
                 break;
             }
         }
         value["listen"] = "127.0.0.1:0".into();
         value["discovery"] = address(&new).into();
-        file("sighup", &value);
+        write_config("sighup", &value);
         hangup().await;
         new.call().await;
-        assert_eq!(node.try_wait().expect("asked"), None, "it lives on");
+        assert_eq!(node.try_wait().expect("asked"), None, "the process still runs");
     });
 }
 
 #[test]
-fn sighup_counts_during_a_stop_and_a_second_sigterm_changes_nothing() {
+fn sighup_reloads_during_shutdown_and_second_sigterm_is_ignored() {
     run(async {
         let (old, new) = (Discovery::new().await, Discovery::new().await);
         let listen =
             tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
         let mut value = config(&listen.to_string(), &address(&old));
         value["settings"]["allowed"]["may_tell"] = false.into();
-        let path = file("stop", &value);
+        let path = write_config("stop", &value);
         let mut node = Command::new(env!("CARGO_BIN_EXE_alderstile"))
             .args(["serve", "--config"])
             .arg(&path)
@@ -154,36 +159,36 @@
             .spawn()
             .expect("started");
         let signal = async |name: &str| {
-            let pid = node.id().expect("still there").to_string();
+            let pid = node.id().expect("running").to_string();
             assert!(Command::new("kill").args([name, &pid]).status().await.expect("sent").success());
         };
         let host = Host::new("s-1").await;
         let mut watch = old.watch(&[&list(1, true, &[host.entry("up")])]).await;
         let mut client = loop {
-            let mut front = Peer::connect(listen).await;
-            front.send("PING\r\n").await;
-            if front.line().await.is_some() {
+            let mut health_check = Peer::connect(listen).await;
+            health_check.send("PING\r\n").await;
+            if health_check.line().await.is_some() {
                 break Peer::connect(listen).await;
             }
         };
         client.send("OPEN 1 1 c=chat,d=1000\r\n").await;
         let mut server = host.accept().await;
         server.line().await.expect("the first line");
-        // The stop has begun once it is not ready any more.
+        // The shutdown has begun once the node no longer answers health checks.
         signal("-TERM").await;
         loop {
-            let mut front = Peer::connect(listen).await;
-            front.send("PING\r\n").await;
-            if front.line().await.is_none() {
+            let mut health_check = Peer::connect(listen).await;
+            health_check.send("PING\r\n").await;
+            if health_check.line().await.is_none() {
                 break;
             }
         }
         signal("-TERM").await;
         value["discovery"] = address(&new).into();
-        file("stop", &value);
+        write_config("stop", &value);
         signal("-HUP").await;
         assert_eq!(watch.line().await, None, "the old watch is dropped");
-        whole(&new, 1, &[&host]).await;
+        serve_complete_list(&new, 1, &[&host]).await;
         server.send("UP 01\r\n").await;
         assert_eq!(client.line().await.as_deref(), Some("UP 01"));
         assert_eq!(client.line().await.as_deref(), Some("MOVE"));
@@ -191,89 +196,94 @@
     });
 }
 
-/// What the figures say.
-fn figure(setup: &Setup, name: &str) -> Option<String> {
+/// Returns the value and kind of a metric.
+fn metric(setup: &Setup, name: &str) -> Option<String> {
     let (text, start) = (setup.node.admin.metrics_text(), format!("router.{name}:"));
     text.lines().find_map(|line| line.strip_prefix(&start)).map(str::to_owned)
 }
 
-/// The file that a node was started by, to be changed.
-fn told(setup: &Setup) -> Value {
+/// Returns the configuration file of a node, to be modified.
+fn config_source(setup: &Setup) -> Value {
     setup.node.config().source.clone()
 }
 
-async fn answer(setup: &Setup, id: u64, class: &str) -> Option<String> {
+async fn first_response(setup: &Setup, id: u64, class: &str) -> Option<String> {
     let mut client = setup.client().await;
     client.send(&format!("OPEN {id:016x} {id:016x} c={class},d=20000\r\n")).await;
     client.line().await
 }
 
 #[test]
-fn classes_come_and_go_and_connections_under_way_keep_theirs() {
+fn classes_can_be_added_and_removed_and_open_connections_keep_theirs() {
     run(async {
         let host = Host::new("s-1").await;
         let (setup, _watch) = serving(&[&host]).await;
         let (mut client, mut server) = setup.up(1, &host).await;
-        let mut value = told(&setup);
+        let mut value = config_source(&setup);
         let mut class = value["settings"]["classes"][1].take();
         class["name"] = "video".into();
         let presence = std::mem::replace(&mut value["settings"]["classes"], serde_json::json!([class]));
-        reload(&setup.node, Some(&file("classes", &value)), |_| None);
-        assert_eq!(figure(&setup, "reconfig_ok").as_deref(), Some("1|c"));
-        assert_eq!(setup.node.config().classes, ["chat", "presence", "video"], "numbers are kept");
-        assert_eq!(figure(&setup, "success.video").as_deref(), Some("0|c"));
-        assert_eq!(answer(&setup, 2, "chat").await.as_deref(), Some("ERR"), "it takes nothing new");
+        reload(&setup.node, Some(&write_config("classes", &value)), |_| None);
+        assert_eq!(metric(&setup, "reconfig_ok").as_deref(), Some("1|c"));
+        assert_eq!(setup.node.config().classes, ["chat", "presence", "video"], "classes keep their numbers");
+        assert_eq!(metric(&setup, "success.video").as_deref(), Some("0|c"));
+        assert_eq!(
+            first_response(&setup, 2, "chat").await.as_deref(),
+            Some("ERR"),
+            "a removed class admits no requests"
+        );
         client.send("M 1\r\n").await;
-        assert_eq!(server.line().await.as_deref(), Some("M 1"), "and what is under way goes on");
+        assert_eq!(server.line().await.as_deref(), Some("M 1"), "its open connections are served");
         let mut new = setup.client().await;
         new.send("OPEN 3 3 c=video,d=20000\r\n").await;
         let mut at = host.accept().await;
         at.line().await.expect("the first line");
         at.send("UP 00ff\r\n").await;
         assert_eq!(new.line().await.as_deref(), Some("UP 00ff"));
-        assert_eq!(figure(&setup, "success.video").as_deref(), Some("1|c"));
-        // And back, under its old number.
+        assert_eq!(metric(&setup, "success.video").as_deref(), Some("1|c"));
+        // The class is added again under its old number.
         value["settings"]["classes"] = presence;
         value["settings"]["classes"][1] = serde_json::json!({"name": "presence", "aim": 1, "worth": 1.0,
             "semantics": "fragile", "give_up": 9, "stream": true});
-        reload(&setup.node, Some(&file("classes", &value)), |_| None);
+        reload(&setup.node, Some(&write_config("classes", &value)), |_| None);
         assert_eq!(setup.node.config().retired_classes.iter().collect::<Vec<_>>(), ["video"]);
         assert_eq!(setup.node.config().classes, ["chat", "presence", "video"]);
     });
 }
 
 #[test]
-fn fewer_attempts_and_a_stricter_effect_count_for_the_next_attempt() {
+fn reloaded_attempt_limit_and_semantics_apply_to_the_next_attempt() {
     run(async {
         let host = Host::new("s-1").await;
         let other = Host::new("s-2").await;
         let (setup, _watch) = serving(&[&host, &other]).await;
-        // A request is out when the word comes that it may not be repeated: it broke, and may have run.
+        // The class becomes non-retryable while a request is at a host. The request then fails, and as it may
+        // have been processed, it is not retried.
         let mut client = setup.open(1, "d=20000").await;
         let mut first = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
         first.line().await.expect("the first line");
-        let mut value = told(&setup);
+        let mut value = config_source(&setup);
         value["settings"]["classes"][0]["semantics"] = "fragile".into();
-        reload(&setup.node, Some(&file("stricter", &value)), |_| None);
+        reload(&setup.node, Some(&write_config("stricter", &value)), |_| None);
         drop(first);
         assert_eq!(client.line().await.as_deref(), Some("FAILED"));
         value["settings"]["allowed"]["max_attempts"] = 1.into();
         value["settings"]["classes"][0]["semantics"] = "retryable".into();
-        reload(&setup.node, Some(&file("stricter", &value)), |_| None);
+        reload(&setup.node, Some(&write_config("stricter", &value)), |_| None);
         let mut client = setup.open(2, "d=20000").await;
         let mut only = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
         only.line().await.expect("the first line");
         only.send("BUSY\r\n").await;
         assert!(
             client.line().await.is_some_and(|line| line.starts_with("BUSY ")),
-            "one attempt, and when to return"
+            "one attempt, rejected with a retry delay"
         );
-        assert_eq!(figure(&setup, "backend_calls").as_deref(), Some("2|c"));
+        assert_eq!(metric(&setup, "backend_calls").as_deref(), Some("2|c"));
     });
 }
 
-/// The paths of all values of an object, those of the classes' keys too.
-fn paths(value: &Value, path: &str, all: &mut Vec<String>) {
+/// Collects the JSON pointers of all values of an object, including those of the classes.
+fn pointers(value: &Value, path: &str, all: &mut Vec<String>) {
     let fields: Vec<(String, &Value)> = match value {
         Value::Object(fields) => fields.iter().map(|(key, value)| (key.clone(), value)).collect(),
         Value::Array(items) if items.iter().all(Value::is_object) => {
@@ -283,23 +293,23 @@
     };
     for (key, value) in fields {
         let path = format!("{path}/{key}");
-        paths(value, &path, all);
+        pointers(value, &path, all);
         all.push(path);
     }
 }
 
 #[test]
-fn a_file_that_lacks_a_key_or_holds_a_bad_count_is_turned_down_whole() {
+fn file_with_a_missing_key_or_an_invalid_number_is_rejected_completely() {
     run(async {
         let host = Host::new("s-1").await;
         let (setup, mut watch) = serving(&[&host]).await;
         let before = setup.node.decisions.discovery();
-        let good = told(&setup);
-        let mut bad: Vec<(String, String)> = Vec::new();
+        let good = config_source(&setup);
+        let mut invalid: Vec<(String, String)> = Vec::new();
         let mut all = Vec::new();
-        paths(&good, "", &mut all);
+        pointers(&good, "", &mut all);
         for path in all {
-            // A class may vanish.
+            // A class may be removed.
             if ["/settings/classes/0", "/settings/classes/1"].contains(&path.as_str()) {
                 continue;
             }
@@ -307,107 +317,108 @@
             let (at, key) = path.rsplit_once('/').expect("a path");
             let fields = value.pointer_mut(at).and_then(Value::as_object_mut).expect("an object");
             fields.remove(key).expect("a value");
-            bad.push((format!("without {path}"), value.to_string()));
+            invalid.push((format!("without {path}"), value.to_string()));
             value = good.clone();
             *value.pointer_mut(&path).expect("a value") = Value::Null;
-            bad.push((format!("null at {path}"), value.to_string()));
+            invalid.push((format!("null at {path}"), value.to_string()));
         }
-        let counts = [
+        let numbers = [
             "/settings/allowed/max_attempts",
             "/settings/allowed/connect_timeout",
             "/settings/classes/0/give_up",
             "/settings/classes/1/aim",
         ];
-        for path in counts {
-            for count in
+        for path in numbers {
+            for number in
                 ["0", "-1", "1.5", "\"3\"", "\"soon\"", "null", "1e400", "18446744073709551616", "[]", "true"]
             {
                 let mut value = good.clone();
                 *value.pointer_mut(path).expect("a value") = "HERE".into();
-                bad.push((format!("{count} at {path}"), value.to_string().replace("\"HERE\"", count)));
+                invalid.push((format!("{number} at {path}"), value.to_string().replace("\"HERE\"", number)));
             }
         }
-        let whole = good.to_string();
-        for cut in (0..whole.len()).step_by(7) {
-            bad.push((format!("cut at {cut}"), whole[..cut].to_owned()));
+        let text = good.to_string();
+        for cut in (0..text.len()).step_by(7) {
+            invalid.push((format!("cut at {cut}"), text[..cut].to_owned()));
         }
         for text in ["", "\n", "null", "[]", "3", "{}", "NaN", "\u{fffd}"] {
-            bad.push((format!("{text:?}"), text.to_owned()));
+            invalid.push((format!("{text:?}"), text.to_owned()));
         }
-        // A new class without what all classes have.
+        // A new class without a key that all classes have.
         for key in ["aim", "worth", "give_up", "stream", "semantics"] {
             let mut value = good.clone();
             let mut class = value["settings"]["classes"][0].clone();
             class["name"] = "video".into();
             class.as_object_mut().and_then(|fields| fields.remove(key)).expect("a key of a class");
             value["settings"]["classes"][1] = class;
-            bad.push((format!("a new class without {key}"), value.to_string()));
+            invalid.push((format!("a new class without {key}"), value.to_string()));
         }
-        let path = file("bad", &Value::Null);
-        for (number, (what, text)) in bad.iter().enumerate() {
-            // What else is new in it must not count either.
+        let path = write_config("bad", &Value::Null);
+        for (number, (what, text)) in invalid.iter().enumerate() {
+            // Other changes in the same file must not apply either.
             std::fs::write(&path, text.replace(&before.to_string(), "127.0.0.1:1")).expect("written");
             reload(&setup.node, Some(&path), |_| None);
             assert_eq!(setup.node.decisions.discovery(), before, "{what}");
             let failed = format!("{}|c", number + 1);
-            assert_eq!(figure(&setup, "reconfig_failed"), Some(failed), "{what}");
+            assert_eq!(metric(&setup, "reconfig_failed"), Some(failed), "{what}");
         }
         std::fs::write(&path, b"\xff\xfe").expect("written");
         reload(&setup.node, Some(&path), |_| None);
-        assert_eq!(figure(&setup, "reconfig_ok").as_deref(), Some("0|c"));
-        assert_eq!(told(&setup), good);
+        assert_eq!(metric(&setup, "reconfig_ok").as_deref(), Some("0|c"));
+        assert_eq!(config_source(&setup), good);
         chunk(&mut watch, &list(2, false, &[])).await;
         setup.up(1, &host).await;
     });
 }
 
 #[test]
-fn what_waits_for_the_next_start_is_named() {
+fn changed_fixed_keys_are_deferred_to_the_next_start() {
     let value = config("127.0.0.1:9000", "127.0.0.1:8500");
-    let config = Config::from_file_value(value.clone(), |_| None).expect("fine");
+    let config = Config::from_file_value(value.clone(), |_| None).expect("a valid configuration");
     let mut new = value;
     new["limits"]["sockets"] = 300.into();
     new["listen"] = "127.0.0.1:9009".into();
     new["settings"]["my_zone"] = 1.into();
     new["settings"]["balancers"] = 7.into();
-    let ReloadedConfig { config, deferred_keys } = config.reloaded(new).expect("fine");
+    let ReloadedConfig { config, deferred_keys } = config.reloaded(new).expect("a valid configuration");
     assert_eq!(deferred_keys, ["listen", "limits", "settings.my_zone"]);
     assert_eq!((config.max_descriptors, config.settings.zone, config.settings.node_count), (200, 0, 7));
     assert_eq!(config.listen.port(), 9000);
 }
 
 #[test]
-fn a_process_that_takes_over_goes_by_the_file_in_force_where_its_own_was_turned_down() {
+fn successor_uses_the_predecessors_configuration_if_its_own_file_is_rejected() {
     let value = config("127.0.0.1:9000", "127.0.0.1:8500");
-    let handshake = UpgradeState {
+    let predecessor = UpgradeState {
         config: value.clone(),
         discovery: Some("127.0.0.1:8507".parse().expect("an address")),
         ..UpgradeState::default()
     };
-    // The environment's word is of the start before.
+    // The environment's address dates from the predecessor's start.
     let env = |name: &str| (name == "ROUTER_DISCOVERY").then(|| "127.0.0.1:8500".to_owned());
-    let take = |name: &str, value: &Value| {
-        Config::for_successor(&handshake, Some(&file(name, value)), env).expect("a configuration")
+    let successor_config = |name: &str, value: &Value| {
+        Config::for_successor(&predecessor, Some(&write_config(name, value)), env).expect("a configuration")
     };
-    let same = take("same", &value);
-    assert_eq!(same.discovery.port(), 8507, "the one that serves knows better");
+    let same = successor_config("same", &value);
+    assert_eq!(same.discovery.port(), 8507, "the predecessor's address is more recent");
     let mut new = value.clone();
     new["settings"]["allowed"]["max_attempts"] = 2.into();
-    assert_eq!(take("new", &new).settings.max_attempts, 2);
+    assert_eq!(successor_config("new", &new).settings.max_attempts, 2);
     new["discovery"] = "127.0.0.1:8509".into();
-    assert_eq!(take("elsewhere", &new).discovery.port(), 8509);
-    // A start would take the default for the lost key, and the other figure with it.
+    assert_eq!(successor_config("elsewhere", &new).discovery.port(), 8509);
+    // At a start, the lost key would get its default, and the changed value would apply too.
     new["settings"]["obligations"].as_object_mut().expect("an object").remove("must_ask_in");
-    let kept = take("lacking", &new);
-    assert_eq!((kept.settings.max_attempts, kept.discovery.port()), (3, 8507));
-    assert_eq!(take("broken", &Value::Null).settings.max_attempts, 3);
+    let lacking = successor_config("lacking", &new);
+    assert_eq!((lacking.settings.max_attempts, lacking.discovery.port()), (3, 8507));
+    assert_eq!(successor_config("broken", &Value::Null).settings.max_attempts, 3);
 }
 
 proptest! {
-    /// However classes come and go, each keeps its number, and exactly those named last take requests.
+    /// For any sequence of reloads, each class keeps its number, and exactly the classes of the last file
+    /// admit requests.
     #[test]
     fn classes_keep_their_numbers(files in prop::collection::vec(prop::collection::btree_set(0..6_u8, 1..5), 1..8)) {
-        let of = |classes: &std::collections::BTreeSet<u8>| {
+        let config_with = |classes: &std::collections::BTreeSet<u8>| {
             let mut value = config("127.0.0.1:9000", "127.0.0.1:8500");
             let class = value["settings"]["classes"][0].clone();
             value["settings"]["extra"]["message_aim"] = serde_json::json!(vec![1e5; classes.len()]);
@@ -419,9 +430,9 @@
             }).collect();
             value
         };
-        let mut config = Config::from_file_value(of(&files[0]), |_| None).expect("fine");
+        let mut config = Config::from_file_value(config_with(&files[0]), |_| None).expect("valid");
         for classes in &files {
-            let next = config.reloaded(of(classes)).expect("fine").config;
+            let next = config.reloaded(config_with(classes)).expect("a valid configuration").config;
             prop_assert_eq!(&next.classes[..config.classes.len()], &config.classes[..]);
             prop_assert_eq!(next.settings.classes.len(), next.classes.len());
             for (name, class) in next.classes.iter().zip(&next.settings.classes) {
--- a/crates/alderstile-node/tests/restarts.rs
+++ b/crates/alderstile-node/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! All nodes of a fleet are restarted, a tenth at a time, while discovery can answer but few calls.
+//! Rolling restart of a fleet, a tenth of the nodes at a time, while discovery is overloaded.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -19,23 +19,25 @@
 use support::*;
 
 const NODES: usize = 20;
-/// Discovery works through a call in this long, and turns away one that has waited so long.
-const A_CALL: Duration = Duration::from_millis(1_000);
-const GIVEN_UP: Duration = Duration::from_millis(2_000);
-/// The next tenth is restarted so long after the one before.
-const EACH_TENTH: Duration = Duration::from_millis(500);
+/// Time in which discovery answers one request.
+const REQUEST_DURATION: Duration = Duration::from_millis(1_000);
+/// Time after which discovery rejects a waiting request.
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Delay between the restarts of two successive tenths.
+const BATCH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Works through calls in turn, one each [`A_CALL`]; a watch stays open and brings an empty line every 2 s.
-fn scarce(discovery: Discovery, whole: String) {
+/// Answers queued requests in order, one per [`REQUEST_DURATION`]; a watch stays open and receives an empty
+/// line every 2 s.
+fn serve_slowly(discovery: Discovery, complete_list: String) {
     let queue: Rc<RefCell<VecDeque<(Instant, Peer)>>> = Rc::default();
     let calls = queue.clone();
     spawn_local(async move {
         loop {
-            // One that a process had begun when it was told to stop is none.
+            // A request that its process had only begun to send when it was stopped is not queued.
             let mut call = Peer(tokio::io::BufReader::new(discovery.0.accept().await.expect("a call").0));
-            let mut begun = [0; 3];
-            let asked = call.0.get_mut().read_exact(&mut begun);
-            if matches!(timeout(GIVEN_UP, asked).await, Ok(Ok(_))) {
+            let mut prefix = [0; 3];
+            let received = call.0.get_mut().read_exact(&mut prefix);
+            if matches!(timeout(QUEUE_TIMEOUT, received).await, Ok(Ok(_))) {
                 calls.borrow_mut().push_back((Instant::now(), call));
             }
         }
@@ -44,9 +46,10 @@
     spawn_local(async move {
         loop {
             sleep(Duration::from_millis(20)).await;
-            let waited = calls.borrow().front().is_some_and(|(asked, _)| asked.elapsed() >= GIVEN_UP);
-            let late = if waited { calls.borrow_mut().pop_front() } else { None };
-            if let Some((_, mut call)) = late {
+            let timed_out =
+                calls.borrow().front().is_some_and(|(received, _)| received.elapsed() >= QUEUE_TIMEOUT);
+            let rejected = if timed_out { calls.borrow_mut().pop_front() } else { None };
+            if let Some((_, mut call)) = rejected {
                 let answer = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
                 call.0.get_mut().write_all(answer).await.unwrap_or_default();
             }
@@ -54,12 +57,12 @@
     });
     spawn_local(async move {
         loop {
-            sleep(A_CALL).await;
+            sleep(REQUEST_DURATION).await;
             let Some((_, mut call)) = queue.borrow_mut().pop_front() else { continue };
-            let whole = whole.clone();
+            let complete_list = complete_list.clone();
             spawn_local(async move {
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let mut next = format!("{head}{:x}\r\n{whole}\r\n", whole.len());
+                let mut next = format!("{head}{:x}\r\n{complete_list}\r\n", complete_list.len());
                 while call.0.get_mut().write_all(next.as_bytes()).await.is_ok() {
                     next = "1\r\n\n\r\n".to_owned();
                     sleep(Duration::from_secs(2)).await;
@@ -69,7 +72,7 @@
     });
 }
 
-fn begin(path: &Path) -> Child {
+fn spawn_node(path: &Path) -> Child {
     Command::new(env!("CARGO_BIN_EXE_alderstile"))
         .args(["serve", "--config"])
         .arg(path)
@@ -82,29 +85,29 @@
 }
 
 #[test]
-fn nine_in_ten_restarted_processes_are_ready_within_ten_seconds_while_calls_are_scarce() {
+fn ninety_percent_of_restarted_nodes_are_ready_within_ten_seconds_while_discovery_is_overloaded() {
     run(async {
         let host = Host::new("s-1").await;
-        let whole = list(1, true, &[host.entry("up")]);
+        let complete_list = list(1, true, &[host.entry("up")]);
         let discovery = Discovery::new().await;
-        let place = discovery.0.local_addr().expect("bound").to_string();
-        scarce(discovery, whole.clone());
+        let discovery_address = discovery.0.local_addr().expect("bound").to_string();
+        serve_slowly(discovery, complete_list.clone());
         let mut nodes: Vec<(PathBuf, SocketAddr, Child)> = Vec::new();
         for number in 0..NODES {
             let free = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = free.local_addr().expect("bound");
-            let mut value = config(&address.to_string(), &place);
+            let mut value = config(&address.to_string(), &discovery_address);
             value["name"] = json!(format!("n{number}"));
             value["seed"] = json!(format!("{number:x}"));
             value["settings"]["allowed"]["may_tell"] = json!(false);
             value["settings"]["balancers"] = json!(NODES);
-            // As they last had it.
-            value["known"] = serde_json::from_str(&whole).expect("a list");
+            // The cached endpoint list, as the node last received it.
+            value["known"] = serde_json::from_str(&complete_list).expect("a list");
             let path =
                 std::env::temp_dir().join(format!("alderstile-restart-{}-{number}.json", std::process::id()));
             std::fs::write(&path, value.to_string()).expect("written");
             drop(free);
-            let child = begin(&path);
+            let child = spawn_node(&path);
             nodes.push((path, address, child));
         }
         for (_, address, _) in &nodes {
@@ -113,25 +116,25 @@
         let mut restarts = Vec::new();
         for (number, (path, address, mut child)) in nodes.into_iter().enumerate() {
             restarts.push(spawn_local(async move {
-                let tenth = u32::try_from(number * 10 / NODES).expect("a tenth");
-                sleep(EACH_TENTH * tenth).await;
-                let pid = child.id().expect("still there").to_string();
+                let batch = u32::try_from(number * 10 / NODES).expect("a batch");
+                sleep(BATCH_INTERVAL * batch).await;
+                let pid = child.id().expect("running").to_string();
                 let sent = Command::new("kill").args(["-TERM", &pid]).status().await.expect("sent");
                 assert!(sent.success());
                 assert!(child.wait().await.expect("ended").success());
-                let _child = begin(&path);
-                let took = until_pong(address).await;
+                let _child = spawn_node(&path);
+                let duration = until_pong(address).await;
                 std::fs::remove_file(path).unwrap_or_default();
-                took
+                duration
             }));
         }
-        let mut took = Vec::new();
+        let mut durations = Vec::new();
         for restart in restarts {
-            took.push(restart.await.expect("ready"));
+            durations.push(restart.await.expect("ready"));
         }
-        took.sort_unstable();
-        println!("ready after {took:?}");
-        let within = took.iter().filter(|took| **took < Duration::from_secs(10)).count();
-        assert!(within >= NODES * 9 / 10, "{within} of {NODES}: {took:?}");
+        durations.sort_unstable();
+        println!("ready after {durations:?}");
+        let within = durations.iter().filter(|duration| **duration < Duration::from_secs(10)).count();
+        assert!(within >= NODES * 9 / 10, "{within} of {NODES}: {durations:?}");
     });
 }
--- a/crates/alderstile-node/tests/shadow.rs
+++ b/crates/alderstile-node/tests/shadow.rs
@@ -1,10 +1,10 @@
-//! The shadow instance: it counts differences and changes nothing.
+//! The shadow instance: counts differing decisions and changes nothing.
 
 mod support;
 use support::*;
 
 #[test]
-fn a_watching_instance_counts_where_groups_would_have_gone_and_changes_nothing() {
+fn shadow_counts_differing_hosts_of_groups_and_changes_nothing() {
     run(async {
         let hosts = [Host::new("s-1").await, Host::new("s-2").await];
         for on in [false, true] {
@@ -12,7 +12,7 @@
                 serde_json::json!({"on": on, "settings": {"balancers": 50, "extra": {"groups": true}}});
             let (setup, _watch) =
                 serving_with(&[&hosts[0], &hosts[1]], |value| value["shadow"] = section).await;
-            let (mut held, mut at) = (Vec::new(), [0, 0]);
+            let (mut connections, mut served) = (Vec::new(), [0, 0]);
             for id in 1..=6 {
                 let mut client = setup.open(id, "d=20000,g=5c0f6e1a2b3d4c59").await;
                 let (mut server, i) = tokio::select! {
@@ -22,15 +22,19 @@
                 server.line().await.expect("the first line");
                 server.send("UP 00ff\r\n").await;
                 assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
-                at[i] += 1;
-                held.push((client, server));
+                served[i] += 1;
+                connections.push((client, server));
             }
-            assert_eq!(at, [3, 3], "the deciding settings know no groups: the lowest record decides");
-            let counted = setup.node.decisions.shadow_differences();
-            assert_eq!(counted.is_some(), on);
-            if let Some(counted) = counted {
-                // The second of the group would have joined the first.
-                assert!(counted.elsewhere >= 1 && counted.decisions >= 6, "{counted}");
+            assert_eq!(
+                served,
+                [3, 3],
+                "without groups in the active settings, requests go to the least loaded host"
+            );
+            let differences = setup.node.decisions.shadow_differences();
+            assert_eq!(differences.is_some(), on);
+            if let Some(differences) = differences {
+                // With groups, the second request would have gone to the host of the first.
+                assert!(differences.elsewhere >= 1 && differences.decisions >= 6, "{differences}");
             }
         }
     });
--- a/crates/alderstile-node/tests/shutdown.rs
+++ b/crates/alderstile-node/tests/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned shutdown: who is answered, served on and migrated before the node ends.
+//! Graceful shutdown: which clients are answered, served and migrated before the node ends.
 
 use std::io::Write;
 use std::time::Duration;
@@ -13,41 +13,41 @@
 use support::*;
 
 #[test]
-fn clients_are_told_to_move_before_the_node_leaves_and_new_ones_are_still_answered() {
+fn clients_are_migrated_between_complete_lines_before_the_node_ends() {
     run(async {
         let host = Host::new("s-1").await;
         let (setup, _watch) = serving(&[&host]).await;
         let (mut client, mut server) = setup.up(1, &host).await;
-        let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         while setup.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
-        // Only half a line has come: MOVE must not stand inside it.
+        // MOVE must not be written inside a partial line.
         server.send("M 1\r\nhalf").await;
         assert_eq!(client.line().await.as_deref(), Some("M 1"));
         assert_eq!(client.line().await.as_deref(), Some("MOVE"));
         assert_eq!(client.line().await, None);
         drop(client);
         assert_eq!(server.line().await, None);
-        leaving.await.expect("left");
+        shutdown_task.await.expect("finished");
         assert!(tokio::net::TcpStream::connect(setup.address).await.is_err());
     });
 }
 
 #[test]
-fn who_waits_at_the_door_when_a_stop_ends_is_answered() {
-    // Found in the lab (rolling, seed 4): a client whose connection the system had taken in during the last
-    // millisecond of a stop was closed with no answer.
+fn client_in_the_listen_queue_at_the_end_of_a_shutdown_is_answered() {
+    // Found in the lab (scenario rolling, seed 4): a client whose connection the kernel had accepted during
+    // the last millisecond of a shutdown was closed without an answer.
     run(async {
         let setup = start(|config| config["settings"]["classes"][0]["give_up"] = json!(1000)).await;
-        // With nobody to be moved it ends half-way.
-        let last = setup.node.config().shutdown_timeout / 2;
-        let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
-        sleep(last.saturating_sub(Duration::from_millis(30))).await;
-        // Nothing else runs on this thread until the stop's time is over.
+        // Without clients to migrate, the shutdown ends after half of its time.
+        let duration = setup.node.config().shutdown_timeout / 2;
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        sleep(duration.saturating_sub(Duration::from_millis(30))).await;
+        // Blocks this thread, and with it the node, past the end of the shutdown.
         let mut waiting = Vec::new();
         for id in 0..40 {
-            let mut client = std::net::TcpStream::connect(setup.address).expect("the system takes it in");
+            let mut client = std::net::TcpStream::connect(setup.address).expect("accepted by the kernel");
             write!(client, "OPEN {id:016x} {id:016x} c=chat,d=200\r\n").expect("sent");
             client.set_nonblocking(true).expect("set");
             waiting.push(client);
@@ -57,12 +57,12 @@
             let client = tokio::net::TcpStream::from_std(client).expect("a stream");
             assert!(Peer(BufReader::new(client)).line().await.is_some(), "answered");
         }
-        leaving.await.expect("left");
+        shutdown_task.await.expect("finished");
     });
 }
 
 #[test]
-fn a_node_that_leaves_serves_on_those_that_it_has_not_told_to_move() {
+fn clients_that_are_not_yet_migrated_are_served_during_shutdown() {
     run(async {
         let host = Host::new("s-1").await;
         let (setup, _watch) = serving(&[&host]).await;
@@ -73,14 +73,14 @@
         assert_eq!(first.line().await.as_deref(), Some("MOVE"));
         last.send("M 1\r\n").await;
         assert_eq!(server.line().await.as_deref(), Some("M 1"));
-        // One that has been told does not count again, whether or not it has gone.
+        // A client that was told to migrate is not counted again, whether or not it has left.
         setup.node.clients.migrate_some(1);
         assert_eq!(last.line().await.as_deref(), Some("MOVE"));
     });
 }
 
 #[test]
-fn a_client_that_comes_up_while_the_node_leaves_is_told_to_move() {
+fn client_established_during_shutdown_is_migrated() {
     run(async {
         let host = Host::new("s-1").await;
         let (setup, _watch) = serving(&[&host]).await;
--- a/crates/alderstile-node/tests/support/fleet.rs
+++ b/crates/alderstile-node/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! A fleet of real processes whose configuration is replicated, each on loopback addresses of its own.
+//! Test support: processes of several nodes with a replicated configuration, each on separate loopback
+//! addresses.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Output, Stdio};
@@ -11,7 +12,7 @@
 use super::config;
 use super::replicated_config::{KEY, folder};
 
-/// Several nodes' processes on loopback addresses of their own, the first of them voters.
+/// The processes of several nodes, numbered from 1; the first `voters` of them are voters.
 pub struct Fleet {
     pub dir: PathBuf,
     pub net: u8,
@@ -32,7 +33,7 @@
                 let out = fleet.command(n, &["settings", "init"]);
                 assert!(out.status.success(), "{out:?}");
                 let again = fleet.command(n, &["settings", "init"]);
-                assert_eq!(again.status.code(), Some(2), "it never takes a memory's place");
+                assert_eq!(again.status.code(), Some(2), "existing voter state is not overwritten");
             }
             fleet.start(n);
         }
@@ -51,7 +52,7 @@
         VoterStore::path(&self.dir, &format!("n{n}"))
     }
 
-    /// Writes a node's cluster's file, with this key.
+    /// Writes a node's cluster file with this key.
     pub fn write_cluster_file(&self, n: u8, key: &str) {
         let voters: Vec<String> =
             (1..=self.voters).map(|n| format!("\"{}\"", self.address(n, 19_003))).collect();
@@ -102,7 +103,7 @@
     }
 
     pub fn signal(&self, n: u8, signal: &str) {
-        let pid = self.running[usize::from(n) - 1].as_ref().expect("up").id().to_string();
+        let pid = self.running[usize::from(n) - 1].as_ref().expect("running").id().to_string();
         assert!(Command::new("kill").args([signal, &pid]).status().expect("sent").success());
     }
 
@@ -111,7 +112,7 @@
         serde_json::from_slice(&out.stdout).ok()
     }
 
-    /// Proposes a document at a node; what the command said, and how it ended.
+    /// Proposes a document at a node; returns the command's exit code and output.
     pub fn propose(&self, n: u8, document: &Value, expect: Option<u64>) -> (Option<i32>, String) {
         let path = self.dir.join("proposal.json");
         std::fs::write(&path, document.to_string()).expect("written");
@@ -125,48 +126,54 @@
         (out.status.code(), text)
     }
 
-    /// Proposes until it is agreed on: a leader may have to be elected, or the version before to count,
-    /// first.
+    /// Proposes a document until it is committed, and returns its version. A leader may have to be elected
+    /// first, or the previous version to become active.
     pub fn commit(&self, n: u8, document: &Value) -> u64 {
-        let began = Instant::now();
+        let start = Instant::now();
         loop {
-            let (code, said) = self.propose(n, document, None);
+            let (code, output) = self.propose(n, document, None);
             if code == Some(0) {
-                return said
+                return output
                     .trim()
                     .strip_prefix("version ")
                     .and_then(|text| text.parse().ok())
                     .expect("a version");
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "{said}");
+            assert!(start.elapsed() < Duration::from_secs(60), "{output}");
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
-    /// Waits until these nodes are as wanted.
-    pub fn wait_until(&self, nodes: &[u8], what: &str, wanted: impl Fn(&ReplicationStatus) -> bool) {
-        let began = Instant::now();
-        while !nodes.iter().all(|n| self.status(*n).is_some_and(|shown| wanted(&shown))) {
-            let shown: Vec<Option<ReplicationStatus>> = nodes.iter().map(|n| self.status(*n)).collect();
-            assert!(began.elapsed() < Duration::from_secs(60), "{what}: {shown:#?}");
+    /// Waits until the status of all these nodes satisfies `condition`.
+    pub fn wait_until(
+        &self,
+        nodes: &[u8],
+        description: &str,
+        condition: impl Fn(&ReplicationStatus) -> bool,
+    ) {
+        let start = Instant::now();
+        while !nodes.iter().all(|n| self.status(*n).is_some_and(|status| condition(&status))) {
+            let statuses: Vec<Option<ReplicationStatus>> = nodes.iter().map(|n| self.status(*n)).collect();
+            assert!(start.elapsed() < Duration::from_secs(60), "{description}: {statuses:#?}");
             std::thread::sleep(Duration::from_millis(30));
         }
     }
 
     pub fn wait_active(&self, nodes: &[u8], version: u64) {
-        self.wait_until(nodes, &format!("version {version}"), |shown| {
-            shown.active_version == version && shown.lease_state == "counts" && shown.rejection.is_none()
+        self.wait_until(nodes, &format!("version {version}"), |status| {
+            status.active_version == version && status.lease_state == "counts" && status.rejection.is_none()
         });
     }
 
     pub fn leader(&self) -> u8 {
-        let began = Instant::now();
+        let start = Instant::now();
         loop {
-            let voter = |n: &u8| self.status(*n).is_some_and(|shown| shown.role.as_deref() == Some("leader"));
+            let voter =
+                |n: &u8| self.status(*n).is_some_and(|status| status.role.as_deref() == Some("leader"));
             if let Some(leader) = (1..=self.voters).find(voter) {
                 return leader;
             }
-            assert!(began.elapsed() < Duration::from_secs(60), "no leader");
+            assert!(start.elapsed() < Duration::from_secs(60), "no leader");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
@@ -176,7 +183,7 @@
     }
 }
 
-/// A process that ends with its owner.
+/// A process that is killed on drop.
 pub struct KillOnDrop(pub Child);
 
 impl Drop for KillOnDrop {
--- a/crates/alderstile-node/tests/support/processes.rs
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -1,4 +1,4 @@
-//! Whole processes of a node, and the clients, hosts and discovery that they serve meanwhile.
+//! Test support: processes of a node, and the clients, hosts and discovery that they talk to.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,11 +17,12 @@
 
 use super::{Discovery, Host, Peer, config, list};
 
-/// A folder of its own, by a short path: the stream's address must fit in it.
-pub fn folder(name: &str) -> PathBuf {
+/// Creates an empty directory with a short path, as the system limits the length of the upgrade socket's
+/// path.
+pub fn temp_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("alderstile-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("a directory");
     dir
 }
 
@@ -29,8 +30,8 @@
     TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound")
 }
 
-/// Answers every call with this list, and every watch with nothing after it.
-pub fn serve_list(discovery: Discovery, entries: Vec<Value>) {
+/// Answers every discovery request with this list; watches receive no updates after it.
+pub fn serve_endpoint_list(discovery: Discovery, entries: Vec<Value>) {
     spawn_local(async move {
         let mut open = Vec::new();
         loop {
@@ -39,16 +40,16 @@
     });
 }
 
-/// Brings up whoever comes, and counts them by their ids.
-pub fn serve_host(host: Host, seen: Rc<RefCell<BTreeMap<String, u32>>>) {
+/// Establishes every connection, echoes its lines, and counts the requests by id.
+pub fn serve_host(host: Host, served: Rc<RefCell<BTreeMap<String, u32>>>) {
     spawn_local(async move {
         loop {
             let mut peer = host.accept().await;
-            let seen = seen.clone();
+            let served = served.clone();
             spawn_local(async move {
                 let Some(line) = peer.line().await else { return };
                 let id = line.split(' ').nth(1).expect("an id").to_owned();
-                *seen.borrow_mut().entry(id).or_default() += 1;
+                *served.borrow_mut().entry(id).or_default() += 1;
                 let _gone = peer.0.get_mut().write_all(b"UP 00ff\r\n").await;
                 while let Some(line) = peer.line().await {
                     let _gone = peer.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
@@ -58,18 +59,19 @@
     });
 }
 
+/// A process of a node, killed on drop.
 pub struct Process {
     pub child: Child,
     pub admin: SocketAddr,
 }
 
 impl Process {
-    /// This version's program.
+    /// Starts the program under test.
     pub async fn start(value: &Value, dir: &Path) -> Self {
         Process::start_program(Path::new(env!("CARGO_BIN_EXE_alderstile")), value, dir).await
     }
 
-    /// A program of any version.
+    /// Starts a program of any version.
     pub async fn start_program(program: &Path, value: &Value, dir: &Path) -> Self {
         let path = dir.join("config.json");
         std::fs::write(&path, value.to_string()).expect("written");
@@ -87,7 +89,7 @@
         Process { child, admin }
     }
 
-    /// The answer's status and text; none where nobody listens.
+    /// Sends an admin request and returns the response's status and text; `None` if nothing listens.
     pub async fn call(&self, method: &str, path: &str) -> Option<(u16, String)> {
         let mut caller = tokio::net::TcpStream::connect(self.admin).await.ok()?;
         caller.write_all(format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await.ok()?;
@@ -96,30 +98,30 @@
         Some((text.get(9..12)?.parse().ok()?, text))
     }
 
-    pub async fn until_ready(&self) {
+    pub async fn wait_until_ready(&self) {
         while self.call("GET", "/control/ready").await.is_none_or(|(status, _)| status != 200) {
             sleep(Duration::from_millis(5)).await;
         }
     }
 
-    pub async fn figure(&self, name: &str) -> u64 {
-        self.figure_while_there(name).await.expect("figures")
+    pub async fn metric(&self, name: &str) -> u64 {
+        self.metric_while_running(name).await.expect("metrics")
     }
 
-    pub async fn figure_while_there(&self, name: &str) -> Option<u64> {
+    pub async fn metric_while_running(&self, name: &str) -> Option<u64> {
         let (_, text) = self.call("GET", "/control/counters").await?;
         let start = format!("router.{name}:");
         text.lines().find_map(|line| line.strip_prefix(&start))?.split('|').next()?.parse().ok()
     }
 
     pub async fn signal(&self, name: &str) {
-        let pid = self.child.id().expect("still there").to_string();
+        let pid = self.child.id().expect("running").to_string();
         assert!(Command::new("kill").args([name, &pid]).status().await.expect("sent").success());
     }
 }
 
-/// A configuration of a node that can be replaced.
-pub async fn replaceable(discovery: &Discovery) -> Value {
+/// Returns the configuration of a node that can be upgraded.
+pub async fn upgradable_config(discovery: &Discovery) -> Value {
     let listen = free_address().await.to_string();
     let mut value = config(&listen, &discovery.0.local_addr().expect("bound").to_string());
     value["settings"]["allowed"]["may_tell"] = false.into();
@@ -127,44 +129,49 @@
     value
 }
 
-pub fn listens_at(value: &Value) -> SocketAddr {
+pub fn listen_address(value: &Value) -> SocketAddr {
     value["listen"].as_str().and_then(|text| text.parse().ok()).expect("an address")
 }
 
-/// What clients saw.
+/// The outcomes that test clients observed.
 #[derive(Default)]
-pub struct Seen {
-    pub up: u64,
-    pub moved: u64,
-    pub other: Vec<String>,
+pub struct ClientOutcomes {
+    pub established: u64,
+    pub migrated: u64,
+    pub failures: Vec<String>,
 }
 
-/// Comes as a client does, one after the other, until told to stop; each stays until it is moved or for a
-/// while.
-pub fn clients(address: SocketAddr, seen: Rc<RefCell<Seen>>, stop: Rc<std::cell::Cell<bool>>, lane: u64) {
+/// Connects clients one after the other until `stop` is set; each stays until it is migrated or a timeout
+/// expires.
+pub fn spawn_clients(
+    address: SocketAddr,
+    outcomes: Rc<RefCell<ClientOutcomes>>,
+    stop: Rc<std::cell::Cell<bool>>,
+    series: u64,
+) {
     spawn_local(async move {
         for number in 0.. {
             if stop.get() {
                 return;
             }
-            let id = lane << 32 | number;
+            let id = series << 32 | number;
             let Ok(stream) = tokio::net::TcpStream::connect(address).await else {
-                seen.borrow_mut().other.push(format!("{id:x} refused"));
+                outcomes.borrow_mut().failures.push(format!("{id:x} refused"));
                 continue;
             };
             let mut client = Peer(tokio::io::BufReader::new(stream));
             let line = format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n");
             if client.0.get_mut().write_all(line.as_bytes()).await.is_err() {
-                seen.borrow_mut().other.push(format!("{id:x} reset"));
+                outcomes.borrow_mut().failures.push(format!("{id:x} reset"));
                 continue;
             }
             match client.line().await.as_deref() {
-                Some("UP 00ff") => seen.borrow_mut().up += 1,
-                other => seen.borrow_mut().other.push(format!("{id:x} {other:?}")),
+                Some("UP 00ff") => outcomes.borrow_mut().established += 1,
+                other => outcomes.borrow_mut().failures.push(format!("{id:x} {other:?}")),
             }
-            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * lane), client.line()).await {
+            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * series), client.line()).await {
                 assert_eq!(line, "MOVE");
-                seen.borrow_mut().moved += 1;
+                outcomes.borrow_mut().migrated += 1;
             }
         }
     });
