--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -22,14 +22,14 @@
 struct NodeWithAdmin {
     setup: Setup,
     admin: SocketAddr,
-    _watch: Peer,
+    _watch: LineConnection,
 }
 
 async fn start_with_admin(
-    hosts: &[&Host],
+    hosts: &[&StubHost],
     edit_config: impl FnOnce(&mut serde_json::Value),
 ) -> NodeWithAdmin {
-    let (setup, watch) = serving_with(hosts, |value| {
+    let (setup, watch) = start_ready_node_with(hosts, |value| {
         value["admin_addr"] = "127.0.0.1:0".into();
         edit_config(value);
     })
@@ -87,7 +87,7 @@
 #[test]
 fn requests_are_routed_by_method_and_path() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = start_with_admin(&[&host], |_| {}).await;
         let (status, text) = node.request("GET", "/control/ready").await;
         assert_eq!(status, 200);
@@ -127,7 +127,7 @@
             node.setup
                 .node
                 .decisions
-                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1"))),
+                .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1"))),
             "a rejected request changes nothing"
         );
         let request = format!("GET /control/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(64 << 10));
@@ -142,20 +142,20 @@
 #[test]
 fn node_that_is_not_ready_responds_503() {
     run(async {
-        let setup = start(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
+        let setup = start_node(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
         let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let admin = listener.local_addr().expect("bound");
         spawn_local(server::run(setup.node.admin.clone(), listener));
-        let mut connection = Peer::connect(admin).await;
+        let mut connection = LineConnection::connect(admin).await;
         connection.send("GET /control/ready HTTP/1.1\r\n\r\n").await;
-        assert_eq!(connection.line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
+        assert_eq!(connection.read_line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
     });
 }
 
 #[test]
 fn request_in_pieces_is_processed_once_and_truncated_request_is_ignored() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = start_with_admin(&[&host], |_| {}).await;
         let request = b"POST /control/hosts/s-1/offline HTTP/1.1\r\nHost: n1\r\nContent-Length: 0\r\n\r\n";
         for cut in 0..request.len() {
@@ -167,7 +167,7 @@
             node.setup
                 .node
                 .decisions
-                .decide(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
+                .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
         assert_eq!(node.request("GET", "/control/ready").await.0, 200);
         assert!(!out(), "an incomplete request changes nothing");
@@ -187,7 +187,7 @@
 #[test]
 fn admin_requests_are_answered_despite_silent_connections_and_many_clients() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = start_with_admin(&[&host], |value| value["limits"]["sockets"] = 60.into()).await;
         let mut clients = Vec::new();
         for _ in 0..100 {
@@ -217,7 +217,7 @@
 #[test]
 fn each_outcome_is_counted_once() {
     run(async {
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         let node = start_with_admin(&[&host], |_| {}).await;
         let names = ["success.chat", "busy.chat", "failure.chat", "backend_calls", "inflight"];
         assert_eq!(node.metrics(&names).await, [0, 0, 0, 0, 0]);
@@ -226,11 +226,11 @@
             node.metrics(&["hosts_listed", "hosts_down", "reconfig_ok", "reconfig_failed"]).await,
             [1, 0, 0, 0]
         );
-        let (client, server) = node.setup.up(1, &host).await;
+        let (client, server) = node.setup.establish(1, &host).await;
         assert_eq!(node.metrics(&names).await, [1, 0, 0, 1, 1]);
         // The id of an open request is rejected.
-        let mut duplicate = node.setup.open(1, "d=20000").await;
-        assert_eq!(duplicate.line().await.as_deref(), Some("ERR"));
+        let mut duplicate = node.setup.send_request(1, "d=20000").await;
+        assert_eq!(duplicate.read_line().await.as_deref(), Some("ERR"));
         assert_eq!(node.metrics(&names).await, [1, 0, 1, 1, 1]);
         drop(client);
         while node.metric("inflight").await > 0 {
@@ -238,29 +238,29 @@
         }
         drop(server);
         // A request that its client abandons counts as an attempt, but has no outcome.
-        let client = node.setup.open(2, "d=20000").await;
+        let client = node.setup.send_request(2, "d=20000").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         assert_eq!(node.metrics(&names).await, [1, 0, 1, 2, 1]);
         drop(client);
-        assert_eq!(server.line().await, None);
+        assert_eq!(server.read_line().await, None);
         while node.metric("inflight").await > 0 {
             sleep(Duration::from_millis(1)).await;
         }
         // A malformed line and an unknown class are counted for no class.
         for line in ["HELO\r\n", "OPEN 5 5 c=other,d=100\r\n"] {
-            let mut client = node.setup.client().await;
+            let mut client = node.setup.connect().await;
             client.send(line).await;
-            assert_eq!(client.line().await.as_deref(), Some("ERR"));
+            assert_eq!(client.read_line().await.as_deref(), Some("ERR"));
         }
         assert_eq!(node.metrics(&names).await, [1, 0, 1, 2, 0]);
         // The only host rejects the request: it ends as rejected within three attempts, and the host is
         // avoided.
-        let mut client = node.setup.open(3, "d=20000").await;
+        let mut client = node.setup.send_request(3, "d=20000").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         server.send("BUSY\r\n").await;
-        assert!(client.line().await.is_some_and(|line| line.starts_with("BUSY")));
+        assert!(client.read_line().await.is_some_and(|line| line.starts_with("BUSY")));
         assert_eq!(node.metrics(&names).await, [1, 1, 1, 3, 0]);
         assert_eq!(node.metric("hosts_down").await, 1);
     });
@@ -269,7 +269,7 @@
 #[test]
 fn host_in_maintenance_receives_no_requests_whatever_the_endpoint_list_contains() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let mut open = Vec::new();
         let mut node = start_with_admin(&[&hosts[0], &hosts[1]], |_| {}).await;
         assert!(node.setup.node.config().state_dir.is_none(), "nothing is stored without a state directory");
@@ -278,12 +278,12 @@
         }
         assert_eq!(node.metrics(&["hosts_listed", "hosts_down"]).await, [2, 1]);
         for (seq, health) in [(2, "removed"), (3, "up"), (4, "up")] {
-            chunk(&mut node._watch, &list(seq, false, &[hosts[0].entry(health)])).await;
+            send_chunk(&mut node._watch, &list_line(seq, false, &[hosts[0].list_entry(health)])).await;
             let listed = if health == "removed" { 1 } else { 2 };
             while node.metric("hosts_listed").await != listed {
                 sleep(Duration::from_millis(1)).await;
             }
-            open.push(node.setup.up(seq, &hosts[1]).await);
+            open.push(node.setup.establish(seq, &hosts[1]).await);
         }
         assert_eq!(node.request("POST", "/control/hosts/s-1/online").await.0, 200);
         assert_eq!(node.metric("hosts_down").await, 0);
@@ -320,10 +320,9 @@
     // A node applies the stored states at its start.
     store.save(&dir, "n1").expect("saved");
     run(async {
-        let mut value = config("127.0.0.1:0", "127.0.0.1:1");
+        let mut value = node_config("127.0.0.1:0", "127.0.0.1:1");
         value["admin_addr"] = "127.0.0.1:0".into();
-        value["known"] =
-            serde_json::json!({"seq": 1, "whole": true, "hosts": [Host::new("s-1").await.entry("up")]});
+        value["known"] = serde_json::json!({"seq": 1, "whole": true, "hosts": [StubHost::new("s-1").await.list_entry("up")]});
         let mut config = alderstile_node::config::Config::parse(value).expect("fine");
         config.state_dir = Some(dir);
         let node = Rc::new(alderstile_node::node::Node::new(config));
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -177,7 +177,7 @@
 
 /// Writes the files of a node that is the only member and voter of its cluster.
 fn write_files(dir: &Path) {
-    let mut file = config(LISTEN, "127.0.0.1:1");
+    let mut file = node_config(LISTEN, "127.0.0.1:1");
     (file["name"], file["admin_addr"]) = ("n/1".into(), ADMIN.into());
     file["settings"]["classes"][1]["name"] = "a:b|c d".into();
     std::fs::write(dir.join("config.json"), file.to_string()).expect("written");
@@ -207,7 +207,7 @@
 
 /// Sends an admin request; returns the full response with its date masked, and its length where that varies.
 async fn request(method: &str, path: &str, body: &str) -> String {
-    let mut peer = Peer::connect(ADMIN.parse().expect("an address")).await;
+    let mut peer = LineConnection::connect(ADMIN.parse().expect("an address")).await;
     let length = body.len();
     peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
         .await;
@@ -305,7 +305,7 @@
     run(async {
         let dir = temp_dir("compatibility");
         write_files(&dir);
-        let discovery = Discovery::new().await;
+        let discovery = StubDiscovery::new().await;
         let at = discovery.0.local_addr().expect("bound");
         let print = |args: &[&str]| printed(&dir, at, args);
         let mut commands = print(&["check-config"]);
@@ -316,9 +316,9 @@
         wait_until_reachable().await;
         let not_ready = request("GET", "/control/ready", "").await;
         assert_recorded("not_ready.txt", &not_ready);
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let entries: Vec<Value> = hosts.iter().map(|host| host.entry("up")).collect();
-        let _watch = discovery.watch(&[&list(1, true, &entries)]).await;
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
+        let entries: Vec<Value> = hosts.iter().map(|host| host.list_entry("up")).collect();
+        let _watch = discovery.accept_watch(&[&list_line(1, true, &entries)]).await;
         wait_until_status("200").await;
         assert_recorded("admin.txt", &responses().await);
         assert_recorded("metric_names.txt", &metric_names(&request("GET", "/control/counters", "").await));
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 mod support;
-use support::config;
+use support::node_config;
 
 fn error(value: Value) -> String {
     Config::parse(value).expect_err("an invalid configuration").to_string()
@@ -14,7 +14,7 @@
 
 #[test]
 fn complete_configuration_is_parsed() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     value["known"] = json!({"seq": 41, "whole": true, "hosts": [
         {"host": "s-1", "dial": "127.0.0.1:9000", "site": "b", "class": "m2", "block": 3, "health": "draining",
          "share": 1.0, "born_ms": 7}]});
@@ -32,29 +32,29 @@
 #[test]
 fn error_names_missing_or_invalid_key() {
     for key in ["name", "listen", "discovery"] {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         value.as_object_mut().and_then(|fields| fields.remove(key));
-        assert_eq!(error(value), format!("the key {key} is missing"));
+        assert_eq!(error(value), format!("missing key {key}"));
     }
     let faults = [
+        ("/listen", json!("here"), "invalid value \"here\" for key listen: expected an address and a port"),
+        ("/peers", json!(["127.0.0.1:1", "x"]), "invalid value \"x\" for key peers: expected"),
+        ("/seed", json!("xyz"), "invalid value \"xyz\" for key seed: expected"),
+        ("/limits/sockets", json!("many"), "invalid value \"many\" for key limits.sockets: expected"),
+        ("/settings/balancers", json!(0), "invalid value \"0\" for key settings.balancers: expected"),
         (
-            "/listen",
-            json!("here"),
-            "the key listen has the value \"here\", which is not an address and a port",
+            "/settings/classes/1/aim",
+            json!("soon"),
+            "invalid value \"soon\" for key settings.classes.1.aim: expected",
         ),
-        ("/peers", json!(["127.0.0.1:1", "x"]), "the key peers has the value \"x\""),
-        ("/seed", json!("xyz"), "the key seed has the value \"xyz\""),
-        ("/limits/sockets", json!("many"), "the key limits.sockets has the value \"many\""),
-        ("/settings/balancers", json!(0), "the key settings.balancers has the value \"0\""),
-        ("/settings/classes/1/aim", json!("soon"), "the key settings.classes.1.aim has the value \"soon\""),
-        ("/settings/classes/0/name", Value::Null, "the key settings.classes.0.name is missing"),
-        ("/settings/allowed", Value::Null, "the key settings.allowed."),
-        ("/settings/classes/1/give_up", json!("late"), "the key settings.classes.1.give_up"),
-        ("/settings", Value::Null, "the key settings.classes.count is missing"),
+        ("/settings/classes/0/name", Value::Null, "missing key settings.classes.0.name"),
+        ("/settings/allowed", Value::Null, "missing key settings.allowed."),
+        ("/settings/classes/1/give_up", json!("late"), "for key settings.classes.1.give_up: expected"),
+        ("/settings", Value::Null, "missing key settings.classes.count"),
         ("/known", json!({"seq": "x"}), "the key known"),
     ];
     for (pointer, invalid, expected) in faults {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         *value.pointer_mut(pointer).expect("a key of the configuration") = invalid;
         let message = error(value);
         assert!(message.contains(expected), "{pointer}: {message}");
@@ -63,7 +63,7 @@
 
 #[test]
 fn optional_keys_have_defaults() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     for key in ["limits", "peers", "seed", "known"] {
         value.as_object_mut().and_then(|fields| fields.remove(key));
     }
@@ -96,7 +96,7 @@
 #[test]
 fn environment_overrides_the_file() {
     let path = std::env::temp_dir().join(format!("alderstile-config-{}.json", std::process::id()));
-    std::fs::write(&path, config("127.0.0.1:1", "127.0.0.1:2").to_string()).expect("written");
+    std::fs::write(&path, node_config("127.0.0.1:1", "127.0.0.1:2").to_string()).expect("written");
     let env = |name: &str| match name {
         "ROUTER_CONFIG" => Some(path.display().to_string()),
         "ROUTER_LISTEN" => Some("127.0.0.9:90".to_owned()),
@@ -110,7 +110,7 @@
 
 #[test]
 fn shadow_is_off_by_default_and_inherits_missing_settings_from_the_active_instance() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     assert!(Config::parse(value.clone()).expect("a valid configuration").shadow.is_none());
     value["shadow"] = json!({"settings": {"balancers": 50}});
     assert!(
@@ -130,46 +130,49 @@
 fn invalid_shadow_or_group_load_settings_are_rejected_by_key() {
     let group_load = |value: Value| json!({"groups": true, "group_load": value});
     let faults = [
-        (json!({"on": "perhaps"}), "the key shadow.on has the value \"perhaps\""),
-        (json!({"of": true}), "the key shadow.of is not known"),
-        (json!("yes"), "the key shadow has the value \"yes\""),
-        (json!({"settings": 3}), "the key shadow.settings has the value \"3\""),
-        (json!({"settings": {"balancer": 50}}), "the key shadow.settings.balancer is not known"),
-        (json!({"settings": {"balancers": 0}}), "the key shadow.settings.balancers has the value \"0\""),
+        (json!({"on": "perhaps"}), "invalid value \"perhaps\" for key shadow.on: expected"),
+        (json!({"of": true}), "unknown key shadow.of"),
+        (json!("yes"), "invalid value \"yes\" for key shadow: expected"),
+        (json!({"settings": 3}), "invalid value \"3\" for key shadow.settings: expected"),
+        (json!({"settings": {"balancer": 50}}), "unknown key shadow.settings.balancer"),
+        (
+            json!({"settings": {"balancers": 0}}),
+            "invalid value \"0\" for key shadow.settings.balancers: expected",
+        ),
         (
             json!({"on": true, "settings": {"extra": group_load(json!(-1))}}),
-            "the key shadow.settings.extra.group_load",
+            "for key shadow.settings.extra.group_load: expected",
         ),
         (
             json!({"settings": {"extra": group_load(json!("NaN"))}}),
-            "the key shadow.settings.extra.group_load",
+            "for key shadow.settings.extra.group_load: expected",
         ),
-        (json!({"settings": {"extra": {"group_load": 3}}}), "while extra.groups is not true"),
+        (json!({"settings": {"extra": {"group_load": 3}}}), "no value unless extra.groups is true"),
         (
             json!({"settings": {"classes": [{"aim": 300000}]}}),
-            "the key shadow.settings.classes has the value \"1\"",
+            "invalid value \"1\" for key shadow.settings.classes: expected",
         ),
     ];
     for (section, expected) in faults {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         value["shadow"] = section.clone();
         let message = error(value);
         assert!(message.contains(expected), "{section}: {message}");
     }
     for invalid in [json!(-1), json!("inf"), json!("three"), json!([1, 2])] {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         value["settings"]["extra"] = group_load(invalid.clone());
         let message = error(value);
-        assert!(message.contains("the key settings.extra.group_load has the value"), "{invalid}: {message}");
+        assert!(message.contains("for key settings.extra.group_load: expected"), "{invalid}: {message}");
     }
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     value["settings"]["extra"]["unheard_of"] = json!(3);
     assert!(Config::parse(value).is_ok(), "unknown settings are ignored, as the platform sends many");
 }
 
 #[test]
 fn admin_server_is_off_by_default_and_environment_overrides_its_address() {
-    let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+    let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     let env = |name: &str| match name {
         "ROUTER_ADMIN_ADDR" => Some("127.0.0.1:7".to_owned()),
         "TMPDIR" => Some("/of/its/own".to_owned()),
@@ -189,13 +192,13 @@
         "the file's value, with which a reloaded file is compared"
     );
     value["admin_addr"] = "here".into();
-    assert!(error(value).contains("the key admin_addr has the value \"here\""));
+    assert!(error(value).contains("invalid value \"here\" for key admin_addr: expected"));
 }
 
 #[test]
 fn invalid_retry_budget_or_clock_tolerance_is_rejected_by_key() {
     let with = |additional: Value| {
-        let mut value = config("127.0.0.1:1", "127.0.0.1:2");
+        let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         let obligations = value.pointer_mut("/settings/obligations").and_then(Value::as_object_mut);
         obligations.expect("obligations").extend(additional.as_object().cloned().expect("an object"));
         value
@@ -213,7 +216,7 @@
         budget[key] = value;
         budget
     };
-    let missing_key = "is missing";
+    let missing_key = "missing key";
     let faults = [
         (json!({"free_resends": 5}), "obligations.resend_ratio", missing_key),
         (json!({"resend_ratio": 0.1, "free_resends": 5}), "obligations.counted_over", missing_key),
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -22,71 +22,71 @@
     path
 }
 
-fn address(discovery: &Discovery) -> String {
+fn address(discovery: &StubDiscovery) -> String {
     discovery.0.local_addr().expect("bound").to_string()
 }
 
 /// Answers a request for the complete endpoint list.
-async fn serve_complete_list(discovery: &Discovery, seq: u64, hosts: &[&Host]) {
-    let (first, mut call) = discovery.call().await;
+async fn serve_complete_list(discovery: &StubDiscovery, seq: u64, hosts: &[&StubHost]) {
+    let (first, mut call) = discovery.accept_call().await;
     // The first request must ask for the complete list: a watch from a version of the old discovery, or
     // without version, may return only changes.
     assert_eq!(first, "GET /catalog/members HTTP/1.1");
-    let body = list(seq, true, &hosts.iter().map(|host| host.entry("up")).collect::<Vec<_>>());
+    let body = list_line(seq, true, &hosts.iter().map(|host| host.list_entry("up")).collect::<Vec<_>>());
     call.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())).await;
 }
 
 #[test]
 fn reloaded_discovery_address_is_used_at_once_and_connections_stay_open() {
     run(async {
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await];
-        let (setup, mut old) = serving(&[&hosts[0]]).await;
-        chunk(&mut old, &list(90, false, &[])).await;
-        let (mut client, mut server) = setup.up(1, &hosts[0]).await;
-        let new = Discovery::new().await;
-        let path = write_config("moved", &config("127.0.0.1:0", &address(&new)));
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
+        let (setup, mut old) = start_ready_node(&[&hosts[0]]).await;
+        send_chunk(&mut old, &list_line(90, false, &[])).await;
+        let (mut client, mut server) = setup.establish(1, &hosts[0]).await;
+        let new = StubDiscovery::new().await;
+        let path = write_config("moved", &node_config("127.0.0.1:0", &address(&new)));
         // The environment's address applies only at the start.
         reload(&setup.node, Some(&path), |name| {
             (name == "ROUTER_DISCOVERY").then(|| address(&setup.discovery))
         });
-        assert_eq!(old.line().await, None, "the old watch is dropped");
+        assert_eq!(old.read_line().await, None, "the old watch is dropped");
         // The new discovery has its own versions, which are lower.
         serve_complete_list(&new, 3, &[&hosts[1]]).await;
-        let (first, mut watch) = new.call().await;
+        let (first, mut watch) = new.accept_call().await;
         assert!(first.contains("stream=1&index=3"), "{first}");
         assert!(setup.node.decisions.host(server_id("s-1")).is_none());
-        setup.up(2, &hosts[1]).await;
+        setup.establish(2, &hosts[1]).await;
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
-        chunk(&mut watch, &list(4, false, &[hosts[0].entry("up")])).await;
-        setup.until_listed("s-1").await;
+        send_chunk(&mut watch, &list_line(4, false, &[hosts[0].list_entry("up")])).await;
+        setup.wait_until_listed("s-1").await;
         client.send("M 1\r\n").await;
-        assert_eq!(server.line().await.as_deref(), Some("M 1"));
+        assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
     });
 }
 
 #[test]
 fn pending_discovery_request_is_dropped_on_reload() {
     run(async {
-        let host = Host::new("s-1").await;
-        let setup = start(|_| {}).await;
-        let (_, mut pending) = setup.discovery.call().await;
-        let new = Discovery::new().await;
-        let path = write_config("pending", &config("127.0.0.1:0", &address(&new)));
+        let host = StubHost::new("s-1").await;
+        let setup = start_node(|_| {}).await;
+        let (_, mut pending) = setup.discovery.accept_call().await;
+        let new = StubDiscovery::new().await;
+        let path = write_config("pending", &node_config("127.0.0.1:0", &address(&new)));
         reload(&setup.node, Some(&path), |_| None);
-        assert_eq!(pending.line().await, None);
+        assert_eq!(pending.read_line().await, None);
         serve_complete_list(&new, 1, &[&host]).await;
-        setup.until_ready().await;
-        setup.up(1, &host).await;
+        setup.wait_until_ready().await;
+        setup.establish(1, &host).await;
     });
 }
 
 #[test]
 fn invalid_file_changes_nothing() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, mut watch) = serving(&[&host]).await;
-        let before = setup.node.decisions.discovery();
-        let mut invalid = config("127.0.0.1:0", "127.0.0.1:1");
+        let host = StubHost::new("s-1").await;
+        let (setup, mut watch) = start_ready_node(&[&host]).await;
+        let before = setup.node.decisions.discovery_address();
+        let mut invalid = node_config("127.0.0.1:0", "127.0.0.1:1");
         invalid["limits"]["sockets"] = "many".into();
         for path in [
             write_config("faulty", &invalid),
@@ -94,18 +94,18 @@
             PathBuf::from("/nonexistent"),
         ] {
             reload(&setup.node, Some(&path), |_| None);
-            assert_eq!(setup.node.decisions.discovery(), before);
+            assert_eq!(setup.node.decisions.discovery_address(), before);
         }
-        chunk(&mut watch, &list(2, false, &[])).await;
-        setup.up(1, &host).await;
+        send_chunk(&mut watch, &list_line(2, false, &[])).await;
+        setup.establish(1, &host).await;
     });
 }
 
 #[test]
 fn sighup_reloads_the_file_and_the_process_continues() {
     run(async {
-        let (old, new) = (Discovery::new().await, Discovery::new().await);
-        let mut value = config("127.0.0.1:0", &address(&old));
+        let (old, new) = (StubDiscovery::new().await, StubDiscovery::new().await);
+        let mut value = node_config("127.0.0.1:0", &address(&old));
         value["settings"]["allowed"]["may_tell"] = false.into();
         let path = write_config("sighup", &value);
         let mut node = Command::new(env!("CARGO_BIN_EXE_alderstile"))
@@ -118,7 +118,7 @@
             .spawn()
             .expect("started");
         let mut log = BufReader::new(node.stderr.take().expect("a log")).lines();
-        old.call().await;
+        old.accept_call().await;
         let hangup = async || {
             let pid = node.id().expect("running").to_string();
             assert!(Command::new("kill").args(["-HUP", &pid]).status().await.expect("sent").success());
@@ -128,7 +128,7 @@
         hangup().await;
         loop {
             let line = log.next_line().await.expect("a log").expect("a line that names the invalid key");
-            if line.contains("the key listen") {
+            if line.contains("for key listen") {
                 break;
             }
         }
@@ -136,7 +136,7 @@
         value["discovery"] = address(&new).into();
         write_config("sighup", &value);
         hangup().await;
-        new.call().await;
+        new.accept_call().await;
         assert_eq!(node.try_wait().expect("asked"), None, "the process still runs");
     });
 }
@@ -144,10 +144,10 @@
 #[test]
 fn sighup_reloads_during_shutdown_and_second_sigterm_is_ignored() {
     run(async {
-        let (old, new) = (Discovery::new().await, Discovery::new().await);
+        let (old, new) = (StubDiscovery::new().await, StubDiscovery::new().await);
         let listen =
             tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
-        let mut value = config(&listen.to_string(), &address(&old));
+        let mut value = node_config(&listen.to_string(), &address(&old));
         value["settings"]["allowed"]["may_tell"] = false.into();
         let path = write_config("stop", &value);
         let mut node = Command::new(env!("CARGO_BIN_EXE_alderstile"))
@@ -162,24 +162,24 @@
             let pid = node.id().expect("running").to_string();
             assert!(Command::new("kill").args([name, &pid]).status().await.expect("sent").success());
         };
-        let host = Host::new("s-1").await;
-        let mut watch = old.watch(&[&list(1, true, &[host.entry("up")])]).await;
+        let host = StubHost::new("s-1").await;
+        let mut watch = old.accept_watch(&[&list_line(1, true, &[host.list_entry("up")])]).await;
         let mut client = loop {
-            let mut health_check = Peer::connect(listen).await;
+            let mut health_check = LineConnection::connect(listen).await;
             health_check.send("PING\r\n").await;
-            if health_check.line().await.is_some() {
-                break Peer::connect(listen).await;
+            if health_check.read_line().await.is_some() {
+                break LineConnection::connect(listen).await;
             }
         };
         client.send("OPEN 1 1 c=chat,d=1000\r\n").await;
         let mut server = host.accept().await;
-        server.line().await.expect("the first line");
+        server.read_line().await.expect("the first line");
         // The shutdown has begun once the node no longer answers health checks.
         signal("-TERM").await;
         loop {
-            let mut health_check = Peer::connect(listen).await;
+            let mut health_check = LineConnection::connect(listen).await;
             health_check.send("PING\r\n").await;
-            if health_check.line().await.is_none() {
+            if health_check.read_line().await.is_none() {
                 break;
             }
         }
@@ -187,11 +187,11 @@
         value["discovery"] = address(&new).into();
         write_config("stop", &value);
         signal("-HUP").await;
-        assert_eq!(watch.line().await, None, "the old watch is dropped");
+        assert_eq!(watch.read_line().await, None, "the old watch is dropped");
         serve_complete_list(&new, 1, &[&host]).await;
         server.send("UP 01\r\n").await;
-        assert_eq!(client.line().await.as_deref(), Some("UP 01"));
-        assert_eq!(client.line().await.as_deref(), Some("MOVE"));
+        assert_eq!(client.read_line().await.as_deref(), Some("UP 01"));
+        assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
         assert!(node.wait().await.expect("ended").success());
     });
 }
@@ -208,17 +208,17 @@
 }
 
 async fn first_response(setup: &Setup, id: u64, class: &str) -> Option<String> {
-    let mut client = setup.client().await;
+    let mut client = setup.connect().await;
     client.send(&format!("OPEN {id:016x} {id:016x} c={class},d=20000\r\n")).await;
-    client.line().await
+    client.read_line().await
 }
 
 #[test]
 fn classes_can_be_added_and_removed_and_open_connections_keep_theirs() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, _watch) = serving(&[&host]).await;
-        let (mut client, mut server) = setup.up(1, &host).await;
+        let host = StubHost::new("s-1").await;
+        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = setup.establish(1, &host).await;
         let mut value = config_source(&setup);
         let mut class = value["settings"]["classes"][1].take();
         class["name"] = "video".into();
@@ -233,13 +233,13 @@
             "a removed class admits no requests"
         );
         client.send("M 1\r\n").await;
-        assert_eq!(server.line().await.as_deref(), Some("M 1"), "its open connections are served");
-        let mut new = setup.client().await;
+        assert_eq!(server.read_line().await.as_deref(), Some("M 1"), "its open connections are served");
+        let mut new = setup.connect().await;
         new.send("OPEN 3 3 c=video,d=20000\r\n").await;
         let mut at = host.accept().await;
-        at.line().await.expect("the first line");
+        at.read_line().await.expect("the first line");
         at.send("UP 00ff\r\n").await;
-        assert_eq!(new.line().await.as_deref(), Some("UP 00ff"));
+        assert_eq!(new.read_line().await.as_deref(), Some("UP 00ff"));
         assert_eq!(metric(&setup, "success.video").as_deref(), Some("1|c"));
         // The class is added again under its old number.
         value["settings"]["classes"] = presence;
@@ -254,28 +254,28 @@
 #[test]
 fn reloaded_attempt_limit_and_semantics_apply_to_the_next_attempt() {
     run(async {
-        let host = Host::new("s-1").await;
-        let other = Host::new("s-2").await;
-        let (setup, _watch) = serving(&[&host, &other]).await;
+        let host = StubHost::new("s-1").await;
+        let other = StubHost::new("s-2").await;
+        let (setup, _watch) = start_ready_node(&[&host, &other]).await;
         // The class becomes non-retryable while a request is at a host. The request then fails, and as it may
         // have been processed, it is not retried.
-        let mut client = setup.open(1, "d=20000").await;
+        let mut client = setup.send_request(1, "d=20000").await;
         let mut first = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
-        first.line().await.expect("the first line");
+        first.read_line().await.expect("the first line");
         let mut value = config_source(&setup);
         value["settings"]["classes"][0]["semantics"] = "fragile".into();
         reload(&setup.node, Some(&write_config("stricter", &value)), |_| None);
         drop(first);
-        assert_eq!(client.line().await.as_deref(), Some("FAILED"));
+        assert_eq!(client.read_line().await.as_deref(), Some("FAILED"));
         value["settings"]["allowed"]["max_attempts"] = 1.into();
         value["settings"]["classes"][0]["semantics"] = "retryable".into();
         reload(&setup.node, Some(&write_config("stricter", &value)), |_| None);
-        let mut client = setup.open(2, "d=20000").await;
+        let mut client = setup.send_request(2, "d=20000").await;
         let mut only = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
-        only.line().await.expect("the first line");
+        only.read_line().await.expect("the first line");
         only.send("BUSY\r\n").await;
         assert!(
-            client.line().await.is_some_and(|line| line.starts_with("BUSY ")),
+            client.read_line().await.is_some_and(|line| line.starts_with("BUSY ")),
             "one attempt, rejected with a retry delay"
         );
         assert_eq!(metric(&setup, "backend_calls").as_deref(), Some("2|c"));
@@ -301,9 +301,9 @@
 #[test]
 fn file_with_a_missing_key_or_an_invalid_number_is_rejected_completely() {
     run(async {
-        let host = Host::new("s-1").await;
-        let (setup, mut watch) = serving(&[&host]).await;
-        let before = setup.node.decisions.discovery();
+        let host = StubHost::new("s-1").await;
+        let (setup, mut watch) = start_ready_node(&[&host]).await;
+        let before = setup.node.decisions.discovery_address();
         let good = config_source(&setup);
         let mut invalid: Vec<(String, String)> = Vec::new();
         let mut all = Vec::new();
@@ -358,7 +358,7 @@
             // Other changes in the same file must not apply either.
             std::fs::write(&path, text.replace(&before.to_string(), "127.0.0.1:1")).expect("written");
             reload(&setup.node, Some(&path), |_| None);
-            assert_eq!(setup.node.decisions.discovery(), before, "{what}");
+            assert_eq!(setup.node.decisions.discovery_address(), before, "{what}");
             let failed = format!("{}|c", number + 1);
             assert_eq!(metric(&setup, "reconfig_failed"), Some(failed), "{what}");
         }
@@ -366,14 +366,14 @@
         reload(&setup.node, Some(&path), |_| None);
         assert_eq!(metric(&setup, "reconfig_ok").as_deref(), Some("0|c"));
         assert_eq!(config_source(&setup), good);
-        chunk(&mut watch, &list(2, false, &[])).await;
-        setup.up(1, &host).await;
+        send_chunk(&mut watch, &list_line(2, false, &[])).await;
+        setup.establish(1, &host).await;
     });
 }
 
 #[test]
 fn changed_fixed_keys_are_deferred_to_the_next_start() {
-    let value = config("127.0.0.1:9000", "127.0.0.1:8500");
+    let value = node_config("127.0.0.1:9000", "127.0.0.1:8500");
     let config = Config::from_file_value(value.clone(), |_| None).expect("a valid configuration");
     let mut new = value;
     new["limits"]["sockets"] = 300.into();
@@ -388,7 +388,7 @@
 
 #[test]
 fn successor_uses_the_predecessors_configuration_if_its_own_file_is_rejected() {
-    let value = config("127.0.0.1:9000", "127.0.0.1:8500");
+    let value = node_config("127.0.0.1:9000", "127.0.0.1:8500");
     let predecessor = UpgradeState {
         config: value.clone(),
         discovery: Some("127.0.0.1:8507".parse().expect("an address")),
@@ -419,7 +419,7 @@
     #[test]
     fn classes_keep_their_numbers(files in prop::collection::vec(prop::collection::btree_set(0..6_u8, 1..5), 1..8)) {
         let config_with = |classes: &std::collections::BTreeSet<u8>| {
-            let mut value = config("127.0.0.1:9000", "127.0.0.1:8500");
+            let mut value = node_config("127.0.0.1:9000", "127.0.0.1:8500");
             let class = value["settings"]["classes"][0].clone();
             value["settings"]["extra"]["message_aim"] = serde_json::json!(vec![1e5; classes.len()]);
             value["settings"]["classes"] = classes.iter().rev().map(|number| {
--- a/crates/alderstile-node/tests/restarts.rs
+++ b/crates/alderstile-node/tests/restarts.rs
@@ -28,13 +28,14 @@
 
 /// Answers queued requests in order, one per [`REQUEST_DURATION`]; a watch stays open and receives an empty
 /// line every 2 s.
-fn serve_slowly(discovery: Discovery, complete_list: String) {
-    let queue: Rc<RefCell<VecDeque<(Instant, Peer)>>> = Rc::default();
+fn serve_slowly(discovery: StubDiscovery, complete_list: String) {
+    let queue: Rc<RefCell<VecDeque<(Instant, LineConnection)>>> = Rc::default();
     let calls = queue.clone();
     spawn_local(async move {
         loop {
             // A request that its process had only begun to send when it was stopped is not queued.
-            let mut call = Peer(tokio::io::BufReader::new(discovery.0.accept().await.expect("a call").0));
+            let mut call =
+                LineConnection(tokio::io::BufReader::new(discovery.0.accept().await.expect("a call").0));
             let mut prefix = [0; 3];
             let received = call.0.get_mut().read_exact(&mut prefix);
             if matches!(timeout(QUEUE_TIMEOUT, received).await, Ok(Ok(_))) {
@@ -87,16 +88,16 @@
 #[test]
 fn ninety_percent_of_restarted_nodes_are_ready_within_ten_seconds_while_discovery_is_overloaded() {
     run(async {
-        let host = Host::new("s-1").await;
-        let complete_list = list(1, true, &[host.entry("up")]);
-        let discovery = Discovery::new().await;
+        let host = StubHost::new("s-1").await;
+        let complete_list = list_line(1, true, &[host.list_entry("up")]);
+        let discovery = StubDiscovery::new().await;
         let discovery_address = discovery.0.local_addr().expect("bound").to_string();
         serve_slowly(discovery, complete_list.clone());
         let mut nodes: Vec<(PathBuf, SocketAddr, Child)> = Vec::new();
         for number in 0..NODES {
             let free = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let address = free.local_addr().expect("bound");
-            let mut value = config(&address.to_string(), &discovery_address);
+            let mut value = node_config(&address.to_string(), &discovery_address);
             value["name"] = json!(format!("n{number}"));
             value["seed"] = json!(format!("{number:x}"));
             value["settings"]["allowed"]["may_tell"] = json!(false);
@@ -111,7 +112,7 @@
             nodes.push((path, address, child));
         }
         for (_, address, _) in &nodes {
-            until_pong(*address).await;
+            wait_until_pong(*address).await;
         }
         let mut restarts = Vec::new();
         for (number, (path, address, mut child)) in nodes.into_iter().enumerate() {
@@ -123,7 +124,7 @@
                 assert!(sent.success());
                 assert!(child.wait().await.expect("ended").success());
                 let _child = spawn_node(&path);
-                let duration = until_pong(address).await;
+                let duration = wait_until_pong(address).await;
                 std::fs::remove_file(path).unwrap_or_default();
                 duration
             }));
--- a/crates/alderstile-node/tests/support/processes.rs
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -15,7 +15,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-use super::{Discovery, Host, Peer, config, list};
+use super::{LineConnection, StubDiscovery, StubHost, list_line, node_config};
 
 /// Creates an empty directory with a short path, as the system limits the length of the upgrade socket's
 /// path.
@@ -31,27 +31,27 @@
 }
 
 /// Answers every discovery request with this list; watches receive no updates after it.
-pub fn serve_endpoint_list(discovery: Discovery, entries: Vec<Value>) {
+pub fn serve_endpoint_list(discovery: StubDiscovery, entries: Vec<Value>) {
     spawn_local(async move {
         let mut open = Vec::new();
         loop {
-            open.push(discovery.watch(&[&list(1, true, &entries)]).await);
+            open.push(discovery.accept_watch(&[&list_line(1, true, &entries)]).await);
         }
     });
 }
 
 /// Establishes every connection, echoes its lines, and counts the requests by id.
-pub fn serve_host(host: Host, served: Rc<RefCell<BTreeMap<String, u32>>>) {
+pub fn serve_host(host: StubHost, served: Rc<RefCell<BTreeMap<String, u32>>>) {
     spawn_local(async move {
         loop {
             let mut peer = host.accept().await;
             let served = served.clone();
             spawn_local(async move {
-                let Some(line) = peer.line().await else { return };
+                let Some(line) = peer.read_line().await else { return };
                 let id = line.split(' ').nth(1).expect("an id").to_owned();
                 *served.borrow_mut().entry(id).or_default() += 1;
                 let _gone = peer.0.get_mut().write_all(b"UP 00ff\r\n").await;
-                while let Some(line) = peer.line().await {
+                while let Some(line) = peer.read_line().await {
                     let _gone = peer.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
                 }
             });
@@ -121,9 +121,9 @@
 }
 
 /// Returns the configuration of a node that can be upgraded.
-pub async fn upgradable_config(discovery: &Discovery) -> Value {
+pub async fn upgradable_config(discovery: &StubDiscovery) -> Value {
     let listen = free_address().await.to_string();
-    let mut value = config(&listen, &discovery.0.local_addr().expect("bound").to_string());
+    let mut value = node_config(&listen, &discovery.0.local_addr().expect("bound").to_string());
     value["settings"]["allowed"]["may_tell"] = false.into();
     value["settings"]["balancers"] = 1.into();
     value
@@ -159,17 +159,18 @@
                 outcomes.borrow_mut().failures.push(format!("{id:x} refused"));
                 continue;
             };
-            let mut client = Peer(tokio::io::BufReader::new(stream));
+            let mut client = LineConnection(tokio::io::BufReader::new(stream));
             let line = format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n");
             if client.0.get_mut().write_all(line.as_bytes()).await.is_err() {
                 outcomes.borrow_mut().failures.push(format!("{id:x} reset"));
                 continue;
             }
-            match client.line().await.as_deref() {
+            match client.read_line().await.as_deref() {
                 Some("UP 00ff") => outcomes.borrow_mut().established += 1,
                 other => outcomes.borrow_mut().failures.push(format!("{id:x} {other:?}")),
             }
-            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * series), client.line()).await {
+            if let Ok(Some(line)) = timeout(Duration::from_millis(20 + 40 * series), client.read_line()).await
+            {
                 assert_eq!(line, "MOVE");
                 outcomes.borrow_mut().migrated += 1;
             }
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -19,10 +19,10 @@
 #[test]
 fn upgrade_refuses_no_client_and_both_processes_act_as_one_node() {
     run(async {
-        let (dir, discovery) = (temp_dir("one"), Discovery::new().await);
+        let (dir, discovery) = (temp_dir("one"), StubDiscovery::new().await);
         let value = upgradable_config(&discovery).await;
-        let hosts = [Host::new("s-1").await, Host::new("s-2").await, Host::new("s-3").await];
-        serve_endpoint_list(discovery, hosts.iter().map(|host| host.entry("up")).collect());
+        let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await, StubHost::new("s-3").await];
+        serve_endpoint_list(discovery, hosts.iter().map(|host| host.list_entry("up")).collect());
         let served: Vec<Rc<RefCell<BTreeMap<String, u32>>>> = (0..3).map(|_| Rc::default()).collect();
         hosts.into_iter().zip(&served).for_each(|(host, ids)| serve_host(host, ids.clone()));
         let mut old = Process::start(&value, &dir).await;
@@ -94,31 +94,31 @@
 #[test]
 fn connections_are_handed_over_with_partial_lines_and_pending_attempts() {
     run(async {
-        let (dir, discovery) = (temp_dir("pass"), Discovery::new().await);
+        let (dir, discovery) = (temp_dir("pass"), StubDiscovery::new().await);
         let value = upgradable_config(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_endpoint_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_endpoint_list(discovery, vec![host.list_entry("up")]);
         let mut old = Process::start(&value, &dir).await;
         old.wait_until_ready().await;
         let address = listen_address(&value);
         let mut pairs = Vec::new();
         for id in 1..=30 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
             let mut server = host.accept().await;
-            server.line().await.expect("the first line");
+            server.read_line().await.expect("the first line");
             server.send("UP 00ff\r\nA 1\r\nA ").await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
-            assert_eq!(client.line().await.as_deref(), Some("A 1"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("A 1"));
             client.send("M 1\r\nM ").await;
-            assert_eq!(server.line().await.as_deref(), Some("M 1"));
+            assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
             pairs.push((client, server));
         }
         // A client whose attempt is pending during the handover.
-        let mut late = Peer::connect(address).await;
+        let mut late = LineConnection::connect(address).await;
         late.send("OPEN 99 99 c=chat,d=1500\r\n").await;
         let mut late_server = host.accept().await;
-        late_server.line().await.expect("the first line");
+        late_server.read_line().await.expect("the first line");
         let new = Process::start(&value, &dir).await;
         new.wait_until_ready().await;
         old.signal("-TERM").await;
@@ -128,37 +128,37 @@
         // The pending attempt is the old process's only remaining work.
         sleep(Duration::from_millis(200)).await;
         late_server.send("UP 00aa\r\n").await;
-        assert_eq!(late.line().await.as_deref(), Some("UP 00aa"));
+        assert_eq!(late.read_line().await.as_deref(), Some("UP 00aa"));
         let status =
             timeout(Duration::from_secs(5), old.child.wait()).await.expect("in time").expect("ended");
         assert!(status.success());
         for (client, server) in &mut pairs {
             client.send("2\r\n").await;
-            assert_eq!(server.line().await.as_deref(), Some("M 2"));
+            assert_eq!(server.read_line().await.as_deref(), Some("M 2"));
             server.send("2\r\nLOAD 3000\r\n").await;
-            assert_eq!(client.line().await.as_deref(), Some("A 2"));
-            assert_eq!(client.line().await.as_deref(), Some("LOAD 3000"));
+            assert_eq!(client.read_line().await.as_deref(), Some("A 2"));
+            assert_eq!(client.read_line().await.as_deref(), Some("LOAD 3000"));
         }
         late.send("M 1\r\n").await;
-        assert_eq!(late_server.line().await.as_deref(), Some("M 1"));
+        assert_eq!(late_server.read_line().await.as_deref(), Some("M 1"));
         assert_eq!(
             (new.metric("inflight").await, new.metric("success.chat").await),
             (31, 0),
             "counted by the process that established it"
         );
         // The ids of open requests are still known, so a duplicate is rejected.
-        let mut duplicate = Peer::connect(address).await;
+        let mut duplicate = LineConnection::connect(address).await;
         duplicate.send("OPEN 99 99 c=chat,d=1500\r\n").await;
-        assert_eq!(duplicate.line().await.as_deref(), Some("ERR"));
+        assert_eq!(duplicate.read_line().await.as_deref(), Some("ERR"));
         let (mut client, mut server) = pairs.pop().expect("one");
         server.send("BYE\r\n").await;
         drop(server);
-        assert_eq!(client.line().await.as_deref(), Some("BYE"));
-        assert_eq!(client.line().await, None);
+        assert_eq!(client.read_line().await.as_deref(), Some("BYE"));
+        assert_eq!(client.read_line().await, None);
         // The balancer knows the connections: they are migrated when their host is taken out of service.
         assert_eq!(new.call("POST", "/control/hosts/s-1/offline").await.expect("an answer").0, 200);
         for (client, _) in &mut pairs {
-            assert_eq!(client.line().await.as_deref(), Some("MOVE"));
+            assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
         }
     });
 }
@@ -166,10 +166,10 @@
 #[test]
 fn successor_that_is_stopped_first_migrates_its_clients_and_the_predecessor_continues() {
     run(async {
-        let (dir, discovery) = (temp_dir("first"), Discovery::new().await);
+        let (dir, discovery) = (temp_dir("first"), StubDiscovery::new().await);
         let value = upgradable_config(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_endpoint_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_endpoint_list(discovery, vec![host.list_entry("up")]);
         serve_host(host, Rc::default());
         let old = Process::start(&value, &dir).await;
         old.wait_until_ready().await;
@@ -178,19 +178,19 @@
         let address = listen_address(&value);
         let mut clients = Vec::new();
         while new.metric("success.chat").await < 5 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             let id = clients.len();
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             clients.push(client);
         }
         let before = old.metric("inflight").await;
         new.signal("-TERM").await;
         for number in 0..20 {
-            let mut health_check = Peer::connect(address).await;
+            let mut health_check = LineConnection::connect(address).await;
             health_check.send("PING\r\n").await;
             assert_eq!(
-                health_check.line().await.as_deref(),
+                health_check.read_line().await.as_deref(),
                 Some("PONG"),
                 "the node still serves, at attempt {number}"
             );
@@ -200,7 +200,7 @@
         assert!(status.success());
         let mut migrated = 0;
         for client in &mut clients {
-            migrated += u64::from(timeout(Duration::from_millis(20), client.line()).await.is_ok());
+            migrated += u64::from(timeout(Duration::from_millis(20), client.read_line()).await.is_ok());
         }
         assert_eq!(migrated, clients.len() as u64 - before, "the stopped process migrated its clients");
         assert_eq!(old.metric("inflight").await, before);
@@ -210,16 +210,16 @@
 #[test]
 fn successor_that_is_not_ready_can_be_stopped_while_the_predecessor_serves() {
     run(async {
-        let (dir, discovery) = (temp_dir("waits"), Discovery::new().await);
+        let (dir, discovery) = (temp_dir("waits"), StubDiscovery::new().await);
         let value = upgradable_config(&discovery).await;
-        let host = Host::new("s-1").await;
+        let host = StubHost::new("s-1").await;
         // Discovery answers only the first request.
-        let watch = async { discovery.watch(&[&list(1, true, &[host.entry("up")])]).await };
+        let watch = async { discovery.accept_watch(&[&list_line(1, true, &[host.list_entry("up")])]).await };
         let old = Process::start(&value, &dir).await;
         let _watch = watch.await;
         old.wait_until_ready().await;
         let mut new = Process::start(&value, &dir).await;
-        let _unanswered = discovery.call().await;
+        let _unanswered = discovery.accept_call().await;
         assert_eq!(new.call("GET", "/control/ready").await.expect("an answer").0, 503);
         assert_eq!(old.call("GET", "/control/ready").await.expect("an answer").0, 200);
         new.signal("-TERM").await;
@@ -228,19 +228,19 @@
         assert!(status.success());
         serve_host(host, Rc::default());
         let address = listen_address(&value);
-        let mut client = Peer::connect(address).await;
+        let mut client = LineConnection::connect(address).await;
         client.send("OPEN 1 1 c=chat,d=5000\r\n").await;
-        assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+        assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
     });
 }
 
 #[test]
 fn killed_successor_and_rejected_third_process_do_not_disturb_the_node() {
     run(async {
-        let (dir, discovery) = (temp_dir("dies"), Discovery::new().await);
+        let (dir, discovery) = (temp_dir("dies"), StubDiscovery::new().await);
         let value = upgradable_config(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_endpoint_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_endpoint_list(discovery, vec![host.list_entry("up")]);
         serve_host(host, Rc::default());
         let mut old = Process::start(&value, &dir).await;
         old.wait_until_ready().await;
@@ -253,9 +253,9 @@
         new.child.kill().await.expect("killed");
         let address = listen_address(&value);
         for id in 0..20 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
         }
         // Another process can take over afterwards. Request ids are known to both, whichever admits the
         // request.
@@ -263,14 +263,14 @@
         new.wait_until_ready().await;
         for id in 100..110 {
             let line = format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n");
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&line).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             // The id is sent within one descriptor check.
             sleep(Duration::from_millis(50)).await;
-            let mut duplicate = Peer::connect(address).await;
+            let mut duplicate = LineConnection::connect(address).await;
             duplicate.send(&line).await;
-            assert_eq!(duplicate.line().await.as_deref(), Some("ERR"));
+            assert_eq!(duplicate.read_line().await.as_deref(), Some("ERR"));
         }
         old.signal("-TERM").await;
         let status =
@@ -291,18 +291,18 @@
     // The kernel closes descriptors that lie unread in the socket of a process that ends. The predecessor
     // therefore keeps both sockets until the successor has acknowledged the connection.
     run(async {
-        let (dir, discovery) = (temp_dir("unread"), Discovery::new().await);
+        let (dir, discovery) = (temp_dir("unread"), StubDiscovery::new().await);
         let value = upgradable_config(&discovery).await;
-        let host = Host::new("s-1").await;
-        serve_endpoint_list(discovery, vec![host.entry("up")]);
+        let host = StubHost::new("s-1").await;
+        serve_endpoint_list(discovery, vec![host.list_entry("up")]);
         serve_host(host, Rc::default());
         let old = Process::start(&value, &dir).await;
         old.wait_until_ready().await;
         let mut clients = Vec::new();
         for id in 0..5 {
-            let mut client = Peer::connect(listen_address(&value)).await;
+            let mut client = LineConnection::connect(listen_address(&value)).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             clients.push(client);
         }
         // A successor that reports that it is ready, and then receives no connections.
@@ -326,8 +326,8 @@
         handover_socket.readable().await.expect("handed over");
         drop((handover_socket, stream));
         for client in &mut clients {
-            assert_eq!(client.line().await.as_deref(), Some("MOVE"));
-            assert_eq!(client.line().await, None);
+            assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
+            assert_eq!(client.read_line().await, None);
         }
     });
 }
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -132,7 +132,7 @@
 /// Sends the datagrams of these fixtures and returns the connections that are received.
 async fn received(names: &[&str]) -> Vec<HandedOverConnection> {
     let node = Rc::new(Node::new(
-        Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+        Config::from_file_value(node_config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
             .expect("a valid configuration"),
     ));
     let (to, from) = UnixDatagram::pair().expect("a pair");
@@ -199,7 +199,7 @@
         handover::share_listener(&to, &listener).await.expect("sent");
         assert_eq!(datagram(&from).await.as_bytes(), fixture("handover/door.json"));
         let node = Rc::new(Node::new(
-            Config::from_file_value(config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
+            Config::from_file_value(node_config("127.0.0.1:0", "127.0.0.1:1"), |_| None)
                 .expect("a valid configuration"),
         ));
         send_datagram(&to, &fixture("handover/door.json"), &[listener.as_fd()]);
@@ -229,13 +229,13 @@
         return println!("not run: ALDERSTILE_BEFORE does not name a program of the previous version");
     };
     run(async {
-        let (dir, discovery) = (temp_dir("versions"), Discovery::new().await);
+        let (dir, discovery) = (temp_dir("versions"), StubDiscovery::new().await);
         let value = upgradable_config(&discovery).await;
         let mut hosts = Vec::new();
         for name in ["s-1", "s-2", "s-3", "s-4", "s-5"] {
-            hosts.push(Host::new(name).await);
+            hosts.push(StubHost::new(name).await);
         }
-        serve_endpoint_list(discovery, hosts.iter().map(|host| host.entry("up")).collect());
+        serve_endpoint_list(discovery, hosts.iter().map(|host| host.list_entry("up")).collect());
         let served: Vec<Rc<RefCell<BTreeMap<String, u32>>>> = (0..5).map(|_| Rc::default()).collect();
         hosts.into_iter().zip(&served).for_each(|(host, ids)| serve_host(host, ids.clone()));
         let old = Process::start_program(&previous, &value, &dir).await;
@@ -248,9 +248,9 @@
         let address = listen_address(&value);
         let mut open = Vec::new();
         for id in 0..10 {
-            let mut client = Peer::connect(address).await;
+            let mut client = LineConnection::connect(address).await;
             client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=5000\r\n")).await;
-            assert_eq!(client.line().await.as_deref(), Some("UP 00ff"));
+            assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             client.send("M ").await;
             open.push(client);
         }
@@ -285,7 +285,7 @@
         assert!(outcomes.established > 50, "{} clients served", outcomes.established);
         for client in &mut open {
             client.send("1\r\n").await;
-            assert_eq!(client.line().await.as_deref(), Some("M 1"));
+            assert_eq!(client.read_line().await.as_deref(), Some("M 1"));
         }
         assert_eq!(served[4].borrow().len(), 0, "the host that stayed out of service received no requests");
         let all: BTreeMap<_, _> = served.iter().flat_map(|ids| ids.borrow().clone()).collect();
--- a/src/policy/effective_weight.rs
+++ b/src/policy/effective_weight.rs
@@ -4,7 +4,7 @@
 use crate::types::{Micros, WeightMeaning};
 
 use super::Policy;
-use super::load_estimate::is_load;
+use super::load_estimate::is_valid_load;
 use super::server::ServerIndex;
 
 /// Factor on the weight of servers in this node's zone, where crossing zones is charged for.
@@ -15,7 +15,7 @@
     pub(super) fn weight(&self, index: ServerIndex) -> f64 {
         let weight = self.servers[index].endpoint.weight;
         let nominal = self.settings.weight_meaning == WeightMeaning::NominalCapacity;
-        if nominal && weight > 0.0 && is_load(&weight) { weight } else { 1.0 }
+        if nominal && weight > 0.0 && is_valid_load(&weight) { weight } else { 1.0 }
     }
 
     /// The weight of a server, raised by zone affinity.
@@ -35,7 +35,7 @@
     /// share work, as a copy of a group in each zone costs more than crossing zones.
     pub(super) fn update_zone_affinity(&mut self, now: Micros) {
         let warming_up = self.available_servers(now).any(|index| !self.is_warm(now, index));
-        let charged = self.settings.prices.cross_zone > 0.0;
+        let charged = self.settings.costs.cross_zone > 0.0;
         let active = charged && !warming_up && !self.settings.groups;
         self.zone_affinity = if active { ZONE_AFFINITY } else { 1.0 };
     }
--- a/src/policy/status.rs
+++ b/src/policy/status.rs
@@ -17,8 +17,8 @@
         let server = &self.servers[index];
         match server.endpoint.state {
             EndpointState::Draining => true,
-            EndpointState::Ready => server.outlier.is_ejected(now) || self.is_late(now, index),
-            EndpointState::Cordoned | EndpointState::Gone => false,
+            EndpointState::Ready => server.outlier.is_ejected(now) || self.has_high_delay(now, index),
+            EndpointState::Cordoned | EndpointState::Removed => false,
         }
     }
 
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,6 +1,6 @@
-//! The types in which a host program and the decisions speak: settings, events and actions.
+//! Types exchanged between the embedding program and the policy: settings, events and actions.
 //!
-//! Nothing here decides anything, and nothing here knows how they travel.
+//! This module contains no decisions and no serialization.
 
 mod action;
 mod endpoint;
@@ -16,7 +16,7 @@
 pub use id::{GroupId, RequestId, ServerId, TimerToken};
 pub use request::{Outcome, Request};
 pub use settings::{
-    BalancerSettings, ClassSettings, DedupScope, Idempotency, Prices, ReportField, RetryBudget,
+    BalancerSettings, ClassSettings, Costs, DedupScope, Idempotency, ReportField, RetryBudget,
     RetryBudgetBucket, TenantSettings, WeightMeaning,
 };
 pub use time::Micros;
