--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -147,7 +147,7 @@
             json!({"settings": {"extra": group_load(json!("NaN"))}}),
             "for key shadow.settings.extra.group_load: expected",
         ),
-        (json!({"settings": {"extra": {"group_load": 3}}}), "no value unless extra.groups is true"),
+        (json!({"settings": {"extra": {"group_load": 3}}}), "no value unless the key extra.groups is true"),
         (
             json!({"settings": {"classes": [{"aim": 300000}]}}),
             "invalid value \"1\" for key shadow.settings.classes: expected",
