--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -142,7 +142,7 @@
         let turn = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
         let server = &mut self.servers[index];
         server.slow_start = SlowStartTokens::starting_at(turn);
-        // Clocks differ, but a listed server cannot start after the current time.
+        // Clocks differ, but a listed server has started by now.
         let latest_start = |started: Micros| (started + self.settings.start_time_tolerance).min(now);
         server.started = endpoint.started.map(latest_start);
         server.capacity = ObservedCapacity::default();
--- a/src/policy/group_placement.rs
+++ b/src/policy/group_placement.rs
@@ -48,11 +48,11 @@
     pub(super) fn allows_group(&self, index: ServerIndex) -> bool {
         self.connection.request.group.is_none()
             || self.hash(index) >= self.min_initial_hash
-            || self.holds_group(index)
+            || self.has_group(index)
     }
 
-    pub(super) fn holds_group(&self, index: ServerIndex) -> bool {
-        self.policy.servers[index].load.holds_group(self.connection.request.group)
+    pub(super) fn has_group(&self, index: ServerIndex) -> bool {
+        self.policy.servers[index].load.has_group(self.connection.request.group)
     }
 
     /// Returns whether a server has a connection of the group and adding the connection would not
@@ -61,6 +61,6 @@
         let nodes = f64::from(self.policy.settings.node_count.max(1));
         let group_limit = self.mean_load * (1.0 + (GROUP_OVERLOAD_THRESHOLD - 1.0) * nodes);
         let limit = group_limit * self.policy.effective_weight(index);
-        self.holds_group(index) && self.policy.recorded_load(index) <= limit
+        self.has_group(index) && self.policy.recorded_load(index) <= limit
     }
 }
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -2,8 +2,8 @@
 //! ejection. Failures during an ejection do not extend it.
 //!
 //! A server that fails fast or drops its connections keeps a low load and would otherwise receive
-//! all new connections. An ejected server is used only if all other candidates are ejected too. A
-//! server that could not be reached is excluded until its ejection expires.
+//! all new connections. An ejected server is ranked after the others. A server that could not be
+//! reached is excluded until its ejection expires.
 
 use rand::RngExt;
 
@@ -34,11 +34,11 @@
     /// Number of failures that led to an ejection and are not forgotten.
     failures: u32,
     pub(super) ejected_until: Micros,
-    /// Whether the server refused a connection, rejected a request or dropped all connections of
-    /// this node, and no setup has succeeded since.
+    /// Whether a connection to the server could not be established, it rejected a request or it
+    /// dropped all connections of this node, and no setup has succeeded since.
     pub(super) unreachable: bool,
-    /// Whether the server refused a connection while it had none of this node, and no setup has
-    /// succeeded since. Such a server receives one trial attempt at a time.
+    /// Whether a connection could not be established while the server had none of this node, and no
+    /// setup has succeeded since. Such a server receives one trial attempt at a time.
     pub(super) connect_failed: bool,
 }
 
@@ -73,16 +73,16 @@
         if !is_failure(outcome) || connection.state.is_migrating() {
             return;
         }
-        let holds_others = self.holds_established(index);
+        let has_others = self.has_established_connections(index);
         let outlier = &mut self.servers[index].outlier;
-        outlier.connect_failed |= outcome == Outcome::ConnectFailed && !holds_others;
+        outlier.connect_failed |= outcome == Outcome::ConnectFailed && !has_others;
         let was_ejected = outlier.is_ejected(now);
         if !was_ejected {
             self.eject(now, index);
         }
-        // The server is excluded now, because the endpoint list shows a lost server only seconds
+        // Excludes the server at once, because the endpoint list shows a lost server only seconds
         // later and never shows a network partition.
-        let dropped_all = outcome == Outcome::Reset && !holds_others;
+        let dropped_all = outcome == Outcome::Reset && !has_others;
         let refused = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
         self.servers[index].outlier.unreachable |= dropped_all || refused;
         if !was_ejected {
@@ -91,14 +91,14 @@
     }
 
     /// Returns whether a server has established connections of this node, not counting attempts.
-    fn holds_established(&self, index: ServerIndex) -> bool {
+    fn has_established_connections(&self, index: ServerIndex) -> bool {
         let established = |connection: &Connection| !connection.state.is_attempting();
         let mut connections = self.servers[index].load.connections.iter();
         connections.any(|id| self.connections.get(id).is_some_and(established))
     }
 
-    /// Ejects a server that is not ejected. If it refused a connection, the ejections are
-    /// staggered, so that nodes waiting for it try it one after the other.
+    /// Ejects a server that is not ejected. If a connection to it could not be established, the
+    /// ejections are staggered, so that nodes waiting for it try it one after the other.
     fn eject(&mut self, now: Micros, index: ServerIndex) {
         let chance: f64 = self.rng.random();
         let nodes = f64::from(self.settings.node_count);
@@ -108,8 +108,8 @@
         }
         let backoff = BASE_EJECTION.scale(f64::from(1 << outlier.failures.min(MAX_EJECTION_DOUBLINGS)));
         let with_jitter = backoff.scale(1.0 - JITTER / 2.0 + JITTER * chance);
-        let turns = if outlier.connect_failed { nodes.min(MAX_STAGGERED_NODES) } else { 0.0 };
-        let ejection = with_jitter.max(BASE_EJECTION.scale(turns * chance));
+        let staggered_nodes = if outlier.connect_failed { nodes.min(MAX_STAGGERED_NODES) } else { 0.0 };
+        let ejection = with_jitter.max(BASE_EJECTION.scale(staggered_nodes * chance));
         outlier.failures += 1;
         outlier.ejected_until = now + ejection;
     }
@@ -126,9 +126,9 @@
         }
     }
 
-    /// Records a successful setup. If the server refused the previous connection, its start time is
-    /// set to now: the endpoint list shows a restart late or never, and the server's low load would
-    /// otherwise attract many connections.
+    /// Records a successful setup. If no connection could be established before, the server's start
+    /// time is set to now: the endpoint list shows a restart late or never, and the server's low
+    /// load would otherwise attract many connections.
     pub(super) fn record_success(&mut self, now: Micros, index: ServerIndex) {
         let server = &mut self.servers[index];
         if std::mem::take(&mut server.outlier.connect_failed) {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -38,7 +38,7 @@
     /// The server is not due for a setup that would show its delay.
     setup_not_due: bool,
     /// Load per unit of effective weight after the connection is placed.
-    landing_load: f64,
+    load_after_placement: f64,
     /// Among equals, a warming-up server is preferred: its tokens limit its load, while a warm
     /// server without connections of this node is filled by other nodes.
     warm: bool,
@@ -141,7 +141,7 @@
             has_high_load_ratio: load_ratio.is_some_and(|ratio| ratio > HIGH_LOAD_RATIO),
             outside_group: !self.may_join_group(index),
             setup_not_due: !policy.is_setup_due(now, index, self.mean_load),
-            landing_load: self.landing_load(index),
+            load_after_placement: self.load_after_placement(index),
             warm: policy.is_warm(now, index),
             unreported: self.connection.request.group.is_none() && load_ratio.is_none(),
             weighted_tie_breaker: weighted_tie_breaker(self.hash(index), policy.weight(index)),
@@ -160,8 +160,8 @@
     /// recorded loads consist of whole connections. A fraction of a connection would rank the
     /// server behind every server without connections, and with many nodes nearly all servers have
     /// none.
-    fn landing_load(&self, index: ServerIndex) -> f64 {
-        let begins_group = self.connection.request.group.is_some() && !self.holds_group(index);
+    fn load_after_placement(&self, index: ServerIndex) -> f64 {
+        let begins_group = self.connection.request.group.is_some() && !self.has_group(index);
         let group_load = if begins_group { self.group_load_share } else { 0.0 };
         let load = self.policy.recorded_load(index) + group_load;
         let missing_warm_up = 1.0 - self.policy.local_warm_up_fraction(self.now, index);
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -50,7 +50,7 @@
 }
 
 impl ServerLoad {
-    pub(super) fn holds_group(&self, group: Option<GroupId>) -> bool {
+    pub(super) fn has_group(&self, group: Option<GroupId>) -> bool {
         group.is_some_and(|group| self.groups.contains_key(&group))
     }
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -132,7 +132,8 @@
     /// Returns the rate of tokens for a warming-up server, in tokens per second. This is the rate
     /// at which a warm server of its weight receives new connections, multiplied by its current
     /// share of its capacity and by the multiple of that capacity that it withstands.
-    /// `connections_per_server` is the number of this node's connections on a warm server per unit of weight.
+    /// `connections_per_server` is the number of this node's connections on a warm server per unit
+    /// of weight.
     fn token_rate(&self, now: Micros, index: ServerIndex, connections_per_server: f64) -> f64 {
         let period = PERIOD.as_secs_f64();
         let initial = self.settings.warm_up_initial_capacity;
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -197,9 +197,9 @@
 #[test]
 fn new_settings_keep_the_record_and_apply_to_the_next_attempt() {
     let mut balancer = balancer(settings(), 3);
-    let (held, verdict) = balancer.place(START, connection_request());
+    let (first_id, verdict) = balancer.place(START, connection_request());
     let one = forwarded_to(verdict);
-    balancer.on_established(START, held, ms(10));
+    balancer.on_established(START, first_id, ms(10));
     let (id, verdict) = balancer.place(START, connection_request());
     let two = forwarded_to(verdict);
     let mut fewer_attempts = BalancerSettings { max_attempts: 1, ..settings() };
@@ -223,10 +223,10 @@
 fn cold_servers_receive_the_former_load_of_warm_ones_if_the_only_warm_one_is_nearly_empty() {
     let mut balancer = balancer(settings(), 5);
     let mut now = START;
-    let mut held = Vec::new();
+    let mut connections = Vec::new();
     for _ in 0..50 {
         let (id, verdict) = balancer.place(now, connection_request());
-        held.push((id, forwarded_to(verdict)));
+        connections.push((id, forwarded_to(verdict)));
         balancer.on_established(now, id, ms(10));
     }
     for _ in 0..20 {
@@ -241,7 +241,7 @@
         EndpointListKind::Full,
         std::iter::once(entry(1)).chain((6..10).map(cold)).collect(),
     );
-    for (id, server) in held {
+    for (id, server) in connections {
         balancer.on_connection_ended(now, id, server, Outcome::Cancelled);
     }
     let (id, verdict) = balancer.place(now, connection_request());
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -55,7 +55,7 @@
     node.pass(ms(1_100));
     // The high delay limits the server; after the delay, some capacity becomes free.
     let weight = |node: &Node| -> u64 {
-        (1..=20).filter(|&id| node.is_held(id)).map(|id| if id <= 10 { 10 } else { 100 }).sum()
+        (1..=20).filter(|&id| node.has_request(id)).map(|id| if id <= 10 { 10 } else { 100 }).sum()
     };
     for id in 11..=20 {
         if weight(&node) > 600 {
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -84,11 +84,11 @@
 #[test]
 fn removed_server_is_used_while_there_is_evidence_that_it_runs() {
     let set = BalancerSettings { removal_is_advisory: true, probes_allowed: true, ..settings() };
-    let gone = |id| Endpoint { state: EndpointState::Removed, ..entry(id) };
+    let removed = |id| Endpoint { state: EndpointState::Removed, ..entry(id) };
     let draining = |id| Endpoint { state: EndpointState::Draining, ..entry(id) };
     let mut node = Node::new(set.clone(), 3);
     node.open(1, 1);
-    (1..=3).for_each(|id| node.list(EndpointListKind::Delta, vec![gone(id)]));
+    (1..=3).for_each(|id| node.list(EndpointListKind::Delta, vec![removed(id)]));
     node.send_request(request(10));
     assert_eq!(
         node.server_of(10),
@@ -123,7 +123,7 @@
     let mut node = Node::new(set.clone(), 1);
     node.open(1, 1);
     node.list(EndpointListKind::Delta, vec![draining(1)]);
-    node.list(EndpointListKind::Delta, vec![gone(1)]);
+    node.list(EndpointListKind::Delta, vec![removed(1)]);
     node.send_request(request(2));
     assert!(node.rejected(2).is_some());
     node.list(EndpointListKind::Full, Vec::new());
@@ -134,7 +134,7 @@
     assert_eq!(node.server_of(4), Some(1), "ready again");
     let mut node = Node::new(BalancerSettings { removal_is_advisory: false, ..set }, 1);
     node.open(1, 1);
-    node.list(EndpointListKind::Delta, vec![gone(1)]);
+    node.list(EndpointListKind::Delta, vec![removed(1)]);
     node.send_request(request(2));
     assert!(node.rejected(2).is_some());
 }
@@ -146,11 +146,11 @@
     // although connections were open at some of them.
     let set =
         BalancerSettings { removal_is_advisory: true, probes_allowed: true, node_count: 100, ..settings() };
-    let gone = |id| Endpoint { state: EndpointState::Removed, ..entry(id) };
+    let removed = |id| Endpoint { state: EndpointState::Removed, ..entry(id) };
     let mut node = Node::new(set, 20);
     node.open(1, 1);
-    node.list(EndpointListKind::Delta, vec![gone(20)]);
-    node.list(EndpointListKind::Delta, (1..=15).map(gone).collect());
+    node.list(EndpointListKind::Delta, vec![removed(20)]);
+    node.list(EndpointListKind::Delta, (1..=15).map(removed).collect());
     let probes = |node: &mut Node, n: u64| -> usize {
         let probe = |a: &&Action| matches!(a, Action::Probe(_));
         (0..n * 10)
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -8,11 +8,11 @@
 fn many_nodes_together_keep_the_slow_start_budget() {
     // Guards against an overload by many nodes that each send every cold server a connection soon:
     // with 35 nodes, 56 servers failed.
-    let (nodes, warm, cold, held) = (28, 20, 2, 100);
+    let (nodes, warm, cold, connections) = (28, 20, 2, 100);
     let set = BalancerSettings { node_count: nodes, ..settings() };
     let mut nodes: Vec<Node> = (0..nodes).map(|n| Node::with_seed(set.clone(), warm, n.into())).collect();
     for node in &mut nodes {
-        (0..held).for_each(|id| node.open(10_000 + id, 1 + id % warm));
+        (0..connections).for_each(|id| node.open(10_000 + id, 1 + id % warm));
     }
     let start = nodes[0].now;
     for tick in 0..150u64 {
@@ -30,25 +30,29 @@
                 while node.server_of(id).is_some_and(|server| server <= warm) {
                     node.end(id, Outcome::ConnectFailed);
                 }
-                if node.is_held(id) {
+                if node.has_request(id) {
                     node.establish(id);
                 }
             }
             node.pass(ms(100 - 3 * n as u64));
         }
     }
-    let warm_holds = (nodes.len() as u64 * held / warm) as f64;
+    let connections_per_warm_server = (nodes.len() as u64 * connections / warm) as f64;
     for server in warm + 1..=warm + cold {
         let mut at: Vec<Micros> =
             nodes.iter().flat_map(|node| node.sends_while_warming_up(server).to_vec()).collect();
         at.sort();
-        assert!(at.len() as f64 > warm_holds, "it receives connections before it is warm: {}", at.len());
+        assert!(
+            at.len() as f64 > connections_per_warm_server,
+            "it receives connections before it is warm: {}",
+            at.len()
+        );
         // Warm servers can handle at least their current load. The attempts within two seconds must
         // stay below three times that.
         for (i, &from) in at.iter().enumerate() {
             let share = 0.25 + 0.75 * ((from - start).as_secs_f64() / 10.0).min(1.0);
             let sent = at[i..].iter().filter(|&&t| t < from + ms(2_000)).count();
-            let budget = 3.0 * share * warm_holds;
+            let budget = 3.0 * share * connections_per_warm_server;
             assert!(sent as f64 <= budget, "{sent} sent within two seconds of a budget of {budget:.1}");
         }
     }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -102,7 +102,7 @@
     let mut all = Vec::new();
     let mut next = 1;
     for op in ops {
-        active.retain(|&id| node.is_held(id));
+        active.retain(|&id| node.has_request(id));
         let pick = |i: usize| active.get(i % active.len().max(1)).copied();
         match *op {
             Op::ConnectionRequest { class, group, load, time_remaining } => {
--- a/tests/shadow.rs
+++ b/tests/shadow.rs
@@ -67,10 +67,10 @@
                 now = now + ms(1_000);
                 let pending = balancer.handle_timeout(now);
                 for id in &pending.migrations {
-                    open.retain(|(held, server)| {
-                        let migrated = held == id;
+                    open.retain(|(open_id, server)| {
+                        let migrated = open_id == id;
                         if migrated {
-                            balancer.on_connection_ended(now, *held, *server, Outcome::Cancelled);
+                            balancer.on_connection_ended(now, *open_id, *server, Outcome::Cancelled);
                         }
                         !migrated
                     });
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -119,7 +119,7 @@
         elapsed = elapsed + TICK;
         // Clients that are asked to migrate reconnect.
         let before = clients.len();
-        clients.retain(|client| nodes[client.node].is_held(client.id));
+        clients.retain(|client| nodes[client.node].has_request(client.id));
         reconnecting += before - clients.len();
     }
     for node in &nodes {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -95,7 +95,7 @@
     pub policy: Policy,
     pub now: Micros,
     pub settings: BalancerSettings,
-    held: BTreeMap<RequestId, RequestState>,
+    requests: BTreeMap<RequestId, RequestState>,
     ended: BTreeSet<RequestId>,
     listed: BTreeMap<ServerId, Endpoint>,
     sends_while_warming_up: BTreeMap<ServerId, Vec<Micros>>,
@@ -124,7 +124,7 @@
             policy,
             now,
             settings,
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             ended: BTreeSet::new(),
             listed: BTreeMap::new(),
             sends_while_warming_up: BTreeMap::new(),
@@ -162,7 +162,7 @@
     }
 
     pub fn send_request(&mut self, request: Request) {
-        self.held.insert(request.id, RequestState { class: request.class, ..RequestState::default() });
+        self.requests.insert(request.id, RequestState { class: request.class, ..RequestState::default() });
         self.admitted_at.push(self.now);
         self.event(Event::Request(request));
     }
@@ -172,8 +172,9 @@
     }
 
     pub fn open_as(&mut self, request: Request, server: u64) {
-        let held = RequestState { attempt_at: Some(ServerId(server)), open: true, ..RequestState::default() };
-        self.held.insert(request.id, held);
+        let state =
+            RequestState { attempt_at: Some(ServerId(server)), open: true, ..RequestState::default() };
+        self.requests.insert(request.id, state);
         self.event(Event::ExistingConnection(request, ServerId(server)));
     }
 
@@ -182,11 +183,11 @@
     }
 
     pub fn establish_after(&mut self, id: u64, latency: Micros) {
-        if let Some(held) = self.held.get_mut(&RequestId(id))
-            && let Some(server) = held.attempt_at
+        if let Some(state) = self.requests.get_mut(&RequestId(id))
+            && let Some(server) = state.attempt_at
         {
-            held.open = true;
-            held.first_execution.get_or_insert((server, held.sent));
+            state.open = true;
+            state.first_execution.get_or_insert((server, state.sent));
             self.event(Event::Established { id: RequestId(id), latency });
         }
     }
@@ -194,21 +195,21 @@
     /// Reports the end of the attempt in flight or of the connection.
     pub fn end(&mut self, id: u64, outcome: Outcome) {
         let id = RequestId(id);
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(server) = held.attempt_at.take() else { return };
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        let Some(server) = state.attempt_at.take() else { return };
         if outcome.may_have_executed() {
-            held.first_execution.get_or_insert((server, held.sent));
+            state.first_execution.get_or_insert((server, state.sent));
         }
-        let closed = held.open || outcome == Outcome::Ok;
+        let closed = state.open || outcome == Outcome::Ok;
         if closed {
-            self.held.remove(&id);
+            self.requests.remove(&id);
             self.ended.insert(id);
         }
         self.event(Event::Ended { id, server, outcome, closed, report: Vec::new() });
     }
 
     pub fn disconnect_client(&mut self, id: u64) {
-        if self.held.remove(&RequestId(id)).is_some() {
+        if self.requests.remove(&RequestId(id)).is_some() {
             self.ended.insert(RequestId(id));
         }
         self.event(Event::ClientDisconnected(RequestId(id)));
@@ -235,11 +236,11 @@
     }
 
     pub fn server_of(&self, id: u64) -> Option<u64> {
-        self.held.get(&RequestId(id)).and_then(|held| held.attempt_at).map(|server| server.0)
+        self.requests.get(&RequestId(id)).and_then(|state| state.attempt_at).map(|server| server.0)
     }
 
-    pub fn is_held(&self, id: u64) -> bool {
-        self.held.contains_key(&RequestId(id))
+    pub fn has_request(&self, id: u64) -> bool {
+        self.requests.contains_key(&RequestId(id))
     }
 
     pub fn rejected(&self, id: u64) -> Option<Option<Micros>> {
@@ -279,11 +280,11 @@
                         "a Retry-After time where none is allowed"
                     );
                     assert!(wait.is_none_or(|w| w <= self.settings.max_retry_after));
-                    let held = self.answer(*id);
-                    let class = &self.settings.classes[usize::from(held.class)];
+                    let state = self.answer(*id);
+                    let class = &self.settings.classes[usize::from(state.class)];
                     let safe_to_retry = match class.idempotency {
                         Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All) => true,
-                        _ => held.first_execution.is_none(),
+                        _ => state.first_execution.is_none(),
                     };
                     assert!(safe_to_retry, "rejected {id:?}, which may have been executed");
                 }
@@ -291,9 +292,9 @@
                     self.answer(*id);
                 }
                 Action::Migrate(id) => {
-                    let held = self.held.remove(id).expect("a known connection");
-                    assert!(held.open, "migrated {id:?}, which is not open");
-                    self.migrating.extend(held.attempt_at.map(|server| (*id, server)));
+                    let state = self.requests.remove(id).expect("a known connection");
+                    assert!(state.open, "migrated {id:?}, which is not open");
+                    self.migrating.extend(state.attempt_at.map(|server| (*id, server)));
                     self.ended.insert(*id);
                 }
                 Action::SetTimer(after, token) => self.timers.push((self.now + *after, *token)),
@@ -303,16 +304,16 @@
                 Action::Log(_, line) => assert!(line.len() < 200),
             }
         }
-        for (id, held) in &self.held {
+        for (id, state) in &self.requests {
             let waits_for_probe = || self.timers.iter().any(|(_, token)| token.0 == id.0 | 1 << 63);
             assert!(
-                held.attempt_at.is_some() || waits_for_probe(),
+                state.attempt_at.is_some() || waits_for_probe(),
                 "{id:?} has neither an answer nor an attempt"
             );
             // After an event since the decision, an attempt may only be sent if the rules still
             // allow it.
             if let Some(server) =
-                held.attempt_at.filter(|_| !held.open && self.policy.may_still_send(self.now, *id))
+                state.attempt_at.filter(|_| !state.open && self.policy.may_still_send(self.now, *id))
             {
                 self.check_allowed(*id, server);
             }
@@ -321,10 +322,10 @@
     }
 
     fn answer(&mut self, id: RequestId) -> RequestState {
-        let held = self.held.remove(&id).unwrap_or_else(|| panic!("{id:?} answered, but unknown"));
-        assert!(held.attempt_at.is_none(), "{id:?} answered with an attempt in flight");
+        let state = self.requests.remove(&id).unwrap_or_else(|| panic!("{id:?} answered, but unknown"));
+        assert!(state.attempt_at.is_none(), "{id:?} answered with an attempt in flight");
         assert!(self.ended.insert(id), "{id:?} answered twice");
-        held
+        state
     }
 
     fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Option<Micros>) {
@@ -332,10 +333,10 @@
         assert!(timeout.is_none_or(|t| t > Micros(0)));
         self.check_allowed(id, server);
         let entry = self.listed[&server];
-        let held = self.held.get_mut(&id).unwrap_or_else(|| panic!("{id:?} sent, but unknown"));
-        assert!(held.attempt_at.is_none(), "two attempts of {id:?} at once");
-        held.attempts += 1;
-        if let Some(budget) = self.settings.retry_budget.filter(|_| held.attempts > 1) {
+        let state = self.requests.get_mut(&id).unwrap_or_else(|| panic!("{id:?} sent, but unknown"));
+        assert!(state.attempt_at.is_none(), "two attempts of {id:?} at once");
+        state.attempts += 1;
+        if let Some(budget) = self.settings.retry_budget.filter(|_| state.attempts > 1) {
             // An independent count. An event exactly one window ago is excluded for requests and
             // included for retries.
             self.retries_at.push(self.now);
@@ -345,9 +346,9 @@
             let allowed = budget.min_retries + budget.retry_ratio * admitted;
             assert!(retries <= allowed, "{retries} retries where {allowed} are allowed");
         }
-        assert!(held.attempts <= self.settings.max_attempts);
-        held.attempt_at = Some(server);
-        held.sent = self.now;
+        assert!(state.attempts <= self.settings.max_attempts);
+        state.attempt_at = Some(server);
+        state.sent = self.now;
         if entry.started.is_some_and(|started| self.now < started + self.settings.warm_up) {
             self.sends_while_warming_up.entry(server).or_default().push(self.now);
         }
@@ -360,9 +361,9 @@
         let advisory = self.settings.removal_is_advisory && entry.state == EndpointState::Removed;
         let available = entry.state == EndpointState::Ready || (advisory && !self.draining.contains(&server));
         assert!(available, "sent to {server}, which is not ready");
-        let held = self.held.get(&id).unwrap_or_else(|| panic!("{id:?} sent, but unknown"));
-        let class = &self.settings.classes[usize::from(held.class)];
-        if let Some((first, sent)) = held.first_execution {
+        let state = self.requests.get(&id).unwrap_or_else(|| panic!("{id:?} sent, but unknown"));
+        let class = &self.settings.classes[usize::from(state.class)];
+        if let Some((first, sent)) = state.first_execution {
             let first = self.listed[&first];
             match class.idempotency {
                 Idempotency::Idempotent => {}
