--- a/crates/alderstile-node/src/admin/maintenance_store.rs
+++ b/crates/alderstile-node/src/admin/maintenance_store.rs
@@ -80,8 +80,8 @@
 
     /// Loads the file that an earlier process of the node left; returns an empty store if there is none.
     ///
-    /// A damaged file is logged and renamed, and all hosts are in service: it is no more reason to keep a
-    /// host out of service than to use it.
+    /// A damaged file is logged and renamed, and all hosts are in service: without its content, keeping a host
+    /// out of service would be as wrong as using it.
     pub fn load(dir: &Path, node_name: &str) -> Self {
         let path = file_path(dir, node_name);
         let bytes = match std::fs::read(&path) {
--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -110,11 +110,11 @@
     /// Fails if the maintenance file can't be written; the balancer uses the new state nevertheless.
     pub async fn set_host_online(&self, host: &str, online: bool) -> io::Result<bool> {
         let id = server_id(host);
-        let (known, out) = self.decisions.with_balancer(|balancer, _| {
+        let (known, in_maintenance) = self.decisions.with_balancer(|balancer, _| {
             let hosts = balancer.maintenance();
             (hosts.is_known(id), hosts.is_in_maintenance(id))
         });
-        if known && online == out {
+        if known && online == in_maintenance {
             let state = match online {
                 true => MaintenanceState::ReturnedAt(self.decisions.clock.now().0),
                 false => MaintenanceState::OutOfService,
--- a/crates/alderstile-node/src/commands/mod.rs
+++ b/crates/alderstile-node/src/commands/mod.rs
@@ -58,17 +58,17 @@
     /// The members can't be read from a node.
     #[error("{admin}: {error}")]
     Members {
-        /// The node's admin server.
+        /// The address of the node's admin server.
         admin: SocketAddr,
-        /// Why.
+        /// The cause.
         error: client::CallError,
     },
     /// A node's response is not JSON.
     #[error("{admin}: {error}")]
     MembersResponse {
-        /// The node's admin server.
+        /// The address of the node's admin server.
         admin: SocketAddr,
-        /// Why.
+        /// The cause.
         error: serde_json::Error,
     },
     /// The replicated configuration can't be read from a node.
@@ -80,25 +80,25 @@
     /// A document can't be read.
     #[error("{}: {error}", .file.display())]
     DocumentFile {
-        /// The document's file.
+        /// The path of the document.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
     /// A document is invalid.
     #[error("{}: {error}", .file.display())]
     Document {
-        /// The document's file.
+        /// The path of the document.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         error: DocumentError,
     },
     /// A proposal was rejected, or its result is unknown.
     #[error("{}: {error}", .file.display())]
     Proposal {
-        /// The document's file.
+        /// The path of the document.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         error: CallError,
     },
     /// The cluster file is not given or has no table for the replicated configuration.
--- a/crates/alderstile-node/src/commands/serve.rs
+++ b/crates/alderstile-node/src/commands/serve.rs
@@ -53,25 +53,25 @@
     /// The membership socket can't be bound.
     #[error("membership socket {address} not bound: {error}")]
     MembershipSocket {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// The admin server's listener can't be bound.
     #[error("admin listener {address} not bound: {error}")]
     AdminSocket {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// The listener for clients can't be bound.
     #[error("client listener {address} not bound: {error}")]
     ClientSocket {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: io::Error,
     },
     /// The gossip socket can't be bound.
@@ -232,7 +232,7 @@
 ) -> JoinHandle<()> {
     node.take_over(&predecessor.state);
     spawn_local(gossip.clone().run_after_predecessor(node.clone()));
-    let ended = upgrade::follow(node, predecessor);
+    let ended = upgrade::exchange_with_predecessor(node, predecessor);
     let successor = node.clone();
     spawn_local(async move {
         ended.await;
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -27,47 +27,47 @@
     /// The file can't be read.
     #[error("{path}: {error}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
     /// The file is not TOML, or a key is unknown, missing or of the wrong type.
     #[error("{path}: {error}")]
     Toml {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The cause.
         error: toml::de::Error,
     },
     /// A key has an invalid value.
-    #[error("{path}: the key {key}: {fault}")]
+    #[error("{path}: invalid value for key {key}: {message}")]
     Key {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The key.
+        /// The path of the key.
         key: String,
         /// What was expected and found.
-        fault: String,
+        message: String,
     },
 }
 
 /// A key with an invalid value.
 struct InvalidKey {
     key: String,
-    fault: String,
+    message: String,
 }
 
 impl InvalidKey {
-    fn new(key: impl Into<String>, fault: impl Into<String>) -> Self {
-        InvalidKey { key: key.into(), fault: fault.into() }
+    fn new(key: impl Into<String>, message: impl Into<String>) -> Self {
+        InvalidKey { key: key.into(), message: message.into() }
     }
 }
 
 /// The cluster file as written; its keys are part of the operators' interface.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct ClusterFile {
     name: String,
     listen: SocketAddr,
     advertise: Option<SocketAddr>,
@@ -190,16 +190,16 @@
     ///
     /// Fails if the text is not TOML, or a key is unknown, missing or invalid.
     pub fn parse(path: &str, text: &str) -> Result<Self, ClusterConfigError> {
-        let file: File = toml::from_str(text)
+        let file: ClusterFile = toml::from_str(text)
             .map_err(|error| ClusterConfigError::Toml { path: path.to_owned(), error })?;
-        Self::from_file(file).map_err(|InvalidKey { key, fault }| ClusterConfigError::Key {
+        Self::from_file(file).map_err(|InvalidKey { key, message }| ClusterConfigError::Key {
             path: path.to_owned(),
             key,
-            fault,
+            message,
         })
     }
 
-    fn from_file(file: File) -> Result<Self, InvalidKey> {
+    fn from_file(file: ClusterFile) -> Result<Self, InvalidKey> {
         if file.name.is_empty() || file.name.len() > MAX_CLUSTER_NAME_BYTES {
             return Err(InvalidKey::new(
                 "name",
@@ -209,14 +209,14 @@
         let keys = parse_keys(&file.keys)?;
         check_port("listen", file.listen)?;
         let settings = parse_membership(&file)?;
-        let codec = DatagramCodec::new(&file.name, &keys).map_err(|_| unusable_keys())?;
+        let codec = DatagramCodec::new(&file.name, &keys).map_err(|_| rejected_keys())?;
         let advertise = file.advertise.unwrap_or(file.listen);
         if !is_reachable(advertise) {
             return Err(unreachable_address("advertise", advertise));
         }
         let subsetting = file.subsets.map(parse_subsets).transpose()?;
         let replication_codec = replicated_config::DatagramCodec::new(&file.name, &keys);
-        let replication_codec = replication_codec.map_err(|_| unusable_keys())?;
+        let replication_codec = replication_codec.map_err(|_| rejected_keys())?;
         let replication = file.control.map(|table| parse_control(table, replication_codec)).transpose()?;
         Ok(ClusterConfig {
             name: file.name,
@@ -247,7 +247,7 @@
     Ok(keys)
 }
 
-fn unusable_keys() -> InvalidKey {
+fn rejected_keys() -> InvalidKey {
     InvalidKey::new("keys", "rejected by the datagram codec")
 }
 
@@ -269,7 +269,7 @@
     )
 }
 
-fn parse_membership(file: &File) -> Result<MembershipConfig, InvalidKey> {
+fn parse_membership(file: &ClusterFile) -> Result<MembershipConfig, InvalidKey> {
     let period_ms = file.period_ms.unwrap_or(DEFAULT_PERIOD_MS);
     if !(50..=60_000).contains(&period_ms) {
         return Err(InvalidKey::new("period_ms", format!("expected 50 to 60000, found {period_ms}")));
@@ -290,8 +290,8 @@
         }
     }
     if !(1.0..=MAX_RETENTION_S).contains(&table.hold_s) {
-        let fault = format!("expected 1 to {MAX_RETENTION_S} seconds, found {}", table.hold_s);
-        return Err(InvalidKey::new("subsets.hold_s", fault));
+        let message = format!("expected 1 to {MAX_RETENTION_S} seconds, found {}", table.hold_s);
+        return Err(InvalidKey::new("subsets.hold_s", message));
     }
     Ok(SubsettingConfig {
         hosts_per_node: table.size,
@@ -312,7 +312,7 @@
     if voter.is_some() && table.state_dir.is_none() {
         return Err(InvalidKey::new(
             "control.state_dir",
-            "missing, but a voter needs a persistent directory for its state",
+            "expected a persistent directory for the voter's state",
         ));
     }
     let settings = parse_replication_settings(&table, voter)?;
@@ -332,8 +332,8 @@
     let mut settings = replicated_config::ReplicationSettings::new(table.voters.clone(), voter);
     if let Some(heartbeat_ms) = table.heartbeat_ms {
         if !(20..=10_000).contains(&heartbeat_ms) {
-            let fault = format!("expected 20 to 10000, found {heartbeat_ms}");
-            return Err(InvalidKey::new("control.heartbeat_ms", fault));
+            let message = format!("expected 20 to 10000, found {heartbeat_ms}");
+            return Err(InvalidKey::new("control.heartbeat_ms", message));
         }
         settings.heartbeat = Micros::from_millis(heartbeat_ms);
     }
@@ -377,9 +377,9 @@
     let min_s = heartbeat.scale(MIN_LEASE_HEARTBEATS).as_secs_f64();
     let lease_s = lease_s.unwrap_or(min_s);
     if !(min_s..=MAX_RETENTION_S).contains(&lease_s) {
-        let fault =
+        let message =
             format!("expected {min_s} (five heartbeats) to {MAX_RETENTION_S} seconds, found {lease_s}");
-        return Err(InvalidKey::new("control.lease_s", fault));
+        return Err(InvalidKey::new("control.lease_s", message));
     }
     Ok(Micros((lease_s * 1e6) as u64))
 }
--- a/crates/alderstile-node/src/config/mod.rs
+++ b/crates/alderstile-node/src/config/mod.rs
@@ -52,24 +52,24 @@
     /// The file can't be read.
     #[error("{path}: {error}")]
     File {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
     /// The file is not JSON.
     #[error("{path}: {error}")]
     Json {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why.
+        /// The cause.
         error: serde_json::Error,
     },
     /// A key is unknown, missing or has an invalid value.
     #[error(transparent)]
     Key(#[from] SettingsError),
     /// The cached endpoint list is malformed.
-    #[error("the key known: {0}")]
+    #[error("invalid value for key known: {0}")]
     CachedEndpoints(serde_json::Error),
 }
 
--- a/crates/alderstile-node/src/config/reload.rs
+++ b/crates/alderstile-node/src/config/reload.rs
@@ -91,8 +91,8 @@
     old: &BalancerSettings,
 ) -> BalancerSettings {
     let class_settings = |(number, class): (usize, &String)| {
-        let place = names.iter().position(|name| name == class);
-        place.map_or_else(|| &old.classes[number], |place| &settings.classes[place]).clone()
+        let index = names.iter().position(|name| name == class);
+        index.map_or_else(|| &old.classes[number], |index| &settings.classes[index]).clone()
     };
     let classes = numbered.iter().enumerate().map(class_settings).collect();
     BalancerSettings { classes, ..settings }
--- a/crates/alderstile-node/src/lifecycle/upgrade.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade.rs
@@ -148,7 +148,10 @@
 }
 
 /// Sets the channel to the predecessor; the returned future exchanges messages until the predecessor ends.
-pub fn follow(node: &Rc<Node>, predecessor: Predecessor) -> impl Future<Output = ()> + use<> {
+pub fn exchange_with_predecessor(
+    node: &Rc<Node>,
+    predecessor: Predecessor,
+) -> impl Future<Output = ()> + use<> {
     let Predecessor { state, stream } = predecessor;
     let (outgoing, messages) = mpsc::unbounded_channel();
     let channel = UpgradeChannel::to_predecessor(outgoing, state.descriptors_in_use);
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -51,7 +51,7 @@
         ("/settings/allowed", Value::Null, "missing key settings.allowed."),
         ("/settings/classes/1/give_up", json!("late"), "for key settings.classes.1.give_up: expected"),
         ("/settings", Value::Null, "missing key settings.classes.count"),
-        ("/known", json!({"seq": "x"}), "the key known"),
+        ("/known", json!({"seq": "x"}), "invalid value for key known: "),
     ];
     for (pointer, invalid, expected) in faults {
         let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
--- a/crates/alderstile-node/tests/support/processes.rs
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -90,7 +90,7 @@
     }
 
     /// Sends an admin request and returns the response's status and text; `None` if nothing listens.
-    pub async fn call(&self, method: &str, path: &str) -> Option<(u16, String)> {
+    pub async fn admin_request(&self, method: &str, path: &str) -> Option<(u16, String)> {
         let mut caller = tokio::net::TcpStream::connect(self.admin).await.ok()?;
         caller.write_all(format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await.ok()?;
         let mut text = String::new();
@@ -99,7 +99,7 @@
     }
 
     pub async fn wait_until_ready(&self) {
-        while self.call("GET", "/control/ready").await.is_none_or(|(status, _)| status != 200) {
+        while self.admin_request("GET", "/control/ready").await.is_none_or(|(status, _)| status != 200) {
             sleep(Duration::from_millis(5)).await;
         }
     }
@@ -109,7 +109,7 @@
     }
 
     pub async fn metric_while_running(&self, name: &str) -> Option<u64> {
-        let (_, text) = self.call("GET", "/control/counters").await?;
+        let (_, text) = self.admin_request("GET", "/control/counters").await?;
         let start = format!("router.{name}:");
         text.lines().find_map(|line| line.strip_prefix(&start))?.split('|').next()?.parse().ok()
     }
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -27,7 +27,7 @@
         hosts.into_iter().zip(&served).for_each(|(host, ids)| serve_host(host, ids.clone()));
         let mut old = Process::start(&value, &dir).await;
         old.wait_until_ready().await;
-        assert_eq!(old.call("POST", "/control/hosts/s-1/offline").await.expect("an answer").0, 200);
+        assert_eq!(old.admin_request("POST", "/control/hosts/s-1/offline").await.expect("an answer").0, 200);
         let served_before_maintenance = served[0].borrow().len();
         let (outcomes, stop) = (Rc::<RefCell<ClientOutcomes>>::default(), Rc::default());
         let address = listen_address(&value);
@@ -39,9 +39,9 @@
         new.wait_until_ready().await;
         // A maintenance state set at either process applies at both.
         assert_eq!(new.metric("hosts_down").await, 1);
-        assert_eq!(new.call("POST", "/control/hosts/s-2/offline").await.expect("an answer").0, 200);
+        assert_eq!(new.admin_request("POST", "/control/hosts/s-2/offline").await.expect("an answer").0, 200);
         assert_eq!(old.metric("hosts_down").await, 2);
-        assert_eq!(old.call("POST", "/control/hosts/s-2/online").await.expect("an answer").0, 200);
+        assert_eq!(old.admin_request("POST", "/control/hosts/s-2/online").await.expect("an answer").0, 200);
         assert_eq!(new.metric("hosts_down").await, 1);
         // Both accept from one listen queue, which outlives the old process. If each had its own, connections
         // still in the old one would be reset when its process ends.
@@ -156,7 +156,7 @@
         assert_eq!(client.read_line().await.as_deref(), Some("BYE"));
         assert_eq!(client.read_line().await, None);
         // The balancer knows the connections: they are migrated when their host is taken out of service.
-        assert_eq!(new.call("POST", "/control/hosts/s-1/offline").await.expect("an answer").0, 200);
+        assert_eq!(new.admin_request("POST", "/control/hosts/s-1/offline").await.expect("an answer").0, 200);
         for (client, _) in &mut pairs {
             assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
         }
@@ -220,8 +220,8 @@
         old.wait_until_ready().await;
         let mut new = Process::start(&value, &dir).await;
         let _unanswered = discovery.accept_call().await;
-        assert_eq!(new.call("GET", "/control/ready").await.expect("an answer").0, 503);
-        assert_eq!(old.call("GET", "/control/ready").await.expect("an answer").0, 200);
+        assert_eq!(new.admin_request("GET", "/control/ready").await.expect("an answer").0, 503);
+        assert_eq!(old.admin_request("GET", "/control/ready").await.expect("an answer").0, 200);
         new.signal("-TERM").await;
         let status =
             timeout(Duration::from_secs(5), new.child.wait()).await.expect("in time").expect("ended");
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -242,7 +242,7 @@
         old.wait_until_ready().await;
         for host in ["s-3", "s-4", "s-5"] {
             let path = format!("/control/hosts/{host}/offline");
-            assert_eq!(old.call("POST", &path).await.expect("an answer").0, 200);
+            assert_eq!(old.admin_request("POST", &path).await.expect("an answer").0, 200);
         }
         // These stay open through both upgrades, each with a partial line.
         let address = listen_address(&value);
@@ -263,9 +263,9 @@
         new.wait_until_ready().await;
         // A maintenance state set at either process applies at both, and is kept by the successor.
         assert_eq!(new.metric("hosts_down").await, 3);
-        assert_eq!(new.call("POST", "/control/hosts/s-3/online").await.expect("an answer").0, 200);
+        assert_eq!(new.admin_request("POST", "/control/hosts/s-3/online").await.expect("an answer").0, 200);
         assert_eq!(old.metric("hosts_down").await, 2);
-        assert_eq!(old.call("POST", "/control/hosts/s-4/online").await.expect("an answer").0, 200);
+        assert_eq!(old.admin_request("POST", "/control/hosts/s-4/online").await.expect("an answer").0, 200);
         assert_eq!(new.metric("hosts_down").await, 1);
         stop(old).await;
         // The new process receives datagrams for another 300 ms after the old one has ended, and then removes
