--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -27,7 +27,7 @@
     pub key: Option<u64>,
     /// Expected load of the connection, in microseconds of CPU work per second.
     pub expected_load: Option<f64>,
-    /// Time until the client's deadline.
+    /// Time within which the node has to answer.
     pub time_remaining: Micros,
 }
 
@@ -106,7 +106,7 @@
             pending: PendingWork::default(),
         };
         balancer.policy.start(&mut balancer.actions);
-        balancer.sort_actions(now);
+        balancer.dispatch_actions(now);
         balancer
     }
 
@@ -135,7 +135,7 @@
             self.classifier = classifier(&settings);
         }
         self.policy.handle(now, Event::SettingsChanged(Box::new(settings)), &mut self.actions);
-        self.sort_actions(now);
+        self.dispatch_actions(now);
         self.shadow = self.shadow.take().zip(shadow).map(|(mut running, settings)| {
             running.apply_settings(now, node_settings(settings));
             running
@@ -361,11 +361,11 @@
         if let (Some(shadow), Some(event)) = (&mut self.shadow, shadow_event) {
             shadow.compare(now, event, &self.actions);
         }
-        self.sort_actions(now)
+        self.dispatch_actions(now)
     }
 
-    /// Sorts the actions into the verdict, the timers and the pending work.
-    fn sort_actions(&mut self, now: Micros) -> Option<Verdict> {
+    /// Dispatches the actions to the verdict, the timers and the pending work.
+    fn dispatch_actions(&mut self, now: Micros) -> Option<Verdict> {
         let mut verdict = None;
         for action in self.actions.drain(..) {
             match action {
--- a/src/policy/connection.rs
+++ b/src/policy/connection.rs
@@ -57,7 +57,7 @@
     pub(super) deadline: Micros,
     pub(super) state: ConnectionState,
     /// Number of probes for which the request has waited.
-    pub(super) probe_attempts: u32,
+    pub(super) probe_waits: u32,
     /// Servers of all attempts so far.
     pub(super) attempted_servers: Vec<ServerIndex>,
     pub(super) first_execution: Option<FirstExecution>,
@@ -79,7 +79,7 @@
             request,
             deadline: now + request.time_remaining,
             state: ConnectionState::Waiting,
-            probe_attempts: 0,
+            probe_waits: 0,
             attempted_servers: Vec::new(),
             first_execution: None,
             sent: now,
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -127,10 +127,10 @@
     /// candidate.
     ///
     /// A server with a high delay may also lose a connection for a smaller excess, with a
-    /// probability proportional to the excess. This applies if this node has few connections or the
-    /// server misses the full latency objective. Otherwise each of many nodes could keep its one
-    /// connection there and none would start shedding, although a connection that stays is of no
-    /// use to its client.
+    /// probability proportional to the excess and at most [`REACTIVE_MIGRATION_SHARE`]. This
+    /// applies if this node has few connections or the server misses the full latency objective.
+    /// Otherwise each of many nodes could keep its one connection there and none would start
+    /// shedding, although a connection that stays is of no use to its client.
     pub(super) fn load_to_shed(
         &mut self,
         index: ServerIndex,
--- a/src/policy/probe.rs
+++ b/src/policy/probe.rs
@@ -19,7 +19,7 @@
 /// connection still fits.
 pub(super) const HIGH_LOAD_RATIO: f64 = 0.7;
 /// Maximum number of probes for which a request waits before it is placed.
-const MAX_PROBE_ATTEMPTS: u32 = 3;
+const MAX_PROBE_WAITS: u32 = 3;
 /// Maximum wait for a probe, which is a small share of any latency objective.
 const PROBE_WAIT: Micros = Micros::from_millis(50);
 /// Maximum number of saved probes of removed servers. Each admitted request adds one.
@@ -74,7 +74,7 @@
     pub(super) fn needs_probe(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
         self.probes_report_load()
             && self.fresh_load_ratio(now, index).is_none()
-            && connection.probe_attempts < MAX_PROBE_ATTEMPTS
+            && connection.probe_waits < MAX_PROBE_WAITS
             && now + PROBE_WAIT.scale(2.0) <= connection.deadline
     }
 
@@ -126,16 +126,16 @@
     /// Places a request whose wait for a probe expired without an answer.
     pub(super) fn on_probe_timer(&mut self, now: Micros, token: TimerToken, actions: &mut Vec<Action>) {
         let id = RequestId(token.0 & !PROBE_TIMER_FLAG);
-        self.resume(now, id, MAX_PROBE_ATTEMPTS, actions);
+        self.resume(now, id, MAX_PROBE_WAITS, actions);
     }
 
     /// Resumes a request if it still waits for a probe.
-    fn resume(&mut self, now: Micros, id: RequestId, probes_spent: u32, actions: &mut Vec<Action>) {
+    fn resume(&mut self, now: Micros, id: RequestId, waits_used: u32, actions: &mut Vec<Action>) {
         let waits = |connection: &Connection| connection.state == ConnectionState::Waiting;
         if self.connections.get(&id).is_some_and(waits)
             && let Some(mut connection) = self.connections.remove(&id)
         {
-            connection.probe_attempts += probes_spent;
+            connection.probe_waits += waits_used;
             self.attempt(now, connection, actions);
         }
     }
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -18,7 +18,7 @@
     /// Sends a request to a server, or answers it at once if that is impossible.
     pub(super) fn attempt(&mut self, now: Micros, connection: Connection, actions: &mut Vec<Action>) {
         let allowed = self.may_attempt(now, &connection);
-        let Some(index) = allowed.then(|| self.choose(now, &connection)).flatten() else {
+        let Some(index) = allowed.then(|| self.select_server(now, &connection)).flatten() else {
             return self.give_up(&connection, actions);
         };
         if self.needs_probe(now, index, &connection) {
@@ -60,13 +60,13 @@
         let ConnectionState::Attempting(index) = connection.state else { return false };
         self.is_available(now, index)
             && self.servers[index].started == connection.server_started
-            && self.may_repeat_at(now, index, connection)
+            && self.may_retry_at(now, index, connection)
     }
 
     /// Returns whether a request may be sent to a server, given that an earlier attempt may have
     /// been executed. An idempotent request always may; any other only while the server ignores
     /// duplicates of it.
-    pub(super) fn may_repeat_at(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
+    pub(super) fn may_retry_at(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
         let Some(FirstExecution { server, sent }) = connection.first_execution else { return true };
         let (first, next) = (&self.servers[server].endpoint, &self.servers[index].endpoint);
         self.binding_classes(connection).all(|class| match class.idempotency {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -65,7 +65,7 @@
 impl Policy {
     /// Returns the server on which a connection is placed; `None` if there is no candidate. Draws
     /// the random number that breaks ties for connections without a group.
-    pub(super) fn choose(&mut self, now: Micros, connection: &Connection) -> Option<ServerIndex> {
+    pub(super) fn select_server(&mut self, now: Micros, connection: &Connection) -> Option<ServerIndex> {
         let random_key = GroupId(self.rng.random());
         let selection = Selection::new(self, now, connection, random_key);
         let candidates = (0..self.servers.len()).filter(|&index| selection.is_candidate(index));
@@ -84,7 +84,7 @@
             && !server.outlier.is_excluded(now)
             && !awaits_trial_setup
             && !awaits_token
-            && self.may_repeat_at(now, index, connection)
+            && self.may_retry_at(now, index, connection)
     }
 
     /// Returns the time after its last attempt at a server at which this node is due to make
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -155,11 +155,11 @@
     pub fn keyword<T: Copy>(
         &self,
         key: &str,
-        words: &[(&str, T)],
+        keywords: &[(&str, T)],
         expected: &'static str,
     ) -> Result<T, SettingsError> {
         let value = self.text(key)?;
-        let found = words.iter().find(|(word, _)| *word == value.trim());
+        let found = keywords.iter().find(|(keyword, _)| *keyword == value.trim());
         found.map(|(_, meaning)| *meaning).ok_or_else(|| self.invalid(key, value, expected))
     }
 
@@ -195,14 +195,14 @@
         node_index: values.read("index", "a whole number").map(Some).or_else(default_if_missing(None))?,
         zone: values.read("my_zone", "a zone number")?,
         classes: classes(values)?,
-        must_subscribe: values.keyword("discovery", &DISCOVERY_WORDS, "automatic or subscribe")?,
+        must_subscribe: values.keyword("discovery", &DISCOVERY_KEYWORDS, "automatic or subscribe")?,
         max_poll_interval: values.micros("obligations.must_ask_in").or_else(default_if_missing(Micros(0)))?,
         max_attempts: values.read("allowed.max_attempts", "a whole number")?,
         retry_after_allowed: values.flag("allowed.retry_after")?,
         max_retry_after: values.micros("allowed.max_retry_after").or_else(default_if_missing(Micros(0)))?,
         probes_allowed: values.flag("allowed.probes")?,
         gossip_allowed: values.flag("allowed.may_tell")?,
-        weight_meaning: values.keyword("weights", &WEIGHT_WORDS, "silent, nominal, rough or live")?,
+        weight_meaning: values.keyword("weights", &WEIGHT_KEYWORDS, "silent, nominal, rough or live")?,
         servers_report_delay: values.flag("extra.tells_delay").or_else(default_if_missing(true))?,
         // The balancer enables it. In the simulator, clients notice at once when a server stops,
         // and migrating them earlier costs more than it gains.
@@ -232,10 +232,10 @@
 }
 
 /// Keywords of the key `discovery`: whether the endpoint list has to be subscribed to.
-const DISCOVERY_WORDS: [(&str, bool); 2] = [("automatic", false), ("subscribe", true)];
+const DISCOVERY_KEYWORDS: [(&str, bool); 2] = [("automatic", false), ("subscribe", true)];
 
 /// Keywords of the key `weights`.
-const WEIGHT_WORDS: [(&str, WeightMeaning); 4] = [
+const WEIGHT_KEYWORDS: [(&str, WeightMeaning); 4] = [
     ("silent", WeightMeaning::Ignored),
     ("nominal", WeightMeaning::NominalCapacity),
     ("rough", WeightMeaning::NominalCapacity),
@@ -243,7 +243,7 @@
 ];
 
 /// Keywords of the key `group` of a class.
-const DEDUP_SCOPE_WORDS: [(&str, DedupScope); 3] =
+const DEDUP_SCOPE_KEYWORDS: [(&str, DedupScope); 3] =
     [("all", DedupScope::All), ("zone", DedupScope::Zone), ("cell", DedupScope::Cell)];
 
 fn node_count(values: &SettingValues) -> Result<u32, SettingsError> {
@@ -361,7 +361,7 @@
     match values.text(key)? {
         "retryable" => Ok(Idempotency::Idempotent),
         "dedup" => {
-            let scope = values.keyword(scope_key, &DEDUP_SCOPE_WORDS, "all, zone or cell")?;
+            let scope = values.keyword(scope_key, &DEDUP_SCOPE_KEYWORDS, "all, zone or cell")?;
             Ok(Idempotency::Deduplicated(scope))
         }
         "fragile" => Ok(Idempotency::NotIdempotent),
--- a/src/shadow.rs
+++ b/src/shadow.rs
@@ -24,7 +24,7 @@
     pub forwarded: u64,
     /// Connections that only the shadow instance would have migrated.
     pub migrated: u64,
-    /// Connections that the shadow instance would not have migrated.
+    /// Connections that only the active instance migrated.
     pub not_migrated: u64,
 }
 
