--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WatchEnd {
     /// When the call began.
-    pub began: Instant,
+    pub started: Instant,
     /// Whether the call got no connection to discovery.
     pub discovery_unreachable: bool,
 }
@@ -84,12 +84,12 @@
     /// Asks or reports to the policy at this moment.
     pub fn with_balancer<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
         let mut balancer = self.balancer.borrow_mut();
-        let answer = call(&mut balancer, self.clock.now());
+        let result = call(&mut balancer, self.clock.now());
         let due = balancer.poll_timeout();
         if due.is_some_and(|due| self.next_due.get().is_none_or(|planned| due < planned)) {
             self.wake.notify_one();
         }
-        answer
+        result
     }
 
     /// Applies other settings.
@@ -208,7 +208,7 @@
     pub fn on_watch_ended(&self, ended: WatchEnd) {
         let mut lease = self.lease.borrow_mut();
         if ended.discovery_unreachable {
-            lease.on_discovery_unreachable(self.clock.time_at(ended.began.into_std()));
+            lease.on_discovery_unreachable(self.clock.time_at(ended.started.into_std()));
         }
         lease.on_watch_ended(self.clock.now());
         self.wake.notify_one();
@@ -296,7 +296,7 @@
                 shadow_log_due = self.clock.now() + SHADOW_LOG_INTERVAL;
                 self.log_shadow_differences();
             }
-            self.do_due_work(&migrate, &broadcast);
+            self.handle_due(&migrate, &broadcast);
             self.withhold_expired();
             let lease_due = self.lease.borrow().next_due(self.clock.now());
             let due =
@@ -311,7 +311,7 @@
         }
     }
 
-    fn do_due_work(&self, migrate: &impl Fn(RequestId), broadcast: &impl Fn(&[u8])) {
+    fn handle_due(&self, migrate: &impl Fn(RequestId), broadcast: &impl Fn(&[u8])) {
         let work = self.with_balancer(|balancer, now| balancer.handle_timeout(now));
         work.migrations.into_iter().for_each(migrate);
         if work.watch_endpoints {
--- a/crates/alderstile-node/src/discovery/json_framer.rs
+++ b/crates/alderstile-node/src/discovery/json_framer.rs
@@ -13,7 +13,7 @@
 impl JsonFramer {
     /// Adds bytes up to the end of one line at most. Returns the value that this completes, or an empty one for an empty
     /// line.
-    pub fn add(&mut self, piece: &[u8]) -> Option<Vec<u8>> {
+    pub fn push(&mut self, piece: &[u8]) -> Option<Vec<u8>> {
         for byte in piece {
             self.track_nesting(*byte);
         }
--- a/crates/alderstile-node/src/discovery/lease.rs
+++ b/crates/alderstile-node/src/discovery/lease.rs
@@ -42,15 +42,15 @@
             last_accepted: BTreeMap::new(),
             withheld: BTreeSet::new(),
         };
-        lease.expires = now + lease.bound_without_watch();
+        lease.expires = now + lease.notification_bound();
         lease
     }
 
     /// How long after discovery had it, and could be reached, a change counts as notified to a node without a watch.
-    fn bound_without_watch(&self) -> Micros {
-        let pulled =
+    fn notification_bound(&self) -> Micros {
+        let pull_bound =
             if self.discovery_address_changed { NOTIFICATION_BOUND_NEW_ADDRESS } else { NOTIFICATION_BOUND };
-        self.push_grace.unwrap_or(pulled)
+        self.push_grace.unwrap_or(pull_bound)
     }
 
     /// Changes whether lists are pushed.
@@ -66,18 +66,18 @@
 
     /// Shortens the lease: the watch has ended.
     pub fn on_watch_ended(&mut self, now: Micros) {
-        self.expires = self.expires.min(now + self.bound_without_watch());
+        self.expires = self.expires.min(now + self.notification_bound());
     }
 
     /// Shortens the lease: discovery has a new address.
     pub fn on_discovery_address_changed(&mut self, now: Micros) {
         self.discovery_address_changed = true;
-        self.expires = self.expires.min(now + self.bound_without_watch());
+        self.expires = self.expires.min(now + self.notification_bound());
     }
 
     /// Extends the lease: a call begun at `call_began` got no connection, so discovery could notify nobody here until then.
     pub fn on_discovery_unreachable(&mut self, call_began: Micros) {
-        self.expires = self.expires.max(call_began + self.bound_without_watch());
+        self.expires = self.expires.max(call_began + self.notification_bound());
     }
 
     /// Shortens the lease to what the predecessor had left of it.
@@ -97,13 +97,13 @@
 
     /// Whether new work may go to a host by the list that this node has.
     pub fn allows_new_work(&self, now: Micros, host: ServerId) -> bool {
-        let proof_expires = |sent: &Micros| *sent + self.bound_without_watch();
+        let proof_expires = |sent: &Micros| *sent + self.notification_bound();
         now < self.expires || self.last_accepted.get(&host).is_some_and(|sent| now < proof_expires(sent))
     }
 
     /// Withholds new work from the listed hosts that the lease no longer allows, and returns those newly withheld.
     pub fn withhold_expired(&mut self, now: Micros, listed: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
-        let bound = self.bound_without_watch();
+        let bound = self.notification_bound();
         self.last_accepted.retain(|_, sent| now < *sent + bound);
         let expired: Vec<_> =
             listed.filter(|id| !self.allows_new_work(now, *id) && !self.withheld.contains(id)).collect();
@@ -121,7 +121,7 @@
         if now < self.expires {
             return Some(self.expires);
         }
-        let bound = self.bound_without_watch();
+        let bound = self.notification_bound();
         self.last_accepted.values().map(|sent| *sent + bound).filter(|due| *due > now).min()
     }
 }
--- a/crates/alderstile-node/src/discovery/watch.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -83,24 +83,24 @@
             () = decisions.list_requested.notified() => {}
             () = decisions.discovery_address_changed.notified() => version = None,
         }
-        let (began, error) = watch_until_failure(&decisions, &mut version).await;
+        let (started, error) = watch_until_failure(&decisions, &mut version).await;
         let discovery_unreachable = matches!(error, WatchError::Unreachable(_));
-        decisions.on_watch_ended(WatchEnd { began, discovery_unreachable });
+        decisions.on_watch_ended(WatchEnd { started, discovery_unreachable });
         discard_request(&decisions).await;
         warn!(%error, "watch of the endpoint list ended");
         decisions.report_list(EndpointListKind::Failed, Vec::new());
     }
 }
 
-/// Watches until a watch or call fails at an address that is still discovery's; returns when it began and why it failed.
+/// Watches until a watch or call fails at an address that is still discovery's; returns when it started and why it failed.
 async fn watch_until_failure(decisions: &Decisions, version: &mut Option<u64>) -> (Instant, WatchError) {
     loop {
-        let began = Instant::now();
+        let started = Instant::now();
         tokio::select! {
             // If discovery moves in the same moment, the new address is never asked with the old one's version.
             biased;
             () = decisions.discovery_address_changed.notified() => *version = None,
-            ended = watch(decisions, version) => return (began, ended.err().unwrap_or(WatchError::Ended)),
+            ended = watch(decisions, version) => return (started, ended.err().unwrap_or(WatchError::Ended)),
         }
     }
 }
@@ -193,7 +193,7 @@
         let Some(frame) = frame.map_err(|_| WatchError::Silent)? else { return Ok(()) };
         let Ok(data) = frame?.into_data() else { continue };
         for piece in data.split_inclusive(|byte| *byte == b'\n') {
-            let line = framer.add(piece);
+            let line = framer.push(piece);
             if framer.buffered() > MAX_LIST_BYTES {
                 return Err(WatchError::LineTooLong);
             }
--- a/crates/alderstile-node/src/proxy/line_buffer.rs
+++ b/crates/alderstile-node/src/proxy/line_buffer.rs
@@ -31,7 +31,7 @@
     /// # Errors
     ///
     /// The buffer is full of one line that is not complete.
-    pub fn spare(&mut self) -> Result<&mut [u8], LineTooLong> {
+    pub fn spare_capacity(&mut self) -> Result<&mut [u8], LineTooLong> {
         if self.end == self.data.len() {
             self.compact();
             if self.end == self.data.len() && self.data.len() < MAX_LINE {
@@ -111,7 +111,7 @@
         let mut buffer = LineBuffer::default();
         let mut rest = bytes;
         while !rest.is_empty() {
-            let spare = buffer.spare().ok()?;
+            let spare = buffer.spare_capacity().ok()?;
             let count = spare.len().min(rest.len());
             if count == 0 {
                 return None;
--- a/crates/alderstile-node/src/proxy/line_stream.rs
+++ b/crates/alderstile-node/src/proxy/line_stream.rs
@@ -80,7 +80,7 @@
     ///
     /// Nothing more can be read.
     pub fn read_available(&mut self, on_lines: impl FnOnce(&[u8])) -> Result<ReadProgress, ReadError> {
-        let spare = self.buffer.spare()?;
+        let spare = self.buffer.spare_capacity()?;
         if spare.is_empty() {
             return Ok(ReadProgress::WouldBlock);
         }
--- a/crates/alderstile-node/src/proxy/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -81,10 +81,10 @@
     loop {
         // Where no descriptor is left even for a rejection, clients wait in the system's queue until a pending one has gone.
         let Some(descriptor) = node.clients.acquire_descriptor(0) else {
-            make_descriptor_available(node).await;
+            free_descriptor(node).await;
             continue;
         };
-        if !node.clients.pending.make_room() {
+        if !node.clients.pending.ensure_free_slot() {
             sleep(RETRY_PAUSE).await;
             continue;
         }
@@ -103,7 +103,7 @@
     }
 }
 
-async fn make_descriptor_available(node: &Node) {
+async fn free_descriptor(node: &Node) {
     if node.clients.pending.evict_oldest() {
         // Its session is told of the eviction, looks once more for its line, and ends.
         yield_now().await;
--- a/crates/alderstile-node/src/proxy/migration.rs
+++ b/crates/alderstile-node/src/proxy/migration.rs
@@ -66,8 +66,8 @@
     /// Migrates up to this many clients that were not told to yet.
     pub fn migrate_some(&self, count: usize, reason: TerminationReason) {
         let signals = self.signals.borrow();
-        let untold = signals.values().filter(|signal| signal.reason.get().is_none());
-        untold.take(count).for_each(|signal| signal.request(reason));
+        let not_requested = signals.values().filter(|signal| signal.reason.get().is_none());
+        not_requested.take(count).for_each(|signal| signal.request(reason));
     }
 
     /// Migrates all clients, and from now on each that is added.
--- a/crates/alderstile-node/src/proxy/pending_clients.rs
+++ b/crates/alderstile-node/src/proxy/pending_clients.rs
@@ -42,7 +42,7 @@
     }
 
     /// Makes room for one more where need be, by evicting the oldest; returns whether there is a free slot.
-    pub fn make_room(&self) -> bool {
+    pub fn ensure_free_slot(&self) -> bool {
         if self.has_free_slot() {
             return true;
         }
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -61,9 +61,9 @@
     /// For how many milliseconds a line of the client has had no answer.
     #[serde(rename = "silent_ms")]
     unanswered_ms: Option<u64>,
-    /// If the host's last line was a parting one: whether that was `BYE`, and not `MOVE`.
+    /// If the host's last line was a final_line one: whether that was `BYE`, and not `MOVE`.
     #[serde(rename = "bye")]
-    parted_with_bye: Option<bool>,
+    ended_with_bye: Option<bool>,
     /// The last load report.
     pub load: Option<f64>,
 }
@@ -83,8 +83,8 @@
     served: ServedRequest,
     /// Since when a line of the client has had no answer.
     unanswered_since: Option<Instant>,
-    /// The host's last line, if it was a parting one.
-    parting: Option<HostLine>,
+    /// The host's last line, if it was a final_line one.
+    final_line: Option<HostLine>,
     /// The last load report.
     load: Option<f64>,
 }
@@ -94,7 +94,7 @@
         let millis = |since: Instant| u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX);
         RelayState {
             unanswered_ms: self.unanswered_since.map(millis),
-            parted_with_bye: self.parting.map(|line| line == HostLine::Bye),
+            ended_with_bye: self.final_line.map(|line| line == HostLine::Bye),
             load: self.load,
         }
     }
@@ -103,7 +103,7 @@
         let now = Instant::now();
         let since = |ms| now.checked_sub(Duration::from_millis(ms)).unwrap_or(now);
         self.unanswered_since = state.unanswered_ms.map(since);
-        self.parting = state.parted_with_bye.map(|bye| if bye { HostLine::Bye } else { HostLine::Move });
+        self.final_line = state.ended_with_bye.map(|bye| if bye { HostLine::Bye } else { HostLine::Move });
         self.load = state.load;
     }
 
@@ -120,7 +120,7 @@
     }
 
     fn on_host_line(&mut self, line: &[u8]) {
-        self.parting = None;
+        self.final_line = None;
         match parse_host_line(line) {
             HostLine::Load(load) => {
                 self.load = Some(load);
@@ -129,7 +129,7 @@
                 self.decisions
                     .with_balancer(|balancer, now| balancer.on_load_report(now, request, host, load));
             }
-            parting @ (HostLine::Bye | HostLine::Move) => self.parting = Some(parting),
+            final_line @ (HostLine::Bye | HostLine::Move) => self.final_line = Some(final_line),
             HostLine::Up => {}
             _ => self.unanswered_since = None,
         }
@@ -175,7 +175,7 @@
 }
 
 /// Waits until a side can be read or written; for ever where neither is wanted.
-async fn ready(side: &LineStream, read: bool, write: bool) {
+async fn wait_until_ready(side: &LineStream, read: bool, write: bool) {
     let interest = match (read, write) {
         (true, true) => Interest::READABLE | Interest::WRITABLE,
         (true, false) => Interest::READABLE,
@@ -207,7 +207,7 @@
         migration: &'a MigrationSignal,
         state: Option<RelayState>,
     ) -> Self {
-        let mut monitor = Monitor { decisions, served, unanswered_since: None, parting: None, load: None };
+        let mut monitor = Monitor { decisions, served, unanswered_since: None, final_line: None, load: None };
         match state {
             // The predecessor has observed the lines in the buffers.
             Some(state) => monitor.restore(state),
@@ -227,12 +227,12 @@
             let from_host = self.host.read_available(|lines| self.monitor.on_host_lines(lines));
             let to_host = forward(self.client, self.host);
             let to_client = forward(self.host, self.client);
-            self.observe_stall(buffered_before);
+            self.update_client_stall(buffered_before);
             if let Err(error) = from_host {
-                return self.end_of_host(error).await;
+                return self.on_host_read_error(error).await;
             }
             if let Err(error) = from_client {
-                return Self::end_of_client(error);
+                return Self::client_read_error_end(error);
             }
             if to_host.is_err() {
                 return RelayEnd::reset(TerminationReason::HostReset);
@@ -247,7 +247,7 @@
         }
     }
 
-    fn observe_stall(&mut self, buffered_before: usize) {
+    fn update_client_stall(&mut self, buffered_before: usize) {
         let buffer = &self.host.buffer;
         if buffer.complete_lines().is_empty() || buffer.buffered() < buffered_before {
             self.client_stalled_since = None;
@@ -256,12 +256,12 @@
         }
     }
 
-    async fn end_of_host(self, error: ReadError) -> RelayEnd {
+    async fn on_host_read_error(self, error: ReadError) -> RelayEnd {
         if matches!(error, ReadError::LineTooLong(_)) {
             return RelayEnd::orderly(TerminationReason::HostLineTooLong);
         }
         flush_to_client(self.host, self.client).await;
-        match (self.monitor.parting, error) {
+        match (self.monitor.final_line, error) {
             (Some(HostLine::Bye), _) => RelayEnd::orderly(TerminationReason::Completed),
             (Some(HostLine::Move), _) => RelayEnd::orderly(TerminationReason::HostMigrated),
             (_, ReadError::Closed) => RelayEnd::orderly(TerminationReason::HostClosed),
@@ -269,7 +269,7 @@
         }
     }
 
-    fn end_of_client(error: ReadError) -> RelayEnd {
+    fn client_read_error_end(error: ReadError) -> RelayEnd {
         match error {
             ReadError::LineTooLong(_) => RelayEnd::orderly(TerminationReason::ClientLineTooLong),
             ReadError::Reset => RelayEnd::reset(TerminationReason::ClientReset),
@@ -284,8 +284,8 @@
         let silent_at = self.monitor.unanswered_since.map(|since| since + HOST_SILENCE_TIMEOUT);
         let stalled_at = self.client_stalled_since.map(|since| since + CLIENT_STALL_TIMEOUT);
         tokio::select! {
-            () = ready(self.client, self.client.buffer.can_read(), lines_for_client) => None,
-            () = ready(self.host, self.host.buffer.can_read(), lines_for_host) => None,
+            () = wait_until_ready(self.client, self.client.buffer.can_read(), lines_for_client) => None,
+            () = wait_until_ready(self.host, self.host.buffer.can_read(), lines_for_host) => None,
             () = self.migration.requested() => Some(self.migrate().await),
             () = sleep_until([silent_at, stalled_at].into_iter().flatten().min()) => {
                 let passed = |at: Option<Instant>| at.is_some_and(|at| at <= Instant::now());
--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -31,7 +31,7 @@
     Client(#[from] ReadError),
     /// The time for the shutdown is nearly over.
     #[error("the time for the shutdown is nearly over")]
-    LastCall,
+    PendingCutoff,
 }
 
 /// Why an attempt was not established.
@@ -45,11 +45,11 @@
 
 impl AttemptError {
     /// The outcome, where `last_call` is that of an attempt which the shutdown ends.
-    fn outcome(self, last_call: Outcome) -> AttemptOutcome {
+    fn outcome(self, on_cutoff: Outcome) -> AttemptOutcome {
         match self {
             AttemptError::Failed(outcome) => AttemptOutcome::Failed(outcome),
             AttemptError::Aborted(AbortCause::Client(error)) => AttemptOutcome::ClientEnded(error),
-            AttemptError::Aborted(AbortCause::LastCall) => AttemptOutcome::Failed(last_call),
+            AttemptError::Aborted(AbortCause::PendingCutoff) => AttemptOutcome::Failed(on_cutoff),
         }
     }
 }
@@ -57,7 +57,7 @@
 impl Session<'_> {
     /// Does a step of what a client waits for, unless it ends or the time for the shutdown is nearly over meanwhile. The
     /// client is polled first: what has come from it in the same moment counts.
-    pub(super) async fn unless_aborted<T>(
+    pub(super) async fn run_unless_aborted<T>(
         &self,
         client: &mut LineStream,
         step: impl Future<Output = T>,
@@ -67,7 +67,7 @@
             tokio::select! {
                 biased;
                 more = client.wait_for_bytes() => more?,
-                () = self.node.process.pending_cutoff() => return Err(AbortCause::LastCall),
+                () = self.node.process.pending_cutoff() => return Err(AbortCause::PendingCutoff),
                 done = &mut step => return Ok(done),
             }
         }
@@ -86,7 +86,7 @@
             Err(error) => return error.outcome(Outcome::NotForwarded),
         };
         self.node.clients.update_counters(|counters| counters.attempts_sent += 1);
-        match self.read_answer(client, &mut stream, until).await {
+        match self.read_response(client, &mut stream, until).await {
             Ok(()) => AttemptOutcome::Established(stream, host.name.clone()),
             Err(error) => error.outcome(Outcome::Timeout),
         }
@@ -116,7 +116,7 @@
     ) -> Result<LineStream, AttemptError> {
         let connect_until = until.min(Instant::now() + self.node.config().connect_timeout);
         let connected = timeout_at(connect_until, TcpStream::connect(host.address));
-        match self.unless_aborted(client, connected).await? {
+        match self.run_unless_aborted(client, connected).await? {
             Ok(Ok(socket)) => Ok(LineStream::new(socket)),
             // Nothing was sent, and it says nothing about the host.
             Ok(Err(error)) if line_stream::is_local_shortage(&error) => {
@@ -149,7 +149,7 @@
                 Ok(count) => written += count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     let writable = timeout_at(until, host.socket.writable());
-                    if !matches!(self.unless_aborted(client, writable).await?, Ok(Ok(()))) {
+                    if !matches!(self.run_unless_aborted(client, writable).await?, Ok(Ok(()))) {
                         return Err(AttemptError::Failed(Outcome::ConnectFailed));
                     }
                 }
@@ -160,14 +160,14 @@
         Ok(())
     }
 
-    async fn read_answer(
+    async fn read_response(
         &self,
         client: &mut LineStream,
         host: &mut LineStream,
         until: Instant,
     ) -> Result<(), AttemptError> {
         let line = timeout_at(until, host.wait_for_line());
-        let outcome = match self.unless_aborted(client, line).await? {
+        let outcome = match self.run_unless_aborted(client, line).await? {
             Err(_) => Outcome::Timeout,
             Ok(Err(ReadError::LineTooLong(_))) => Outcome::Error,
             Ok(Err(_)) => Outcome::Reset,
--- a/crates/alderstile-node/src/proxy/session/mod.rs
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -101,7 +101,7 @@
                 self.count(RequestOutcome::Success);
                 self.serve(client, host, in_flight, None).await;
             }
-            Placement::Answered { reason, line } => {
+            Placement::FinalAnswer { reason, line } => {
                 self.log_end(reason, "-");
                 let failed =
                     matches!(reason, TerminationReason::Failed | TerminationReason::ClientLineTooLong);
@@ -109,7 +109,7 @@
                 drop(in_flight);
                 client.close_after(&line).await;
             }
-            Placement::ClientGone => self.log_end(TerminationReason::ClientCancelled, "-"),
+            Placement::ClientDisconnected => self.log_end(TerminationReason::ClientCancelled, "-"),
         }
     }
 
--- a/crates/alderstile-node/src/proxy/session/placement.rs
+++ b/crates/alderstile-node/src/proxy/session/placement.rs
@@ -22,42 +22,42 @@
     /// A host serves it.
     Established(EstablishedHost),
     /// The client gets this final answer.
-    Answered {
+    FinalAnswer {
         /// Why.
         reason: TerminationReason,
         /// The line to the client.
         line: Vec<u8>,
     },
     /// Nobody waits for it any more.
-    ClientGone,
+    ClientDisconnected,
 }
 
 impl Placement {
-    fn answered(reason: TerminationReason, line: &str) -> Self {
-        Placement::Answered { reason, line: format!("{line}\r\n").into_bytes() }
+    fn final_answer(reason: TerminationReason, line: &str) -> Self {
+        Placement::FinalAnswer { reason, line: format!("{line}\r\n").into_bytes() }
     }
 
     fn rejected(retry_after: Option<Micros>) -> Self {
         let reason = TerminationReason::Rejected;
         match retry_after {
-            None => Placement::answered(reason, "BUSY"),
-            Some(wait) => Placement::answered(reason, &format!("BUSY {}", wait.0.div_ceil(1_000))),
+            None => Placement::final_answer(reason, "BUSY"),
+            Some(wait) => Placement::final_answer(reason, &format!("BUSY {}", wait.0.div_ceil(1_000))),
         }
     }
 
     fn failed() -> Self {
-        Placement::answered(TerminationReason::Failed, "FAILED")
+        Placement::final_answer(TerminationReason::Failed, "FAILED")
     }
 
     fn at_capacity() -> Self {
-        Placement::answered(TerminationReason::NodeAtCapacity, "BUSY")
+        Placement::final_answer(TerminationReason::NodeAtCapacity, "BUSY")
     }
 
     /// A client that sent what no host may be sent is still there, and is owed an answer.
-    fn client_ended(error: ReadError) -> Self {
+    fn on_client_read_error(error: ReadError) -> Self {
         match error {
-            ReadError::LineTooLong(_) => Placement::answered(TerminationReason::ClientLineTooLong, "ERR"),
-            _ => Placement::ClientGone,
+            ReadError::LineTooLong(_) => Placement::final_answer(TerminationReason::ClientLineTooLong, "ERR"),
+            _ => Placement::ClientDisconnected,
         }
     }
 }
@@ -91,7 +91,7 @@
                 }
                 AttemptOutcome::ClientEnded(error) => {
                     node.decisions.with_balancer(|balancer, now| balancer.on_client_disconnected(now, id));
-                    return Placement::client_ended(error);
+                    return Placement::on_client_read_error(error);
                 }
                 AttemptOutcome::Failed(outcome) => {
                     self.log_failed_attempt(server, outcome, began);
@@ -152,7 +152,7 @@
                     let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
                     return Placement::Established(host);
                 }
-                AttemptOutcome::ClientEnded(error) => return Placement::client_ended(error),
+                AttemptOutcome::ClientEnded(error) => return Placement::on_client_read_error(error),
                 AttemptOutcome::Failed(outcome) if outcome.may_have_executed() => return Placement::failed(),
                 // What never ran may be retried: the host may still be starting.
                 AttemptOutcome::Failed(_) => {
@@ -174,10 +174,10 @@
         if next >= deadline {
             return Err(Placement::failed());
         }
-        match self.unless_aborted(client, sleep_until(next)).await {
+        match self.run_unless_aborted(client, sleep_until(next)).await {
             Ok(()) => Ok(()),
-            Err(AbortCause::Client(error)) => Err(Placement::client_ended(error)),
-            Err(AbortCause::LastCall) => Err(Placement::failed()),
+            Err(AbortCause::Client(error)) => Err(Placement::on_client_read_error(error)),
+            Err(AbortCause::PendingCutoff) => Err(Placement::failed()),
         }
     }
 }
--- a/crates/alderstile-node/tests/json_framer.rs
+++ b/crates/alderstile-node/tests/json_framer.rs
@@ -39,7 +39,7 @@
             let (chunk, after) = rest.split_at(cuts.next().unwrap_or(usize::MAX).min(rest.len()));
             rest = after;
             for piece in chunk.split_inclusive(|byte| *byte == b'\n') {
-                match pieces.add(piece) {
+                match pieces.push(piece) {
                     Some(whole) if whole.is_empty() => empty += 1,
                     Some(whole) => told.push(serde_json::from_slice::<EndpointList>(&whole).expect("a whole list")),
                     None => {}
@@ -60,7 +60,7 @@
         for piece in pieces {
             for piece in piece.split_inclusive(|byte| *byte == b'\n') {
                 came += piece.len();
-                told += held.add(piece).map_or(0, |whole| whole.len());
+                told += held.push(piece).map_or(0, |whole| whole.len());
                 prop_assert!(told + held.buffered() <= came);
             }
         }
--- a/crates/alderstile-node/tests/line_buffer.rs
+++ b/crates/alderstile-node/tests/line_buffer.rs
@@ -5,7 +5,7 @@
 
 /// Puts bytes in as far as there is room; returns how many.
 fn put(buffer: &mut LineBuffer, bytes: &[u8]) -> Result<usize, LineTooLong> {
-    let room = buffer.spare()?;
+    let room = buffer.spare_capacity()?;
     let count = room.len().min(bytes.len());
     room[..count].copy_from_slice(&bytes[..count]);
     buffer.commit(count);
@@ -51,7 +51,7 @@
         let mut buffer = LineBuffer::default();
         let (mut told, mut rest) = (Vec::new(), sent.as_slice());
         while !rest.is_empty() {
-            let room = buffer.spare().expect("no line is too long");
+            let room = buffer.spare_capacity().expect("no line is too long");
             let count = room.len().min(rest.len()).min(split);
             room[..count].copy_from_slice(&rest[..count]);
             told.extend_from_slice(buffer.commit(count));
@@ -100,8 +100,8 @@
     while buffer.can_read() {
         assert!(put(&mut buffer, &line).is_ok());
     }
-    assert_eq!(buffer.spare().map(|room| room.len()), Ok(0));
+    assert_eq!(buffer.spare_capacity().map(|room| room.len()), Ok(0));
     buffer.consume_first_line();
     assert!(buffer.can_read());
-    assert_eq!(buffer.spare().map(|room| room.len()), Ok(64));
+    assert_eq!(buffer.spare_capacity().map(|room| room.len()), Ok(64));
 }
