--- a/crates/alderstile-node/src/clock.rs
+++ b/crates/alderstile-node/src/clock.rs
@@ -1,14 +1,15 @@
-//! The node's clock: monotonic, counted from the Unix epoch, so that a host's start can be placed on it.
+//! The node's clock: monotonic, and counted from the Unix epoch so that it is comparable with the start times
+//! of hosts.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use alderstile::types::Micros;
 
-/// A clock that does not follow steps of the system's clock after its start.
+/// A monotonic clock that reads the system time once, at its creation, and ignores later steps of it.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
-    /// The origin, counted from the Unix epoch.
+    /// The time at `origin`, counted from the Unix epoch.
     origin_unix: Micros,
 }
 
@@ -20,23 +21,23 @@
 }
 
 impl Clock {
-    /// The time now.
+    /// Returns the current time.
     pub fn now(&self) -> Micros {
         self.time_at(Instant::now())
     }
 
-    /// An instant as a time of this clock.
+    /// Converts an instant to a time of this clock.
     pub fn time_at(&self, instant: Instant) -> Micros {
         self.origin_unix + micros(instant.saturating_duration_since(self.origin))
     }
 
-    /// A time of this clock as an instant.
+    /// Converts a time of this clock to an instant.
     pub fn instant_at(&self, time: Micros) -> Instant {
         self.origin + Duration::from_micros((time - self.origin_unix).0)
     }
 }
 
-/// A span in microseconds.
-pub fn micros(span: Duration) -> Micros {
-    Micros(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
+/// Converts a duration to microseconds; one that exceeds `u64` saturates.
+pub fn micros(duration: Duration) -> Micros {
+    Micros(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -1,4 +1,7 @@
-//! The policy on this node's clock (a *server* of the policy is a *host* of the node's files, logs and admin interface): asks and reports to it, keeps it up to date with discovery, and does what is due.
+//! The policy of this node: passes it events and requests with the time of the node's clock, keeps it up to
+//! date with discovery, and performs the actions that it requests.
+//!
+//! A *server* of the policy is a *host* in the node's files, logs and admin interface.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -21,41 +24,42 @@
 use crate::discovery::endpoint_table::{EndpointTable, HostAddress};
 use crate::discovery::lease::Lease;
 
-/// How often it is logged what the shadow instance would have done differently.
+/// The interval at which the differences between the policy and its shadow instance are logged.
 const SHADOW_LOG_INTERVAL: Micros = Micros::from_millis(10_000);
 
-/// How a watch of the endpoint list, or the call for one, ended.
+/// How a watch of the endpoint list, or the call that opens one, ended.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchEnd {
-    /// When the call began.
+    /// When the call started.
     pub started: Instant,
-    /// Whether the call got no connection to discovery.
+    /// Whether no connection to discovery could be established.
     pub discovery_unreachable: bool,
 }
 
-/// The policy of a node, and the endpoint list that it decides by.
+/// The policy of a node, with the endpoint list and the lease that its decisions are based on.
 pub struct Decisions {
     config: Rc<ActiveConfig>,
     /// The node's clock.
     pub clock: Clock,
-    /// The policy wants a watch of the endpoint list.
+    /// Notified when the policy requests a watch of the endpoint list.
     pub list_requested: Notify,
-    /// Discovery has a new address.
+    /// Notified when the configured address of discovery has changed.
     pub discovery_address_changed: Notify,
     discovery_address: Cell<SocketAddr>,
     balancer: RefCell<Balancer>,
-    /// The hosts' assignment to the cluster's nodes; none where the cluster's file says nothing of it.
+    /// The assignment of hosts to the nodes of the cluster; `None` unless the cluster file configures it.
     host_assignment: RefCell<Option<HostAssignment>>,
     endpoints: RefCell<EndpointTable>,
     lease: RefCell<Lease>,
-    /// What [`Decisions::run`] sleeps until, and what wakes it earlier.
+    /// The time until which [`Decisions::run`] sleeps.
     next_due: Cell<Option<Micros>>,
+    /// Wakes [`Decisions::run`] before `next_due`.
     wake: Notify,
     can_serve: Cell<bool>,
 }
 
 impl Decisions {
-    /// A policy that knows nothing yet but its settings.
+    /// Creates a policy with its settings and an empty endpoint list.
     pub fn new(config: Rc<ActiveConfig>) -> Self {
         let (clock, initial) = (Clock::default(), config.get());
         let balancer = Balancer::with_shadow(
@@ -81,7 +85,8 @@
         }
     }
 
-    /// Asks or reports to the policy at this moment.
+    /// Calls the balancer with the current time, and wakes [`Decisions::run`] if the call makes something due
+    /// earlier.
     pub fn with_balancer<T>(&self, call: impl FnOnce(&mut Balancer, Micros) -> T) -> T {
         let mut balancer = self.balancer.borrow_mut();
         let result = call(&mut balancer, self.clock.now());
@@ -92,11 +97,12 @@
         result
     }
 
-    /// Applies other settings.
+    /// Applies the settings of a configuration.
     pub fn apply_config(&self, config: &Config) {
         let assigned = self.host_assignment.borrow().is_some();
         let adapted = |settings: &BalancerSettings| {
-            // An assigned list carries this node's shares in place of weights.
+            // With host assignment the list carries this node's shares of the hosts' capacity in place of
+            // weights.
             let weights = if assigned { WeightMeaning::NominalCapacity } else { settings.weight_meaning };
             BalancerSettings { weight_meaning: weights, ..settings.clone() }
         };
@@ -105,7 +111,7 @@
         self.with_balancer(|balancer, now| balancer.apply_settings(now, settings, shadow));
     }
 
-    /// Gives the policy the list that the node knew before its start.
+    /// Applies the endpoint list that was cached before the node's start.
     pub fn apply_cached_list(&self, list: &EndpointList) {
         self.endpoints.borrow_mut().apply(list);
         self.with_balancer(|balancer, now| {
@@ -113,14 +119,14 @@
         });
     }
 
-    /// Applies a list that discovery sent.
+    /// Applies a list received from discovery and reports it to the policy.
     pub fn apply_list(&self, list: &EndpointList) {
         self.endpoints.borrow_mut().apply(list);
         let kind = if list.complete { EndpointListKind::Full } else { EndpointListKind::Delta };
         self.report_list(kind, self.entries(list));
     }
 
-    /// Reports a list to the policy, or that a call for it failed.
+    /// Reports a list to the policy, or, with [`EndpointListKind::Failed`], that a watch or call failed.
     pub fn report_list(&self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         let mut host_assignment = self.host_assignment.borrow_mut();
         self.with_balancer(|balancer, now| match &mut *host_assignment {
@@ -134,7 +140,8 @@
                 }
             }
         });
-        // Gates readiness, as a cached list may be old: true once a list or a failure was reported and an endpoint is known.
+        // A cached list may be outdated and does not make the node ready by itself: a list or a failure must
+        // have been reported, too.
         self.can_serve.set(self.can_serve.get() || !self.endpoints.borrow().is_empty());
     }
 
@@ -142,23 +149,23 @@
         list.entries(&self.config.get().zones)
     }
 
-    /// The endpoint list as this node knows it, complete.
+    /// Returns all known endpoints as a complete list.
     pub fn complete_list(&self) -> EndpointList {
         self.endpoints.borrow().complete_list()
     }
 
-    /// The name and address of a listed host.
+    /// Returns the name and address of a host, if it is listed.
     pub fn host(&self, host: ServerId) -> Option<HostAddress> {
         self.endpoints.borrow().host(host).cloned()
     }
 
-    /// The name of a host; its number once it is listed no more.
+    /// Returns the name of a host, or its number in hexadecimal if it is no longer listed.
     pub fn host_name(&self, host: ServerId) -> Rc<str> {
         self.host(host).map_or_else(|| format!("{:016x}", host.0).into(), |host| host.name)
     }
 
-    /// Assigns hosts to this node from now on, in the list known and in every later one. `make` is told whether weights are
-    /// sizes.
+    /// Enables host assignment, for the known list and every later one. `make` receives whether the weights
+    /// of the list are nominal capacities.
     pub fn enable_host_assignment(&self, config: &Config, make: impl FnOnce(bool) -> HostAssignment) {
         self.host_assignment
             .replace(Some(make(config.settings.weight_meaning == WeightMeaning::NominalCapacity)));
@@ -166,7 +173,7 @@
         self.report_list(EndpointListKind::Full, self.complete_list().entries(&config.zones));
     }
 
-    /// Brings the assignment up to date with the other nodes and with the hosts that this one can't reach.
+    /// Updates the assignment with the other nodes and with the hosts that this node cannot reach.
     pub fn update_host_assignment(
         &self,
         others: Vec<SubsetNode>,
@@ -184,12 +191,14 @@
         });
     }
 
-    /// How many hosts this node uses, and how many of them were added in place of others; none without an assignment.
+    /// Returns how many hosts this node uses, and how many of them replace others; `None` without host
+    /// assignment.
     pub fn assigned_host_counts(&self) -> Option<SubsetCounts> {
         self.host_assignment.borrow().as_ref().and_then(HostAssignment::counts)
     }
 
-    /// Renews the lease on the endpoint list: nothing was missed until now. Hosts that were withheld get new work again.
+    /// Renews the lease on the endpoint list, as no change was missed until now. Hosts that were withheld
+    /// receive new requests again.
     pub fn renew_lease(&self) {
         let now = self.clock.now();
         let mut lease = self.lease.borrow_mut();
@@ -203,8 +212,8 @@
         }
     }
 
-    /// Adjusts the lease on the endpoint list after the watch ended or a call failed: extended where discovery was unreachable,
-    /// then shortened to the bound without a watch.
+    /// Adjusts the lease on the endpoint list after the watch ended or a call failed: extends it if discovery
+    /// was unreachable, then shortens it to the bound that applies without a watch.
     pub fn on_watch_ended(&self, ended: WatchEnd) {
         let mut lease = self.lease.borrow_mut();
         if ended.discovery_unreachable {
@@ -214,23 +223,24 @@
         self.wake.notify_one();
     }
 
-    /// Records that a host accepted a request that was sent to it at `sent`.
+    /// Records that a host accepted a request that was sent to it at the time `sent`.
     pub fn on_request_accepted(&self, host: ServerId, sent: Instant) {
         self.lease.borrow_mut().on_request_accepted(host, self.clock.time_at(sent.into_std()));
     }
 
-    /// What remains of the lease on the endpoint list.
+    /// Returns the remaining time of the lease on the endpoint list.
     pub fn lease_remaining(&self) -> Micros {
         self.lease.borrow().remaining(self.clock.now())
     }
 
-    /// Takes over what the predecessor had left of the lease.
+    /// Limits the lease to the time that remained of the predecessor's.
     pub fn inherit_lease(&self, remaining: Micros) {
         self.lease.borrow_mut().inherit(self.clock.now(), remaining);
         self.wake.notify_one();
     }
 
-    /// Withholds new work from hosts that may have changed since the lease expired; their clients stay.
+    /// Withholds new requests from hosts whose state is uncertain since the lease expired. Their connections
+    /// stay.
     fn withhold_expired(&self) {
         let endpoints = self.endpoints.borrow();
         let expired = self.lease.borrow_mut().withhold_expired(self.clock.now(), endpoints.hosts_up());
@@ -242,11 +252,11 @@
         drop(endpoints);
         let mut entries = self.entries(&changes);
         entries.iter_mut().for_each(|entry| entry.state = EndpointState::Cordoned);
-        // Not through the host assignment, which continues with what is listed.
+        // Bypasses the host assignment, which continues with the hosts as listed.
         self.with_balancer(|balancer, now| balancer.on_endpoint_list(now, EndpointListKind::Delta, entries));
     }
 
-    /// Whether a planned attempt may still be sent on the connection made for it.
+    /// Returns whether the request of an attempt may still be sent on the connection that was opened for it.
     pub fn may_send(&self, id: RequestId, host: ServerId, address: SocketAddr) -> bool {
         let (listed, now) = (self.host(host).is_some_and(|host| host.address == address), self.clock.now());
         listed
@@ -254,41 +264,42 @@
             && self.balancer.borrow().may_forward(now, id)
     }
 
-    /// The address of discovery.
+    /// Returns the configured address of discovery.
     pub fn discovery_address(&self) -> SocketAddr {
         self.discovery_address.get()
     }
 
-    /// Changes the address of discovery.
+    /// Changes the address of discovery: the open watch is replaced by one at the new address.
     pub fn set_discovery_address(&self, to: SocketAddr) {
         self.discovery_address.set(to);
         self.lease.borrow_mut().on_discovery_address_changed(self.clock.now());
         self.discovery_address_changed.notify_one();
     }
 
-    /// Whether clients could be served.
+    /// Returns whether clients can be served. Becomes true with the first report of a list or a failure after
+    /// which an endpoint is known, and stays true.
     pub fn can_serve(&self) -> bool {
         self.can_serve.get()
     }
 
-    /// Continues after a successor that was handed the retry budget has ended. What it spent is not known, so no retries are
-    /// made until the budget's span has passed.
+    /// Continues after a successor that had received the retry budget ended. How much it spent is unknown, so
+    /// no retries are made until the time window of the budget has passed.
     pub fn continue_without_successor(&self) {
         self.with_balancer(|balancer, now| balancer.take_over_retry_budget(now, None, Micros(0)));
     }
 
-    /// What the shadow instance would have done differently so far; none without one.
+    /// Returns how the decisions of the shadow instance differ from the policy's so far; `None` without one.
     pub fn shadow_differences(&self) -> Option<Differences> {
         self.balancer.borrow().differences()
     }
 
-    /// Logs what the shadow instance would have done differently.
+    /// Logs how the decisions of the shadow instance differ from the policy's.
     pub fn log_shadow_differences(&self) {
         self.shadow_differences().iter().for_each(|differences| info!("shadow: {differences}"));
     }
 
-    /// Does what is due for as long as the node runs. `migrate` is called for each client that is to move, `broadcast` with
-    /// each message to all other nodes.
+    /// Runs the timers of the policy and of the lease for as long as the node runs. Calls `migrate` for each
+    /// client that is to migrate, and `broadcast` with each message to all other nodes.
     pub async fn run(self: Rc<Self>, migrate: impl Fn(RequestId), broadcast: impl Fn(&[u8])) {
         let mut shadow_log_due = self.clock.now() + SHADOW_LOG_INTERVAL;
         loop {
@@ -305,7 +316,7 @@
             let due = due.map(|due| self.clock.instant_at(due).into());
             tokio::select! {
                 () = sleep_until(due) => {}
-                // A report may make something due earlier.
+                // An event reported meanwhile may make something due earlier.
                 () = self.wake.notified() => {}
             }
         }
@@ -327,7 +338,7 @@
     }
 }
 
-/// Sleeps until a deadline; for ever without one.
+/// Sleeps until a deadline; never completes without one.
 pub async fn sleep_until(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => tokio::time::sleep_until(deadline).await,
--- a/crates/alderstile-node/src/discovery/endpoint_list.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_list.rs
@@ -1,23 +1,23 @@
-//! The endpoint list as discovery sends it, and the numbers of hosts; pure.
+//! The endpoint list in the JSON format of discovery, and the numeric ids of hosts. Does no I/O.
 
 use std::net::SocketAddr;
 
 use alderstile::types::{Endpoint, EndpointState, Micros, ServerId};
 use serde::{Deserialize, Serialize};
 
-// Discovery's JSON has names of its own. They are mapped to the names of this code here and nowhere else; the upgrade's
-// messages and the configuration's `known` carry the same JSON.
+// The field names of discovery's JSON differ from those of this code, and are mapped only here. Upgrade
+// messages and the key `known` of the configuration carry the same JSON.
 
-/// A list of endpoints, or the changes to one.
+/// A complete list of endpoints, or a delta to one.
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 pub struct EndpointList {
-    /// Its version.
+    /// The version of the list.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether it names all endpoints, and not only those that changed.
+    /// Whether the list contains all endpoints, rather than only those that changed.
     #[serde(rename = "whole")]
     pub complete: bool,
-    /// The endpoints.
+    /// All endpoints, or the changed ones.
     #[serde(rename = "hosts")]
     pub endpoints: Vec<EndpointRecord>,
 }
@@ -25,24 +25,24 @@
 /// One host of an endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EndpointRecord {
-    /// Its name, the same at every node.
+    /// The name of the host, the same at every node.
     #[serde(rename = "host")]
     pub name: String,
-    /// The address at which this node reaches it; a removed one may have none.
+    /// The address at which this node reaches the host; a removed host may have none.
     #[serde(rename = "dial", default)]
     pub address: Option<SocketAddr>,
-    /// The name of its zone.
+    /// The name of the host's zone.
     #[serde(rename = "site", default)]
     pub zone: String,
-    /// Its cell, a failure domain within the zone.
+    /// The cell of the host, a failure domain within the zone.
     #[serde(rename = "block", default)]
     pub cell: u16,
-    /// Whether it may be sent new work.
+    /// Whether the host may receive new requests.
     pub health: Health,
-    /// Its weight.
+    /// The weight of the host.
     #[serde(rename = "share", default)]
     pub weight: f64,
-    /// When it last started, in milliseconds since the Unix epoch; 0 for long ago.
+    /// The last start of the host, in milliseconds since the Unix epoch; 0 if unknown or long ago.
     #[serde(rename = "born_ms", default)]
     pub started_ms: u64,
 }
@@ -51,11 +51,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Health {
-    /// It may be sent new work.
+    /// The host may receive new requests.
     Up,
-    /// It finishes the work that it has.
+    /// The host receives no new requests and serves its connections to their end.
     Draining,
-    /// It no longer exists.
+    /// The host no longer exists.
     Removed,
 }
 
@@ -64,12 +64,13 @@
     ///
     /// # Errors
     ///
-    /// The value is no endpoint list.
+    /// Fails if the value is not an endpoint list.
     pub fn from_value(value: serde_json::Value) -> Result<Self, serde_json::Error> {
         serde_json::from_value(value)
     }
 
-    /// The list as the policy takes it. A zone that the settings do not name gets a number that none of theirs has.
+    /// Converts the list to the endpoints of the policy. A zone that is not in `zones` is mapped to
+    /// `u16::MAX`, which is the index of no zone.
     pub fn entries(&self, zones: &[String]) -> Vec<Endpoint> {
         self.endpoints.iter().map(|endpoint| endpoint.entry(zones)).collect()
     }
@@ -94,7 +95,8 @@
     }
 }
 
-/// The number of a host by its name: the same at all nodes and after every start, since a group's first host is chosen by it.
+/// Returns the numeric id of a host, a hash of its name. The id is the same at all nodes and after every
+/// restart, since the first host of a group is chosen by it.
 pub fn server_id(host: &str) -> ServerId {
     ServerId(alderstile_cluster::name_hash(host))
 }
--- a/crates/alderstile-node/src/discovery/endpoint_table.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this node knows, kept up to date with discovery's lists; pure.
+//! The table of known endpoints, updated from the lists of discovery. Does no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,13 +11,13 @@
 /// A host's name and the address at which this node reaches it.
 #[derive(Clone, Debug)]
 pub struct HostAddress {
-    /// Its name.
+    /// The host's name.
     pub name: Rc<str>,
-    /// Its address.
+    /// The address at which this node reaches the host.
     pub address: SocketAddr,
 }
 
-/// The endpoints known, by their numbers, and the version of the list.
+/// The known endpoints by host id, and the version of the last list applied.
 #[derive(Debug, Default)]
 pub struct EndpointTable {
     version: u64,
@@ -25,7 +25,7 @@
 }
 
 impl EndpointTable {
-    /// Applies a complete list or the changes of one.
+    /// Applies a complete list or a delta. An endpoint without an address is treated as removed.
     pub fn apply(&mut self, list: &EndpointList) {
         self.version = list.version;
         if list.complete {
@@ -47,28 +47,28 @@
         }
     }
 
-    /// Whether no endpoint is known.
+    /// Returns whether no endpoint is known.
     pub fn is_empty(&self) -> bool {
         self.endpoints.is_empty()
     }
 
-    /// The name and address of a listed host.
+    /// Returns the name and address of a host, if it is listed.
     pub fn host(&self, id: ServerId) -> Option<&HostAddress> {
         self.endpoints.get(&id).map(|(host, _)| host)
     }
 
-    /// The hosts that may be sent new work by the list.
+    /// Returns the hosts that are listed as up.
     pub fn hosts_up(&self) -> impl Iterator<Item = ServerId> {
         self.endpoints.iter().filter(|(_, (_, endpoint))| endpoint.health == Health::Up).map(|(id, _)| *id)
     }
 
-    /// All endpoints, as a complete list.
+    /// Returns all endpoints as a complete list.
     pub fn complete_list(&self) -> EndpointList {
         let endpoints = self.endpoints.values().map(|(_, endpoint)| endpoint.clone()).collect();
         EndpointList { version: self.version, complete: true, endpoints }
     }
 
-    /// The listed ones of these hosts, as the changes of a list.
+    /// Returns the listed ones among the given hosts as a delta. Its version is 0.
     pub fn changes<'a>(&self, ids: impl IntoIterator<Item = &'a ServerId>) -> EndpointList {
         let known = ids.into_iter().filter_map(|id| self.endpoints.get(id));
         let endpoints = known.map(|(_, endpoint)| endpoint.clone()).collect();
--- a/crates/alderstile-node/src/discovery/json_framer.rs
+++ b/crates/alderstile-node/src/discovery/json_framer.rs
@@ -1,24 +1,25 @@
-//! Splits a stream of bytes into JSON values, each on one line or, indented, on several; pure.
+//! Splits a byte stream into JSON values, each on one line or, if indented, on several. Does no I/O.
 
-/// The bytes of the next JSON value, as far as they have come.
+/// Buffers the bytes of the next JSON value until it is complete.
 #[derive(Debug, Default)]
 pub struct JsonFramer {
     bytes: Vec<u8>,
-    /// Objects and arrays that are open.
+    /// The number of open objects and arrays.
     depth: usize,
     in_string: bool,
     after_escape: bool,
 }
 
 impl JsonFramer {
-    /// Adds bytes up to the end of one line at most. Returns the value that this completes, or an empty one for an empty
-    /// line.
+    /// Appends bytes that extend at most to the end of one line. Returns the value that they complete, or an
+    /// empty one for an empty line.
     pub fn push(&mut self, piece: &[u8]) -> Option<Vec<u8>> {
         for byte in piece {
             self.track_nesting(*byte);
         }
         self.bytes.extend_from_slice(piece);
-        // No JSON string contains a line end: with one it is malformed, and is returned so that its parser says so.
+        // A JSON string contains no line break. A value in which one does is malformed, and is returned so
+        // that the parser reports that.
         if !piece.ends_with(b"\n") || (self.depth > 0 && !self.in_string) {
             return None;
         }
@@ -37,7 +38,7 @@
         }
     }
 
-    /// The number of bytes buffered.
+    /// Returns the number of buffered bytes.
     pub fn buffered(&self) -> usize {
         self.bytes.len()
     }
--- a/crates/alderstile-node/src/discovery/lease.rs
+++ b/crates/alderstile-node/src/discovery/lease.rs
@@ -1,39 +1,41 @@
-//! The lease on the endpoint list: how long this node may act on the list that it has; pure.
+//! The lease on the endpoint list: how long this node may act on the list that it has. Does no I/O.
 //!
-//! The platform counts a change as notified a fixed time after discovery had it and could be reached, whether or not it
-//! arrived here. The list is therefore under a lease, which each proof that nothing was missed renews. Once it has expired,
-//! no new work goes to hosts that may have changed: all but those that accepted a request recently, since a draining host
-//! accepts none.
+//! The platform considers a node notified of a change a fixed time after discovery had the change and was
+//! reachable, even if the change did not arrive. The node therefore holds a lease on its list, and renews it
+//! with each proof that no change was missed. After the lease has expired, hosts that may have changed
+//! receive no new requests. These are all hosts except those that accepted a request recently, since a
+//! draining host accepts none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use alderstile::types::{Micros, ServerId};
 
-/// How long this node may act on a list without proof that it is current: after this a change counts as notified. The grace
-/// at drains is allowed in addition, and kept as margin.
+/// How long this node may act on a list without proof that it is current: after this time a change counts as
+/// notified. The grace period after a drain would be allowed in addition, and is kept as a margin.
 const NOTIFICATION_BOUND: Micros = Micros::from_millis(6_000);
-/// The same for what discovery at a new address has, from the configuration that names the address.
+/// The same bound after discovery's address has changed, from the time at which the configuration names the
+/// new address.
 const NOTIFICATION_BOUND_NEW_ADDRESS: Micros = Micros::from_millis(4_000);
 
 /// The lease on the endpoint list.
 #[derive(Debug)]
 pub struct Lease {
-    /// Nothing that may have changed counts as notified before this.
+    /// The end of the lease: no change that was missed counts as notified before this time.
     expires: Micros,
-    /// Where lists are pushed: how long new work may go to a host after its drain was notified. What the local agent has
-    /// counts as notified at once while no watch is open.
+    /// Where lists are pushed to a local agent: how long a host may receive new requests after its drain was
+    /// notified. A change that the agent has counts as notified at once while no watch is open.
     push_grace: Option<Micros>,
-    /// Discovery has a new address, and has answered nothing there yet.
+    /// Whether discovery's address has changed and no answer has come from the new one.
     discovery_address_changed: bool,
-    /// When each host was last sent a request that it accepted.
+    /// When the last request that each host accepted was sent to it.
     last_accepted: BTreeMap<ServerId, Micros>,
-    /// Hosts that no new work goes to.
+    /// The hosts that receive no new requests because the lease has expired.
     withheld: BTreeSet<ServerId>,
 }
 
 impl Lease {
-    /// The lease of a process that has just started with a cached list. `push_grace` is the grace at drains where lists are
-    /// pushed.
+    /// Creates the lease of a process that has just started with a cached list. `push_grace` is the grace
+    /// period after a drain where lists are pushed, and `None` where they are not.
     pub fn new(now: Micros, push_grace: Option<Micros>) -> Self {
         let mut lease = Lease {
             expires: now,
@@ -46,62 +48,66 @@
         lease
     }
 
-    /// How long after discovery had it, and could be reached, a change counts as notified to a node without a watch.
+    /// Returns how long after discovery had a change, and was reachable, a node without a watch counts as
+    /// notified of it.
     fn notification_bound(&self) -> Micros {
         let pull_bound =
             if self.discovery_address_changed { NOTIFICATION_BOUND_NEW_ADDRESS } else { NOTIFICATION_BOUND };
         self.push_grace.unwrap_or(pull_bound)
     }
 
-    /// Changes whether lists are pushed.
+    /// Sets the grace period after a drain where lists are pushed; `None` where they are not.
     pub fn set_push_grace(&mut self, push_grace: Option<Micros>) {
         self.push_grace = push_grace;
     }
 
-    /// Renews the lease: a complete line of a watch or a complete list has come, so nothing was missed until now.
+    /// Renews the lease after a complete line of a watch or a complete list was received: no change was
+    /// missed until now.
     pub fn renew(&mut self, now: Micros) {
         self.discovery_address_changed = false;
         self.expires = now + NOTIFICATION_BOUND;
     }
 
-    /// Shortens the lease: the watch has ended.
+    /// Shortens the lease after the watch has ended.
     pub fn on_watch_ended(&mut self, now: Micros) {
         self.expires = self.expires.min(now + self.notification_bound());
     }
 
-    /// Shortens the lease: discovery has a new address.
+    /// Shortens the lease after discovery's address has changed.
     pub fn on_discovery_address_changed(&mut self, now: Micros) {
         self.discovery_address_changed = true;
         self.expires = self.expires.min(now + self.notification_bound());
     }
 
-    /// Extends the lease: a call begun at `call_began` got no connection, so discovery could notify nobody here until then.
-    pub fn on_discovery_unreachable(&mut self, call_began: Micros) {
-        self.expires = self.expires.max(call_began + self.notification_bound());
+    /// Extends the lease after a call that started at `call_started` could not connect: discovery could not
+    /// have notified this node before that time.
+    pub fn on_discovery_unreachable(&mut self, call_started: Micros) {
+        self.expires = self.expires.max(call_started + self.notification_bound());
     }
 
-    /// Shortens the lease to what the predecessor had left of it.
+    /// Shortens the lease to the time that remained of the predecessor's.
     pub fn inherit(&mut self, now: Micros, remaining: Micros) {
         self.expires = self.expires.min(now + remaining);
     }
 
-    /// What remains of the lease.
+    /// Returns the remaining time of the lease, 0 after it has expired.
     pub fn remaining(&self, now: Micros) -> Micros {
         self.expires - now
     }
 
-    /// Records that a host accepted a request sent to it at `sent`: it was not draining then.
+    /// Records that a host accepted a request sent to it at the time `sent`, and so was not draining then.
     pub fn on_request_accepted(&mut self, host: ServerId, sent: Micros) {
         self.last_accepted.insert(host, sent);
     }
 
-    /// Whether new work may go to a host by the list that this node has.
+    /// Returns whether a host that is listed as up may receive new requests.
     pub fn allows_new_work(&self, now: Micros, host: ServerId) -> bool {
         let proof_expires = |sent: &Micros| *sent + self.notification_bound();
         now < self.expires || self.last_accepted.get(&host).is_some_and(|sent| now < proof_expires(sent))
     }
 
-    /// Withholds new work from the listed hosts that the lease no longer allows, and returns those newly withheld.
+    /// Withholds new requests from the listed hosts that [`Lease::allows_new_work`] no longer allows, and
+    /// returns the hosts that were not withheld before.
     pub fn withhold_expired(&mut self, now: Micros, listed: impl Iterator<Item = ServerId>) -> Vec<ServerId> {
         let bound = self.notification_bound();
         self.last_accepted.retain(|_, sent| now < *sent + bound);
@@ -111,12 +117,12 @@
         expired
     }
 
-    /// Ends the withholding while the lease is valid, and returns the hosts that may get new work again.
+    /// Returns the withheld hosts and releases them if the lease is valid; returns none if it has expired.
     pub fn release_withheld(&mut self, now: Micros) -> BTreeSet<ServerId> {
         if now < self.expires { std::mem::take(&mut self.withheld) } else { BTreeSet::new() }
     }
 
-    /// When [`Lease::withhold_expired`] is due next.
+    /// Returns when [`Lease::withhold_expired`] is due next.
     pub fn next_due(&self, now: Micros) -> Option<Micros> {
         if now < self.expires {
             return Some(self.expires);
--- a/crates/alderstile-node/src/discovery/mod.rs
+++ b/crates/alderstile-node/src/discovery/mod.rs
@@ -1,4 +1,5 @@
-//! The endpoint list: watching discovery for it, its form, the endpoints known from it, and the lease on it.
+//! The endpoint list: its format, the watch that receives it from discovery, the table of known endpoints,
+//! and the lease.
 
 pub mod endpoint_list;
 pub mod endpoint_table;
--- a/crates/alderstile-node/src/discovery/watch.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! Watching discovery for the endpoint list, over HTTP.
+//! The watch that receives the endpoint list from discovery over HTTP.
 
 use std::io;
 use std::rc::Rc;
@@ -19,47 +19,52 @@
 use super::json_framer::JsonFramer;
 use crate::decisions::{Decisions, WatchEnd};
 
-/// How long a call may take until a watch begins or a complete list has come.
+/// The timeout of a call, until its watch is open or its complete list has been received.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// How long the connection of a call may take: the system retries it after one second. A connection that never comes up
-/// shows that discovery can't be reached, and must do so before the lease on the list expires: the longest wait between two
-/// calls and twice this are under 6 s.
+/// The timeout of the TCP connection of a call. It exceeds one second, after which the system retransmits the
+/// SYN. It must also show that discovery is unreachable before the lease on the list expires: the longest
+/// wait between two calls plus twice this timeout is less than 6 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_250);
-/// An empty line comes every 2 s: after this long without a complete one the watch is dead, whatever TCP says. What it
-/// misses counts as notified 6 s after it fell silent, which may be right after its last line; with the wait before the next
-/// call (0.75 s at most after a first failure, spread over the nodes) a call may take 2.25 s to be in time. If this were
-/// shorter, one line that is slightly late would make all nodes call at once.
+/// How long a watch may bring no complete line before it counts as dead, whatever the state of its TCP
+/// connection.
+///
+/// Discovery sends an empty line every 2 s. A change that a silent watch misses counts as notified 6 s after
+/// the silence began, which may be right after the last line. After this timeout and the wait before the next
+/// call (at most 0.75 s after a first failure, spread over the nodes) 2.25 s remain for the call. With a
+/// shorter timeout, one line that is slightly late would make all nodes call at once.
 const SILENCE_TIMEOUT: Duration = Duration::from_secs(3);
-/// The largest list that is read: far above any real one, and a bound on what a wrong answer can cost.
+/// The size limit of a list, in bytes: far above any real list, it bounds the memory that a wrong answer can
+/// take.
 const MAX_LIST_BYTES: usize = 16 << 20;
 
-/// Why a watch ended.
+/// Why a watch or a call ended.
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error("no answer in time")]
+    #[error("call timed out")]
     AnswerTimeout,
-    #[error("silent for {} s", SILENCE_TIMEOUT.as_secs())]
+    #[error("no complete line received for {} s", SILENCE_TIMEOUT.as_secs())]
     Silent,
-    #[error("no connection: {0}")]
+    #[error("discovery unreachable: {0}")]
     Unreachable(io::Error),
-    #[error("connect failed: {0}")]
+    #[error("connecting to discovery failed: {0}")]
     ConnectFailed(io::Error),
-    #[error("HTTP: {0}")]
+    #[error("HTTP exchange failed: {0}")]
     Http(#[from] hyper::Error),
-    #[error("request: {0}")]
+    #[error("invalid HTTP request: {0}")]
     Request(#[from] hyper::http::Error),
-    #[error("answered {0}")]
+    #[error("unexpected HTTP status: expected 200 OK, found {0}")]
     Status(StatusCode),
-    #[error("line that is no list: {0}")]
+    #[error("invalid endpoint list: {0}")]
     MalformedList(#[from] serde_json::Error),
-    #[error("line without end")]
+    #[error("no complete endpoint list within {MAX_LIST_BYTES} bytes")]
     LineTooLong,
-    #[error("ended")]
+    #[error("closed by discovery")]
     Ended,
 }
 
 impl WatchError {
-    /// Tells an unreachable discovery, which extends the lease, from any other connect error, which does not.
+    /// Distinguishes an unreachable discovery, which extends the lease, from any other connect error, which
+    /// does not.
     fn of_connect(error: io::Error) -> Self {
         use io::ErrorKind::{
             ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut,
@@ -73,10 +78,10 @@
     }
 }
 
-/// Watches discovery whenever the policy asks for it, and reports each watch that ends. When discovery has moved, the open
-/// watch or call is dropped at once and the new address is asked.
+/// Watches discovery whenever the policy requests it, and reports each watch that ends. When discovery's
+/// address changes, the open watch or call is dropped at once, and a new one is started at the new address.
 pub async fn run(decisions: Rc<Decisions>) {
-    // The version that this node has, if it is one of the discovery that is asked.
+    // The version of the known list, `None` if that list is from another address of discovery.
     let mut version = Some(decisions.complete_list().version);
     loop {
         tokio::select! {
@@ -92,12 +97,14 @@
     }
 }
 
-/// Watches until a watch or call fails at an address that is still discovery's; returns when it started and why it failed.
+/// Watches until a watch or call at the current address of discovery fails. Returns when it started and why
+/// it failed.
 async fn watch_until_failure(decisions: &Decisions, version: &mut Option<u64>) -> (Instant, WatchError) {
     loop {
         let started = Instant::now();
         tokio::select! {
-            // If discovery moves in the same moment, the new address is never asked with the old one's version.
+            // Polled first: if the address changes at the same time, the new one must not receive the old
+            // one's version.
             biased;
             () = decisions.discovery_address_changed.notified() => *version = None,
             ended = watch(decisions, version) => return (started, ended.err().unwrap_or(WatchError::Ended)),
@@ -105,7 +112,8 @@
     }
 }
 
-/// Discards a request made while the watch was open: nodes that lose their watches together must not all call again at once.
+/// Discards a request made while the watch was open, so that nodes that lose their watches together do not
+/// all call again at once.
 async fn discard_request(decisions: &Decisions) {
     tokio::select! {
         biased;
@@ -114,8 +122,8 @@
     }
 }
 
-/// Watches from the version that this node has. Without one it gets the complete list first, since a watch may begin with
-/// no more than what has changed.
+/// Watches from the known version. Without one, fetches the complete list first, since a watch may start with
+/// a delta.
 async fn watch(decisions: &Decisions, version: &mut Option<u64>) -> Result<(), WatchError> {
     let known = match *version {
         Some(known) => known,
@@ -139,7 +147,7 @@
     Ok(serde_json::from_slice(&body.to_bytes())?)
 }
 
-/// Ends the task of a connection when it is dropped.
+/// Aborts the task of a connection when it is dropped.
 struct AbortOnDrop(AbortHandle);
 
 impl Drop for AbortOnDrop {
@@ -148,7 +156,7 @@
     }
 }
 
-/// Calls discovery on a connection of its own, which ends with the guard returned.
+/// Calls discovery on a new connection, which is closed when the returned guard is dropped.
 async fn call(
     decisions: &Decisions,
     path: &str,
@@ -173,22 +181,23 @@
     let connected = timeout_at(deadline, TcpStream::connect(decisions.discovery_address())).await;
     let stream =
         connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())).map_err(WatchError::of_connect)?;
-    // A connection that can't be set so is broken, and its first use reports that.
+    // The option fails only on a broken connection, which its first use reports.
     stream.set_nodelay(true).unwrap_or_default();
     Ok(stream)
 }
 
-/// Applies one line of the watch after the other until the watch ends.
+/// Applies the lines of a watch until it ends.
 async fn follow(
     decisions: &Decisions,
     version: &mut u64,
     mut response: Response<Incoming>,
 ) -> Result<(), WatchError> {
-    // Lines and HTTP chunks need not end together.
+    // A line may be split over several HTTP chunks, and a chunk may contain several lines.
     let mut framer = JsonFramer::default();
     let (mut first_line, mut last_line_at) = (true, Instant::now());
     loop {
-        // A watch that brings parts of a line for ever must end: only a complete line is a sign of life.
+        // Only a complete line resets the timeout, so that a watch that trickles parts of a line is not kept
+        // for ever.
         let frame = timeout_at(last_line_at + SILENCE_TIMEOUT, response.frame()).await;
         let Some(frame) = frame.map_err(|_| WatchError::Silent)? else { return Ok(()) };
         let Ok(data) = frame?.into_data() else { continue };
@@ -213,13 +222,13 @@
 ) -> Result<(), WatchError> {
     if !line.is_empty() {
         let list: EndpointList = serde_json::from_slice(line)?;
-        // Changes from before the known version would undo later ones.
+        // A delta older than the known version would undo later changes.
         if list.complete || list.version >= *version {
             *version = list.version;
             apply(decisions, &list);
         }
     } else if first_line {
-        // Nothing has changed since the known version, and the call has succeeded all the same.
+        // Nothing has changed since the known version; reports that the call succeeded.
         decisions.report_list(EndpointListKind::Delta, Vec::new());
     }
     Ok(())
--- a/crates/alderstile-node/src/lib.rs
+++ b/crates/alderstile-node/src/lib.rs
@@ -1,7 +1,7 @@
-//! The balancer on sockets: takes clients in, places them by the alderstile decisions, and relays their lines.
+//! The alderstile node: accepts client connections, places each on a host, and relays lines between the two.
 //!
-//! One folder for each concern, one file for each job. [`node`] is what all tasks share, everything runs on one
-//! thread, and nothing here decides where a client goes: that is the library's.
+//! All placement decisions are made by the `alderstile` library; this crate does the I/O. Everything runs on
+//! one thread, and [`node`] holds the state that the tasks share. Each folder covers one concern.
 
 pub mod admin;
 pub mod clock;
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: its parts, and the operations that concern several of them.
+//! The node: composes the parts of one process, and implements the operations that involve several of them.
 
 use std::rc::Rc;
 
@@ -16,21 +16,21 @@
 use crate::lifecycle::upgrade_state::{RetryBudgetAges, UpgradeState};
 use crate::proxy::clients::Clients;
 
-/// A node. A task is given the parts that it needs.
+/// The state that the tasks of one process share. Each task receives only the parts that it needs.
 pub struct Node {
     config: Rc<ActiveConfig>,
     /// The decisions and the endpoint list.
     pub decisions: Rc<Decisions>,
     /// The clients of this process.
     pub clients: Rc<Clients>,
-    /// This process, and the other one of the node while there is one.
+    /// This process, and the other process of the node while an upgrade runs.
     pub process: Rc<Process>,
     /// The admin interface.
     pub admin: Rc<AdminService>,
 }
 
 impl Node {
-    /// A node that has just started, with the cached endpoint list of its configuration.
+    /// Creates a node that starts with the cached endpoint list of its configuration.
     pub fn new(config: Config) -> Self {
         let cached_endpoints = config.cached_endpoints.clone();
         let config = Rc::new(ActiveConfig::new(config));
@@ -41,16 +41,17 @@
         Node { config, decisions, clients, process, admin: Rc::new(admin) }
     }
 
-    /// The configuration in force.
+    /// Returns the active configuration.
     pub fn config(&self) -> Rc<Config> {
         self.config.get()
     }
 
-    /// Puts another configuration in force, at all parts in one step.
+    /// Activates a configuration in all parts at once.
     pub fn apply_config(&self, config: Config) {
         self.clients.update_counters(|counters| counters.register_classes(&config.classes));
         self.decisions.apply_config(&config);
-        // A replicated configuration has versions of its own: gossiped as well, each change would be a rumor a member.
+        // A replicated configuration has its own versions. If it were gossiped too, each change would cost
+        // one rumor per member.
         if self.admin.replicated_config().is_none()
             && let Some(membership) = self.admin.membership()
         {
@@ -63,19 +64,21 @@
         }
     }
 
-    /// Whether clients may be sent to the clients' address, where another process of this node may serve.
+    /// Returns whether the front may send clients to this node. During an upgrade the other process may serve
+    /// them.
     pub fn accepts_clients(&self) -> bool {
         self.admin.is_ready() || self.process.other_process_serves()
     }
 
-    /// Carries out what the decisions ask for, for as long as the node runs; `broadcast` sends a message to all other nodes.
+    /// Performs the actions that the decisions request, for as long as the node runs. `broadcast` sends a
+    /// message to all other nodes.
     pub async fn run(self: Rc<Self>, broadcast: impl Fn(&[u8])) {
         let clients = self.clients.clone();
         self.decisions.clone().run(|id| clients.migrate(id), broadcast).await;
     }
 
-    /// The state that the successor needs. The retry budget is the successor's from here on: two processes of one node have
-    /// one budget.
+    /// Returns the state that the successor needs, and gives up the retry budget: the two processes of a node
+    /// share one budget, which the successor spends from now on.
     pub fn hand_over_state(&self, version: u32) -> UpgradeState {
         let budget = self.decisions.with_balancer(|balancer, now| balancer.hand_over_retry_budget(now));
         let config = self.config();
@@ -94,11 +97,12 @@
         }
     }
 
-    /// Takes over the state of the predecessor. The endpoint list is requested at once: the predecessor's watch ends with it.
+    /// Takes over the state of the predecessor. Requests the endpoint list at once, because the predecessor's
+    /// watch ends with it.
     pub fn take_over(&self, state: &UpgradeState) {
         let in_force = self.admin.maintained_hosts();
         for (host, maintenance) in &state.host_maintenance {
-            // What the maintenance file says is in force already.
+            // The maintenance file of this process has been applied already.
             if in_force.get(host) != Some(maintenance) {
                 self.admin.apply_maintenance(host, *maintenance);
             }
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -1,4 +1,4 @@
-//! The clients of this process, and what they use of its limits.
+//! The clients of this process, with their request ids, descriptors and counters.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,11 +15,11 @@
 use crate::config::ActiveConfig;
 use crate::lifecycle::process::Process;
 
-/// All clients of this process.
+/// The clients of this process.
 pub struct Clients {
     config: Rc<ActiveConfig>,
     process: Rc<Process>,
-    /// Connections without a request.
+    /// The connections that have no request yet, or whose request is being rejected.
     pub pending: Rc<PendingClients>,
     ids: RequestIds,
     established: Rc<EstablishedClients>,
@@ -30,7 +30,7 @@
 }
 
 impl Clients {
-    /// A process without clients.
+    /// Creates the state of a process without clients.
     pub fn new(config: Rc<ActiveConfig>, process: Rc<Process>) -> Self {
         let initial = config.get();
         let mut counters = Counters::default();
@@ -50,91 +50,93 @@
         }
     }
 
-    /// The number of a class that accepts requests.
+    /// Returns the index of a class; `None` if it does not exist or has been retired.
     pub fn class_index(&self, name: &[u8]) -> Option<u16> {
         let config = self.config.get();
         let open = |class: &String| class.as_bytes() == name && !config.retired_classes.contains(class);
         config.classes.iter().position(open).and_then(|class| u16::try_from(class).ok())
     }
 
-    /// Claims a request's id; none where it is not new, as it is with every connection. Rejects also a request that is open
-    /// at another node and comes again and again: hosts that have it would count as failing.
+    /// Claims the id of a request; returns `None` if the id is known, since each connection must have a new
+    /// one. This also rejects a client that repeats a request which is open at another node: the hosts that
+    /// reject the duplicate would count as failing.
     pub fn claim_request_id(&self, id: &[u8]) -> Option<OpenId> {
         let claimed = self.ids.claim(id)?;
         self.process.other_process().iter().for_each(|channel| channel.send_request_id(id));
         Some(claimed)
     }
 
-    /// Remembers an id that the other process has claimed.
+    /// Remembers an id that the other process of the node has claimed.
     pub fn remember_request_id(&self, id: &[u8]) {
         self.ids.remember(id);
     }
 
-    /// Claims the id of a request that the predecessor has handed over.
+    /// Claims the id of a request whose connection the predecessor has handed over.
     pub fn claim_handed_over_request_id(&self, id: &[u8]) -> OpenId {
         self.ids.claim_handed_over(id)
     }
 
-    /// Ids of requests that are open, or ended recently.
+    /// Returns the ids of requests that are open or ended recently.
     pub fn known_request_ids(&self) -> Vec<String> {
         self.ids.known()
     }
 
-    /// Migrates up to this many clients that were not told to yet: the node shuts down.
+    /// Requests the migration of up to `count` further clients because the node shuts down.
     pub fn migrate_some(&self, count: usize) {
         self.established.migrate_some(count, TerminationReason::ShuttingDown);
     }
 
-    /// Migrates all established clients, and from now on each that is established: the node shuts down.
+    /// Requests the migration of all established clients, and of each that is established later, because the
+    /// node shuts down.
     pub fn migrate_all(&self) {
         self.established.migrate_all(TerminationReason::ShuttingDown);
     }
 
-    /// Migrates a client as the policy wants.
+    /// Requests the migration of a client that the policy has chosen.
     pub fn migrate(&self, id: RequestId) {
         self.established.migrate(id);
     }
 
-    /// Hands all established connections over through this socket, and from now on each that is established.
+    /// Hands over all established connections, and each that is established later, through the given socket.
     pub fn hand_over_all(&self, to: UnixDatagram) {
         self.handover_socket.replace(Some(Rc::new(to)));
         self.established.migrate_all(TerminationReason::HandedOver);
     }
 
-    /// The socket to the successor, while connections are handed over.
+    /// Returns the socket to the successor while connections are handed over.
     pub fn handover_socket(&self) -> Option<Rc<UnixDatagram>> {
         self.handover_socket.borrow().clone()
     }
 
-    /// Adds an established client until the guard is dropped.
+    /// Registers an established client until the guard is dropped.
     pub fn add_established(&self, id: RequestId) -> EstablishedClient {
         self.established.add(id)
     }
 
-    /// The number of established clients.
+    /// Returns the number of established clients.
     pub fn established_count(&self) -> usize {
         self.established.count()
     }
 
-    /// Counts a descriptor that was handed over by the predecessor, whatever the limit.
+    /// Counts a descriptor that the predecessor handed over, even above the limit.
     pub fn count_handed_over_descriptor(&self) -> CountGuard {
         self.descriptors.acquire()
     }
 
-    /// Acquires a descriptor, unless fewer than `spare` more would be left.
+    /// Acquires a descriptor; returns `None` if fewer than `spare` descriptors would remain.
     pub fn acquire_descriptor(&self, spare: usize) -> Option<CountGuard> {
-        // Two processes of one node share its limit.
+        // The two processes of a node share its limit.
         let others = self.process.other_process().map_or(0, |channel| channel.descriptors_in_use.get());
         let available = self.descriptors_in_use() + others + spare < self.config.get().max_descriptors;
         available.then(|| self.descriptors.acquire())
     }
 
-    /// Descriptors that this process uses, or that are reserved for it.
+    /// Returns the number of descriptors that connections use or that are reserved for the process itself.
     pub fn descriptors_in_use(&self) -> usize {
         self.descriptors.get() + self.config.get().reserved_descriptors()
     }
 
-    /// Descriptors of connections.
+    /// Returns the number of descriptors that connections use.
     pub fn connection_descriptors(&self) -> usize {
         self.descriptors.get()
     }
@@ -144,17 +146,17 @@
         self.in_flight.acquire()
     }
 
-    /// Requests in flight: accepted and not ended.
+    /// Returns the number of requests in flight: admitted and not ended.
     pub fn in_flight_count(&self) -> usize {
         self.in_flight.get()
     }
 
-    /// Changes the counters.
+    /// Calls `update` with the counters.
     pub fn update_counters(&self, update: impl FnOnce(&mut Counters)) {
         update(&mut self.counters.borrow_mut());
     }
 
-    /// The counters and gauges, as text.
+    /// Renders the counters and gauges as text.
     pub fn render_metrics(&self, gauges: Gauges) -> String {
         self.counters.borrow().render(gauges)
     }
--- a/crates/alderstile-node/src/proxy/count_guard.rs
+++ b/crates/alderstile-node/src/proxy/count_guard.rs
@@ -1,26 +1,26 @@
-//! Counting what is in use.
+//! A counter of resources in use, with guards that release them.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// How many of something are in use.
+/// The number of resources of one kind in use.
 #[derive(Clone, Default)]
 pub struct UseCount(Rc<Cell<usize>>);
 
 impl UseCount {
-    /// Counts one more until the guard is dropped.
+    /// Counts one more resource until the guard is dropped.
     pub fn acquire(&self) -> CountGuard {
         self.0.set(self.0.get() + 1);
         CountGuard(self.clone())
     }
 
-    /// The number in use.
+    /// Returns the number in use.
     pub fn get(&self) -> usize {
         self.0.get()
     }
 }
 
-/// One of something, counted until this is dropped.
+/// One resource, counted until the guard is dropped.
 pub struct CountGuard(UseCount);
 
 impl Drop for CountGuard {
--- a/crates/alderstile-node/src/proxy/line_buffer.rs
+++ b/crates/alderstile-node/src/proxy/line_buffer.rs
@@ -1,36 +1,39 @@
-//! The bytes of one connection that were received and not yet forwarded: complete lines, and the start of one more.
+//! The buffer of one connection: bytes that were received and not yet forwarded. Does no I/O.
+//!
+//! It contains complete lines, followed by the start of an incomplete one.
 
 use thiserror::Error;
 
-/// The longest line, its end included.
+/// The maximum length of a line in bytes, including its line ending.
 pub const MAX_LINE: usize = 4096;
-/// What a buffer allocates first, and shrinks to whenever it is empty.
+/// The first allocation of a buffer, in bytes, to which it shrinks whenever it is empty.
 const INITIAL_CAPACITY: usize = 256;
 const LINE_END: &[u8] = b"\r\n";
 
-/// A line is longer than [`MAX_LINE`].
+/// A line exceeds [`MAX_LINE`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("a line is longer than {MAX_LINE} bytes")]
+#[error("line too long: expected at most {MAX_LINE} bytes")]
 pub struct LineTooLong;
 
-/// A buffer that grows by doubling up to one line, and is compacted in place.
+/// A buffer that grows by doubling up to [`MAX_LINE`], and is compacted in place.
 #[derive(Debug, Default)]
 pub struct LineBuffer {
     data: Vec<u8>,
-    /// Where the bytes begin that are not forwarded.
+    /// The offset of the first byte that has not been forwarded.
     start: usize,
-    /// Where the last complete line ends.
+    /// The offset of the end of the last complete line.
     complete_end: usize,
-    /// Where the received bytes end.
+    /// The offset of the end of the received bytes.
     end: usize,
 }
 
 impl LineBuffer {
-    /// The space for bytes to receive; empty while complete lines take all of it and must be forwarded first.
+    /// Returns the space for received bytes. It is empty while complete lines fill the buffer and must be
+    /// forwarded first.
     ///
     /// # Errors
     ///
-    /// The buffer is full of one line that is not complete.
+    /// Fails if one incomplete line fills the buffer.
     pub fn spare_capacity(&mut self) -> Result<&mut [u8], LineTooLong> {
         if self.end == self.data.len() {
             self.compact();
@@ -53,16 +56,19 @@
         }
     }
 
-    /// Whether to read on: there is space, or none for a line that reading on shows to be too long.
+    /// Returns whether to continue reading: there is space, or one incomplete line fills the buffer, in which
+    /// case the next read fails with [`LineTooLong`].
     pub fn can_read(&self) -> bool {
         self.buffered() < MAX_LINE || self.complete_end == self.start
     }
 
-    /// Adds the bytes received into [`LineBuffer::spare`], and returns the lines that they complete.
+    /// Adds `count` bytes received into [`LineBuffer::spare_capacity`], and returns the lines that they
+    /// complete.
     pub fn commit(&mut self, count: usize) -> &[u8] {
         let (old_end, old_complete) = (self.end, self.complete_end);
         self.end = (self.end + count).min(self.data.len());
-        // A line's end may be split between two reads: the last byte of the one before is searched again.
+        // A line ending may be split between two reads, so the search includes the last byte of the previous
+        // read.
         let search_from = old_end.saturating_sub(1).max(old_complete);
         let received = &self.data[search_from..self.end];
         if let Some(at) = received.windows(LINE_END.len()).rposition(|pair| pair == LINE_END) {
@@ -71,18 +77,18 @@
         &self.data[old_complete..self.complete_end]
     }
 
-    /// The complete lines that are not forwarded.
+    /// Returns the complete lines that have not been forwarded.
     pub fn complete_lines(&self) -> &[u8] {
         &self.data[self.start..self.complete_end]
     }
 
-    /// The first complete line, without its end.
+    /// Returns the first complete line without its line ending.
     pub fn first_line(&self) -> Option<&[u8]> {
         let lines = self.complete_lines();
         lines.windows(LINE_END.len()).position(|pair| pair == LINE_END).map(|at| &lines[..at])
     }
 
-    /// Removes bytes of complete lines that were forwarded.
+    /// Removes up to `count` bytes of complete lines, after they were forwarded.
     pub fn consume(&mut self, count: usize) {
         self.start += count.min(self.complete_end - self.start);
         if self.start == self.end {
@@ -101,12 +107,12 @@
         }
     }
 
-    /// All bytes that are not forwarded, complete lines or not.
+    /// Returns all bytes that have not been forwarded, including those of an incomplete line.
     pub fn bytes(&self) -> &[u8] {
         &self.data[self.start..self.end]
     }
 
-    /// A buffer with these bytes; none where they are more than one may contain.
+    /// Creates a buffer with the given bytes; returns `None` if they exceed its capacity.
     pub fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let mut buffer = LineBuffer::default();
         let mut rest = bytes;
@@ -123,12 +129,12 @@
         Some(buffer)
     }
 
-    /// The number of bytes that are not forwarded, complete lines or not.
+    /// Returns the number of bytes that have not been forwarded, including those of an incomplete line.
     pub fn buffered(&self) -> usize {
         self.end - self.start
     }
 
-    /// The memory allocated, in bytes.
+    /// Returns the allocated memory in bytes.
     pub fn allocated(&self) -> usize {
         self.data.capacity()
     }
--- a/crates/alderstile-node/src/proxy/line_stream.rs
+++ b/crates/alderstile-node/src/proxy/line_stream.rs
@@ -1,4 +1,4 @@
-//! One side of a proxied connection: its socket, and the lines received on it.
+//! One side of a proxied connection: its socket and the buffer of its received lines.
 
 use std::io;
 use std::time::Duration;
@@ -10,51 +10,53 @@
 
 use super::line_buffer::{LineBuffer, LineTooLong, MAX_LINE};
 
-/// How long a peer may take to receive the last line.
+/// The timeout for writing the last line to a peer.
 const LAST_WRITE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long the node waits for the peer's end after its own: closing with bytes unread sends a reset, and that can destroy
-/// what was sent before.
+/// How long the node waits for the peer to close after it has shut down its own sending side. Closing a
+/// socket with unread bytes sends a reset, which can destroy data that the peer has not read.
 const LINGER: Duration = Duration::from_millis(500);
-/// How many bytes are read and dropped meanwhile, so that a peer that sends without end is cut off.
+/// The number of bytes read and discarded meanwhile, which bounds the cost of a peer that sends without end.
 const LINGER_MAX_BYTES: usize = 1 << 18;
-/// How many bytes a peer that has to wait may have sent beyond what is buffered: eight lines of the longest. With far more
-/// the system's own buffer fills up, and no end can be seen behind that.
+/// The number of bytes that a waiting peer may send beyond those buffered: eight lines of the maximum length.
+/// With many more the receive buffer of the system fills up, and the end of the connection can no longer be
+/// detected.
 const MAX_UNREAD_BYTES: u64 = 8 * MAX_LINE as u64;
-/// How often the unread bytes are counted: an end must be noticed within 0.3 s.
+/// The interval at which unread bytes are counted. The end of a connection must be detected within 0.3 s.
 const UNREAD_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A connection and the bytes received on it.
+/// A connection and the buffer of the bytes received on it.
 pub struct LineStream {
     /// The connection.
     pub socket: TcpStream,
-    /// What was received and not forwarded.
+    /// The bytes that were received and not forwarded.
     pub buffer: LineBuffer,
 }
 
-/// What a read without an error brought.
+/// The result of a read that did not fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadProgress {
-    /// Bytes.
+    /// Bytes were received.
     Received,
-    /// Nothing for now, or there is no space to receive.
+    /// No bytes are available, or there is no space to receive them.
     WouldBlock,
 }
 
-/// Why nothing more can be read.
+/// Why no more bytes can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ReadError {
-    /// The peer has ended its sending.
-    #[error("the connection was closed")]
+    /// The peer has shut down its sending side.
+    #[error("connection closed by peer")]
     Closed,
-    /// The connection broke.
-    #[error("the connection was reset")]
+    /// The connection failed.
+    #[error("connection reset")]
     Reset,
-    /// The peer sends a line that is too long.
+    /// The peer has sent a line that is too long.
     #[error(transparent)]
     LineTooLong(#[from] LineTooLong),
 }
 
-/// Whether a connection failed for want of a resource of this machine: descriptors, memory, local ports.
+/// Returns whether a connect failed because this machine lacks a resource: descriptors, memory or local
+/// ports.
 pub fn is_local_shortage(error: &io::Error) -> bool {
     use rustix::io::Errno;
     let shortages = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::ADDRNOTAVAIL];
@@ -62,23 +64,24 @@
 }
 
 impl LineStream {
-    /// A connection on which nothing was received yet.
+    /// Creates the stream of a connection on which nothing was received yet.
     pub fn new(socket: TcpStream) -> Self {
         LineStream::with_buffer(socket, LineBuffer::default())
     }
 
-    /// A connection on which these bytes were received.
+    /// Creates the stream of a connection with the bytes received on it.
     pub fn with_buffer(socket: TcpStream, buffer: LineBuffer) -> Self {
-        // Lines are short and wanted at once. A connection that can't be set so is broken, and its first use reports that.
+        // Lines are short and must not be delayed. The option fails only on a broken connection, which its
+        // first use reports.
         socket.set_nodelay(true).unwrap_or_default();
         LineStream { socket, buffer }
     }
 
-    /// Reads what is available, and calls `on_lines` with the lines that it completes.
+    /// Reads the available bytes, and calls `on_lines` with the lines that they complete.
     ///
     /// # Errors
     ///
-    /// Nothing more can be read.
+    /// Fails if no more bytes can be read.
     pub fn read_available(&mut self, on_lines: impl FnOnce(&[u8])) -> Result<ReadProgress, ReadError> {
         let spare = self.buffer.spare_capacity()?;
         if spare.is_empty() {
@@ -99,7 +102,7 @@
     ///
     /// # Errors
     ///
-    /// None can come any more.
+    /// Fails if no more bytes can be read.
     pub async fn wait_for_line(&mut self) -> Result<(), ReadError> {
         while self.buffer.first_line().is_none() {
             self.wait_for_bytes().await?;
@@ -107,11 +110,12 @@
         Ok(())
     }
 
-    /// Waits until more bytes were received.
+    /// Waits until more bytes are received.
     ///
     /// # Errors
     ///
-    /// None can come any more; also when the peer ends behind more bytes than there is space for.
+    /// Fails if no more bytes can be read, also when the peer closes after it has sent more bytes than the
+    /// buffer has space for.
     pub async fn wait_for_bytes(&mut self) -> Result<(), ReadError> {
         loop {
             if self.socket.readable().await.is_err() {
@@ -126,14 +130,15 @@
         }
     }
 
-    /// Waits for the end of the peer's sending behind bytes that are not read. Notices a client that sent much while it had
-    /// to wait, and left; one that sends too much for its end to be seen counts as sending no line at all.
+    /// Waits until the peer closes, without reading the bytes that it has sent. Detects a client that sent
+    /// many lines while it waited, and left. A client that sends so much that its end could not be detected
+    /// fails with [`LineTooLong`].
     async fn wait_for_end(&self) -> ReadError {
         loop {
             if rustix::io::ioctl_fionread(&self.socket).is_ok_and(|unread| unread > MAX_UNREAD_BYTES) {
                 return LineTooLong.into();
             }
-            // Wakes at the end, and for urgent bytes, which the protocol does not have.
+            // Wakes when the peer closes, and for urgent data, which the protocol does not use.
             match timeout(UNREAD_CHECK_INTERVAL, self.socket.ready(Interest::PRIORITY)).await {
                 Err(_) => {}
                 Ok(Ok(ready)) if ready.is_read_closed() => return ReadError::Closed,
@@ -146,7 +151,7 @@
         }
     }
 
-    /// Sends a last line, ends the sending, and gives the peer a moment to end too.
+    /// Sends a last line, shuts down the sending side, and waits briefly for the peer to close.
     pub async fn close_after(mut self, line: &[u8]) {
         let sent = timeout(LAST_WRITE_TIMEOUT, async {
             self.socket.write_all(line).await?;
@@ -172,7 +177,7 @@
 
     /// Closes the connection with a reset.
     pub fn reset(self) {
-        // Where the option can't be set the connection is gone already.
+        // The option fails only on a connection that is already closed.
         self.socket.set_zero_linger().unwrap_or_default();
     }
 }
--- a/crates/alderstile-node/src/proxy/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -1,4 +1,4 @@
-//! Listening for clients, and accepting as many as the limits allow.
+//! The client listener: accepts connections within the limits of descriptors and pending clients.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,34 +16,35 @@
 use crate::config::Config;
 use crate::node::Node;
 
-/// How many connections the system may queue: a mass reconnect comes within a moment.
+/// The accept backlog of the system: clients may reconnect all at once.
 const ACCEPT_QUEUE: u32 = 4096;
-/// How long accepting pauses after an error or at the limit: neither goes away by an immediate retry.
+/// The pause in accepting after an error or at a limit, neither of which an immediate retry would resolve.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How long a listener that is closed may wait for descriptors: its clients wait as long.
+/// How long closing a listener may wait for descriptors. The queued clients wait as long.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Listens on an address.
 ///
 /// # Errors
 ///
-/// The system does not allow it.
+/// Returns the error of the system.
 pub fn bind(address: SocketAddr) -> io::Result<TcpListener> {
     listen(address, false)
 }
 
-/// Listens for clients; the node's successor may do so beside this process.
+/// Listens on the client address. If the configuration has a state folder, the node's successor may listen on
+/// the same address at the same time.
 ///
 /// # Errors
 ///
-/// The system does not allow it.
+/// Returns the error of the system.
 pub fn bind_clients(config: &Config) -> io::Result<TcpListener> {
     listen(config.listen, config.state_dir.is_some())
 }
 
 fn listen(address: SocketAddr, reuse_port: bool) -> io::Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
-    // A node that restarts gets its address back while old connections linger.
+    // Lets a restarted node bind its address while old connections are in TIME_WAIT.
     socket.set_reuseaddr(true)?;
     if reuse_port {
         socket.set_reuseport(true)?;
@@ -52,17 +53,17 @@
     socket.listen(ACCEPT_QUEUE)
 }
 
-/// The listener that the predecessor shares.
+/// Converts the listener that the predecessor shares.
 ///
 /// # Errors
 ///
-/// The socket can't be used without blocking.
+/// Fails if the socket cannot be made non-blocking.
 pub fn from_shared(listener: std::net::TcpListener) -> io::Result<TcpListener> {
     listener.set_nonblocking(true)?;
     TcpListener::from_std(listener)
 }
 
-/// Accepts clients until the process is told to stop accepting, or this is dropped.
+/// Accepts clients until the process is to stop accepting, then closes the listener.
 pub async fn run(node: Rc<Node>, listener: TcpListener) {
     let listener = Rc::new(listener);
     node.process.set_listener(Some(listener.clone()));
@@ -71,7 +72,8 @@
         () = node.process.stop_accepting.notified() => {}
     }
     node.process.set_listener(None);
-    // Nobody else has it now, but for a moment in which it is shared: the other process has it then.
+    // This is the last reference, unless the listener is being shared with the other process, which then
+    // serves its queue.
     if let Ok(listener) = Rc::try_unwrap(listener) {
         close(&node, listener).await;
     }
@@ -79,7 +81,8 @@
 
 async fn accept_clients(node: &Rc<Node>, listener: &TcpListener) {
     loop {
-        // Where no descriptor is left even for a rejection, clients wait in the system's queue until a pending one has gone.
+        // Without a descriptor even for a rejection, clients wait in the accept queue until a pending one is
+        // evicted.
         let Some(descriptor) = node.clients.acquire_descriptor(0) else {
             free_descriptor(node).await;
             continue;
@@ -91,7 +94,7 @@
         match listener.accept().await {
             Ok((socket, _)) => {
                 spawn_session(node, socket, descriptor);
-                // Those that have sent something are served before the next is accepted.
+                // Clients that have sent bytes are served before the next one is accepted.
                 yield_now().await;
             }
             Err(error) => {
@@ -105,7 +108,7 @@
 
 async fn free_descriptor(node: &Node) {
     if node.clients.pending.evict_oldest() {
-        // Its session is told of the eviction, looks once more for its line, and ends.
+        // The evicted session is notified, checks once more for a complete line, and ends.
         yield_now().await;
         yield_now().await;
     } else {
@@ -121,22 +124,23 @@
     });
 }
 
-/// Why a listener that is closed accepts no client now.
+/// Why no queued client can be accepted while a listener is closed.
 #[derive(Debug, Error)]
 enum DrainError {
-    #[error("no descriptor is left")]
+    #[error("no descriptor available")]
     NoDescriptor,
     #[error("{0}")]
     Io(#[from] io::Error),
 }
 
-/// Accepts what is queued, and closes the listener in the very step in which the queue is empty: where the other process has
-/// a socket of its own, what comes between is reset. The address is the other process's from then on.
+/// Accepts the queued clients, and closes the listener in the same step in which the queue is found empty. If
+/// the other process has a separate socket, a client that arrives between the two is reset. Afterwards only
+/// the other process listens on the address.
 async fn close(node: &Rc<Node>, listener: TcpListener) {
     let deadline = Instant::now() + CLOSE_TIMEOUT;
     let listener = match listener.into_std() {
         Ok(listener) => listener,
-        Err(error) => return warn!(%error, "listener not drained"),
+        Err(error) => return warn!(%error, "draining the listener failed"),
     };
     while Instant::now() < deadline {
         match accept_queued(node, &listener) {
@@ -152,7 +156,7 @@
             }
         }
     }
-    warn!("listener closed before its queue was empty, time for it is over");
+    warn!("listener closed with clients in its accept queue: drain timeout expired");
 }
 
 fn accept_queued(
--- a/crates/alderstile-node/src/proxy/migration.rs
+++ b/crates/alderstile-node/src/proxy/migration.rs
@@ -1,4 +1,4 @@
-//! Telling the relays of established clients that their client is to migrate.
+//! Requests to the relays of established clients to migrate their client or to hand it over.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -9,11 +9,11 @@
 
 use super::termination_reason::TerminationReason;
 
-/// Tells one relay that its client is to migrate, or that its connection is to be handed over.
+/// Signals one relay that its client is to migrate, or that its connection is to be handed over.
 #[derive(Default)]
 pub struct MigrationSignal {
     requested: Notify,
-    /// Why, if the policy did not request it.
+    /// The reason, if not the policy requested the migration.
     reason: Cell<Option<TerminationReason>>,
 }
 
@@ -23,27 +23,27 @@
         self.requested.notify_one();
     }
 
-    /// Waits until the client is to migrate.
+    /// Waits until the migration is requested.
     pub async fn requested(&self) {
         self.requested.notified().await;
     }
 
-    /// Why the client is to migrate.
+    /// Returns why the client is to migrate.
     pub fn reason(&self) -> TerminationReason {
         self.reason.get().unwrap_or(TerminationReason::Migrated)
     }
 }
 
-/// The established clients of this process, by their requests.
+/// The established clients of this process, by request id.
 #[derive(Default)]
 pub struct EstablishedClients {
     signals: RefCell<BTreeMap<RequestId, Rc<MigrationSignal>>>,
-    /// Why all migrate, once they do.
+    /// Set once all clients are to migrate: the reason.
     all: Cell<Option<TerminationReason>>,
 }
 
 impl EstablishedClients {
-    /// Adds a client until the guard is dropped.
+    /// Registers a client until the guard is dropped.
     pub fn add(self: &Rc<Self>, id: RequestId) -> EstablishedClient {
         let signal = Rc::new(MigrationSignal::default());
         self.all.get().into_iter().for_each(|reason| signal.request(reason));
@@ -51,37 +51,37 @@
         EstablishedClient { clients: self.clone(), id, signal }
     }
 
-    /// The number of established clients.
+    /// Returns the number of established clients.
     pub fn count(&self) -> usize {
         self.signals.borrow().len()
     }
 
-    /// Migrates one client: the policy wants it.
+    /// Requests the migration of one client, which the policy has chosen.
     pub fn migrate(&self, id: RequestId) {
         if let Some(signal) = self.signals.borrow().get(&id) {
             signal.requested.notify_one();
         }
     }
 
-    /// Migrates up to this many clients that were not told to yet.
+    /// Requests the migration of up to `count` clients that have no request with a reason yet.
     pub fn migrate_some(&self, count: usize, reason: TerminationReason) {
         let signals = self.signals.borrow();
         let not_requested = signals.values().filter(|signal| signal.reason.get().is_none());
         not_requested.take(count).for_each(|signal| signal.request(reason));
     }
 
-    /// Migrates all clients, and from now on each that is added.
+    /// Requests the migration of all clients, and of each that is added later.
     pub fn migrate_all(&self, reason: TerminationReason) {
         self.all.set(Some(reason));
         self.migrate_some(usize::MAX, reason);
     }
 }
 
-/// An established client, until this is dropped.
+/// The registration of an established client, which ends when this is dropped.
 pub struct EstablishedClient {
     clients: Rc<EstablishedClients>,
     id: RequestId,
-    /// What tells its relay to migrate it.
+    /// The signal to the client's relay.
     pub signal: Rc<MigrationSignal>,
 }
 
--- a/crates/alderstile-node/src/proxy/mod.rs
+++ b/crates/alderstile-node/src/proxy/mod.rs
@@ -1,4 +1,4 @@
-//! Serving clients: listening, the first line, connecting to a host and relaying lines.
+//! The proxy: accepts client connections, reads their first line, connects them to a host and relays lines.
 
 pub mod clients;
 pub mod count_guard;
--- a/crates/alderstile-node/src/proxy/pending_clients.rs
+++ b/crates/alderstile-node/src/proxy/pending_clients.rs
@@ -1,7 +1,7 @@
-//! Connections without a request: those that have not sent their first line, and those that are being rejected.
+//! Pending connections: those that have not sent their first line, and those whose request is being rejected.
 //!
-//! They have slots of their own, few enough to leave descriptors for clients and their hosts when hundreds connect and send
-//! nothing. The oldest is evicted for the next.
+//! They occupy a limited number of slots, so that descriptors remain for clients and their hosts when
+//! hundreds connect and send nothing. When no slot is free, the oldest pending connection is evicted.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -11,9 +11,11 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// One descriptor in this many may be a pending connection's: a client that is served takes two.
+/// The number of descriptors per slot: at most one descriptor in this many is used by a pending connection. A
+/// client that is served uses two.
 const DESCRIPTORS_PER_SLOT: usize = 8;
-/// How long a pending connection is safe from eviction: a usual client's first line comes with its connection or right after.
+/// How long a pending connection is protected from eviction. A usual client sends its first line with its
+/// connection or directly after it.
 pub const MIN_PENDING_TIME: Duration = Duration::from_millis(20);
 
 struct PendingEntry {
@@ -25,23 +27,23 @@
 pub struct PendingClients {
     capacity: usize,
     next_number: Cell<u64>,
-    /// By their numbers, so the oldest first.
+    /// The entries by number, the oldest first.
     entries: RefCell<BTreeMap<u64, PendingEntry>>,
 }
 
 impl PendingClients {
-    /// As many slots as befits a node that may use so many descriptors.
+    /// Creates the slots of a node whose connections may use the given number of descriptors.
     pub fn new(descriptors: usize) -> Rc<Self> {
         let capacity = (descriptors / DESCRIPTORS_PER_SLOT).max(1);
         Rc::new(PendingClients { capacity, next_number: Cell::default(), entries: RefCell::default() })
     }
 
-    /// How many slots there are.
+    /// Returns the number of slots.
     pub fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Makes room for one more where need be, by evicting the oldest; returns whether there is a free slot.
+    /// Evicts the oldest connection if no slot is free; returns whether one is free then.
     pub fn ensure_free_slot(&self) -> bool {
         if self.has_free_slot() {
             return true;
@@ -54,7 +56,8 @@
         self.entries.borrow().len() < self.capacity
     }
 
-    /// Evicts the oldest after [`MIN_PENDING_TIME`]; returns whether one was evicted.
+    /// Evicts the oldest connection if it has been pending for [`MIN_PENDING_TIME`]; returns whether one was
+    /// evicted.
     pub fn evict_oldest(&self) -> bool {
         let mut entries = self.entries.borrow_mut();
         match entries.first_entry() {
@@ -66,7 +69,7 @@
         }
     }
 
-    /// Gives a new connection a slot.
+    /// Assigns a slot to a new connection.
     pub fn add(self: &Rc<Self>) -> PendingSlot {
         let number = self.next_number.replace(self.next_number.get() + 1);
         let evicted = Rc::new(Notify::new());
@@ -76,7 +79,7 @@
     }
 }
 
-/// A pending connection's slot, freed when this is dropped.
+/// The slot of a pending connection, freed when this is dropped.
 pub struct PendingSlot {
     clients: Rc<PendingClients>,
     number: u64,
--- a/crates/alderstile-node/src/proxy/protocol.rs
+++ b/crates/alderstile-node/src/proxy/protocol.rs
@@ -1,6 +1,6 @@
-//! The lines that clients, the front and hosts send: bytes in, values out; pure.
+//! Parsers of the lines that clients, the front and hosts send. Does no I/O.
 //!
-//! The variants of [`ClientLine`] and [`HostLine`] are named as the words of the protocol.
+//! The variants of [`ClientLine`] and [`HostLine`] are named after the words of the protocol.
 
 use std::ops::Range;
 
@@ -10,7 +10,8 @@
 use winnow::error::{ContextError, ErrMode};
 use winnow::token::{rest, take_while};
 
-/// The longest wait that a client may name: 32 bits of milliseconds, 49 days. A line with more is malformed.
+/// The maximum wait that a client may request, in milliseconds: 32 bits, 49 days. A line with a longer one is
+/// malformed.
 const MAX_WAIT_MS: u64 = u32::MAX as u64;
 
 type Parsed<T> = Result<T, ErrMode<ContextError>>;
@@ -18,35 +19,36 @@
 /// The first line on a connection from a client or the front.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ClientLine<'a> {
-    /// The front asks whether this node can serve.
+    /// A health check of the front, which asks whether this node can serve clients.
     Ping,
-    /// A client asks for a host.
+    /// A client requests a connection to a host.
     Open(OpenRequest<'a>),
 }
 
 /// A client's request for a connection to a host: the line `OPEN id key name=value,...`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenRequest<'a> {
-    /// The connection's id, new each time.
+    /// The id of the connection, which must be new for each one.
     pub id: &'a [u8],
-    /// The flow's key.
+    /// The key of the flow.
     pub flow_key: &'a [u8],
-    /// The name of its class; on the wire `c`.
+    /// The name of the request's class; `c` on the wire.
     pub class: &'a [u8],
-    /// How long the client waits, in milliseconds; on the wire `d`.
+    /// How long the client waits, in milliseconds; `d` on the wire.
     pub wait_ms: u64,
-    /// The client or its group; on the wire `g`.
+    /// The client or its group; `g` on the wire.
     pub group: Option<&'a [u8]>,
-    /// The host where the connection was open before this node's start; on the wire `at`.
+    /// The host to which the connection was open before this node's start; `at` on the wire.
     pub previous_host: Option<&'a [u8]>,
-    /// An estimate of its load, in microseconds of work a second; on the wire `h`.
+    /// The client's estimate of its load, in microseconds of work per second; `h` on the wire.
     pub expected_load: Option<f64>,
-    /// Where the value of `wait_ms` is in the line.
+    /// The range of the value of `wait_ms` in the line.
     wait_range: Range<usize>,
 }
 
 impl OpenRequest<'_> {
-    /// The line that is forwarded to a host: this one with the time that the node will wait.
+    /// Returns the line that is forwarded to a host: `line` with the time that the node will wait, in
+    /// milliseconds, as `d`.
     pub fn forwarded_line(&self, line: &[u8], wait_ms: u64) -> Vec<u8> {
         let mut forwarded = Vec::with_capacity(line.len() + 2);
         forwarded.extend_from_slice(&line[..self.wait_range.start]);
@@ -97,7 +99,7 @@
     number.parse_next(&mut &*value).map_err(ErrMode::Cut)
 }
 
-/// Where a part of a line is in it.
+/// Returns the range of a part of a line within that line.
 fn subslice_range(line: &[u8], part: &[u8]) -> Range<usize> {
     let start = part.as_ptr() as usize - line.as_ptr() as usize;
     start..start + part.len()
@@ -107,32 +109,33 @@
     std::str::from_utf8(bytes).ok()?.parse().ok()
 }
 
-/// Reads the first line of a client's connection, without its end; none where it is malformed.
+/// Parses the first line of a client's connection, without its line ending; returns `None` if it is
+/// malformed.
 pub fn parse_client_line(line: &[u8]) -> Option<ClientLine<'_>> {
     let ping = terminated(b"PING".as_slice(), eof).value(ClientLine::Ping);
     alt((ping, parse_open_request.map(ClientLine::Open))).parse(line).ok()
 }
 
-/// A line of a host.
+/// A line from a host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostLine {
     /// The connection is established.
     Up,
-    /// The connection was served to its end.
+    /// The connection was completed.
     Bye,
     /// The client is to migrate.
     Move,
-    /// An error; the request may have run.
+    /// The request failed; it may have run.
     Err,
-    /// Rejected; the request never ran.
+    /// The request was rejected; it has not run.
     Busy,
-    /// A load report: the load of the connection now, in microseconds of work a second.
+    /// A load report: the current load of the connection, in microseconds of work per second.
     Load(f64),
-    /// Any other line: a message to the client.
+    /// Any other line, which is a message to the client.
     Other,
 }
 
-/// Reads a line of a host, without its end.
+/// Parses a line from a host, without its line ending.
 pub fn parse_host_line(line: &[u8]) -> HostLine {
     let mut input = line;
     let parsed: Parsed<(&[u8], Option<&[u8]>)> =
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -1,4 +1,5 @@
-//! Forwards complete lines between a client and its host until one side ends or the client migrates.
+//! The relay, which forwards complete lines between a client and its host until one side ends or the client
+//! migrates.
 
 use std::io;
 use std::time::Duration;
@@ -15,23 +16,23 @@
 use super::termination_reason::TerminationReason;
 use crate::decisions::{Decisions, sleep_until};
 
-/// How long a client's lines may stay without any answer before it migrates: keep-alive does not notice silence. Also for a
-/// host that stops right after an answer: that shows only with the client's next line, up to 2 s later, and 7 s after the
-/// last answer the client counts as lost.
+/// How long a client's lines may stay unanswered before the client is migrated. TCP keep-alive does not
+/// detect a silent host. The timeout also covers a host that stops right after an answer: this shows only
+/// with the client's next line, up to 2 s later, and 7 s after the last answer the client counts as lost.
 const HOST_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_000);
-/// How long the last lines may take to reach the client: it must be told of the end within a second.
+/// The timeout for writing the last lines to the client, which must be notified of the end within a second.
 const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a client may receive nothing while lines wait for it.
+/// How long a client may read nothing while lines are buffered for it.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How the connections of both sides are closed.
+/// How the connections to both sides are closed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CloseMode {
-    /// In an orderly way, after this last line to the client.
+    /// With a regular close, after the given last line to the client.
     Orderly(&'static [u8]),
     /// With a reset.
     Reset,
-    /// Not at all: the successor continues with both.
+    /// Not closed: the successor continues with both.
     HandOver(RelayState),
 }
 
@@ -54,38 +55,38 @@
     }
 }
 
-/// What was observed of the forwarded lines, for the process that continues with the connection. The names on the wire are
-/// those of the first version of the hand-over.
+/// The state of a relay, for the process that continues with the connection. The names on the wire are those
+/// of the first version of the connection handover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayState {
-    /// For how many milliseconds a line of the client has had no answer.
+    /// How long a line of the client has been unanswered, in milliseconds; `None` if all are answered.
     #[serde(rename = "silent_ms")]
     unanswered_ms: Option<u64>,
-    /// If the host's last line was a final_line one: whether that was `BYE`, and not `MOVE`.
+    /// Whether the host's last line was `BYE` rather than `MOVE`; `None` if it was neither.
     #[serde(rename = "bye")]
     ended_with_bye: Option<bool>,
-    /// The last load report.
+    /// The load of the last load report.
     pub load: Option<f64>,
 }
 
 /// A request, and the host that serves it.
 #[derive(Clone, Copy, Debug)]
 pub struct ServedRequest {
-    /// The request's number.
+    /// The id of the request.
     pub request: RequestId,
-    /// The host's number.
+    /// The id of the host.
     pub host: ServerId,
 }
 
-/// Observes the lines that are forwarded.
+/// Tracks the lines that are forwarded, and reports load reports to the policy.
 struct Monitor<'a> {
     decisions: &'a Decisions,
     served: ServedRequest,
-    /// Since when a line of the client has had no answer.
+    /// When the first unanswered line of the client was received.
     unanswered_since: Option<Instant>,
-    /// The host's last line, if it was a final_line one.
+    /// The host's last line, if it was `BYE` or `MOVE`.
     final_line: Option<HostLine>,
-    /// The last load report.
+    /// The load of the last load report.
     load: Option<f64>,
 }
 
@@ -136,7 +137,7 @@
     }
 }
 
-/// Writes complete lines of one side to the other, as many as it receives now.
+/// Writes the complete lines of one side to the other, as many as its socket accepts without blocking.
 fn forward(from: &mut LineStream, to: &LineStream) -> io::Result<()> {
     while !from.buffer.complete_lines().is_empty() {
         match to.socket.try_write(from.buffer.complete_lines()) {
@@ -148,7 +149,7 @@
     Ok(())
 }
 
-/// Writes all complete lines of the host to the client; returns whether it received them in time.
+/// Writes all complete lines of the host to the client; returns whether that succeeded within the timeout.
 async fn flush_to_client(host: &mut LineStream, client: &LineStream) -> bool {
     let _late = tokio::time::timeout(LAST_LINES_TIMEOUT, async {
         while forward(host, client).is_ok() && !host.buffer.complete_lines().is_empty() {
@@ -161,7 +162,8 @@
     host.buffer.complete_lines().is_empty()
 }
 
-/// Tells the client to migrate, between two lines: `MOVE` must not come inside one that it has not received completely.
+/// Ends a relay with `MOVE` to the client after all complete lines, since `MOVE` must not be sent inside a
+/// line. A client that does not receive the lines in time is reset instead.
 pub async fn migrate_client(
     host: &mut LineStream,
     client: &LineStream,
@@ -174,7 +176,7 @@
     }
 }
 
-/// Waits until a side can be read or written; for ever where neither is wanted.
+/// Waits until a side is readable or writable, as requested; never completes if neither is requested.
 async fn wait_until_ready(side: &LineStream, read: bool, write: bool) {
     let interest = match (read, write) {
         (true, true) => Interest::READABLE | Interest::WRITABLE,
@@ -182,23 +184,23 @@
         (false, true) => Interest::WRITABLE,
         (false, false) => return std::future::pending().await,
     };
-    // A broken connection is ready too, and reports that when it is read.
+    // A broken connection is ready, too, and the next read reports its error.
     drop(side.socket.ready(interest).await);
 }
 
-/// A client and its host while lines are forwarded between them.
+/// The relay between a client and its host.
 pub struct Relay<'a> {
     client: &'a mut LineStream,
     host: &'a mut LineStream,
     migration: &'a MigrationSignal,
     monitor: Monitor<'a>,
-    /// Since when the client has received nothing while lines wait for it.
+    /// Since when the client has read nothing while lines are buffered for it.
     client_stalled_since: Option<Instant>,
 }
 
 impl<'a> Relay<'a> {
-    /// A relay between a client and the host that serves its request. `state` is what the predecessor observed of a
-    /// connection that it handed over.
+    /// Creates a relay between a client and the host that serves its request. `state` is the predecessor's
+    /// state of a connection that it handed over, and `None` for a new connection.
     pub fn new(
         decisions: &'a Decisions,
         served: ServedRequest,
@@ -209,7 +211,7 @@
     ) -> Self {
         let mut monitor = Monitor { decisions, served, unanswered_since: None, final_line: None, load: None };
         match state {
-            // The predecessor has observed the lines in the buffers.
+            // The predecessor has already processed the lines in the buffers.
             Some(state) => monitor.restore(state),
             None => {
                 monitor.on_host_lines(host.buffer.complete_lines());
@@ -219,7 +221,7 @@
         Relay { client, host, migration, monitor, client_stalled_since: None }
     }
 
-    /// Forwards lines until one side ends, or the client migrates.
+    /// Forwards lines until one side ends or the client migrates.
     pub async fn run(mut self) -> RelayEnd {
         loop {
             let buffered_before = self.host.buffer.buffered();
@@ -229,10 +231,10 @@
             let to_client = forward(self.host, self.client);
             self.update_client_stall(buffered_before);
             if let Err(error) = from_host {
-                return self.on_host_read_error(error).await;
+                return self.end_on_host_error(error).await;
             }
             if let Err(error) = from_client {
-                return Self::client_read_error_end(error);
+                return Self::end_on_client_error(error);
             }
             if to_host.is_err() {
                 return RelayEnd::reset(TerminationReason::HostReset);
@@ -240,7 +242,8 @@
             if to_client.is_err() {
                 return RelayEnd::reset(TerminationReason::ClientReset);
             }
-            // Also after bytes came: waiting lets the other tasks run, or one flood would take the core.
+            // Also waits after bytes were read: this yields to other tasks, so that one flood does not occupy
+            // the core.
             if let Some(end) = self.wait().await {
                 return end;
             }
@@ -256,7 +259,7 @@
         }
     }
 
-    async fn on_host_read_error(self, error: ReadError) -> RelayEnd {
+    async fn end_on_host_error(self, error: ReadError) -> RelayEnd {
         if matches!(error, ReadError::LineTooLong(_)) {
             return RelayEnd::orderly(TerminationReason::HostLineTooLong);
         }
@@ -269,7 +272,7 @@
         }
     }
 
-    fn client_read_error_end(error: ReadError) -> RelayEnd {
+    fn end_on_client_error(error: ReadError) -> RelayEnd {
         match error {
             ReadError::LineTooLong(_) => RelayEnd::orderly(TerminationReason::ClientLineTooLong),
             ReadError::Reset => RelayEnd::reset(TerminationReason::ClientReset),
@@ -277,7 +280,7 @@
         }
     }
 
-    /// Waits until there is something to do; returns the end if the relay ends meanwhile.
+    /// Waits until a side is ready; returns the end of the relay if it is to migrate or a timeout expires.
     async fn wait(&mut self) -> Option<RelayEnd> {
         let lines_for_client = !self.host.buffer.complete_lines().is_empty();
         let lines_for_host = !self.client.buffer.complete_lines().is_empty();
--- a/crates/alderstile-node/src/proxy/request_ids.rs
+++ b/crates/alderstile-node/src/proxy/request_ids.rs
@@ -1,20 +1,21 @@
-//! The ids of requests, each of which may be used once: those that are open, and those that ended recently.
+//! The ids of open and recently ended requests, none of which a new request may use.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// How many ids of ended requests are remembered: a repeated one comes within moments. 4 MB at most, at 4 KiB a line.
+/// The number of ended requests whose ids are remembered. A repeated id arrives shortly after the first use.
+/// The ids take at most 4 MB, as a line has at most 4 KiB.
 const MAX_ENDED: usize = 1024;
 
-/// The ids of requests.
+/// The known ids of requests.
 #[derive(Clone, Default)]
 pub struct RequestIds(Rc<RefCell<Ids>>);
 
 #[derive(Default)]
 struct Ids {
     known: BTreeSet<Rc<[u8]>>,
-    /// Those of the known ones that have ended, the oldest first.
+    /// The known ids of ended requests, the oldest first.
     ended: VecDeque<Rc<[u8]>>,
 }
 
@@ -30,21 +31,21 @@
 }
 
 impl RequestIds {
-    /// Claims an id for a request; none where it is known already.
+    /// Claims an id for a request; returns `None` if the id is known.
     pub fn claim(&self, id: &[u8]) -> Option<OpenId> {
         let id: Rc<[u8]> = id.into();
         let new = self.0.borrow_mut().known.insert(id.clone());
         new.then(|| OpenId { ids: self.clone(), id })
     }
 
-    /// Claims the id of a request that the other process had claimed before it handed it over.
+    /// Claims the id of a request that the predecessor claimed before it handed the connection over.
     pub fn claim_handed_over(&self, id: &[u8]) -> OpenId {
         let id: Rc<[u8]> = id.into();
         self.0.borrow_mut().known.insert(id.clone());
         OpenId { ids: self.clone(), id }
     }
 
-    /// Remembers an id that the other process has claimed.
+    /// Remembers an id that the other process of the node has claimed.
     pub fn remember(&self, id: &[u8]) {
         let id: Rc<[u8]> = id.into();
         let mut ids = self.0.borrow_mut();
@@ -53,13 +54,13 @@
         }
     }
 
-    /// All known ids, as text.
+    /// Returns all known ids as text.
     pub fn known(&self) -> Vec<String> {
         self.0.borrow().known.iter().map(|id| String::from_utf8_lossy(id).into_owned()).collect()
     }
 }
 
-/// The id of an open request. It stays known for a while after this is dropped.
+/// The id of an open request. When this is dropped the id counts as ended, and remains known for some time.
 pub struct OpenId {
     ids: RequestIds,
     id: Rc<[u8]>,
--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: connecting to a host, sending it the request, and its answer.
+//! One attempt at a host: connects, sends the request and reads the response.
 
 use std::io;
 use std::rc::Rc;
@@ -13,38 +13,38 @@
 use crate::proxy::line_stream::{self, LineStream, ReadError};
 use crate::proxy::protocol::{HostLine, parse_host_line};
 
-/// What came of one attempt.
+/// The outcome of an attempt.
 pub(super) enum AttemptOutcome {
-    /// The host of this name serves the request.
+    /// The named host serves the request.
     Established(LineStream, Rc<str>),
     /// The attempt failed.
     Failed(Outcome),
-    /// The client's side ended.
+    /// The client's connection ended, or sent a line that is too long.
     ClientEnded(ReadError),
 }
 
-/// Why nobody waits for a step of an attempt any more.
+/// Why a step of an attempt is aborted.
 #[derive(Debug, Error)]
 pub(super) enum AbortCause {
-    /// The client's side ended.
-    #[error("client: {0}")]
+    /// The client's connection ended, or sent a line that is too long.
+    #[error("client connection ended: {0}")]
     Client(#[from] ReadError),
-    /// The time for the shutdown is nearly over.
-    #[error("the time for the shutdown is nearly over")]
+    /// The shutdown timeout is about to expire, and clients that still wait are answered.
+    #[error("shutdown timeout about to expire")]
     PendingCutoff,
 }
 
-/// Why an attempt was not established.
+/// Why an attempt did not establish a connection.
 #[derive(Debug, Error)]
 enum AttemptError {
     #[error(transparent)]
     Aborted(#[from] AbortCause),
-    #[error("failed: {0:?}")]
+    #[error("attempt failed: {0:?}")]
     Failed(Outcome),
 }
 
 impl AttemptError {
-    /// The outcome, where `last_call` is that of an attempt which the shutdown ends.
+    /// Returns the outcome of the attempt; `on_cutoff` is that of an attempt which the shutdown ends.
     fn outcome(self, on_cutoff: Outcome) -> AttemptOutcome {
         match self {
             AttemptError::Failed(outcome) => AttemptOutcome::Failed(outcome),
@@ -55,8 +55,9 @@
 }
 
 impl Session<'_> {
-    /// Does a step of what a client waits for, unless it ends or the time for the shutdown is nearly over meanwhile. The
-    /// client is polled first: what has come from it in the same moment counts.
+    /// Runs a step of an attempt, and aborts it when the client's connection ends or the shutdown timeout is
+    /// about to expire. The client is polled first, so that its end takes precedence over a step that
+    /// completes at the same time.
     pub(super) async fn run_unless_aborted<T>(
         &self,
         client: &mut LineStream,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Makes one attempt. `may_send` answers whether the request may still be sent.
+    /// Makes one attempt. `may_send` returns whether the request may still be sent.
     pub(super) async fn attempt(
         &self,
         client: &mut LineStream,
@@ -100,7 +101,7 @@
         may_send: impl Fn() -> bool,
     ) -> Result<LineStream, AttemptError> {
         if !may_send() {
-            // No connection is made for what would not be sent on it.
+            // Opens no connection for a request that may not be sent.
             return Err(AttemptError::Failed(Outcome::NotForwarded));
         }
         let stream = self.connect(client, host, until).await?;
@@ -118,7 +119,7 @@
         let connected = timeout_at(connect_until, TcpStream::connect(host.address));
         match self.run_unless_aborted(client, connected).await? {
             Ok(Ok(socket)) => Ok(LineStream::new(socket)),
-            // Nothing was sent, and it says nothing about the host.
+            // Nothing was sent, and the error does not concern the host.
             Ok(Err(error)) if line_stream::is_local_shortage(&error) => {
                 Err(AttemptError::Failed(Outcome::NotForwarded))
             }
@@ -137,8 +138,9 @@
         let mut written = 0;
         while written == 0 || written < line.len() {
             if written == 0 {
-                // While the connection was made the client's time may have ended, or a list or an operator may have closed
-                // the host. It must be allowed at the first byte; the client itself was polled in this very step.
+                // While the connection was established the client's wait may have expired, or a list or an
+                // operator may have closed the host to new requests. Sending must be allowed at the first
+                // byte; the client itself was polled in this step.
                 let left_ms = until.saturating_duration_since(Instant::now()).as_millis();
                 if left_ms == 0 || !may_send() {
                     return Err(AttemptError::Failed(Outcome::NotForwarded));
@@ -153,7 +155,7 @@
                         return Err(AttemptError::Failed(Outcome::ConnectFailed));
                     }
                 }
-                // Until the last byte is sent nothing can have run.
+                // The request cannot have run before its last byte is sent.
                 Err(_) => return Err(AttemptError::Failed(Outcome::ConnectFailed)),
             }
         }
--- a/crates/alderstile-node/src/proxy/session/first_line.rs
+++ b/crates/alderstile-node/src/proxy/session/first_line.rs
@@ -1,4 +1,5 @@
-//! A connection's first line: health checks of the front are answered, a client's request is admitted or rejected.
+//! The first line of a connection: answers health checks of the front, and admits or rejects the request of a
+//! client.
 
 use std::time::Duration;
 
@@ -14,17 +15,17 @@
 use crate::proxy::request_ids::OpenId;
 use crate::proxy::termination_reason::TerminationReason;
 
-/// How long a client may take for its first line: it must be answered or closed within 3 s.
+/// The timeout for a client's first line. A connection must be answered or closed within 3 s.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How many bytes of a rejected first line are logged: enough to tell what it was meant to be, and a flood does not fill the
-/// log.
+/// The number of bytes of a rejected first line that are logged: enough to recognize its purpose, without
+/// letting a flood fill the log.
 const MAX_LOGGED_BYTES: usize = 120;
 
-/// Reads the first line that is no health check, without its end.
+/// Answers health checks, and returns the first line that is not one, without its line ending.
 ///
 /// # Errors
 ///
-/// Why the connection ends without one.
+/// Returns why the connection ends without such a line.
 pub(super) async fn read(
     node: &Node,
     client: &mut LineStream,
@@ -37,11 +38,11 @@
         }
         () = async {
             slot.evicted().await;
-            // As many come at once, its line may have come without having been read: the runtime polls for it once more
-            // before this continues.
+            // When many clients connect at once, the line may have arrived but not been read: yielding lets
+            // the runtime poll for it once more.
             tokio::task::yield_now().await;
         } => Err(TerminationReason::ClientEvicted),
-        // It has asked for nothing, and the process can't wait for it.
+        // The client has requested nothing yet, and the process cannot wait for it.
         () = node.process.pending_cutoff() => Err(TerminationReason::ShuttingDown),
     }
 }
@@ -67,7 +68,7 @@
     }
 }
 
-/// A request that the node serves.
+/// A request that the node has admitted.
 pub(super) struct AdmittedRequest<'a> {
     pub(super) request: OpenRequest<'a>,
     pub(super) class: u16,
@@ -75,11 +76,12 @@
     _id: OpenId,
 }
 
-/// Admits a request, so that what every host would reject is never held against a host.
+/// Admits a request. Requests that every host would reject are rejected here, so that they do not count as
+/// failures of a host.
 ///
 /// # Errors
 ///
-/// Why the request is rejected.
+/// Returns why the request is rejected.
 pub(super) fn admit<'a>(node: &Node, line: &'a [u8]) -> Result<AdmittedRequest<'a>, TerminationReason> {
     let Some(ClientLine::Open(request)) = parse_client_line(line) else {
         return Err(TerminationReason::ClientMalformed);
@@ -97,7 +99,7 @@
     info!(code = %reason, ?line, "connection ended");
 }
 
-/// Ends the connection of a client that is never served; at once where its slot is needed.
+/// Answers a client whose request is rejected and closes its connection, at once if its slot is needed.
 pub(super) async fn reject(client: LineStream, slot: PendingSlot) {
     tokio::select! {
         () = client.close_after(b"ERR\r\n") => {}
--- a/crates/alderstile-node/src/proxy/session/handover.rs
+++ b/crates/alderstile-node/src/proxy/session/handover.rs
@@ -1,4 +1,5 @@
-//! Handing an established connection over to the successor, and continuing with one of the predecessor.
+//! Connection handover: hands an established connection over to the successor, and resumes one of the
+//! predecessor.
 
 use std::io;
 use std::rc::Rc;
@@ -24,11 +25,12 @@
 }
 
 impl Session<'_> {
-    /// Hands the connection over, and waits until the successor says that it has it.
+    /// Hands the connection over, and waits until the successor acknowledges it.
     ///
     /// # Errors
     ///
-    /// The successor can't be sent the connection, or ended before it had it.
+    /// Fails if the connection cannot be sent to the successor, or if the successor ends before it
+    /// acknowledges it.
     pub(super) async fn hand_over(
         &self,
         client: &LineStream,
@@ -45,13 +47,13 @@
             from_host: host.buffer.bytes().to_vec(),
             relay_state: state,
             attempts: self.attempts,
-            setup_ms: millis(self.up_ms),
+            setup_ms: millis(self.setup_ms),
             age_ms: millis(self.arrived.elapsed().as_millis()),
             ack_number: ack.as_ref().map(|ack| ack.number),
         };
         connection_handover::send(&to, connection, [&client.socket, &host.socket]).await?;
-        // A successor may end before it has read this: both sockets stay open here until it says that it has them. One of an
-        // older version never says so.
+        // A successor may end before it has read the message, so both sockets stay open here until it
+        // acknowledges them. A successor of an older version sends no acknowledgement.
         let Some(mut ack) = ack else { return Ok(()) };
         match timeout(MESSAGE_TIMEOUT, ack.acknowledged()).await {
             Ok(Err(closed)) => Err(io::Error::new(io::ErrorKind::ConnectionAborted, closed)),
@@ -60,20 +62,20 @@
     }
 }
 
-/// Why a connection that was handed over can't be served.
+/// Why a handed-over connection cannot be resumed.
 #[derive(Debug, Error)]
 enum ResumeError {
-    #[error("its first line is malformed")]
+    #[error("malformed first line")]
     MalformedLine,
-    #[error("it has {0} sockets, not 2")]
+    #[error("invalid number of sockets: expected 2, found {0}")]
     SocketCount(usize),
-    #[error("its sockets: {0}")]
+    #[error("sockets unusable: {0}")]
     Socket(#[from] io::Error),
-    #[error("it has more bytes than its buffers may contain")]
+    #[error("buffered bytes exceed the capacity of a buffer")]
     BufferOverflow,
 }
 
-/// Continues with a connection that the predecessor has handed over.
+/// Resumes a connection that the predecessor has handed over, and serves it to its end.
 pub async fn resume(node: Rc<Node>, connection: HandedOverConnection, sockets: Vec<std::net::TcpStream>) {
     if let Err(error) = try_resume(node, connection, sockets).await {
         warn!(%error, "handed-over connection dropped");
@@ -92,12 +94,12 @@
     let [client, host] = streams(&connection, sockets)?;
     let _client_descriptor = node.clients.count_handed_over_descriptor();
     let _id = node.clients.claim_handed_over_request_id(request.id);
-    // Its class may have been removed: the request gets a number that no class has.
+    // The class may have been removed: the request then gets an index that no class has.
     let class = node.clients.class_index(request.class).unwrap_or(u16::MAX);
     let now = Instant::now();
     let arrived = now.checked_sub(Duration::from_millis(connection.age_ms)).unwrap_or(now);
-    let (attempts, up_ms) = (connection.attempts, u128::from(connection.setup_ms));
-    let session = Session { node: node.clone(), line, request, class, arrived, attempts, up_ms };
+    let (attempts, setup_ms) = (connection.attempts, u128::from(connection.setup_ms));
+    let session = Session { node: node.clone(), line, request, class, arrived, attempts, setup_ms };
     let (request, server) = (session.connection_request(Duration::ZERO), server_id(&connection.host));
     let id = node.decisions.with_balancer(|balancer, now| {
         let id = balancer.adopt_connection(now, request, server);
@@ -114,7 +116,7 @@
     Ok(())
 }
 
-/// The client's and the host's side of a connection that was handed over.
+/// Returns the client's and the host's side of a handed-over connection.
 fn streams(
     connection: &HandedOverConnection,
     sockets: Vec<std::net::TcpStream>,
--- a/crates/alderstile-node/src/proxy/session/mod.rs
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -1,4 +1,4 @@
-//! One client's connection, from its first line to its end.
+//! The session of one client connection, from its first line to its end.
 
 mod attempt;
 mod first_line;
@@ -27,17 +27,17 @@
 use crate::discovery::endpoint_list::server_id;
 use crate::node::Node;
 
-/// The node stops waiting this long before the client does, so that its answer still reaches the client.
+/// How much earlier than the client the node stops waiting, so that its answer still reaches the client.
 const ANSWER_MARGIN: Duration = Duration::from_millis(10);
-/// The longest that the node waits, whatever the client asks for.
+/// The maximum wait of the node, whatever the client requests.
 const MAX_WAIT: Duration = Duration::from_secs(600);
 
-/// Serves one connection.
+/// Serves one connection to its end.
 pub async fn run(node: Rc<Node>, socket: TcpStream, slot: PendingSlot) {
     let mut client = LineStream::new(socket);
     let line = match first_line::read(&node, &mut client, &slot).await {
         Ok(line) => line,
-        // The front checks many times a second.
+        // Logged at debug level, since the front checks many times per second.
         Err(reason @ TerminationReason::HealthChecked) => return debug!(code = %reason, "connection ended"),
         Err(reason) => {
             info!(code = %reason, "connection ended");
@@ -52,7 +52,7 @@
         Ok(admitted) => {
             drop(slot);
             let (request, class) = (admitted.request, admitted.class);
-            let session = Session { node, line: &line, request, class, arrived, attempts: 0, up_ms: 0 };
+            let session = Session { node, line: &line, request, class, arrived, attempts: 0, setup_ms: 0 };
             session.run(client).await;
         }
         Err(reason) => {
@@ -62,17 +62,17 @@
     }
 }
 
-/// A client's request, and the client that waits for a host or is served by one.
+/// The state of an admitted request while its client waits for a host or is served by one.
 struct Session<'a> {
     node: Rc<Node>,
-    /// The first line, without its end.
+    /// The first line, without its line ending.
     line: &'a [u8],
     request: OpenRequest<'a>,
     class: u16,
     arrived: Instant,
     attempts: u32,
-    /// How long the attempt took that was established, in milliseconds.
-    up_ms: u128,
+    /// How long the successful attempt took, in milliseconds.
+    setup_ms: u128,
 }
 
 /// An established connection to a host.
@@ -123,14 +123,15 @@
 
     fn log_end(&self, reason: TerminationReason, host: &str) {
         let (id, class) = (self.id(), String::from_utf8_lossy(self.request.class));
-        let (attempts, up_ms, ms) = (self.attempts, self.up_ms, self.arrived.elapsed().as_millis());
+        let (attempts, up_ms, ms) = (self.attempts, self.setup_ms, self.arrived.elapsed().as_millis());
         info!(code = %reason, %id, %class, %host, attempts, up_ms, ms, "connection ended");
     }
 
-    /// The request as the policy takes it.
+    /// Converts the request to that of the policy. `remaining` is the time for which the client still waits.
     fn connection_request(&self, remaining: Duration) -> ConnectionRequest {
         let group = self.request.group.map(group_number);
-        // Whether it counts as a group depends on the settings, and a shadow instance may have others.
+        // Both are passed: whether groups are used depends on the settings, and those of a shadow instance
+        // may differ.
         ConnectionRequest {
             class: self.class,
             group: group.map(GroupId),
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Forwards `UP` and everything after it until one side ends. `state` is what the predecessor observed of a connection
-    /// that it handed over.
+    /// Relays `UP` and all later lines until one side ends. `state` is the predecessor's relay state of a
+    /// connection that it handed over, and `None` for a new connection.
     async fn serve(
         &self,
         mut client: LineStream,
@@ -150,7 +151,7 @@
         state: Option<RelayState>,
     ) {
         let EstablishedHost { id, server, name, stream: mut host, _descriptor } = established;
-        let (attempts, up_ms) = (self.attempts, self.up_ms);
+        let (attempts, up_ms) = (self.attempts, self.setup_ms);
         debug!(id = %self.id(), number = id.0, host = %name, attempts, up_ms, "connection established");
         let registration = self.node.clients.add_established(id);
         let decisions = &self.node.decisions;
@@ -160,7 +161,7 @@
         if let CloseMode::HandOver(state) = end.close
             && let Err(error) = self.hand_over(&client, &host, &name, state).await
         {
-            debug!(id = %self.id(), %error, "connection not handed over");
+            debug!(id = %self.id(), %error, "connection handover failed");
             end = relay::migrate_client(&mut host, &client, TerminationReason::ShuttingDown).await;
         }
         drop(registration);
@@ -170,7 +171,7 @@
         close(client, host, end).await;
     }
 
-    /// Reports to the policy how an established connection ended.
+    /// Reports the end of an established connection to the policy.
     fn report_end(&self, id: RequestId, server: ServerId, reason: TerminationReason) {
         use TerminationReason as Reason;
         self.node.decisions.with_balancer(|balancer, now| match reason {
@@ -197,12 +198,12 @@
             host.reset();
             client.reset();
         }
-        // The successor has both: closing these here ends nothing.
+        // The successor holds both sockets: dropping these does not close the connections.
         CloseMode::HandOver(_) => {}
     }
 }
 
-/// A client's or group's number: ids are 16 hexadecimal digits; others are hashed.
+/// Returns the numeric id of a client or group: ids are 16 hexadecimal digits, and any other text is hashed.
 fn group_number(group: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(group);
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| server_id(&text).0)
--- a/crates/alderstile-node/src/proxy/session/placement.rs
+++ b/crates/alderstile-node/src/proxy/session/placement.rs
@@ -1,4 +1,5 @@
-//! Placing a request: attempts at the hosts that the policy chooses, until one is established or the client is answered.
+//! The placement of a request: attempts at the hosts that the policy chooses, until one succeeds or the
+//! client receives a final answer.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,21 +15,22 @@
 use crate::proxy::line_stream::{LineStream, ReadError};
 use crate::proxy::termination_reason::TerminationReason;
 
-/// How often a connection that was open before this node's start is retried while its host can't be reached.
+/// The retry interval for a connection that was open before this node's start, while its host cannot be
+/// reached.
 const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How the placement of a request ended.
+/// The result of the placement of a request.
 pub(super) enum Placement {
-    /// A host serves it.
+    /// A host serves the request.
     Established(EstablishedHost),
-    /// The client gets this final answer.
+    /// The client receives a final answer.
     FinalAnswer {
-        /// Why.
+        /// The reason in the log.
         reason: TerminationReason,
-        /// The line to the client.
+        /// The line to the client, with its line ending.
         line: Vec<u8>,
     },
-    /// Nobody waits for it any more.
+    /// The client has disconnected.
     ClientDisconnected,
 }
 
@@ -53,8 +55,9 @@
         Placement::final_answer(TerminationReason::NodeAtCapacity, "BUSY")
     }
 
-    /// A client that sent what no host may be sent is still there, and is owed an answer.
-    fn on_client_read_error(error: ReadError) -> Self {
+    /// Returns the result after a read error of the client. A client that sent a line that is too long is
+    /// still connected and receives an answer.
+    fn after_client_error(error: ReadError) -> Self {
         match error {
             ReadError::LineTooLong(_) => Placement::final_answer(TerminationReason::ClientLineTooLong, "ERR"),
             _ => Placement::ClientDisconnected,
@@ -63,11 +66,12 @@
 }
 
 impl Session<'_> {
-    /// Places the request as the policy decides.
+    /// Places the request on a host that the policy chooses.
     pub(super) async fn place(&mut self, client: &mut LineStream, deadline: Instant) -> Placement {
         let node = self.node.clone();
-        // The host's connection needs a descriptor too. Clients that take all there are and stay must leave some: with only
-        // one left for those who come, a crowd that sends nothing would have that one by turns.
+        // The connection to the host needs a descriptor, too. Clients that stay must not take the last ones:
+        // with only one left for new connections, a crowd of clients that send nothing would occupy it in
+        // turn.
         let Some(descriptor) = node.clients.acquire_descriptor(node.clients.pending.capacity()) else {
             return Placement::at_capacity();
         };
@@ -91,7 +95,7 @@
                 }
                 AttemptOutcome::ClientEnded(error) => {
                     node.decisions.with_balancer(|balancer, now| balancer.on_client_disconnected(now, id));
-                    return Placement::on_client_read_error(error);
+                    return Placement::after_client_error(error);
                 }
                 AttemptOutcome::Failed(outcome) => {
                     self.log_failed_attempt(server, outcome, began);
@@ -103,7 +107,7 @@
         }
     }
 
-    /// Makes one attempt at a host; it fails where the host is listed no more.
+    /// Makes one attempt at a host; fails if the host is no longer listed.
     async fn attempt_at(
         &mut self,
         client: &mut LineStream,
@@ -120,7 +124,7 @@
 
     fn report_established(&mut self, id: RequestId, server: ServerId, began: Instant) {
         let latency = began.elapsed();
-        self.up_ms = latency.as_millis();
+        self.setup_ms = latency.as_millis();
         let decisions = &self.node.decisions;
         decisions.with_balancer(|balancer, now| balancer.on_established(now, id, micros(latency)));
         decisions.on_request_accepted(server, began);
@@ -131,8 +135,8 @@
         debug!(id = %self.id(), %host, ?outcome, ms, "attempt failed");
     }
 
-    /// Returns a connection to the host where it was open before this node's start, whatever the list says of that host by
-    /// now.
+    /// Resumes a connection at the host to which it was open before this node's start, whatever the current
+    /// state of that host in the list.
     pub(super) async fn resume_at(
         &mut self,
         client: &mut LineStream,
@@ -152,9 +156,9 @@
                     let host = EstablishedHost { id, server, name, stream, _descriptor: descriptor };
                     return Placement::Established(host);
                 }
-                AttemptOutcome::ClientEnded(error) => return Placement::on_client_read_error(error),
+                AttemptOutcome::ClientEnded(error) => return Placement::after_client_error(error),
                 AttemptOutcome::Failed(outcome) if outcome.may_have_executed() => return Placement::failed(),
-                // What never ran may be retried: the host may still be starting.
+                // A request that has not run may be retried: the host may still be starting.
                 AttemptOutcome::Failed(_) => {
                     if let Err(placement) = self.wait_to_retry(client, deadline).await {
                         return placement;
@@ -168,7 +172,8 @@
     ///
     /// # Errors
     ///
-    /// How the placement ends where there is none.
+    /// Returns the result of the placement if the time does not suffice for a retry, or if the wait is
+    /// aborted.
     async fn wait_to_retry(&self, client: &mut LineStream, deadline: Instant) -> Result<(), Placement> {
         let next = Instant::now() + RESUME_RETRY_INTERVAL;
         if next >= deadline {
@@ -176,7 +181,7 @@
         }
         match self.run_unless_aborted(client, sleep_until(next)).await {
             Ok(()) => Ok(()),
-            Err(AbortCause::Client(error)) => Err(Placement::on_client_read_error(error)),
+            Err(AbortCause::Client(error)) => Err(Placement::after_client_error(error)),
             Err(AbortCause::PendingCutoff) => Err(Placement::failed()),
         }
     }
--- a/crates/alderstile-node/src/proxy/termination_reason.rs
+++ b/crates/alderstile-node/src/proxy/termination_reason.rs
@@ -1,6 +1,6 @@
-//! Why a connection ended, and the codes of these reasons in the log.
+//! The reasons for which connections end, and their codes in the log.
 //!
-//! The codes are what alerts are written against, and keep their words.
+//! Alerts of operators match the codes, which therefore never change.
 
 use std::fmt;
 
@@ -13,10 +13,10 @@
         }
 
         impl TerminationReason {
-            /// All reasons, for the on-call page to be checked against.
+            /// All reasons. A test checks that the on-call page explains each of them.
             pub const ALL: &[TerminationReason] = &[$(TerminationReason::$name,)*];
 
-            /// The code as logged.
+            /// Returns the code in the log.
             pub fn code(self) -> &'static str {
                 match self {
                     $(TerminationReason::$name => $code,)*
@@ -27,51 +27,51 @@
 }
 
 reasons! {
-    /// The host sent `BYE`: the connection was served to its end.
+    /// The host sent `BYE`: the connection was completed.
     Completed = "served",
     /// The client closed its connection.
     ClientClosed = "client-left",
-    /// The client's connection broke.
+    /// The client's connection failed.
     ClientReset = "client-reset",
     /// The client closed its connection while it waited for a host.
     ClientCancelled = "client-gave-up",
-    /// The client sent no first line in time.
+    /// The client sent no complete first line within the timeout.
     ClientSilent = "client-silent",
-    /// The client's first line is none of the protocol's.
+    /// The client's first line is malformed.
     ClientMalformed = "client-malformed",
-    /// The client names a class that the settings do not have.
+    /// The client named a class that the settings do not contain.
     ClientUnknownClass = "client-unknown-class",
-    /// The client's id is that of a request that is open or ended recently.
+    /// The client used the id of a request that is open or ended recently.
     ClientDuplicateId = "client-duplicate-id",
-    /// The client had sent no complete first line when its slot was needed for another.
+    /// The client had sent no complete first line when its slot was needed for another client.
     ClientEvicted = "client-shown-out",
-    /// The client's line is longer than a line may be.
+    /// The client sent a line that exceeds the maximum length.
     ClientLineTooLong = "client-overlong",
-    /// The client does not receive what is sent to it.
+    /// The client did not read the lines sent to it.
     ClientStalled = "client-stuck",
     /// The policy migrated the client.
     Migrated = "moved",
     /// The host migrated the client.
     HostMigrated = "host-moved",
-    /// The host closed its connection without a parting line.
+    /// The host closed its connection without a final `BYE` or `MOVE`.
     HostClosed = "host-ended",
-    /// The host's connection broke.
+    /// The host's connection failed.
     HostReset = "host-reset",
-    /// The host's line is longer than a line may be.
+    /// The host sent a line that exceeds the maximum length.
     HostLineTooLong = "host-overlong",
-    /// The client's lines were answered by nothing; it was migrated.
+    /// The host did not answer the client's lines within the timeout; the client was migrated.
     HostSilent = "host-silent",
-    /// The request was rejected: the client may retry.
+    /// The request was rejected; the client may retry.
     Rejected = "refused",
-    /// The request was rejected: the node has no descriptor left.
+    /// The request was rejected because the node has no descriptor available.
     NodeAtCapacity = "node-full",
-    /// The request failed: it may have run.
+    /// The request failed; it may have run.
     Failed = "failed",
-    /// A health check of the front was answered.
+    /// The connection carried only health checks of the front.
     HealthChecked = "pinged",
-    /// The connection was handed over to the successor, and continues there.
+    /// The connection was handed over to the successor, which continues it.
     HandedOver = "handed-over",
-    /// The node shuts down; the client was migrated.
+    /// The node is shutting down; the client was migrated.
     ShuttingDown = "node-leaving",
 }
 
