--- a/crates/alderstile-node/tests/admission.rs
+++ b/crates/alderstile-node/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of clients: bad input, repeated ids, floods, silent connections and the limit of descriptors.
+//! Admission of clients: malformed input, repeated ids, floods, silent connections and the descriptor limit.
 
 use std::time::Duration;
 
@@ -8,35 +8,37 @@
 mod support;
 use support::*;
 
-/// What must not come is looked for this long: a slow machine can only make such a check miss a fault.
-const MOMENT: Duration = Duration::from_millis(150);
+/// How long a test waits for an event that must not happen. A slow machine can only make such a check miss a
+/// fault.
+const ABSENCE_WINDOW: Duration = Duration::from_millis(150);
 
 #[test]
-fn bad_input_ends_its_own_connection_and_no_other() {
+fn malformed_input_closes_only_its_own_connection() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, mut watch) = start_ready_node(&[&host]).await;
         let (mut client, mut server) = setup.establish(1, &host).await;
-        for rubbish in
+        for malformed in
             ["GET / HTTP/1.1\r\n", "\r\n", "OPEN\r\n", "OPEN a b c=chat,d=x\r\n", "\u{0}\u{7f}\r\n"]
         {
             let mut bad = setup.connect().await;
-            bad.send(rubbish).await;
-            assert_eq!(bad.read_line().await.as_deref(), Some("ERR"), "{rubbish:?}");
+            bad.send(malformed).await;
+            assert_eq!(bad.read_line().await.as_deref(), Some("ERR"), "{malformed:?}");
         }
         let mut long = setup.connect().await;
         long.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
         assert_eq!(long.read_line().await.as_deref(), Some("ERR"));
         assert_eq!(long.read_line().await, None);
-        // A client that is up, and one that waits, with a line that never ends.
+        // Lines without an end, from the client of an established connection and then from the host of
+        // another.
         let (mut up, _server) = setup.establish(2, &host).await;
         up.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
         assert_eq!(up.read_line().await, None);
-        let (mut up, mut mad) = setup.establish(3, &host).await;
-        mad.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
+        let (mut up, mut faulty_server) = setup.establish(3, &host).await;
+        faulty_server.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
         assert_eq!(up.read_line().await, None);
         send_chunk(&mut watch, "{\"seq\":\"none\"}\n").await;
-        assert_eq!(watch.read_line().await, None, "that watch is given up");
+        assert_eq!(watch.read_line().await, None, "the watch is closed");
         let (_, _call) = setup.discovery.accept_call().await;
         client.send("M 1\r\n").await;
         assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
@@ -46,7 +48,7 @@
 }
 
 #[test]
-fn what_no_host_would_take_is_answered_and_never_reaches_one() {
+fn request_that_every_host_would_reject_is_answered_without_an_attempt() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -63,7 +65,7 @@
             "OPEN 000000000000000a 0a c=chat,d=99999999999999999999999",
             "OPEN 0a c=chat,d=20000",
             "OPEN  0a c=chat,d=20000",
-            // This one is open: two connections of one id are no two requests.
+            // The id of an open request: two connections with one id are not two requests.
             "OPEN 0000000000000001 0a c=chat,d=20000",
         ] {
             let mut client = setup.connect().await;
@@ -71,37 +73,41 @@
             assert_eq!(client.read_line().await.as_deref(), Some("ERR"), "{bad}");
             assert_eq!(client.read_line().await, None);
         }
-        assert!(timeout(MOMENT, host.accept()).await.is_err(), "a host was asked");
+        assert!(timeout(ABSENCE_WINDOW, host.accept()).await.is_err(), "an attempt was made");
         client.send("M 1\r\n").await;
-        assert_eq!(server.read_line().await.as_deref(), Some("M 1"), "whose id it is stays open");
+        assert_eq!(
+            server.read_line().await.as_deref(),
+            Some("M 1"),
+            "the request that owns the id stays open"
+        );
         drop(client);
         assert_eq!(server.read_line().await, None);
     });
 }
 
 #[test]
-fn an_id_that_is_not_new_is_put_to_no_host_again() {
+fn repeated_request_id_is_rejected_without_an_attempt() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-        // It is open at another node: each host that is tried says so.
+        // The request is open at another node: each host that is tried rejects it as a duplicate.
         let mut client = setup.send_request(7, "d=20000").await;
-        let turn_away = async |host: &StubHost| loop {
+        let reject_attempts = async |host: &StubHost| loop {
             let mut server = host.accept().await;
             server.read_line().await.expect("the first line");
             server.send("ERR\r\n").await;
         };
         let answer = tokio::select! {
             answer = client.read_line() => answer.expect("an answer"),
-            () = turn_away(&hosts[0]) => unreachable!("it goes on"),
-            () = turn_away(&hosts[1]) => unreachable!("it goes on"),
+            () = reject_attempts(&hosts[0]) => unreachable!("it goes on"),
+            () = reject_attempts(&hosts[1]) => unreachable!("it goes on"),
         };
         assert!(answer.starts_with("BUSY"), "{answer}");
         assert_eq!(client.read_line().await, None);
         drop(client);
         let mut again = setup.send_request(7, "d=20000").await;
         assert_eq!(again.read_line().await.as_deref(), Some("ERR"));
-        // What is remembered is bounded: the oldest ids are forgotten.
+        // The number of remembered ids is bounded: the oldest are forgotten.
         for id in 0..2_000_u64 {
             assert!(setup.node.clients.claim_request_id(&id.to_le_bytes()).is_some());
         }
@@ -110,7 +116,7 @@
 }
 
 #[test]
-fn the_answer_to_a_flood_arrives() {
+fn client_that_floods_its_first_line_receives_its_answer() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -118,7 +124,7 @@
             let mut flood = setup.connect().await;
             flood.0.get_mut().write_all(&vec![b'x'; size]).await.unwrap_or_default();
             assert_eq!(flood.read_line().await.as_deref(), Some("ERR"), "{size} bytes");
-            // Closing with bytes unread would reset, and a reset can destroy the answer.
+            // Closing a socket with unread bytes would send a reset, which can destroy the answer.
             assert!(!flood.is_reset().await, "{size} bytes");
         }
         let mut endless = setup.connect().await;
@@ -128,7 +134,7 @@
 }
 
 #[test]
-fn hundreds_that_say_nothing_keep_no_client_out() {
+fn hundreds_of_silent_connections_do_not_block_new_clients() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -139,34 +145,38 @@
                 open.push(setup.establish(id, &host).await);
             }
         }
-        // The oldest made way; the last still has its time.
+        // The oldest was evicted; the last one is still within its timeout.
         assert_eq!(silent[0].read_line().await, None);
-        assert!(timeout(MOMENT, silent[199].read_line()).await.is_err(), "the last is still there");
+        assert!(
+            timeout(ABSENCE_WINDOW, silent[199].read_line()).await.is_err(),
+            "the last one stays connected"
+        );
     });
 }
 
 #[test]
-fn a_client_that_says_nothing_is_closed_long_before_a_silent_host_is_given_up() {
+fn silent_client_is_closed_before_the_host_silence_timeout() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
         let mut silent = setup.connect().await;
-        let mut half = setup.connect().await;
-        half.send("OPEN 00").await;
+        let mut partial = setup.connect().await;
+        partial.send("OPEN 00").await;
         let (mut client, _server) = setup.establish(1, &host).await;
         client.send("M 1\r\n").await;
-        // Both wait by the same clock: which comes first does not hang on the machine.
+        // Both timeouts run on the same clock, so that their order does not depend on the speed of the
+        // machine.
         tokio::select! {
-            _ = client.read_line() => panic!("moved before the silent were closed"),
-            (silent, half) = async { (silent.read_line().await, half.read_line().await) } => {
-                assert_eq!((silent, half), (None, None));
+            _ = client.read_line() => panic!("client migrated before the silent clients were closed"),
+            (silent, partial) = async { (silent.read_line().await, partial.read_line().await) } => {
+                assert_eq!((silent, partial), (None, None));
             }
         }
     });
 }
 
 #[test]
-fn at_the_limit_of_descriptors_clients_are_refused_at_once() {
+fn clients_are_rejected_at_once_at_the_descriptor_limit() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) =
@@ -186,9 +196,9 @@
         };
         assert_eq!(answer.as_deref(), Some("BUSY"));
         assert!(open.len() >= 2);
-        // There is room again when one has gone.
+        // A descriptor is available again after one client has left.
         open.pop();
-        // One is held for the client that comes next.
+        // One descriptor is held for the next client.
         while setup.node.clients.connection_descriptors() > 2 * open.len() + 1 {
             sleep(Duration::from_millis(5)).await;
         }
@@ -197,16 +207,16 @@
 }
 
 #[test]
-fn a_guest_whose_line_has_come_is_not_shown_out() {
+fn evicted_client_whose_line_has_arrived_is_served() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
         let mut client = std::net::TcpStream::connect(setup.address).expect("connected");
         sleep(Duration::from_millis(50)).await;
-        // Its place is needed in the moment in which its line comes: the runtime has not looked for that yet.
+        // The client is evicted when its line has arrived and the runtime has not polled for it yet.
         std::io::Write::write_all(&mut client, b"OPEN 7 7 c=chat,d=20000\r\n").expect("sent");
         setup.node.clients.pending.evict_oldest();
-        let mut server = timeout(Duration::from_secs(5), host.accept()).await.expect("it is served");
+        let mut server = timeout(Duration::from_secs(5), host.accept()).await.expect("served");
         assert!(server.read_line().await.is_some_and(|line| line.starts_with("OPEN 7 7 ")));
     });
 }
--- a/crates/alderstile-node/tests/attempts.rs
+++ b/crates/alderstile-node/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts at hosts: which failures are retried elsewhere, and what never goes out.
+//! Attempts at hosts: which failures are retried at another host, and which requests are never sent.
 
 use std::time::Duration;
 
@@ -8,19 +8,20 @@
 mod support;
 use support::*;
 
-/// What must not come is looked for this long: a slow machine can only make such a check miss a fault.
-const MOMENT: Duration = Duration::from_millis(150);
+/// How long a test waits for an event that must not happen. A slow machine can only make such a check miss a
+/// fault.
+const ABSENCE_WINDOW: Duration = Duration::from_millis(150);
 
 #[test]
-fn an_attempt_that_fails_is_followed_by_one_at_another_host_and_never_by_two() {
+fn failed_attempt_is_followed_by_exactly_one_at_another_host() {
     run(async {
         for answer in ["ERR\r\n", "BUSY\r\n", "nonsense\r\n", "", "MOVE\r\n"] {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
             let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
             let mut client = setup.send_request(1, "d=20000").await;
             let (mut server, other) = accept_attempt(&hosts).await;
-            let both = timeout(MOMENT, hosts[other].accept()).await;
-            assert!(both.is_err(), "two attempts are out");
+            let second_attempt = timeout(ABSENCE_WINDOW, hosts[other].accept()).await;
+            assert!(second_attempt.is_err(), "two attempts at the same time");
             server.send(answer).await;
             drop(server);
             let mut server = hosts[other].accept().await;
@@ -32,11 +33,11 @@
 }
 
 #[test]
-fn a_host_that_refuses_connections_costs_the_client_nothing() {
+fn requests_succeed_while_one_host_refuses_connections() {
     run(async {
-        let (gone, host) = (StubHost::new("s-1").await, StubHost::new("s-2").await);
-        let (setup, _watch) = start_ready_node(&[&gone, &host]).await;
-        drop(gone.listener);
+        let (refusing, host) = (StubHost::new("s-1").await, StubHost::new("s-2").await);
+        let (setup, _watch) = start_ready_node(&[&refusing, &host]).await;
+        drop(refusing.listener);
         let mut open = Vec::new();
         for id in 1..=4 {
             open.push(setup.establish(id, &host).await);
@@ -45,7 +46,7 @@
 }
 
 #[test]
-fn a_request_given_up_on_is_answered_and_a_late_up_reaches_nobody() {
+fn expired_request_is_answered_and_a_late_up_is_dropped() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -54,7 +55,7 @@
         server.read_line().await.expect("the first line");
         let answer = client.read_line().await.expect("an answer");
         assert!(answer.starts_with("BUSY"), "{answer}");
-        // The host sees the end of the attempt; what it says now goes nowhere.
+        // The attempt is closed at the host; its late response is dropped.
         assert_eq!(server.read_line().await, None);
         server.0.get_mut().write_all(b"UP 00ff\r\n").await.unwrap_or_default();
         assert_eq!(client.read_line().await, None);
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_takes_its_attempt_or_connection_along() {
+fn client_disconnect_closes_its_attempt_or_connection() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn a_connection_from_before_the_run_goes_back_to_its_host() {
+fn connection_open_before_the_start_resumes_at_its_host() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
@@ -90,13 +91,13 @@
             assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
             std::mem::forget((client, server));
         }
-        // They are in the record: new ones go to the other.
+        // The policy has recorded these connections, so a new one is placed on the other host.
         setup.establish(10, &hosts[0]).await;
     });
 }
 
 #[test]
-fn nothing_new_goes_to_a_host_that_drains_or_is_gone() {
+fn draining_or_removed_host_receives_no_new_requests() {
     run(async {
         for health in ["draining", "removed"] {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
@@ -112,7 +113,7 @@
             for id in 10..16 {
                 open.push(setup.establish(id, &hosts[1]).await);
             }
-            // What is open stays open.
+            // The established connection stays open.
             client.send("M 1\r\n").await;
             assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
         }
--- a/crates/alderstile-node/tests/crossings.rs
+++ b/crates/alderstile-node/tests/crossings.rs
@@ -1,5 +1,6 @@
-//! Races: between each two steps of the node an event comes in exactly there, forced by what the stand-ins do.
-//! `docs/crossings.md` lists them all.
+//! Race conditions: the stubs force an event to occur exactly between two given steps of the node.
+//!
+//! `docs/crossings.md` lists all pairs of steps.
 
 use std::io::Write;
 use std::pin::Pin;
@@ -15,57 +16,63 @@
 mod support;
 use support::*;
 
-/// What must not come is looked for this long: a slow machine can only make such a check miss a fault.
-const MOMENT: Duration = Duration::from_millis(150);
-/// A connection that is held comes up when the system knocks again: after a second.
-const KNOCK: Duration = Duration::from_millis(1_500);
+/// How long a test waits for an event that must not happen. A slow machine can only make such a check miss a
+/// fault.
+const ABSENCE_WINDOW: Duration = Duration::from_millis(150);
+/// Exceeds the time after which a connection to a full accept queue is established: the system retransmits
+/// the SYN after one second.
+const SYN_RETRY_WINDOW: Duration = Duration::from_millis(1_500);
 
-/// Connections to hosts may take longer than any of these tests.
-fn patient(value: &mut Value) {
+/// Sets a connect timeout that exceeds the duration of these tests.
+fn set_long_connect_timeout(value: &mut Value) {
     value["settings"]["allowed"]["connect_timeout"] = json!(20_000_000);
 }
 
-fn with(entry: Value, key: &str, value: Value) -> Value {
+fn with_field(entry: Value, key: &str, value: Value) -> Value {
     let mut entry = entry;
     entry[key] = value;
     entry
 }
 
-/// Lets several tries of one test go on at once.
-async fn all(tries: Vec<Pin<Box<dyn Future<Output = ()>>>>) {
-    let tries: Vec<_> = tries.into_iter().map(spawn_local).collect();
-    for tried in tries {
-        tried.await.expect("as it should be");
+/// Runs several cases of one test concurrently.
+async fn run_concurrently(cases: Vec<Pin<Box<dyn Future<Output = ()>>>>) {
+    let cases: Vec<_> = cases.into_iter().map(spawn_local).collect();
+    for case in cases {
+        case.await.expect("the case passes");
     }
 }
 
-// ---- while a connection to the host comes up ----
+// ---- while a connection to a host is being established ----
 
-/// Something comes about a host while the connection to it comes up. Its line must not go there any more, but to the other.
-async fn overtaken(what: &str, news: impl AsyncFnOnce(&Setup, &mut LineConnection, &StubHost)) {
-    let (held, other) = (StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await);
-    let (setup, mut watch) = start_ready_node_with(&[&held], patient).await;
+/// Applies a change to a host while the connection to it is being established. The request must be sent to
+/// the other host instead.
+async fn assert_redirected_after(
+    change: &str,
+    apply_change: impl AsyncFnOnce(&Setup, &mut LineConnection, &StubHost),
+) {
+    let (blocked_host, other) = (StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await);
+    let (setup, mut watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
     let mut client = setup.send_request(1, "d=20000").await;
     setup.wait_until_in_flight().await;
     send_chunk(&mut watch, &list_line(2, false, &[other.list_entry("up")])).await;
     setup.wait_until_listed("s-2").await;
-    news(&setup, &mut watch, &held).await;
-    held.free_queue().await;
-    let mut late = held.accept().await;
+    apply_change(&setup, &mut watch, &blocked_host).await;
+    blocked_host.free_queue().await;
+    let mut late_connection = blocked_host.accept().await;
     tokio::select! {
         biased;
-        line = late.read_line() => assert_eq!(line, None, "{what}: sent all the same"),
-        // The node has the other asked only after it has let go of this one.
-        _ = other.accept() => panic!("{what}: two attempts are out"),
+        line = late_connection.read_line() => assert_eq!(line, None, "{change}: request sent nevertheless"),
+        // The node attempts the other host only after it has closed this attempt.
+        _ = other.accept() => panic!("{change}: two attempts at the same time"),
     }
     let mut server = other.accept().await;
     server.read_line().await.expect("the first line");
     server.send("UP 02\r\n").await;
-    assert_eq!(client.read_line().await.as_deref(), Some("UP 02"), "{what}");
+    assert_eq!(client.read_line().await.as_deref(), Some("UP 02"), "{change}");
 }
 
-/// The watch tells this, and the node has taken it in.
-async fn told(setup: &Setup, watch: &mut LineConnection, entry: Value) {
+/// Sends a list entry on the watch, and waits until the node has applied it.
+async fn apply_entry(setup: &Setup, watch: &mut LineConnection, entry: Value) {
     send_chunk(
         watch,
         &list_line(3, false, &[entry, json!({"host": "s-3", "dial": "127.0.0.1:1", "health": "draining"})]),
@@ -75,40 +82,42 @@
 }
 
 #[test]
-fn a_line_is_not_sent_where_the_list_forbade_it_while_the_connection_came_up() {
-    // Found on a short day of deploy/sites/short-waits.toml (zone+brink, seed 319956990080): with a grace of 150 ms a
-    // connection that came up late had its line 0.23 s after the list had called the host draining.
-    run(all(vec![
-        Box::pin(overtaken("drains", async |setup, watch, host| {
-            told(setup, watch, host.list_entry("draining")).await;
+fn request_is_not_sent_to_a_host_that_changed_during_the_connect() {
+    // Found in a short simulation of deploy/sites/short-waits.toml (zone+brink, seed 319956990080): with a
+    // drain grace of 150 ms, a connection that was established late received its request 0.23 s after the
+    // host was listed as draining.
+    run(run_concurrently(vec![
+        Box::pin(assert_redirected_after("draining", async |setup, watch, host| {
+            apply_entry(setup, watch, host.list_entry("draining")).await;
         })),
-        Box::pin(overtaken("is gone", async |setup, watch, host| {
-            told(setup, watch, host.list_entry("removed")).await;
+        Box::pin(assert_redirected_after("removed", async |setup, watch, host| {
+            apply_entry(setup, watch, host.list_entry("removed")).await;
         })),
-        Box::pin(overtaken("has started anew and is cold", async |setup, watch, host| {
-            let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after it");
+        Box::pin(assert_redirected_after("restarted and cold", async |setup, watch, host| {
+            let now =
+                std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after the epoch");
             let born = json!(u64::try_from(now.as_millis()).expect("a time"));
-            told(setup, watch, with(host.list_entry("up"), "born_ms", born)).await;
+            apply_entry(setup, watch, with_field(host.list_entry("up"), "born_ms", born)).await;
         })),
-        Box::pin(overtaken("is reached elsewhere", async |setup, watch, host| {
-            told(setup, watch, with(host.list_entry("up"), "dial", json!("127.0.0.1:1"))).await;
+        Box::pin(assert_redirected_after("address changed", async |setup, watch, host| {
+            apply_entry(setup, watch, with_field(host.list_entry("up"), "dial", json!("127.0.0.1:1"))).await;
         })),
-        Box::pin(overtaken("is out by hand", async |setup, _, host| {
+        Box::pin(assert_redirected_after("taken out of service", async |setup, _, host| {
             assert!(setup.node.admin.set_host_online(&host.name, false).await.expect("done"));
         })),
     ]));
 }
 
 #[test]
-fn a_connection_from_before_the_run_goes_to_its_host_whatever_the_list_says_by_then() {
+fn resumed_connection_is_sent_to_its_host_even_if_that_drains_during_the_connect() {
     run(async {
-        let held = StubHost::with_full_queue("s-1").await;
-        let (setup, mut watch) = start_ready_node_with(&[&held], patient).await;
+        let blocked_host = StubHost::with_full_queue("s-1").await;
+        let (setup, mut watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
         let mut client = setup.send_request(1, "d=20000,at=s-1").await;
         setup.wait_until_in_flight().await;
-        told(&setup, &mut watch, held.list_entry("draining")).await;
-        held.free_queue().await;
-        let mut server = held.accept().await;
+        apply_entry(&setup, &mut watch, blocked_host.list_entry("draining")).await;
+        blocked_host.free_queue().await;
+        let mut server = blocked_host.accept().await;
         server.read_line().await.expect("the first line");
         server.send("UP 01\r\n").await;
         assert_eq!(client.read_line().await.as_deref(), Some("UP 01"));
@@ -116,28 +125,28 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_when_the_clients_time_is_over_is_not_used() {
+fn connection_established_after_the_clients_wait_is_not_used() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&host], patient).await;
+        let (setup, _watch) = start_ready_node_with(&[&host], set_long_connect_timeout).await;
         let mut client = setup.send_request(1, "d=300").await;
-        // The node has asked for the connection, which the system brings up. Nothing else runs on this thread until the
-        // client's time is over.
+        // The node has started to connect, and the system establishes the connection. Blocking the thread
+        // keeps the node from running until the client's wait has expired.
         setup.wait_until_in_flight().await;
         std::thread::sleep(Duration::from_millis(400));
         let mut server = host.accept().await;
-        assert_eq!(server.read_line().await, None, "sent after its time");
+        assert_eq!(server.read_line().await, None, "sent after the client's wait");
         assert!(client.read_line().await.expect("an answer").starts_with("BUSY"));
     });
 }
 
 #[test]
-fn a_fragile_request_goes_on_elsewhere_when_its_connection_breaks_before_the_line_is_out_and_not_after() {
+fn fragile_request_is_retried_if_its_connection_breaks_before_the_line_is_sent_but_not_after() {
     run(async {
-        for (answer, wanted) in [(false, "UP 02"), (true, "FAILED")] {
+        for (answer, expected) in [(false, "UP 02"), (true, "FAILED")] {
             let hosts = [StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await];
             let (setup, mut watch) = start_ready_node_with(&[&hosts[0]], |value| {
-                patient(value);
+                set_long_connect_timeout(value);
                 value["settings"]["classes"][0]["semantics"] = json!("fragile");
             })
             .await;
@@ -151,7 +160,7 @@
                 server.read_line().await.expect("the first line");
                 server.reset();
             } else {
-                // Nothing else runs on this thread: what the node writes once it does meets a reset.
+                // Blocking the thread keeps the node from running: its first write then meets a reset.
                 let server = loop {
                     match rustix::net::accept(&hosts[0].listener) {
                         Ok(server) => break server,
@@ -164,46 +173,51 @@
                 server.read_line().await.expect("the first line");
                 server.send("UP 02\r\n").await;
             }
-            assert_eq!(client.read_line().await.as_deref(), Some(wanted));
+            assert_eq!(client.read_line().await.as_deref(), Some(expected));
         }
     });
 }
 
-// ---- the client's end ----
+// ---- when the client disconnects ----
 
-/// How a client goes.
+/// How a client disconnects.
 #[derive(Clone, Copy, Debug)]
-enum Leaves {
-    Ends,
+enum Disconnect {
+    Closes,
     Resets,
-    /// It says as much as a buffer holds and more, and goes.
-    SaysMuch,
-    /// It says much and breaks.
-    SaysMuchAndResets,
-    /// It ends its sending alone.
-    Half,
-}
-
-const LEAVES: [Leaves; 5] =
-    [Leaves::Ends, Leaves::Resets, Leaves::SaysMuch, Leaves::SaysMuchAndResets, Leaves::Half];
-
-/// More lines than the node holds of a client that waits.
-fn much() -> String {
+    /// The client sends more lines than the node buffers, and closes.
+    SendsManyLinesAndCloses,
+    /// The client sends more lines than the node buffers, and resets the connection.
+    SendsManyLinesAndResets,
+    /// The client shuts down its sending side only.
+    ClosesSendingSide,
+}
+
+const DISCONNECTS: [Disconnect; 5] = [
+    Disconnect::Closes,
+    Disconnect::Resets,
+    Disconnect::SendsManyLinesAndCloses,
+    Disconnect::SendsManyLinesAndResets,
+    Disconnect::ClosesSendingSide,
+];
+
+/// More lines than the node buffers for a waiting client.
+fn many_lines() -> String {
     (0..300).map(|number| format!("M {number} {}\r\n", "z".repeat(90))).collect()
 }
 
-/// Goes; what is returned is to be kept.
-async fn leave(mut client: LineConnection, how: Leaves) -> Option<LineConnection> {
-    if matches!(how, Leaves::SaysMuch | Leaves::SaysMuchAndResets) {
-        client.send(&much()).await;
+/// Disconnects a client; a returned connection must be kept open.
+async fn disconnect(mut client: LineConnection, how: Disconnect) -> Option<LineConnection> {
+    if matches!(how, Disconnect::SendsManyLinesAndCloses | Disconnect::SendsManyLinesAndResets) {
+        client.send(&many_lines()).await;
     }
     match how {
-        Leaves::Ends | Leaves::SaysMuch => None,
-        Leaves::Resets | Leaves::SaysMuchAndResets => {
+        Disconnect::Closes | Disconnect::SendsManyLinesAndCloses => None,
+        Disconnect::Resets | Disconnect::SendsManyLinesAndResets => {
             client.reset();
             None
         }
-        Leaves::Half => {
+        Disconnect::ClosesSendingSide => {
             client.0.get_mut().shutdown().await.expect("ended");
             Some(client)
         }
@@ -211,122 +225,130 @@
 }
 
 #[test]
-fn nothing_goes_to_a_host_for_a_client_that_left_while_the_connection_came_up() {
-    run(all(LEAVES
-        .into_iter()
-        .map(|how| -> Pin<Box<dyn Future<Output = ()>>> {
-            Box::pin(async move {
-                let host = StubHost::with_full_queue("s-1").await;
-                let (setup, _watch) = start_ready_node_with(&[&host], patient).await;
-                let client = setup.send_request(1, "d=20000").await;
-                setup.wait_until_in_flight().await;
-                let _kept = leave(client, how).await;
-                timeout(Duration::from_secs(5), setup.wait_until_idle()).await.expect("given up at once");
-                host.free_queue().await;
-                assert!(!host.receives_line_within(KNOCK).await, "{how:?}");
+fn request_is_not_sent_if_its_client_leaves_during_the_connect() {
+    run(run_concurrently(
+        DISCONNECTS
+            .into_iter()
+            .map(|how| -> Pin<Box<dyn Future<Output = ()>>> {
+                Box::pin(async move {
+                    let host = StubHost::with_full_queue("s-1").await;
+                    let (setup, _watch) = start_ready_node_with(&[&host], set_long_connect_timeout).await;
+                    let client = setup.send_request(1, "d=20000").await;
+                    setup.wait_until_in_flight().await;
+                    let _kept = disconnect(client, how).await;
+                    timeout(Duration::from_secs(5), setup.wait_until_idle()).await.expect("aborted at once");
+                    host.free_queue().await;
+                    assert!(!host.receives_line_within(SYN_RETRY_WINDOW).await, "{how:?}");
+                })
             })
-        })
-        .collect()));
+            .collect(),
+    ));
 }
 
 #[test]
-fn an_attempt_ends_with_its_client_however_that_left() {
+fn attempt_ends_when_its_client_leaves() {
     run(async {
-        for (id, how) in (1..).zip(LEAVES) {
+        for (id, how) in (1..).zip(DISCONNECTS) {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
             let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
             let client = setup.send_request(id, "d=20000").await;
             let (mut server, other) = accept_attempt(&hosts).await;
-            let _kept = leave(client, how).await;
+            let _kept = disconnect(client, how).await;
             let ended = timeout(Duration::from_secs(5), server.read_line()).await;
             assert_eq!(ended, Ok(None), "{how:?}");
-            assert!(!hosts[other].receives_line_within(MOMENT).await, "{how:?}");
+            assert!(!hosts[other].receives_line_within(ABSENCE_WINDOW).await, "{how:?}");
         }
     });
 }
 
 #[test]
-fn a_client_that_left_between_two_attempts_costs_no_second_one() {
+fn no_second_attempt_is_made_if_the_client_left_before_the_rejection() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-        // Again and again: which of two things that are there at once is looked at first must not be chance.
+        // Repeated, because the order in which two simultaneous events are processed must not be left to
+        // chance.
         for id in 0..20 {
             let client = setup.send_request(id, "d=20000").await;
             let (server, other) = accept_attempt(&hosts).await;
-            // The end and the answer come in one moment, in this order.
+            // The client's close and the host's response arrive at the same time, in this order.
             drop(client);
             server.0.get_ref().try_write(b"BUSY\r\n").expect("sent");
             setup.wait_until_idle().await;
             assert!(
                 timeout(Duration::from_millis(10), hosts[other].accept()).await.is_err(),
-                "a host is asked"
+                "a second attempt was made"
             );
         }
     });
 }
 
-/// An attempt that begins more than 0.1 s after its client left is a break. This long after, none may; the rest is for slow
-/// machines.
-const LEFT: Duration = Duration::from_millis(70);
+/// The time after a client's disconnect from which no attempt may start. An attempt more than 0.1 s after it
+/// violates the limit; the difference is a margin for slow machines.
+const DETECTION_WINDOW: Duration = Duration::from_millis(70);
 
 #[test]
-fn no_attempt_begins_a_moment_after_its_client_left() {
+fn no_attempt_starts_shortly_after_its_client_left() {
     run(async {
-        for (id, how) in (1..).zip(LEAVES) {
+        for (id, how) in (1..).zip(DISCONNECTS) {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
             let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
             let client = setup.send_request(id, "d=20000").await;
             let (server, other) = accept_attempt(&hosts).await;
-            let _kept = leave(client, how).await;
-            sleep(LEFT).await;
+            let _kept = disconnect(client, how).await;
+            sleep(DETECTION_WINDOW).await;
             server.0.get_ref().try_write(b"BUSY\r\n").unwrap_or_default();
-            assert!(timeout(MOMENT, hosts[other].accept()).await.is_err(), "{how:?}");
+            assert!(timeout(ABSENCE_WINDOW, hosts[other].accept()).await.is_err(), "{how:?}");
         }
     });
 }
 
 #[test]
-fn no_attempt_begins_a_moment_after_a_client_said_far_too_much_and_left() {
-    // Behind so much no end can be seen: how much there is has to be looked at often enough.
+fn no_attempt_starts_shortly_after_a_client_overfilled_its_receive_buffer_and_left() {
+    // The end of a connection cannot be detected behind a full receive buffer, so the node must check the
+    // number of unread bytes often enough.
     run(async {
         for id in 1..6 {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
             let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
             let mut client = setup.send_request(id, "d=20000").await;
             let (server, other) = accept_attempt(&hosts).await;
-            // The node holds no more than some of this, and has looked at how much there is.
+            // The node buffers only a part of this, and has checked the number of unread bytes.
             client.send(&"M 1\r\n".repeat(2_000)).await;
             sleep(Duration::from_millis(10)).await;
-            // As much as both systems take: its end lies behind that.
-            while client.0.get_ref().try_write(much().as_bytes()).is_ok() {}
+            // Fills the socket buffers of both sides, so that the close is queued behind them.
+            while client.0.get_ref().try_write(many_lines().as_bytes()).is_ok() {}
             drop(client);
-            sleep(LEFT).await;
+            sleep(DETECTION_WINDOW).await;
             server.0.get_ref().try_write(b"BUSY\r\n").unwrap_or_default();
-            assert!(timeout(MOMENT, hosts[other].accept()).await.is_err(), "asked all the same");
+            assert!(
+                timeout(ABSENCE_WINDOW, hosts[other].accept()).await.is_err(),
+                "attempt made after the disconnect"
+            );
         }
     });
 }
 
 #[test]
-fn no_attempt_begins_for_a_client_that_left_while_the_node_itself_was_held_up() {
-    // Its core was taken from it: the client's end and the host's refusal have both lain there for long.
+fn no_attempt_starts_for_a_client_that_left_while_the_node_was_stalled() {
+    // The node did not get CPU time: both the client's close and the host's rejection were queued long before
+    // it runs.
     run(async {
         for round in 0..4 {
-            for (id, how) in (1..).zip(LEAVES) {
+            for (id, how) in (1..).zip(DISCONNECTS) {
                 let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
                 let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
                 let client = setup.send_request(id, "d=20000").await;
                 let (server, other) = accept_attempt(&hosts).await;
                 let stream = client.0.get_ref();
                 let mut kept = None;
-                if matches!(how, Leaves::SaysMuch | Leaves::SaysMuchAndResets) {
-                    stream.try_write(much().as_bytes()).expect("the system takes it");
+                if matches!(how, Disconnect::SendsManyLinesAndCloses | Disconnect::SendsManyLinesAndResets) {
+                    stream.try_write(many_lines().as_bytes()).expect("space in the socket buffer");
                 }
                 match how {
-                    Leaves::Ends | Leaves::SaysMuch => drop(client),
-                    Leaves::Resets | Leaves::SaysMuchAndResets => client.reset(),
-                    Leaves::Half => {
+                    Disconnect::Closes | Disconnect::SendsManyLinesAndCloses => drop(client),
+                    Disconnect::Resets | Disconnect::SendsManyLinesAndResets => client.reset(),
+                    Disconnect::ClosesSendingSide => {
                         rustix::net::shutdown(stream, rustix::net::Shutdown::Write).expect("ended");
                         kept = Some(client);
                     }
@@ -345,38 +367,40 @@
 }
 
 #[test]
-fn nothing_goes_to_a_host_for_a_client_that_left_before_it_was_taken_in() {
+fn request_is_not_sent_for_a_client_that_left_before_it_was_accepted() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
-        for (id, how) in (1..).zip(LEAVES) {
-            // Nothing else runs on this thread until it has gone.
-            let mut client = std::net::TcpStream::connect(setup.address).expect("the system takes it in");
-            let much =
-                matches!(how, Leaves::SaysMuch | Leaves::SaysMuchAndResets).then(much).unwrap_or_default();
-            // In one piece, or the system keeps the last of it back until the first is acknowledged.
-            let said = format!("OPEN {id:016x} {id:016x} c=chat,d=20000\r\n{much}");
-            client.write_all(said.as_bytes()).expect("sent");
+        for (id, how) in (1..).zip(DISCONNECTS) {
+            // The node does not run until the client has left, as both share this thread.
+            let mut client = std::net::TcpStream::connect(setup.address).expect("queued by the system");
+            let many_lines =
+                matches!(how, Disconnect::SendsManyLinesAndCloses | Disconnect::SendsManyLinesAndResets)
+                    .then(many_lines)
+                    .unwrap_or_default();
+            // Sent with one write, or the system would delay the last part until the first is acknowledged.
+            let sent = format!("OPEN {id:016x} {id:016x} c=chat,d=20000\r\n{many_lines}");
+            client.write_all(sent.as_bytes()).expect("sent");
             let kept = match how {
-                Leaves::Ends | Leaves::SaysMuch => {
+                Disconnect::Closes | Disconnect::SendsManyLinesAndCloses => {
                     drop(client);
                     None
                 }
-                Leaves::Resets | Leaves::SaysMuchAndResets => {
+                Disconnect::Resets | Disconnect::SendsManyLinesAndResets => {
                     rustix::net::sockopt::set_socket_linger(&client, Some(Duration::ZERO)).expect("set");
                     drop(client);
                     None
                 }
-                Leaves::Half => {
+                Disconnect::ClosesSendingSide => {
                     client.shutdown(std::net::Shutdown::Write).expect("ended");
                     Some(client)
                 }
             };
-            if matches!(how, Leaves::Ends | Leaves::Half) {
-                // The end lies right behind the line: no host is even connected to.
-                assert!(timeout(MOMENT, host.accept()).await.is_err(), "{how:?}");
+            if matches!(how, Disconnect::Closes | Disconnect::ClosesSendingSide) {
+                // The close follows directly after the line, so the node does not even connect to a host.
+                assert!(timeout(ABSENCE_WINDOW, host.accept()).await.is_err(), "{how:?}");
             }
-            assert!(!host.receives_line_within(MOMENT).await, "{how:?}");
+            assert!(!host.receives_line_within(ABSENCE_WINDOW).await, "{how:?}");
             drop(kept);
             setup.wait_until_idle().await;
         }
@@ -385,27 +409,29 @@
 }
 
 #[test]
-fn a_client_that_leaves_while_its_old_host_is_to_be_tried_again_is_sent_nowhere() {
-    run(all((0..8)
-        .map(|_| -> Pin<Box<dyn Future<Output = ()>>> {
-            Box::pin(async {
-                let host = StubHost::new("s-1").await;
-                let (setup, _watch) = start_ready_node(&[&host]).await;
-                let client = setup.send_request(1, "d=20000,at=s-1").await;
-                let mut server = host.accept().await;
-                server.read_line().await.expect("the first line");
-                server.send("BUSY\r\n").await;
-                // The node has ended that attempt: it waits now.
-                assert_eq!(server.read_line().await, None);
-                drop(client);
-                assert!(timeout(Duration::from_millis(600), host.accept()).await.is_err(), "tried again");
+fn resumed_connection_is_not_retried_after_its_client_left() {
+    run(run_concurrently(
+        (0..8)
+            .map(|_| -> Pin<Box<dyn Future<Output = ()>>> {
+                Box::pin(async {
+                    let host = StubHost::new("s-1").await;
+                    let (setup, _watch) = start_ready_node(&[&host]).await;
+                    let client = setup.send_request(1, "d=20000,at=s-1").await;
+                    let mut server = host.accept().await;
+                    server.read_line().await.expect("the first line");
+                    server.send("BUSY\r\n").await;
+                    // The node has closed the attempt and waits for the retry.
+                    assert_eq!(server.read_line().await, None);
+                    drop(client);
+                    assert!(timeout(Duration::from_millis(600), host.accept()).await.is_err(), "retried");
+                })
             })
-        })
-        .collect()));
+            .collect(),
+    ));
 }
 
 #[test]
-fn a_client_that_stays_is_tried_again_at_its_old_host() {
+fn resumed_connection_is_retried_at_its_host() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -423,43 +449,43 @@
 }
 
 #[test]
-fn a_client_that_says_much_while_it_waits_and_stays_is_served_all_of_it() {
+fn lines_sent_while_waiting_are_all_forwarded() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
         let mut client = setup.send_request(1, "d=20000").await;
-        client.send(&much()).await;
+        client.send(&many_lines()).await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
-        // Nothing more is taken from it meanwhile.
-        assert!(timeout(MOMENT, server.read_line()).await.is_err());
+        // Nothing is forwarded before `UP`.
+        assert!(timeout(ABSENCE_WINDOW, server.read_line()).await.is_err());
         server.send("UP 01\r\n").await;
         assert_eq!(client.read_line().await.as_deref(), Some("UP 01"));
-        for line in much().lines() {
+        for line in many_lines().lines() {
             assert_eq!(server.read_line().await.as_deref(), Some(line));
         }
     });
 }
 
 #[test]
-fn a_client_that_says_far_too_much_while_it_waits_is_answered_and_costs_no_attempt() {
-    // With the system's buffer full no end of it could reach the node.
+fn waiting_client_that_overfills_its_receive_buffer_is_answered_without_an_attempt() {
+    // The end of the connection could not be detected behind a full receive buffer.
     run(async {
-        let held = StubHost::with_full_queue("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&held], patient).await;
+        let blocked_host = StubHost::with_full_queue("s-1").await;
+        let (setup, _watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
         let mut client = setup.send_request(1, "d=20000").await;
         setup.wait_until_in_flight().await;
-        client.0.get_mut().write_all(much().repeat(3).as_bytes()).await.expect("sent");
+        client.0.get_mut().write_all(many_lines().repeat(3).as_bytes()).await.expect("sent");
         assert_eq!(client.read_line().await.as_deref(), Some("ERR"));
         setup.wait_until_idle().await;
-        held.free_queue().await;
-        assert!(!held.receives_line_within(KNOCK).await);
+        blocked_host.free_queue().await;
+        assert!(!blocked_host.receives_line_within(SYN_RETRY_WINDOW).await);
     });
 }
 
 #[test]
-fn a_client_whose_line_is_too_long_while_it_waits_is_answered() {
-    // The request was taken: closing it without an answer would lose it.
+fn waiting_client_that_sends_a_too_long_line_is_answered() {
+    // The request was admitted: closing the connection without an answer would lose it.
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -469,13 +495,13 @@
         client.send(&"x".repeat(5_000)).await;
         assert_eq!(client.read_line().await.as_deref(), Some("ERR"));
         assert_eq!(client.read_line().await, None);
-        assert_eq!(server.read_line().await, None, "its attempt ends");
+        assert_eq!(server.read_line().await, None, "the attempt is closed");
     });
 }
 
 #[test]
-fn a_first_line_that_is_no_text_is_taken_nowhere() {
-    // What is passed on to a successor is text: nothing else is ever taken.
+fn first_line_that_is_not_utf8_is_rejected() {
+    // The first line is handed over to a successor as text, so any other line must be rejected.
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -485,14 +511,14 @@
             client.0.get_mut().write_all(bad).await.expect("sent");
             assert_eq!(client.read_line().await.as_deref(), Some("ERR"), "{bad:?}");
         }
-        assert!(!host.receives_line_within(MOMENT).await);
+        assert!(!host.receives_line_within(ABSENCE_WINDOW).await);
     });
 }
 
-// ---- the watch ----
+// ---- the watch of discovery ----
 
 #[test]
-fn a_watch_without_a_whole_line_is_asked_for_again_in_time() {
+fn watch_without_a_complete_line_is_replaced_in_time() {
     run(async {
         for parts in [false, true] {
             let host = StubHost::new("s-1").await;
@@ -500,7 +526,7 @@
             send_chunk(&mut watch, "\n").await;
             let silent = Instant::now();
             let trickle = spawn_local(async move {
-                // A part of a list, a byte at a time: no sign of life.
+                // Parts of a list, one byte at a time, do not count as a sign of life.
                 while parts && watch.0.get_mut().write_all(b"1\r\n{\r\n").await.is_ok() {
                     sleep(Duration::from_millis(300)).await;
                 }
@@ -508,7 +534,7 @@
             });
             let (first, _call) = setup.discovery.accept_call().await;
             assert!(first.contains("stream=1"), "{first}");
-            // What was missed counts as told 6 s after the silence began; the answer takes time too.
+            // A missed change counts as notified 6 s after the silence began, and the answer takes time, too.
             assert!(silent.elapsed() < Duration::from_secs(5), "{:?}", silent.elapsed());
             trickle.abort();
         }
@@ -516,14 +542,14 @@
 }
 
 #[test]
-fn a_watch_that_brings_a_line_every_two_seconds_goes_on() {
+fn watch_with_a_line_every_two_seconds_stays_open() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, mut watch) = start_ready_node(&[&host]).await;
         for _ in 0..2 {
             assert!(
                 timeout(Duration::from_secs(2), setup.discovery.accept_call()).await.is_err(),
-                "asked again"
+                "called again"
             );
             send_chunk(&mut watch, "\r\n").await;
         }
@@ -531,8 +557,8 @@
 }
 
 #[test]
-fn a_watch_asked_for_while_one_stands_is_forgotten_when_that_ends() {
-    // Nodes that lose theirs together would all ask again at once.
+fn watch_request_made_while_a_watch_is_open_is_discarded() {
+    // Otherwise nodes that lose their watches together would all call again at once.
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, watch) = start_ready_node(&[&host]).await;
@@ -546,17 +572,19 @@
 }
 
 #[test]
-fn an_indented_list_comes_whole_on_a_watch_too() {
+fn indented_list_on_a_watch_is_read_completely() {
     run(async {
         let hosts = [StubHost::new("s-1{").await, StubHost::new("s-2\"]").await];
         let setup = start_node(|_| {}).await;
         let mut watch = setup.discovery.accept_watch(&[]).await;
-        let whole = json!({"seq": 1, "whole": true, "hosts": [hosts[0].list_entry("up")]});
-        send_chunk(&mut watch, &format!("{}\n\r\n", serde_json::to_string_pretty(&whole).expect("JSON")))
+        let complete = json!({"seq": 1, "whole": true, "hosts": [hosts[0].list_entry("up")]});
+        send_chunk(&mut watch, &format!("{}\n\r\n", serde_json::to_string_pretty(&complete).expect("JSON")))
             .await;
         setup.wait_until_ready().await;
         setup.establish(1, &hosts[0]).await;
-        let change = json!({"seq": 2, "whole": false, "hosts": [hosts[0].list_entry("draining"), hosts[1].list_entry("up")]});
+        let change = json!({
+            "seq": 2, "whole": false, "hosts": [hosts[0].list_entry("draining"), hosts[1].list_entry("up")]
+        });
         for piece in serde_json::to_string_pretty(&change).expect("JSON").split_inclusive('\n') {
             send_chunk(&mut watch, piece).await;
         }
@@ -567,12 +595,12 @@
 }
 
 #[test]
-fn a_watch_that_breaks_hears_of_drains_before_anything_goes_there() {
+fn drain_received_after_a_broken_watch_applies_before_new_requests() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let (setup, watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
         watch.reset();
-        // Discovery turns it away, then answers: the drain counts from the answer on.
+        // Discovery rejects the first call and answers the second: the drain applies from that answer on.
         let (_, mut call) = setup.discovery.accept_call().await;
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         let drains = list_line(2, false, &[hosts[0].list_entry("draining")]);
@@ -588,8 +616,8 @@
 }
 
 #[test]
-fn where_lists_are_pushed_a_watch_that_broke_is_asked_for_at_once_however_often_it_fails() {
-    // What the agent has counts as told whether or not a watch is open.
+fn watch_of_pushed_lists_is_retried_at_once_however_often_it_fails() {
+    // A change that the agent has counts as notified whether or not a watch is open.
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, watch) =
@@ -599,7 +627,8 @@
         let mut last = Instant::now();
         for _ in 0..8 {
             let (_, mut call) = setup.discovery.accept_call().await;
-            // 100 ms at most, and what a slow machine adds; doubled each time it would be seconds.
+            // The delay is at most 100 ms, plus that of a slow machine. With exponential backoff it would
+            // grow to seconds.
             assert!(last.elapsed() < Duration::from_secs(1), "{:?}", last.elapsed());
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
             last = Instant::now();
@@ -608,109 +637,114 @@
 }
 
 #[test]
-fn of_two_new_configurations_in_one_moment_the_last_one_counts() {
+fn last_of_two_simultaneous_configurations_is_applied() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, mut watch) = start_ready_node(&[&host]).await;
         let (first, last) = (StubDiscovery::new().await, StubDiscovery::new().await);
         for discovery in [&first, &last] {
-            let mut told = setup.node.config().source.clone();
-            told["discovery"] = json!(discovery.0.local_addr().expect("bound").to_string());
-            // A watch is wanted in the same moment.
+            let mut new_config = setup.node.config().source.clone();
+            new_config["discovery"] = json!(discovery.0.local_addr().expect("bound").to_string());
+            // The policy requests a watch at the same time.
             setup.node.decisions.list_requested.notify_one();
-            setup.node.apply_config(Config::from_file_value(told, |_| None).expect("a fine configuration"));
+            setup
+                .node
+                .apply_config(Config::from_file_value(new_config, |_| None).expect("a valid configuration"));
         }
         assert_eq!(watch.read_line().await, None, "the old watch is dropped");
         let (line, mut call) = last.accept_call().await;
-        assert_eq!(line, "GET /catalog/members HTTP/1.1", "no version of the old one's");
+        assert_eq!(line, "GET /catalog/members HTTP/1.1", "called with the old address's version");
         let body = list_line(9, true, &[host.list_entry("up")]);
         call.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())).await;
         let (line, _watch) = last.accept_call().await;
         assert!(line.contains("stream=1&index=9"), "{line}");
-        assert!(timeout(MOMENT, first.accept_call()).await.is_err(), "the first of the two is not asked");
+        assert!(timeout(ABSENCE_WINDOW, first.accept_call()).await.is_err(), "the first address was called");
     });
 }
 
-// ---- a stop ----
+// ---- shutdown ----
 
-/// A stop of a second: classes whose requests may take 300 ms.
-fn quick(value: &mut Value) {
+/// Shortens the shutdown to about a second, with classes whose requests may take 300 ms.
+fn set_short_shutdown(value: &mut Value) {
     for class in value["settings"]["classes"].as_array_mut().expect("classes") {
         class["give_up"] = json!(300_000);
     }
-    patient(value);
+    set_long_connect_timeout(value);
 }
 
 #[test]
-fn who_waits_when_a_stop_ends_is_answered_before_it_does() {
-    // Requests may wait longer than a stop takes, and hosts may hang just then.
+fn waiting_clients_are_answered_before_the_shutdown_completes() {
+    // Requests may wait longer than a shutdown takes, and hosts may hang meanwhile.
     run(async {
-        let (held, hung) = (StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await);
-        let (setup, mut watch) = start_ready_node_with(&[&held], |value| {
-            quick(value);
+        let (blocked_host, hanging) = (StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await);
+        let (setup, mut watch) = start_ready_node_with(&[&blocked_host], |value| {
+            set_short_shutdown(value);
             value["settings"]["classes"][1]["semantics"] = json!("fragile");
         })
         .await;
-        // Its connection is not up, and what has not run may be tried again.
+        // The connection to its host is not established: a request that has not run may be retried.
         let mut connecting = setup.send_request(1, "d=20000").await;
         setup.wait_until_in_flight().await;
-        send_chunk(&mut watch, &list_line(2, false, &[held.list_entry("draining"), hung.list_entry("up")]))
-            .await;
+        send_chunk(
+            &mut watch,
+            &list_line(2, false, &[blocked_host.list_entry("draining"), hanging.list_entry("up")]),
+        )
+        .await;
         setup.wait_until_listed("s-2").await;
-        // These have run, for all that is known.
-        let mut asked = setup.send_request(2, "d=20000").await;
+        // These requests have been sent, so they may have run.
+        let mut sent = setup.send_request(2, "d=20000").await;
         let mut fragile = setup.connect().await;
         fragile.send("OPEN 0000000000000003 03 c=presence,d=20000\r\n").await;
         let mut servers = Vec::new();
         for _ in 0..2 {
-            let mut server = hung.accept().await;
+            let mut server = hanging.accept().await;
             server.read_line().await.expect("the first line");
             servers.push(server);
         }
-        // An old connection that waits to be tried again, and one that has not said what it wants.
-        let mut old = setup.send_request(4, "d=20000,at=s-9").await;
-        let mut half = setup.connect().await;
-        half.send("OPEN 00").await;
+        // A resumed connection that waits for a retry, and a client that has sent no complete first line.
+        let mut resumed = setup.send_request(4, "d=20000,at=s-9").await;
+        let mut partial = setup.connect().await;
+        partial.send("OPEN 00").await;
         while setup.node.clients.in_flight_count() < 4 {
             sleep(Duration::from_millis(1)).await;
         }
-        let (within, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         assert!(connecting.read_line().await.expect("an answer").starts_with("BUSY"));
-        assert!(asked.read_line().await.expect("an answer").starts_with("BUSY"));
+        assert!(sent.read_line().await.expect("an answer").starts_with("BUSY"));
         assert_eq!(fragile.read_line().await.as_deref(), Some("FAILED"));
-        assert_eq!(old.read_line().await.as_deref(), Some("FAILED"));
-        assert_eq!(half.read_line().await, None);
-        // They had their time: the stop's is that of the longest request and 0.7 s.
+        assert_eq!(resumed.read_line().await.as_deref(), Some("FAILED"));
+        assert_eq!(partial.read_line().await, None);
+        // The clients were not cut off early: the shutdown timeout is that of the longest request plus 0.7 s.
         assert!(began.elapsed() > Duration::from_millis(600), "{:?}", began.elapsed());
-        leaving.await.expect("left");
-        assert!(began.elapsed() < within, "{:?} of {within:?}", began.elapsed());
-        assert!(!held.receives_line_within(MOMENT).await);
+        shutdown_task.await.expect("shutdown completes");
+        assert!(began.elapsed() < shutdown_timeout, "{:?} of {shutdown_timeout:?}", began.elapsed());
+        assert!(!blocked_host.receives_line_within(ABSENCE_WINDOW).await);
     });
 }
 
 #[test]
-fn a_stop_ends_in_time_beside_clients_that_take_their_last_word_and_stay() {
+fn shutdown_completes_in_time_with_clients_that_stay_connected() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&host], quick).await;
+        let (setup, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
         let (mut client, _server) = setup.establish(1, &host).await;
-        let (within, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
-        leaving.await.expect("left");
-        assert!(began.elapsed() < within, "{:?} of {within:?}", began.elapsed());
+        shutdown_task.await.expect("shutdown completes");
+        assert!(began.elapsed() < shutdown_timeout, "{:?} of {shutdown_timeout:?}", began.elapsed());
     });
 }
 
 #[test]
-fn a_client_whose_line_comes_in_pieces_during_a_stop_is_answered() {
+fn client_whose_first_line_arrives_in_pieces_during_shutdown_is_served() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&host], quick).await;
+        let (setup, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
         let mut client = setup.connect().await;
         client.send("OPEN 0000000000000001 01 c=ch").await;
-        let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         while setup.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
@@ -719,17 +753,17 @@
         client.send("\n").await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
-        // Between `UP` from the host and `UP` to the client it is told to move all the same.
+        // A migration requested between the host's `UP` and the client's `UP` must not be lost.
         setup.node.clients.migrate_all();
         server.send("UP 01\r\n").await;
         assert_eq!(client.read_line().await.as_deref(), Some("UP 01"));
         assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
-        leaving.await.expect("left");
+        shutdown_task.await.expect("shutdown completes");
     });
 }
 
 #[test]
-fn who_comes_while_the_front_has_not_noticed_a_stop_is_answered_however_short_requests_are() {
+fn clients_that_arrive_before_the_front_notices_a_shutdown_are_answered() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node_with(&[&host], |value| {
@@ -738,51 +772,51 @@
             }
         })
         .await;
-        let (within, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
-        // They go on coming for 0.4 s; this test itself may be late, and then tells nothing.
+        let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        // The front sends clients for another 0.4 s. On a slow machine this loop ends early and checks less.
         while began.elapsed() < Duration::from_millis(390) {
             let mut client = LineConnection::connect(setup.address).await;
             client.send(&format!("OPEN {0:x} {0:x} c=chat,d=30\r\n", began.elapsed().as_nanos())).await;
             assert!(client.read_line().await.is_some(), "after {:?}", began.elapsed());
             sleep(Duration::from_millis(20)).await;
         }
-        leaving.await.expect("left");
-        assert!(began.elapsed() < within, "{:?} of {within:?}", began.elapsed());
+        shutdown_task.await.expect("shutdown completes");
+        assert!(began.elapsed() < shutdown_timeout, "{:?} of {shutdown_timeout:?}", began.elapsed());
     });
 }
 
 #[test]
-fn a_stop_before_the_first_list_answers_and_ends() {
+fn shutdown_before_the_first_list_answers_clients_and_completes() {
     run(async {
-        let setup = start_node(quick).await;
-        let leaving = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let setup = start_node(set_short_shutdown).await;
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
         let mut client = LineConnection::connect(setup.address).await;
         client.send("OPEN 0000000000000001 01 c=chat,d=300\r\n").await;
         assert!(client.read_line().await.expect("an answer").starts_with("BUSY"));
-        leaving.await.expect("left");
+        shutdown_task.await.expect("shutdown completes");
     });
 }
 
-// ---- what hosts say, in one moment ----
+// ---- simultaneous lines and closes of hosts ----
 
 #[test]
-fn what_comes_with_up_in_one_read_goes_on_to_the_client() {
+fn lines_received_together_with_up_reach_the_client() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
-        // A host that drops all of a node's connections is taken for lost; this one stays.
+        // A host that closes all connections of a node counts as failed, so one connection stays open.
         let _other = setup.establish(9, &host).await;
-        for (id, words) in (10..).zip([vec!["BYE"], vec!["MOVE"], vec!["hello", "BYE"], vec![]]) {
+        for (id, lines) in (10..).zip([vec!["BYE"], vec!["MOVE"], vec!["hello", "BYE"], vec![]]) {
             let mut client = setup.send_request(id, "d=20000").await;
             let mut server = host.accept().await;
             server.read_line().await.expect("the first line");
-            let said: String = words.iter().map(|word| format!("{word}\r\n")).collect();
-            server.0.get_ref().try_write(format!("UP 01\r\n{said}").as_bytes()).expect("sent");
+            let lines_after_up: String = lines.iter().map(|line| format!("{line}\r\n")).collect();
+            server.0.get_ref().try_write(format!("UP 01\r\n{lines_after_up}").as_bytes()).expect("sent");
             drop(server);
             assert_eq!(client.read_line().await.as_deref(), Some("UP 01"));
-            for word in words {
-                assert_eq!(client.read_line().await.as_deref(), Some(word));
+            for line in lines {
+                assert_eq!(client.read_line().await.as_deref(), Some(line));
             }
             assert_eq!(client.read_line().await, None);
         }
@@ -790,7 +824,7 @@
 }
 
 #[test]
-fn a_second_answer_to_an_attempt_that_was_turned_away_reaches_nobody() {
+fn second_response_to_a_rejected_attempt_is_dropped() {
     run(async {
         for gap in [false, true] {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
@@ -799,7 +833,7 @@
             let (mut server, other) = accept_attempt(&hosts).await;
             if gap {
                 server.send("BUSY\r\n").await;
-                assert_eq!(server.read_line().await, None, "the attempt is over");
+                assert_eq!(server.read_line().await, None, "the attempt is closed");
                 server.0.get_mut().write_all(b"UP 99\r\n").await.unwrap_or_default();
             } else {
                 server.send("BUSY\r\nUP 99\r\n").await;
@@ -808,13 +842,13 @@
             server.read_line().await.expect("the first line");
             server.send("UP 02\r\n").await;
             assert_eq!(client.read_line().await.as_deref(), Some("UP 02"));
-            assert!(timeout(MOMENT, client.read_line()).await.is_err(), "nothing after it");
+            assert!(timeout(ABSENCE_WINDOW, client.read_line()).await.is_err(), "line received after `UP`");
         }
     });
 }
 
 #[test]
-fn an_answer_a_byte_at_a_time_serves_and_one_that_never_ends_does_not() {
+fn response_in_single_bytes_is_accepted_and_an_endless_one_is_not() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
@@ -827,14 +861,14 @@
             server.send(&byte.to_string()).await;
             tokio::task::yield_now().await;
         }
-        for wanted in ["UP 02", "hello"] {
-            assert_eq!(client.read_line().await.as_deref(), Some(wanted));
+        for expected in ["UP 02", "hello"] {
+            assert_eq!(client.read_line().await.as_deref(), Some(expected));
         }
     });
 }
 
 #[test]
-fn the_end_of_both_sides_in_one_moment_ends_both() {
+fn simultaneous_close_of_both_sides_ends_the_request() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -842,7 +876,7 @@
         server.0.get_ref().try_write(b"BYE\r\n").expect("sent");
         drop((client, server));
         setup.wait_until_idle().await;
-        // And an idle connection that the host closes as the client speaks.
+        // An idle connection that the host closes while the client sends a line.
         let (mut client, server) = setup.establish(2, &host).await;
         client.0.get_ref().try_write(b"M 1\r\n").expect("sent");
         drop(server);
--- a/crates/alderstile-node/tests/descriptors.rs
+++ b/crates/alderstile-node/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! Idle clients that take all descriptors they can get: what is kept for the node itself, and for those who come.
+//! Idle clients that occupy all available descriptors: the descriptors reserved for the node itself and for
+//! new clients.
 
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -12,20 +13,23 @@
 mod support;
 use support::*;
 
-/// A client waits this long for its answer.
-const PATIENCE: Duration = Duration::from_millis(1_000);
+/// How long a client waits for its answer.
+const CLIENT_WAIT: Duration = Duration::from_millis(1_000);
 
-async fn client(address: SocketAddr, id: u64) -> LineConnection {
-    let mut client = LineConnection::connect(address).await;
-    client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=1000\r\n")).await;
-    client
+async fn send_request(address: SocketAddr, id: u64) -> LineConnection {
+    let mut send_request = LineConnection::connect(address).await;
+    send_request.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=1000\r\n")).await;
+    send_request
 }
 
-/// Clients that are served and stay, until one is turned away.
-async fn fill(address: SocketAddr, host: &StubHost) -> Vec<(LineConnection, LineConnection)> {
+/// Opens connections that are served and stay, until one is rejected. Returns both sides of each.
+async fn fill_with_served_clients(
+    address: SocketAddr,
+    host: &StubHost,
+) -> Vec<(LineConnection, LineConnection)> {
     let mut open = Vec::new();
     loop {
-        let mut next = client(address, open.len() as u64 + 1).await;
+        let mut next = send_request(address, open.len() as u64 + 1).await;
         tokio::select! {
             answer = next.read_line() => {
                 assert_eq!(answer.as_deref(), Some("BUSY"));
@@ -41,42 +45,42 @@
     }
 }
 
-/// So many that connect and say nothing.
-async fn idle(address: SocketAddr, number: usize) -> Vec<LineConnection> {
-    let mut idle = Vec::new();
+/// Opens connections that send nothing.
+async fn connect_idle(address: SocketAddr, number: usize) -> Vec<LineConnection> {
+    let mut connect_idle = Vec::new();
     for _ in 0..number {
-        idle.push(LineConnection::connect(address).await);
+        connect_idle.push(LineConnection::connect(address).await);
     }
-    idle
+    connect_idle
 }
 
 #[test]
-fn who_comes_while_idle_clients_hold_all_there_is_has_an_answer_in_its_time() {
+fn new_client_is_answered_in_time_while_idle_clients_hold_all_descriptors() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) =
             start_ready_node_with(&[&host], |value| value["limits"]["sockets"] = 200.into()).await;
-        let open = fill(setup.address, &host).await;
+        let open = fill_with_served_clients(setup.address, &host).await;
         assert!(open.len() > 60, "{} are served", open.len());
         for round in 0..3 {
-            let _idle = idle(setup.address, 300).await;
-            let mut late = client(setup.address, 1_000 + round).await;
-            let answer = timeout(PATIENCE, late.read_line()).await.expect("an answer in its time");
+            let _idle_clients = connect_idle(setup.address, 300).await;
+            let mut new_client = send_request(setup.address, 1_000 + round).await;
+            let answer = timeout(CLIENT_WAIT, new_client.read_line()).await.expect("an answer in time");
             assert_eq!(answer.as_deref(), Some("BUSY"));
         }
     });
 }
 
 #[test]
-fn a_node_that_the_system_allows_few_descriptors_hears_of_discoverys_return_and_serves_again() {
+fn node_with_few_descriptors_reconnects_to_discovery_and_serves_again() {
     run(async {
         let (host, other) = (StubHost::new("s-1").await, StubHost::new("s-2").await);
         let discovery = StubDiscovery::new().await;
-        let place = discovery.0.local_addr().expect("bound");
+        let discovery_address = discovery.0.local_addr().expect("bound");
         let address = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
-        let mut value = node_config(&address.to_string(), &place.to_string());
+        let mut value = node_config(&address.to_string(), &discovery_address.to_string());
         value["settings"]["allowed"]["may_tell"] = false.into();
-        // More than the system allows.
+        // Exceeds the limit of the system.
         value["limits"]["sockets"] = json!(100_000);
         let path = std::env::temp_dir().join(format!("alderstile-few-{}.json", std::process::id()));
         std::fs::write(&path, value.to_string()).expect("written");
@@ -91,36 +95,38 @@
             .expect("started");
         let mut watch = discovery.accept_watch(&[&list_line(1, true, &[host.list_entry("up")])]).await;
         wait_until_pong(address).await;
-        let mut open = fill(address, &host).await;
+        let mut open = fill_with_served_clients(address, &host).await;
         assert!(open.len() > 10, "{} are served", open.len());
         send_chunk(&mut watch, "\n").await;
-        // Discovery is down while idle clients come on top.
+        // Discovery stops, and further idle clients connect.
         drop((watch, discovery));
-        let mut crowd = idle(address, 200).await;
-        let mut late = client(address, 1_000).await;
-        let answer = timeout(PATIENCE, late.read_line()).await.expect("an answer in its time");
+        let mut idle_clients = connect_idle(address, 200).await;
+        let mut new_client = send_request(address, 1_000).await;
+        let answer = timeout(CLIENT_WAIT, new_client.read_line()).await.expect("an answer in time");
         assert_eq!(answer.as_deref(), Some("BUSY"));
-        // It is back; the crowd stays.
-        let back = StubDiscovery(TcpListener::bind(place).await.expect("its port again"));
-        let returned = Instant::now();
+        // Discovery restarts while the idle clients stay.
+        let restarted_discovery =
+            StubDiscovery(TcpListener::bind(discovery_address).await.expect("the same port"));
+        let restarted = Instant::now();
         let change = list_line(2, false, &[host.list_entry("draining"), other.list_entry("up")]);
-        let _watch =
-            timeout(Duration::from_secs(6), back.accept_watch(&[&change])).await.expect("asked in time");
-        assert!(returned.elapsed() < Duration::from_secs(6), "{:?}", returned.elapsed());
-        crowd.extend(idle(address, 200).await);
-        // Some of those served go: there is room for their like again, at the host that is up now.
+        let _watch = timeout(Duration::from_secs(6), restarted_discovery.accept_watch(&[&change]))
+            .await
+            .expect("a call in time");
+        assert!(restarted.elapsed() < Duration::from_secs(6), "{:?}", restarted.elapsed());
+        idle_clients.extend(connect_idle(address, 200).await);
+        // Some served clients leave, so that the next ones can be served, at the host that is up now.
         open.truncate(open.len() - 4);
         let mut id = 2_000;
         let mut server = loop {
             id += 1;
-            let mut next = client(address, id).await;
+            let mut next = send_request(address, id).await;
             tokio::select! {
                 server = other.accept() => {
-                    crowd.push(next);
+                    idle_clients.push(next);
                     break server;
                 }
                 answer = next.read_line() => assert!(answer.is_none_or(|line| line.starts_with("BUSY"))),
-                _ = host.accept() => panic!("it drains"),
+                _ = host.accept() => panic!("the host is draining"),
             }
             sleep(Duration::from_millis(20)).await;
         };
--- a/crates/alderstile-node/tests/endpoint_watch.rs
+++ b/crates/alderstile-node/tests/endpoint_watch.rs
@@ -1,4 +1,5 @@
-//! The endpoint list from discovery's watch: when a node is ready by it, and the version a watch continues from.
+//! The endpoint list received from discovery's watch: readiness, and the version from which a watch
+//! continues.
 
 use std::time::Duration;
 
@@ -9,7 +10,7 @@
 use support::*;
 
 #[test]
-fn ready_only_when_a_list_has_come_in_however_many_pieces() {
+fn node_is_ready_only_after_a_list_received_in_any_number_of_pieces() {
     run(async {
         let host = StubHost::new("s-1").await;
         let setup = start_node(|_| {}).await;
@@ -28,7 +29,7 @@
 }
 
 #[test]
-fn without_discovery_it_serves_by_the_list_it_knew() {
+fn node_serves_from_the_cached_list_without_discovery() {
     run(async {
         let host = StubHost::new("s-1").await;
         let known = serde_json::json!({"seq": 5, "whole": true, "hosts": [host.list_entry("up")]});
@@ -38,13 +39,13 @@
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         setup.wait_until_ready().await;
         setup.establish(1, &host).await;
-        // And asks again by itself.
+        // The node calls again without being asked.
         setup.discovery.accept_call().await;
     });
 }
 
 #[test]
-fn a_watch_goes_on_from_the_version_held_and_old_changes_undo_nothing() {
+fn watch_resumes_at_the_known_version_and_ignores_older_changes() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let (setup, mut watch) = start_ready_node(&[&hosts[0]]).await;
--- a/crates/alderstile-node/tests/exhausted.rs
+++ b/crates/alderstile-node/tests/exhausted.rs
@@ -1,4 +1,5 @@
-//! A process whose descriptors are all taken by something else. Alone in its file: the limit is that of the whole process.
+//! A process that runs out of descriptors. The only test of its file, since the limit applies to the whole
+//! process.
 
 use std::fs::File;
 use std::time::Duration;
@@ -11,29 +12,30 @@
 use support::*;
 
 #[test]
-fn a_host_is_not_blamed_for_a_connection_that_this_process_has_no_descriptor_for() {
+fn local_descriptor_shortage_does_not_count_as_a_host_failure() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
-        // The front's connections go first: the end of this one is seen, and those before it have ended by then.
+        // Waits until the front's connections are closed: once this one has been, those before it have been,
+        // too.
         let mut front = setup.connect().await;
         front.0.get_mut().shutdown().await.expect("ended");
         assert_eq!(front.read_line().await, None);
         drop(front);
         let limit = Rlimit { current: Some(100), ..getrlimit(Resource::Nofile) };
         setrlimit(Resource::Nofile, limit).expect("set");
-        let mut taken = Vec::new();
+        let mut open_files = Vec::new();
         while let Ok(file) = File::open("/dev/null") {
-            taken.push(file);
+            open_files.push(file);
         }
-        // One for the client's side and one for the node's.
-        taken.truncate(taken.len() - 2);
+        // Leaves one descriptor for the client's socket and one for the node's.
+        open_files.truncate(open_files.len() - 2);
         let mut client = setup.send_request(1, "d=20000").await;
         let answer = timeout(Duration::from_secs(5), client.read_line()).await.expect("an answer at once");
         assert!(answer.is_some_and(|line| line.starts_with("BUSY")));
-        drop((client, taken));
+        drop((client, open_files));
         setup.wait_until_idle().await;
-        // A host that could not be reached would rest for a second and more.
+        // A host that counts as unreachable would be paused for more than a second.
         timeout(Duration::from_millis(500), setup.establish(2, &host)).await.expect("served at once");
     });
 }
--- a/crates/alderstile-node/tests/line_buffer.rs
+++ b/crates/alderstile-node/tests/line_buffer.rs
@@ -3,17 +3,17 @@
 use alderstile_node::proxy::line_buffer::{LineBuffer, LineTooLong, MAX_LINE};
 use proptest::prelude::*;
 
-/// Puts bytes in as far as there is room; returns how many.
-fn put(buffer: &mut LineBuffer, bytes: &[u8]) -> Result<usize, LineTooLong> {
-    let room = buffer.spare_capacity()?;
-    let count = room.len().min(bytes.len());
-    room[..count].copy_from_slice(&bytes[..count]);
+/// Adds as many of the bytes as there is space for; returns their number.
+fn add(buffer: &mut LineBuffer, bytes: &[u8]) -> Result<usize, LineTooLong> {
+    let space = buffer.spare_capacity()?;
+    let count = space.len().min(bytes.len());
+    space[..count].copy_from_slice(&bytes[..count]);
     buffer.commit(count);
     Ok(count)
 }
 
 fn lines() -> impl Strategy<Value = Vec<u8>> {
-    // Bare ends of lines and lone halves of them must not be taken for an end.
+    // Includes single `\r` and `\n`, which must not be taken for a line ending.
     let byte = prop_oneof![4 => any::<u8>(), 1 => Just(b'\r'), 1 => Just(b'\n')];
     let line = prop::collection::vec(byte, 0..300).prop_map(|mut line| {
         line.extend_from_slice(b"\r\n");
@@ -24,53 +24,53 @@
 
 proptest! {
     #[test]
-    fn what_goes_in_comes_out(sent in lines(), steps in prop::collection::vec((1..900usize, 0..900usize), 1..50)) {
+    fn bytes_are_returned_unchanged_and_in_order(sent in lines(), steps in prop::collection::vec((1..900usize, 0..900usize), 1..50)) {
         let mut buffer = LineBuffer::default();
-        let (mut put_in, mut taken) = (0, Vec::new());
-        for (offer, take) in steps.iter().cycle() {
-            let end = (put_in + offer).min(sent.len());
-            put_in += put(&mut buffer, &sent[put_in..end]).expect("no line is too long");
+        let (mut added, mut consumed) = (0, Vec::new());
+        for (add_limit, consume_limit) in steps.iter().cycle() {
+            let end = (added + add_limit).min(sent.len());
+            added += add(&mut buffer, &sent[added..end]).expect("no line is too long");
             prop_assert!(buffer.allocated() <= MAX_LINE);
-            prop_assert_eq!(buffer.buffered(), put_in - taken.len());
-            let whole = buffer.complete_lines();
-            prop_assert!(whole.is_empty() || whole.ends_with(b"\n"), "only whole lines are shown");
-            // The last bytes always go on, or a step of nothing but zeros would never end.
-            let count = if put_in == sent.len() { whole.len() } else { whole.len().min(*take) };
-            taken.extend_from_slice(&whole[..count]);
+            prop_assert_eq!(buffer.buffered(), added - consumed.len());
+            let complete = buffer.complete_lines();
+            prop_assert!(complete.is_empty() || complete.ends_with(b"\n"), "incomplete line returned");
+            // The last bytes are always consumed, since steps that consume nothing would repeat for ever.
+            let count = if added == sent.len() { complete.len() } else { complete.len().min(*consume_limit) };
+            consumed.extend_from_slice(&complete[..count]);
             buffer.consume(count);
-            if taken.len() == sent.len() {
+            if consumed.len() == sent.len() {
                 break;
             }
         }
-        prop_assert_eq!(taken, sent);
+        prop_assert_eq!(consumed, sent);
         prop_assert_eq!(buffer.buffered(), 0);
     }
 
     #[test]
-    fn the_lines_that_became_whole_are_told_once(sent in lines(), split in 1..700usize) {
+    fn completed_lines_are_returned_exactly_once(sent in lines(), split in 1..700usize) {
         let mut buffer = LineBuffer::default();
-        let (mut told, mut rest) = (Vec::new(), sent.as_slice());
+        let (mut returned, mut rest) = (Vec::new(), sent.as_slice());
         while !rest.is_empty() {
-            let room = buffer.spare_capacity().expect("no line is too long");
-            let count = room.len().min(rest.len()).min(split);
-            room[..count].copy_from_slice(&rest[..count]);
-            told.extend_from_slice(buffer.commit(count));
+            let space = buffer.spare_capacity().expect("no line is too long");
+            let count = space.len().min(rest.len()).min(split);
+            space[..count].copy_from_slice(&rest[..count]);
+            returned.extend_from_slice(buffer.commit(count));
             rest = &rest[count..];
             buffer.consume(buffer.complete_lines().len());
         }
-        prop_assert_eq!(told, sent);
+        prop_assert_eq!(returned, sent);
     }
 }
 
 #[test]
-fn a_line_may_be_as_long_as_allowed_and_no_longer() {
+fn line_of_maximum_length_fits_and_a_longer_one_fails() {
     for (len, fits) in [(MAX_LINE, true), (MAX_LINE + 1, false)] {
         let mut line = vec![b'x'; len - 2];
         line.extend_from_slice(b"\r\n");
-        let (mut buffer, mut put_in, mut result) = (LineBuffer::default(), 0, Ok(0));
-        while put_in < len && result.is_ok() {
-            result = put(&mut buffer, &line[put_in..]);
-            put_in += result.unwrap_or_default();
+        let (mut buffer, mut added, mut result) = (LineBuffer::default(), 0, Ok(0));
+        while added < len && result.is_ok() {
+            result = add(&mut buffer, &line[added..]);
+            added += result.unwrap_or_default();
         }
         assert_eq!(result.is_ok(), fits, "{len} bytes");
         assert_eq!(buffer.first_line().is_some(), fits);
@@ -78,30 +78,30 @@
 }
 
 #[test]
-fn an_idle_connection_takes_little_memory() {
+fn empty_buffer_shrinks() {
     let mut buffer = LineBuffer::default();
     assert_eq!(buffer.allocated(), 0);
     let mut line = vec![b'x'; 3_000];
     line.extend_from_slice(b"\r\n");
     let mut rest = line.as_slice();
     while !rest.is_empty() {
-        let count = put(&mut buffer, rest).expect("it fits");
+        let count = add(&mut buffer, rest).expect("it fits");
         rest = &rest[count..];
     }
     assert!(buffer.allocated() >= 3_000);
     buffer.consume(line.len());
-    assert!(buffer.allocated() <= 256, "{} bytes kept", buffer.allocated());
+    assert!(buffer.allocated() <= 256, "{} bytes allocated", buffer.allocated());
 }
 
 #[test]
-fn full_of_whole_lines_it_has_no_room_but_is_not_too_long() {
+fn buffer_full_of_complete_lines_has_no_space_and_no_error() {
     let mut buffer = LineBuffer::default();
     let line = [b"y".repeat(62), b"\r\n".to_vec()].concat();
     while buffer.can_read() {
-        assert!(put(&mut buffer, &line).is_ok());
+        assert!(add(&mut buffer, &line).is_ok());
     }
-    assert_eq!(buffer.spare_capacity().map(|room| room.len()), Ok(0));
+    assert_eq!(buffer.spare_capacity().map(|space| space.len()), Ok(0));
     buffer.consume_first_line();
     assert!(buffer.can_read());
-    assert_eq!(buffer.spare_capacity().map(|room| room.len()), Ok(64));
+    assert_eq!(buffer.spare_capacity().map(|space| space.len()), Ok(64));
 }
--- a/crates/alderstile-node/tests/protocol.rs
+++ b/crates/alderstile-node/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The lines of clients and hosts.
+//! The parsers of the lines of clients and hosts.
 
 use alderstile_node::proxy::protocol::{ClientLine, HostLine, parse_client_line, parse_host_line};
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 const OPEN: &[u8] = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=2000,g=5c0f6e1a2b3d4c59";
 
 #[test]
-fn a_first_line_is_read() {
+fn first_line_is_parsed() {
     let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not read") };
     assert_eq!((open.id, open.flow_key), (&b"9b1f03aa5c7e2d41"[..], &b"7f3a9c21e0b4d655"[..]));
     assert_eq!((open.class, open.wait_ms), (&b"chat"[..], 2_000));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn names_that_are_not_known_are_passed_by() {
+fn unknown_parameters_are_ignored() {
     let line = b"OPEN a b x=,h=12.5,again=1,r=1,d=7,at=s-5be2a07c,c=p";
     let Some(ClientLine::Open(open)) = parse_client_line(line) else { panic!("not read") };
     assert_eq!((open.class, open.wait_ms), (&b"p"[..], 7));
@@ -26,15 +26,15 @@
 }
 
 #[test]
-fn a_host_is_sent_the_line_with_nothing_changed_but_the_time() {
+fn forwarded_line_differs_only_in_the_wait() {
     let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not read") };
     let sent = open.forwarded_line(OPEN, 987);
-    let wanted = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=987,g=5c0f6e1a2b3d4c59\r\n";
-    assert_eq!(sent, wanted);
+    let expected = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=987,g=5c0f6e1a2b3d4c59\r\n";
+    assert_eq!(sent, expected);
 }
 
 #[test]
-fn malformed_first_lines_are_none() {
+fn malformed_first_lines_are_rejected() {
     let lines: [&[u8]; 14] = [
         b"",
         b"PING ",
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn answers_of_hosts_are_told_apart() {
+fn host_lines_are_distinguished() {
     let lines: [(&[u8], HostLine); 14] = [
         (b"UP 9c20d8bd46473968", HostLine::Up),
         (b"UP", HostLine::Other),
@@ -74,21 +74,21 @@
         (b"M 1 hello", HostLine::Other),
         (b"", HostLine::Other),
     ];
-    for (line, wanted) in lines {
-        assert_eq!(parse_host_line(line), wanted, "{:?}", String::from_utf8_lossy(line));
+    for (line, expected) in lines {
+        assert_eq!(parse_host_line(line), expected, "{:?}", String::from_utf8_lossy(line));
     }
 }
 
 proptest! {
     #[test]
-    fn no_bytes_upset_the_parsers(line in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn parsers_do_not_panic_on_arbitrary_bytes(line in prop::collection::vec(any::<u8>(), 0..200)) {
         parse_client_line(&line);
         parse_host_line(&line);
         parse_client_line(&[b"OPEN ", line.as_slice()].concat());
     }
 
     #[test]
-    fn a_valid_line_is_read_whatever_its_values(id in "[!-~]{1,20}", key in "[!-~]{1,20}", wait in 0..u64::from(u32::MAX)) {
+    fn valid_first_line_is_parsed_whatever_its_values(id in "[!-~]{1,20}", key in "[!-~]{1,20}", wait in 0..u64::from(u32::MAX)) {
         let line = format!("OPEN {id} {key} c=chat,d={wait}").into_bytes();
         let read = parse_client_line(&line);
         prop_assert!(matches!(&read, Some(ClientLine::Open(open)) if open.wait_ms == wait), "{:?}", read);
--- a/crates/alderstile-node/tests/relay.rs
+++ b/crates/alderstile-node/tests/relay.rs
@@ -1,4 +1,4 @@
-//! The relay between a client and its host: lines, ends, silence and slow readers.
+//! The relay between a client and its host: lines, close and reset, silent hosts and slow clients.
 
 use std::time::Duration;
 
@@ -10,11 +10,12 @@
 mod support;
 use support::*;
 
-/// What must not come is looked for this long: a slow machine can only make such a check miss a fault.
-const MOMENT: Duration = Duration::from_millis(150);
+/// How long a test waits for an event that must not happen. A slow machine can only make such a check miss a
+/// fault.
+const ABSENCE_WINDOW: Duration = Duration::from_millis(150);
 
 #[test]
-fn lines_pass_unchanged_both_ways_until_the_host_says_bye() {
+fn lines_are_forwarded_unchanged_both_ways_until_bye() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -25,8 +26,8 @@
         let wait = wait.strip_suffix(",g=5c0f6e1a2b3d4c59,x=1").expect("unchanged");
         assert!(wait.parse::<u64>().expect("a number") < 20_000, "the time that the node will wait");
         server.send("UP 00ff\r\nLOAD 12.5\r\nhello\r\n").await;
-        for wanted in ["UP 00ff", "LOAD 12.5", "hello"] {
-            assert_eq!(client.read_line().await.as_deref(), Some(wanted));
+        for expected in ["UP 00ff", "LOAD 12.5", "hello"] {
+            assert_eq!(client.read_line().await.as_deref(), Some(expected));
         }
         client.send("M 1\r\nM ").await;
         assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn what_a_client_says_before_it_is_up_reaches_the_host_after() {
+fn lines_sent_before_up_reach_the_host_afterwards() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -54,11 +55,11 @@
 }
 
 #[test]
-fn an_end_passes_on_as_it_came() {
+fn close_and_reset_are_propagated_as_such() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
-        // A host that drops all of a node's connections is taken for lost; this one stays.
+        // A host that closes all connections of a node counts as failed, so one connection stays open.
         let _other = setup.establish(9, &host).await;
         let (mut client, server) = setup.establish(1, &host).await;
         drop(server);
@@ -66,7 +67,7 @@
         let (mut client, server) = setup.establish(2, &host).await;
         server.reset();
         assert!(client.is_reset().await);
-        // The reset pauses the host, but where no other is left it is tried all the same.
+        // The reset pauses the host, which is used nevertheless because there is no other.
         let (client, mut server) = setup.establish(3, &host).await;
         client.reset();
         assert!(server.is_reset().await);
@@ -74,27 +75,27 @@
 }
 
 #[test]
-fn a_client_that_ends_its_sending_has_left() {
+fn client_that_shuts_down_its_sending_side_is_disconnected() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
         let (mut client, mut server) = setup.establish(1, &host).await;
         client.send("M 1\r\n").await;
         client.0.get_mut().shutdown().await.expect("ended");
-        assert_eq!(server.read_line().await.as_deref(), Some("M 1"), "its last line goes on");
+        assert_eq!(server.read_line().await.as_deref(), Some("M 1"), "the last line is forwarded");
         assert_eq!(server.read_line().await, None);
         assert_eq!(client.read_line().await, None);
     });
 }
 
 #[test]
-fn a_client_whose_lines_bring_nothing_back_is_told_to_move() {
+fn client_whose_lines_are_not_answered_is_migrated() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
         let (mut client, mut server) = setup.establish(1, &host).await;
         client.send("M 1\r\n").await;
-        // What the host says of itself is no return.
+        // A load report does not count as an answer.
         server.send("LOAD 3\r\n").await;
         assert_eq!(client.read_line().await.as_deref(), Some("LOAD 3"));
         assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_host_that_stops_right_after_an_answer_is_given_up_within_seven_seconds_of_it() {
+fn client_of_a_host_that_stops_after_an_answer_is_migrated_within_seven_seconds() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -112,7 +113,7 @@
         assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
         server.send("M 1\r\n").await;
         assert_eq!(client.read_line().await.as_deref(), Some("M 1"));
-        // The limit and the node's wait run by one clock, with most of a second between them.
+        // The limit and the node's timeout run on the same clock, with almost a second between them.
         let limit = tokio::time::Instant::now() + Duration::from_secs(7);
         sleep(Duration::from_secs(2)).await;
         client.send("M 2\r\n").await;
@@ -122,13 +123,13 @@
 }
 
 #[test]
-fn a_slow_reader_holds_its_host_back_and_loses_nothing() {
+fn slow_client_causes_backpressure_and_loses_no_lines() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
         let (mut client, mut server) = setup.establish(1, &host).await;
         let line = "z".repeat(1_000);
-        // Far more than the node and the system hold: the host must be made to wait.
+        // Far more than the node and the system buffer, so the host must be blocked.
         let total = 30_000;
         let sending = spawn_local({
             let line = line.clone();
@@ -139,8 +140,8 @@
                 server.send("BYE\r\n").await;
             }
         });
-        sleep(MOMENT).await;
-        assert!(!sending.is_finished(), "nobody holds 30 MB for a client");
+        sleep(ABSENCE_WINDOW).await;
+        assert!(!sending.is_finished(), "30 MB buffered for a client");
         for _ in 0..total {
             assert_eq!(client.read_line().await.as_deref(), Some(line.as_str()));
         }
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn a_client_that_takes_nothing_is_never_sent_move_inside_a_line() {
+fn stalled_client_is_never_sent_move_inside_a_line() {
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
@@ -159,18 +160,18 @@
             let line = format!("{line}\r\n");
             async move { while server.0.get_mut().write_all(line.as_bytes()).await.is_ok() {} }
         });
-        sleep(MOMENT).await;
+        sleep(ABSENCE_WINDOW).await;
         spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
-        // The flood ends when the node has closed the host's side.
+        // The flood ends when the node closes the connection to the host.
         flood.await.expect("ended");
         let mut rest = Vec::new();
         let _reset = client.0.read_to_end(&mut rest).await;
         let text = String::from_utf8(rest).expect("text");
         let lines: Vec<&str> = text.split_inclusive("\r\n").collect();
-        for (i, got) in lines.iter().enumerate() {
-            let whole = *got == format!("{line}\r\n");
-            let last = i + 1 == lines.len() && (line.starts_with(got) || *got == "MOVE\r\n");
-            assert!(whole || last, "{got:?}");
+        for (i, received) in lines.iter().enumerate() {
+            let complete = *received == format!("{line}\r\n");
+            let last = i + 1 == lines.len() && (line.starts_with(received) || *received == "MOVE\r\n");
+            assert!(complete || last, "{received:?}");
         }
     });
 }
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -1,6 +1,8 @@
-//! Stand-ins for clients, hosts and discovery on loopback, written for these tests. Nothing here hangs on time:
-//! what must come is waited for, and only a test that is stuck runs into its limit.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Stubs of clients, hosts and discovery on loopback, and a node under test that uses them.
+//!
+//! Tests wait for expected events without a separate time limit, so that a slow machine causes no failure. Only
+//! [`run`] limits the duration of a test, in case it is stuck.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -22,7 +24,7 @@
 pub mod processes;
 pub mod replicated_config;
 
-/// A configuration as the platform writes it.
+/// Returns a configuration as the platform writes it.
 pub fn node_config(listen: &str, discovery: &str) -> Value {
     let class = |name: &str| {
         json!({"name": name, "aim": 300000, "give_up": 1200000, "group": "all", "semantics": "retryable",
@@ -46,14 +48,14 @@
     })
 }
 
-/// Runs a test on one thread, as the node runs.
+/// Runs a test on one thread, like the node. Panics after 40 s.
 pub fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let limited = async { timeout(Duration::from_secs(40), test).await.expect("stuck") };
     LocalSet::new().block_on(&runtime, limited)
 }
 
-/// One end of a connection that speaks lines.
+/// One end of a connection that sends and receives lines.
 pub struct LineConnection(pub BufReader<TcpStream>);
 
 impl LineConnection {
@@ -65,16 +67,16 @@
         self.0.get_mut().write_all(text.as_bytes()).await.expect("sent");
     }
 
-    /// The next line without its end; none at the end of the connection.
+    /// Reads the next line, without its line ending; returns `None` at the end of the connection.
     pub async fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.0.read_line(&mut line).await {
             Ok(0) | Err(_) => None,
-            Ok(_) => Some(line.strip_suffix("\r\n").expect("an end of line").to_owned()),
+            Ok(_) => Some(line.strip_suffix("\r\n").expect("a line ending").to_owned()),
         }
     }
 
-    /// Whether the connection ends by being reset.
+    /// Reads to the end of the connection, and returns whether it was reset.
     pub async fn is_reset(&mut self) -> bool {
         let mut rest = Vec::new();
         self.0.read_to_end(&mut rest).await.is_err()
@@ -85,7 +87,7 @@
     }
 }
 
-/// A host: the test answers for it.
+/// A stub host: the test sends its responses.
 pub struct StubHost {
     pub listener: TcpListener,
     pub name: String,
@@ -96,24 +98,24 @@
         StubHost { listener: TcpListener::bind("127.0.0.1:0").await.expect("a port"), name: name.to_owned() }
     }
 
-    /// One whose connections don't come up until [`Host::release`]: the system's queue for it is full, and what knocks
-    /// meanwhile knocks again after a second.
+    /// Creates a host whose accept queue is full, so that connections to it are not established until
+    /// [`StubHost::free_queue`]. The system retransmits their SYN after one second.
     pub async fn with_full_queue(name: &str) -> Self {
         let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
         socket.bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let host = StubHost { listener: socket.listen(0).expect("a queue of one"), name: name.to_owned() };
         let filler = TcpStream::connect(host.listener.local_addr().expect("bound")).await.expect("queued");
-        // It stays open, unaccepted, until the release.
+        // Stays open and occupies the queue until it is accepted by `free_queue`.
         std::mem::forget(filler);
         host
     }
 
-    /// Lets the connections of [`Host::held`] come up.
+    /// Frees the accept queue of [`StubHost::with_full_queue`], so that connections are established.
     pub async fn free_queue(&self) {
-        self.listener.accept().await.expect("the one that fills the queue");
+        self.listener.accept().await.expect("the connection that fills the queue");
     }
 
-    /// Whether somebody connects and says something within this long.
+    /// Returns whether a connection arrives and sends a line within the given time.
     pub async fn receives_line_within(&self, within: Duration) -> bool {
         let sent = async { while self.accept().await.read_line().await.is_none() {} };
         timeout(within, sent).await.is_ok()
@@ -123,7 +125,7 @@
         LineConnection(BufReader::new(self.listener.accept().await.expect("a connection").0))
     }
 
-    /// Its line of the list.
+    /// Returns the entry of this host in an endpoint list.
     pub fn list_entry(&self, health: &str) -> Value {
         let dial = self.listener.local_addr().expect("bound").to_string();
         json!({"host": self.name, "dial": dial, "site": "a", "class": "m", "block": 0, "health": health,
@@ -131,7 +133,8 @@
     }
 }
 
-/// The attempt of a client, at whichever of two hosts it comes, with its first line taken; and which the other host is.
+/// Accepts an attempt at either of two hosts and reads its first line. Returns the connection and the index of
+/// the other host.
 pub async fn accept_attempt(hosts: &[StubHost; 2]) -> (LineConnection, usize) {
     let (mut server, other) = tokio::select! {
         server = hosts[0].accept() => (server, 1),
@@ -141,12 +144,12 @@
     (server, other)
 }
 
-/// A line of the watch.
+/// Returns a line of the watch.
 pub fn list_line(seq: u64, whole: bool, hosts: &[Value]) -> String {
     format!("{}\n", json!({"seq": seq, "whole": whole, "hosts": hosts}))
 }
 
-/// Discovery: the test writes its answers.
+/// A stub of discovery: the test sends its answers.
 pub struct StubDiscovery(pub TcpListener);
 
 impl StubDiscovery {
@@ -154,7 +157,7 @@
         StubDiscovery(TcpListener::bind("127.0.0.1:0").await.expect("a port"))
     }
 
-    /// Takes a call in; returns its first line and the connection, with nothing answered yet.
+    /// Accepts a call. Returns its request line and the connection, on which nothing has been answered.
     pub async fn accept_call(&self) -> (String, LineConnection) {
         let mut peer = LineConnection(BufReader::new(self.0.accept().await.expect("a call").0));
         let first = peer.read_line().await.expect("a request");
@@ -162,7 +165,7 @@
         (first, peer)
     }
 
-    /// Takes a call in and begins a watch with these pieces, each a chunk of its own.
+    /// Accepts a call and starts a watch with the given pieces, each in a separate chunk.
     pub async fn accept_watch(&self, pieces: &[&str]) -> LineConnection {
         let (_, mut peer) = self.accept_call().await;
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
@@ -177,7 +180,7 @@
     peer.send(&format!("{:x}\r\n{text}\r\n", text.len())).await;
 }
 
-/// A node that runs, and the stand-ins round it.
+/// A running node, and the stub of its discovery.
 pub struct Setup {
     pub node: Rc<Node>,
     pub address: SocketAddr,
@@ -185,13 +188,13 @@
     pub discovery: StubDiscovery,
 }
 
-/// Starts a node; `change` may change its configuration.
+/// Starts a node whose configuration is adapted by `change`.
 pub async fn start_node(change: impl FnOnce(&mut Value)) -> Setup {
     let discovery = StubDiscovery::new().await;
     let at = discovery.0.local_addr().expect("bound").to_string();
     let mut value = node_config("127.0.0.1:0", &at);
     change(&mut value);
-    let node = Rc::new(Node::new(Config::from_file_value(value, |_| None).expect("a fine configuration")));
+    let node = Rc::new(Node::new(Config::from_file_value(value, |_| None).expect("a valid configuration")));
     let listener = listener::bind(node.config().listen).expect("a port");
     let address = listener.local_addr().expect("bound");
     spawn_local(watch::run(node.decisions.clone()));
@@ -200,7 +203,8 @@
     Setup { node, address, accepting, discovery }
 }
 
-/// A node that is ready, with these hosts; the watch stays open as long as what is returned with it.
+/// Starts a node with the given hosts and waits until it is ready. The watch stays open until the returned
+/// connection is dropped.
 pub async fn start_ready_node(hosts: &[&StubHost]) -> (Setup, LineConnection) {
     start_ready_node_with(hosts, |_| {}).await
 }
@@ -221,7 +225,7 @@
         LineConnection::connect(self.address).await
     }
 
-    /// Asks as the front does.
+    /// Sends a health check like the front; returns the answer, or `None` if the node closes the connection.
     pub async fn ping(&self) -> Option<String> {
         let mut front = self.connect().await;
         front.send("PING\r\n").await;
@@ -234,35 +238,35 @@
         }
     }
 
-    /// A client that has said its first line.
-    pub async fn send_request(&self, id: u64, more: &str) -> LineConnection {
+    /// Connects a client and sends its first line, with further parameters.
+    pub async fn send_request(&self, id: u64, parameters: &str) -> LineConnection {
         let mut client = self.connect().await;
-        client.send(&format!("OPEN {id:016x} {id:016x} c=chat,{more}\r\n")).await;
+        client.send(&format!("OPEN {id:016x} {id:016x} c=chat,{parameters}\r\n")).await;
         client
     }
 
-    /// Waits until the node knows where a host is reached.
+    /// Waits until the node has the address of a host.
     pub async fn wait_until_listed(&self, host: &str) {
         while self.node.decisions.host(server_id(host)).is_none() {
             sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// Waits until a client waits for a host.
+    /// Waits until a request is in flight.
     pub async fn wait_until_in_flight(&self) {
         while self.node.clients.in_flight_count() == 0 {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Waits until no client waits or is served any more.
+    /// Waits until no request is in flight.
     pub async fn wait_until_idle(&self) {
         while self.node.clients.in_flight_count() > 0 {
             sleep(Duration::from_millis(1)).await;
         }
     }
 
-    /// A client that is up at this host.
+    /// Establishes a connection to the given host. Returns the client's and the host's end.
     pub async fn establish(&self, id: u64, host: &StubHost) -> (LineConnection, LineConnection) {
         let mut client = self.send_request(id, "d=20000").await;
         let mut server = host.accept().await;
@@ -273,14 +277,14 @@
     }
 }
 
-/// Asks a process as the front does until its answer is yes; returns how long that took.
+/// Sends health checks to a process until it answers `PONG`; returns how long that took.
 pub async fn wait_until_pong(address: SocketAddr) -> Duration {
     let began = tokio::time::Instant::now();
     loop {
         if let Ok(front) = TcpStream::connect(address).await {
             let mut front = LineConnection(BufReader::new(front));
-            let asked = front.0.get_mut().write_all(b"PING\r\n").await;
-            if asked.is_ok() && front.read_line().await.as_deref() == Some("PONG") {
+            let sent = front.0.get_mut().write_all(b"PING\r\n").await;
+            if sent.is_ok() && front.read_line().await.as_deref() == Some("PONG") {
                 return began.elapsed();
             }
         }
--- a/crates/alderstile-node/tests/termination_reason.rs
+++ b/crates/alderstile-node/tests/termination_reason.rs
@@ -1,4 +1,4 @@
-//! The codes of the log's termination reasons, and the on-call page that explains them.
+//! The codes of termination reasons in the log, each of which the on-call page explains.
 
 #[test]
 fn the_on_call_page_explains_every_reason_code() {
