--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,11 +1,14 @@
-//! All decisions of a node, one rule a file. Their types, events and actions are in `src/types/`.
+//! Balancing policy of a node, with one rule per file. Its settings, events and actions are defined
+//! in `src/types/`.
 //!
-//! [`Policy`] does no input or output and reads no clock: a host program hands it events with the time and
-//! performs the actions that it returns. The same seed and events give the same actions.
+//! [`Policy`] performs no input or output and reads no clock. The embedding program passes it
+//! events with the current time and performs the returned actions. The same seed and events always
+//! produce the same actions.
 //!
-//! The ordinary path: a request lands on the server with the lowest load in this node's own record
-//! (`selection.rs`), and once a period each server that stands above this node's mean sheds its excess
-//! (`rebalance.rs`). `docs/design.md` says where that comes from and when each exception acts.
+//! In the common case, a request is placed on the server with the lowest load in this node's own
+//! record (`selection.rs`), and once per period each server above this node's mean load sheds its
+//! excess (`rebalance.rs`). `docs/design.md` gives the reasons and describes when each exception
+//! applies.
 
 mod admission;
 mod attempt_timeout;
@@ -43,7 +46,7 @@
 use connection::Connection;
 use endpoints::{ListHistory, POLL_TIMER, Subscription};
 use log_limit::LogLimit;
-use message_delay::late_threshold;
+use message_delay::high_delay_threshold;
 use period::{PERIOD, PERIOD_TIMER};
 use probe::RemovalProbes;
 use retry_budget::RetryUsage;
@@ -51,15 +54,15 @@
 use slow_start::ConnectionTurnover;
 use typical_load::TypicalLoads;
 
-/// The decisions of one node.
+/// The policy of one node with its complete state.
 pub struct Policy {
     settings: BalancerSettings,
-    /// The only source of chance.
+    /// The only source of randomness.
     rng: Pcg64Mcg,
-    /// Every server that was ever listed.
+    /// Every server that has ever been listed.
     servers: Vec<Server>,
     index_by_id: BTreeMap<ServerId, ServerIndex>,
-    /// Requests that are owed an answer, and connections.
+    /// Requests without a final answer, and connections.
     connections: BTreeMap<RequestId, Connection>,
     subscription: Subscription,
     lists: ListHistory,
@@ -68,15 +71,15 @@
     setups: SetupStatistics,
     retry_usage: RetryUsage,
     removal_probes: RemovalProbes,
-    /// Factor on the weight of servers in the own zone.
+    /// Factor applied to the weight of servers in this node's zone.
     zone_affinity: f64,
-    /// The delay from which on messages are late.
-    late_threshold: Micros,
+    /// Delay from which on a message delay is high.
+    high_delay_threshold: Micros,
     log_limit: LogLimit,
 }
 
 impl Policy {
-    /// A node that has just started and holds nothing.
+    /// Creates the policy of a node that has just started and has no connections.
     pub fn new(settings: BalancerSettings, seed: u64, _now: Micros) -> Self {
         Policy {
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -91,13 +94,13 @@
             retry_usage: RetryUsage::default(),
             removal_probes: RemovalProbes::default(),
             zone_affinity: 1.0,
-            late_threshold: late_threshold(&settings),
+            high_delay_threshold: high_delay_threshold(&settings),
             log_limit: LogLimit::default(),
             settings,
         }
     }
 
-    /// The timers with which a node begins. Called once, before the first event.
+    /// Sets the initial timers. Must be called once, before the first event.
     pub fn start(&mut self, actions: &mut Vec<Action>) {
         actions.push(Action::SetTimer(PERIOD.scale(self.rng.random::<f64>()), PERIOD_TIMER));
         if self.settings.must_subscribe {
@@ -105,8 +108,8 @@
         }
     }
 
-    /// Takes in one event and adds what is to be done about it. Events that name what is unknown or has ended
-    /// are ignored.
+    /// Handles one event and appends the resulting actions. Events about unknown or completed
+    /// requests and unknown servers are ignored.
     pub fn handle(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList(kind, endpoints) => self.on_endpoint_list(now, kind, endpoints, actions),
@@ -128,13 +131,13 @@
         }
     }
 
-    /// Other settings from now on. The record stays, and so does what was decided; the next attempt goes by
+    /// Applies new settings. The load record and earlier decisions stay; the next attempt follows
     /// the new settings.
     fn on_settings(&mut self, now: Micros, settings: BalancerSettings) {
-        self.late_threshold = late_threshold(&settings);
+        self.high_delay_threshold = high_delay_threshold(&settings);
         self.typical_loads.resize(&settings);
         if self.settings.retry_budget.is_none() {
-            self.retry_usage.forget_before(now);
+            self.retry_usage.mark_unknown_before(now);
         }
         self.settings = settings;
     }
