--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -206,7 +206,7 @@
         let released = lease.release_withheld(now);
         drop(lease);
         if !released.is_empty() {
-            info!(hosts = released.len(), "endpoint list lease renewed, new work to hosts resumed");
+            info!(hosts = released.len(), "endpoint list lease renewed, new requests to hosts resumed");
             let changes = self.endpoints.borrow().changes(&released);
             self.report_list(EndpointListKind::Delta, self.entries(&changes));
         }
@@ -247,7 +247,7 @@
         if expired.is_empty() {
             return;
         }
-        warn!(hosts = expired.len(), "endpoint list lease expired, new work to hosts withheld");
+        warn!(hosts = expired.len(), "endpoint list lease expired, new requests to hosts withheld");
         let changes = endpoints.changes(&expired);
         drop(endpoints);
         let mut entries = self.entries(&changes);
--- a/crates/alderstile-node/src/discovery/endpoint_list.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_list.rs
@@ -42,7 +42,7 @@
     /// The weight of the host.
     #[serde(rename = "share", default)]
     pub weight: f64,
-    /// The last start of the host, in milliseconds since the Unix epoch; 0 if unknown or long ago.
+    /// The last start of the host, in milliseconds since the Unix epoch; 0 if that was long ago.
     #[serde(rename = "born_ms", default)]
     pub started_ms: u64,
 }
--- a/crates/alderstile-node/src/proxy/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -140,7 +140,7 @@
     let deadline = Instant::now() + CLOSE_TIMEOUT;
     let listener = match listener.into_std() {
         Ok(listener) => listener,
-        Err(error) => return warn!(%error, "draining the listener failed"),
+        Err(error) => return warn!(%error, "listener drain failed"),
     };
     while Instant::now() < deadline {
         match accept_queued(node, &listener) {
@@ -156,7 +156,7 @@
             }
         }
     }
-    warn!("listener closed with clients in its accept queue: drain timeout expired");
+    warn!("listener closed before its accept queue was drained: timeout expired");
 }
 
 fn accept_queued(
--- a/crates/alderstile-node/tests/endpoint_watch.rs
+++ b/crates/alderstile-node/tests/endpoint_watch.rs
@@ -39,7 +39,7 @@
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         setup.wait_until_ready().await;
         setup.establish(1, &host).await;
-        // The node calls again without being asked.
+        // The node calls again without a further request.
         setup.discovery.accept_call().await;
     });
 }
