--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -341,7 +341,7 @@
     run(async {
         let host = StubHost::new("s-1").await;
         let (setup, watch) = start_ready_node(&[&host]).await;
-        let Setup { node, address, accepting, discovery } = setup;
+        let Setup { node, address, listener_task, discovery } = setup;
         let discovery_address = discovery.0.local_addr().expect("bound");
         // The machine of discovery refuses connections.
         drop((watch, discovery));
@@ -349,7 +349,7 @@
         sleep_until(down_since + Duration::from_millis(8_000)).await;
         let restarted_discovery =
             StubDiscovery(tokio::net::TcpListener::bind(discovery_address).await.expect("the same port"));
-        let setup = Setup { node, address, accepting, discovery: restarted_discovery };
+        let setup = Setup { node, address, listener_task, discovery: restarted_discovery };
         assert_served(&setup, 1, &host).await;
         assert!(setup.node.decisions.lease_remaining() > Micros(0), "no change can count as notified");
         // Discovery is back: it accepts calls and never answers them.
--- a/crates/alderstile-node/tests/race_conditions.rs
+++ b/crates/alderstile-node/tests/race_conditions.rs
@@ -709,7 +709,7 @@
             sleep(Duration::from_millis(1)).await;
         }
         let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         assert!(connecting.read_line().await.expect("an answer").starts_with("BUSY"));
         assert!(sent.read_line().await.expect("an answer").starts_with("BUSY"));
         assert_eq!(fragile.read_line().await.as_deref(), Some("FAILED"));
@@ -730,7 +730,7 @@
         let (setup, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
         let (mut client, _server) = setup.establish(1, &host).await;
         let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
         shutdown_task.await.expect("shutdown completes");
         assert!(began.elapsed() < shutdown_timeout, "{:?} of {shutdown_timeout:?}", began.elapsed());
@@ -744,7 +744,7 @@
         let (setup, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
         let mut client = setup.connect().await;
         client.send("OPEN 0000000000000001 01 c=ch").await;
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         while setup.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
@@ -773,7 +773,7 @@
         })
         .await;
         let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         // The front sends clients for another 0.4 s. On a slow machine this loop ends early and checks less.
         while began.elapsed() < Duration::from_millis(390) {
             let mut client = LineConnection::connect(setup.address).await;
@@ -790,7 +790,7 @@
 fn shutdown_before_the_first_list_answers_clients_and_completes() {
     run(async {
         let setup = start_node(set_short_shutdown).await;
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         let mut client = LineConnection::connect(setup.address).await;
         client.send("OPEN 0000000000000001 01 c=chat,d=300\r\n").await;
         assert!(client.read_line().await.expect("an answer").starts_with("BUSY"));
--- a/crates/alderstile-node/tests/relay.rs
+++ b/crates/alderstile-node/tests/relay.rs
@@ -161,7 +161,7 @@
             async move { while server.0.get_mut().write_all(line.as_bytes()).await.is_ok() {} }
         });
         sleep(ABSENCE_WINDOW).await;
-        spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         // The flood ends when the node closes the connection to the host.
         flood.await.expect("ended");
         let mut rest = Vec::new();
--- a/crates/alderstile-node/tests/shutdown.rs
+++ b/crates/alderstile-node/tests/shutdown.rs
@@ -18,7 +18,7 @@
         let host = StubHost::new("s-1").await;
         let (setup, _watch) = start_ready_node(&[&host]).await;
         let (mut client, mut server) = setup.establish(1, &host).await;
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         while setup.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
@@ -42,7 +42,7 @@
         let setup = start_node(|config| config["settings"]["classes"][0]["give_up"] = json!(1000)).await;
         // Without clients to migrate, the shutdown ends after half of its time.
         let duration = setup.node.config().shutdown_timeout / 2;
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.accepting));
+        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
         sleep(duration.saturating_sub(Duration::from_millis(30))).await;
         // Blocks this thread, and with it the node, past the end of the shutdown.
         let mut waiting = Vec::new();
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -184,7 +184,7 @@
 pub struct Setup {
     pub node: Rc<Node>,
     pub address: SocketAddr,
-    pub accepting: JoinHandle<()>,
+    pub listener_task: JoinHandle<()>,
     pub discovery: StubDiscovery,
 }
 
@@ -199,8 +199,8 @@
     let address = listener.local_addr().expect("bound");
     spawn_local(watch::run(node.decisions.clone()));
     spawn_local(node.clone().run(|_| {}));
-    let accepting = spawn_local(listener::run(node.clone(), listener));
-    Setup { node, address, accepting, discovery }
+    let listener_task = spawn_local(listener::run(node.clone(), listener));
+    Setup { node, address, listener_task, discovery }
 }
 
 /// Starts a node with the given hosts and waits until it is ready. The watch stays open until the returned
