--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: connecting to a host, sending it the request, and its answer.
+//! One attempt at a host: connects, sends the request and reads the response.
 
 use std::io;
 use std::rc::Rc;
@@ -13,51 +13,52 @@
 use crate::proxy::line_stream::{self, LineStream, ReadError};
 use crate::proxy::protocol::{HostLine, parse_host_line};
 
-/// What came of one attempt.
+/// The outcome of an attempt.
 pub(super) enum AttemptOutcome {
-    /// The host of this name serves the request.
+    /// The named host serves the request.
     Established(LineStream, Rc<str>),
     /// The attempt failed.
     Failed(Outcome),
-    /// The client's side ended.
+    /// The client's connection ended, or sent a line that is too long.
     ClientEnded(ReadError),
 }
 
-/// Why nobody waits for a step of an attempt any more.
+/// Why a step of an attempt is aborted.
 #[derive(Debug, Error)]
 pub(super) enum AbortCause {
-    /// The client's side ended.
-    #[error("client: {0}")]
+    /// The client's connection ended, or sent a line that is too long.
+    #[error("client connection ended: {0}")]
     Client(#[from] ReadError),
-    /// The time for the shutdown is nearly over.
-    #[error("the time for the shutdown is nearly over")]
-    LastCall,
+    /// The shutdown timeout is about to expire, and clients that still wait are answered.
+    #[error("shutdown timeout about to expire")]
+    PendingCutoff,
 }
 
-/// Why an attempt was not established.
+/// Why an attempt did not establish a connection.
 #[derive(Debug, Error)]
 enum AttemptError {
     #[error(transparent)]
     Aborted(#[from] AbortCause),
-    #[error("failed: {0:?}")]
+    #[error("attempt failed: {0:?}")]
     Failed(Outcome),
 }
 
 impl AttemptError {
-    /// The outcome, where `last_call` is that of an attempt which the shutdown ends.
-    fn outcome(self, last_call: Outcome) -> AttemptOutcome {
+    /// Returns the outcome of the attempt; `on_cutoff` is that of an attempt which the shutdown ends.
+    fn outcome(self, on_cutoff: Outcome) -> AttemptOutcome {
         match self {
             AttemptError::Failed(outcome) => AttemptOutcome::Failed(outcome),
             AttemptError::Aborted(AbortCause::Client(error)) => AttemptOutcome::ClientEnded(error),
-            AttemptError::Aborted(AbortCause::LastCall) => AttemptOutcome::Failed(last_call),
+            AttemptError::Aborted(AbortCause::PendingCutoff) => AttemptOutcome::Failed(on_cutoff),
         }
     }
 }
 
 impl Session<'_> {
-    /// Does a step of what a client waits for, unless it ends or the time for the shutdown is nearly over meanwhile. The
-    /// client is polled first: what has come from it in the same moment counts.
-    pub(super) async fn unless_aborted<T>(
+    /// Runs a step of an attempt, and aborts it when the client's connection ends or the shutdown timeout is
+    /// about to expire. The client is polled first, so that its end takes precedence over a step that
+    /// completes at the same time.
+    pub(super) async fn run_unless_aborted<T>(
         &self,
         client: &mut LineStream,
         step: impl Future<Output = T>,
@@ -67,13 +68,13 @@
             tokio::select! {
                 biased;
                 more = client.wait_for_bytes() => more?,
-                () = self.node.process.pending_cutoff() => return Err(AbortCause::LastCall),
+                () = self.node.process.pending_cutoff() => return Err(AbortCause::PendingCutoff),
                 done = &mut step => return Ok(done),
             }
         }
     }
 
-    /// Makes one attempt. `may_send` answers whether the request may still be sent.
+    /// Makes one attempt. `may_send` returns whether the request may still be sent.
     pub(super) async fn attempt(
         &self,
         client: &mut LineStream,
@@ -86,7 +87,7 @@
             Err(error) => return error.outcome(Outcome::NotForwarded),
         };
         self.node.clients.update_counters(|counters| counters.attempts_sent += 1);
-        match self.read_answer(client, &mut stream, until).await {
+        match self.read_response(client, &mut stream, until).await {
             Ok(()) => AttemptOutcome::Established(stream, host.name.clone()),
             Err(error) => error.outcome(Outcome::Timeout),
         }
@@ -100,7 +101,7 @@
         may_send: impl Fn() -> bool,
     ) -> Result<LineStream, AttemptError> {
         if !may_send() {
-            // No connection is made for what would not be sent on it.
+            // Opens no connection for a request that may not be sent.
             return Err(AttemptError::Failed(Outcome::NotForwarded));
         }
         let stream = self.connect(client, host, until).await?;
@@ -116,9 +117,9 @@
     ) -> Result<LineStream, AttemptError> {
         let connect_until = until.min(Instant::now() + self.node.config().connect_timeout);
         let connected = timeout_at(connect_until, TcpStream::connect(host.address));
-        match self.unless_aborted(client, connected).await? {
+        match self.run_unless_aborted(client, connected).await? {
             Ok(Ok(socket)) => Ok(LineStream::new(socket)),
-            // Nothing was sent, and it says nothing about the host.
+            // Nothing was sent, and the error does not concern the host.
             Ok(Err(error)) if line_stream::is_local_shortage(&error) => {
                 Err(AttemptError::Failed(Outcome::NotForwarded))
             }
@@ -137,8 +138,9 @@
         let mut written = 0;
         while written == 0 || written < line.len() {
             if written == 0 {
-                // While the connection was made the client's time may have ended, or a list or an operator may have closed
-                // the host. It must be allowed at the first byte; the client itself was polled in this very step.
+                // While the connection was established the client's wait may have expired, or a list or an
+                // operator may have closed the host to new requests. Sending must be allowed at the first
+                // byte; the client itself was polled in this step.
                 let left_ms = until.saturating_duration_since(Instant::now()).as_millis();
                 if left_ms == 0 || !may_send() {
                     return Err(AttemptError::Failed(Outcome::NotForwarded));
@@ -149,25 +151,25 @@
                 Ok(count) => written += count,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                     let writable = timeout_at(until, host.socket.writable());
-                    if !matches!(self.unless_aborted(client, writable).await?, Ok(Ok(()))) {
+                    if !matches!(self.run_unless_aborted(client, writable).await?, Ok(Ok(()))) {
                         return Err(AttemptError::Failed(Outcome::ConnectFailed));
                     }
                 }
-                // Until the last byte is sent nothing can have run.
+                // The request cannot have run before its last byte is sent.
                 Err(_) => return Err(AttemptError::Failed(Outcome::ConnectFailed)),
             }
         }
         Ok(())
     }
 
-    async fn read_answer(
+    async fn read_response(
         &self,
         client: &mut LineStream,
         host: &mut LineStream,
         until: Instant,
     ) -> Result<(), AttemptError> {
         let line = timeout_at(until, host.wait_for_line());
-        let outcome = match self.unless_aborted(client, line).await? {
+        let outcome = match self.run_unless_aborted(client, line).await? {
             Err(_) => Outcome::Timeout,
             Ok(Err(ReadError::LineTooLong(_))) => Outcome::Error,
             Ok(Err(_)) => Outcome::Reset,
