--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -1,8 +1,9 @@
-//! Outlier detection: a server that fails is ejected for a time that doubles with each further ejection.
-//! Failures while ejected do not lengthen it.
+//! Outlier detection: a server that fails is ejected, for a time that doubles with each further
+//! ejection. Failures during an ejection do not extend it.
 //!
-//! A server that fails fast, or drops what it takes, keeps a low load and would draw all new work. An ejected
-//! server comes after all others; one that could not be reached is barred until its ejection is over.
+//! A server that fails fast or drops its connections keeps a low load and would otherwise receive
+//! all new connections. An ejected server is ranked after the others. A server that could not be
+//! reached is excluded until its ejection expires.
 
 use rand::RngExt;
 
@@ -12,30 +13,32 @@
 use super::connection::Connection;
 use super::server::ServerIndex;
 
-/// The first ejection; it doubles with each further failure.
+/// Duration of the first ejection.
 const BASE_EJECTION: Micros = Micros::from_millis(1_000);
-/// How often the ejection doubles at most.
+/// Maximum number of times that the duration doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
-/// Failures are forgotten when a server has been back for this long without one.
-const FAILURES_FORGOTTEN_AFTER: Micros = Micros::from_millis(8_000);
-/// Ejections vary by this part of their length, so that nodes do not come back together.
+/// Failures are forgotten when no ejection has occurred for this long after the last one expired.
+const FAILURE_MEMORY: Micros = Micros::from_millis(8_000);
+/// Range of the random part of an ejection, relative to its duration, so that nodes do not all
+/// resume using a server at the same time.
 const JITTER: f64 = 0.5;
-/// Nodes that take turns in trying a server that is down, at most: with more it would wait for long.
-const MAX_RETURN_TURNS: f64 = 16.0;
-/// A line is logged at this many failures that were not forgotten.
-const LOGGED_FAILURES: u32 = 3;
+/// Maximum number of nodes over which trial attempts at an unreachable server are staggered. With
+/// more, the server would wait too long for its first connection.
+const MAX_STAGGERED_NODES: f64 = 16.0;
+/// Number of remembered failures at which a log line is written.
+const FAILURES_TO_LOG: u32 = 3;
 
-/// What outlier detection holds of one server.
+/// Outlier detection state of one server.
 #[derive(Default)]
 pub(super) struct OutlierState {
-    /// Failures that led to an ejection and are not forgotten.
+    /// Number of failures that led to an ejection and are not forgotten.
     failures: u32,
     pub(super) ejected_until: Micros,
-    /// It refused a connection, rejected work or dropped all of this node's connections, until a set-up
-    /// succeeds.
+    /// Whether a connection to the server could not be established, it rejected a request or it
+    /// dropped all connections of this node, and no setup has succeeded since.
     pub(super) unreachable: bool,
-    /// It took no connection while this node had none there, until a set-up succeeds: it is tried by one
-    /// attempt at a time.
+    /// Whether a connection could not be established while the server had none of this node, and no
+    /// setup has succeeded since. Such a server receives one trial attempt at a time.
     pub(super) connect_failed: bool,
 }
 
@@ -44,21 +47,21 @@
         now < self.ejected_until
     }
 
-    /// Whether nothing may go there at all.
-    pub(super) fn is_barred(&self, now: Micros) -> bool {
+    /// Returns whether the server receives no attempts at all.
+    pub(super) fn is_excluded(&self, now: Micros) -> bool {
         self.unreachable && self.is_ejected(now)
     }
 
-    /// A process that was started anew has failed nothing.
-    pub(super) fn forget_failures(&mut self) {
+    /// Resets the failures of a server whose process has restarted.
+    pub(super) fn reset_failures(&mut self) {
         let connect_failed = self.connect_failed;
         *self = OutlierState { connect_failed, ..OutlierState::default() };
     }
 }
 
 impl Policy {
-    /// Takes in the end of an attempt or a connection at a server. Acts where the end is the server's fault
-    /// and the connection was not asked to migrate.
+    /// Records the end of an attempt or connection. Has an effect only if the server caused the end
+    /// and the connection was not migrating.
     pub(super) fn record_failure(
         &mut self,
         now: Micros,
@@ -70,15 +73,16 @@
         if !is_failure(outcome) || connection.state.is_migrating() {
             return;
         }
-        let holds_others = self.holds_established(index);
+        let has_others = self.has_established_connections(index);
         let outlier = &mut self.servers[index].outlier;
-        outlier.connect_failed |= outcome == Outcome::ConnectFailed && !holds_others;
+        outlier.connect_failed |= outcome == Outcome::ConnectFailed && !has_others;
         let was_ejected = outlier.is_ejected(now);
         if !was_ejected {
             self.eject(now, index);
         }
-        // Barred: the list shows lost servers seconds later, and a cut link never.
-        let dropped_all = outcome == Outcome::Reset && !holds_others;
+        // Excludes the server at once, because the endpoint list shows a lost server only seconds
+        // later and never shows a network partition.
+        let dropped_all = outcome == Outcome::Reset && !has_others;
         let refused = matches!(outcome, Outcome::ConnectFailed | Outcome::Rejected);
         self.servers[index].outlier.unreachable |= dropped_all || refused;
         if !was_ejected {
@@ -86,26 +90,26 @@
         }
     }
 
-    /// Whether a server holds connections of this node, attempts aside.
-    fn holds_established(&self, index: ServerIndex) -> bool {
+    /// Returns whether a server has established connections of this node, not counting attempts.
+    fn has_established_connections(&self, index: ServerIndex) -> bool {
         let established = |connection: &Connection| !connection.state.is_attempting();
-        let mut held = self.servers[index].load.connections.iter();
-        held.any(|id| self.connections.get(id).is_some_and(established))
+        let mut connections = self.servers[index].load.connections.iter();
+        connections.any(|id| self.connections.get(id).is_some_and(established))
     }
 
-    /// Ejects a server that is not ejected. Nodes that all wait for one that took no connection try it one
-    /// after the other.
+    /// Ejects a server that is not ejected. If a connection to it could not be established, the
+    /// ejections are staggered, so that nodes waiting for it try it one after the other.
     fn eject(&mut self, now: Micros, index: ServerIndex) {
         let chance: f64 = self.rng.random();
         let nodes = f64::from(self.settings.node_count);
         let outlier = &mut self.servers[index].outlier;
-        if now > outlier.ejected_until + FAILURES_FORGOTTEN_AFTER {
+        if now > outlier.ejected_until + FAILURE_MEMORY {
             outlier.failures = 0;
         }
         let backoff = BASE_EJECTION.scale(f64::from(1 << outlier.failures.min(MAX_EJECTION_DOUBLINGS)));
         let with_jitter = backoff.scale(1.0 - JITTER / 2.0 + JITTER * chance);
-        let turns = if outlier.connect_failed { nodes.min(MAX_RETURN_TURNS) } else { 0.0 };
-        let ejection = with_jitter.max(BASE_EJECTION.scale(turns * chance));
+        let staggered_nodes = if outlier.connect_failed { nodes.min(MAX_STAGGERED_NODES) } else { 0.0 };
+        let ejection = with_jitter.max(BASE_EJECTION.scale(staggered_nodes * chance));
         outlier.failures += 1;
         outlier.ejected_until = now + ejection;
     }
@@ -113,13 +117,18 @@
     fn log_repeated_ejection(&mut self, index: ServerIndex, outcome: Outcome, actions: &mut Vec<Action>) {
         let server = &self.servers[index];
         let (id, failures) = (server.endpoint.id, server.outlier.failures);
-        if failures == LOGGED_FAILURES {
-            self.log(Some(id), format!("ejected again after {failures} failures, last {outcome:?}"), actions);
+        if failures == FAILURES_TO_LOG {
+            self.log(
+                Some(id),
+                format!("server ejected repeatedly: {failures} failures, last outcome {outcome:?}"),
+                actions,
+            );
         }
     }
 
-    /// Takes in a set-up that succeeded. One at a server that had taken no connection counts as its start:
-    /// the endpoint list shows a restart late or never, and the server's load is the lowest.
+    /// Records a successful setup. If no connection could be established before, the server's start
+    /// time is set to now: the endpoint list shows a restart late or never, and the server's low
+    /// load would otherwise attract many connections.
     pub(super) fn record_success(&mut self, now: Micros, index: ServerIndex) {
         let server = &mut self.servers[index];
         if std::mem::take(&mut server.outlier.connect_failed) {
@@ -130,7 +139,7 @@
     }
 }
 
-/// Whether an end is the server's fault.
+/// Returns whether an outcome was caused by the server.
 fn is_failure(outcome: Outcome) -> bool {
     match outcome {
         Outcome::Ok | Outcome::Cancelled | Outcome::NeverSent | Outcome::NotForwarded => false,
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -1,88 +1,90 @@
-//! Rebalancing: once a period each server that holds too much sheds its excess.
+//! Rebalancing: once per period, each server with an excess load sheds it.
 //!
-//! A server holds too much when it has been above the overload threshold for some periods, when its messages
-//! are late, or when it drains and the settings ask for its clients to be migrated. The connections that it
-//! sheds are chosen in [`migration`](super::migration).
+//! A server has an excess if it has exceeded the overload threshold for several periods, if its
+//! message delay is high, or if it is draining and the settings require its clients to be migrated.
+//! [`migration`](super::migration) selects the connections to shed.
 
 use crate::types::{Action, EndpointState, Micros};
 
 use super::Policy;
-use super::message_delay::{LATE_SHARE_OF_OBJECTIVE, MessageDelay};
+use super::message_delay::{HIGH_DELAY_SHARE_OF_OBJECTIVE, MessageDelay};
 use super::server::ServerIndex;
 
-/// A server is overloaded above this multiple of the mean load.
+/// Multiple of the mean load above which a server is overloaded.
 pub(super) const OVERLOAD_THRESHOLD: f64 = 1.1;
-/// Periods above the threshold before a server sheds: a load that swings by itself is back under it by then.
-const OVERLOADED_PERIODS: u32 = 3;
-/// The backlog of a late server is to be gone after this long.
+/// Number of consecutive periods above the threshold before a server sheds load. A load that
+/// fluctuates by itself falls below the threshold within that time.
+const PERIODS_BEFORE_SHEDDING: u32 = 3;
+/// Time within which the backlog of a server with a high delay is to be cleared.
 const BACKLOG_CLEAR_TIME: Micros = Micros::from_millis(1_000);
-/// The part of the load that a late server works off which counts as manageable, where a whole latency
-/// objective is missed.
+/// Share of the load processed by a server with a high delay that counts as manageable if the full
+/// latency objective is missed.
 const CAPACITY_MARGIN: f64 = 0.7;
-/// Bounds of work asked over work done at a late server.
+/// Bounds of the ratio of offered to processed work at a server with a high delay.
 const MIN_UTILIZATION: f64 = 0.5;
 const MAX_UTILIZATION: f64 = 10.0;
 
-/// Why a server holds too much.
+/// Why a server has an excess load.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ExcessCause {
-    /// It has been above the overload threshold for some periods.
+    /// The server has exceeded the overload threshold for several periods.
     Overloaded,
-    /// Its messages are late.
-    Late,
-    /// It is to have no connections when it stops.
+    /// The server's message delay is high.
+    HighDelay,
+    /// The server is draining and must have no connections when it stops.
     Draining,
 }
 
-/// What a server is to shed.
+/// Load that a server has to shed.
 pub(super) struct Excess {
-    /// In microseconds of work a second; of a draining server the number of its connections.
+    /// Load in microseconds of CPU work per second; for a draining server, the number of its
+    /// connections.
     pub(super) load: f64,
     pub(super) cause: ExcessCause,
 }
 
 impl Policy {
-    /// Lets each server that may hold too much shed its excess. `holds_few` says that this node holds next to
-    /// no connections.
-    pub(super) fn rebalance(&mut self, now: Micros, holds_few: bool, actions: &mut Vec<Action>) {
+    /// Sheds the excess load of each server. `has_few_connections` means that this node has too few
+    /// connections for its load record to be meaningful.
+    pub(super) fn rebalance(&mut self, now: Micros, has_few_connections: bool, actions: &mut Vec<Action>) {
         let mean_load = self.mean_load(now);
         for index in 0..self.servers.len() {
             let draining = self.servers[index].endpoint.state == EndpointState::Draining;
             if self.is_available(now, index) || (draining && self.settings.migrate_from_draining) {
-                self.shed(now, index, mean_load, holds_few, actions);
+                self.shed(now, index, mean_load, has_few_connections, actions);
             }
         }
     }
 
-    /// Migrates connections away from a server that holds too much.
+    /// Migrates connections away from a server with an excess load.
     fn shed(
         &mut self,
         now: Micros,
         index: ServerIndex,
         mean_load: f64,
-        holds_few: bool,
+        has_few_connections: bool,
         actions: &mut Vec<Action>,
     ) {
-        self.bound_late_server(now, index, mean_load);
+        self.limit_high_delay_server(now, index, mean_load);
         self.count_overloaded_period(index, mean_load);
         let excess = self.excess(now, index, mean_load);
         if excess.load <= 0.0 {
             return;
         }
-        let limit = self.draw_migration_limit(now, excess.cause);
+        let limit = self.migration_limit(now, excess.cause);
         let candidates = self.migration_candidates(now, index, excess.cause);
-        let Some(load) = self.draw_load_to_shed(index, &excess, &candidates, holds_few) else { return };
+        let Some(load) = self.load_to_shed(index, &excess, &candidates, has_few_connections) else { return };
         let migrations = limit.of(candidates.len());
         self.migrate_closest(index, load, migrations, candidates, actions);
     }
 
-    /// Bounds a late server to what it manages, unless it is stalled: a stall says nothing about its
-    /// capacity.
-    fn bound_late_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
-        let Some(late) = self.delay_if_late(now, index).filter(|late| !late.stalled) else { return };
+    /// Limits a server with a high delay to the load that it can handle. A stalled server is not
+    /// limited, because a stall says nothing about its capacity.
+    fn limit_high_delay_server(&mut self, now: Micros, index: ServerIndex, mean_load: f64) {
+        let Some(observed) = self.high_delay(now, index).filter(|observed| !observed.stalled) else { return };
         if !self.servers[index].draining {
-            let manageable_load = self.manageable_load(&late, self.recorded_load(index));
-            self.bound_to_capacity(index, manageable_load, mean_load);
+            let manageable_load = self.manageable_load(&observed, self.recorded_load(index));
+            self.limit_to_capacity(index, manageable_load, mean_load);
         }
     }
 
@@ -93,16 +95,17 @@
         server.overloaded_periods = if overloaded { server.overloaded_periods + 1 } else { 0 };
     }
 
-    /// What a server holds too much: the larger of what it has above its part of the mean, when it has been
-    /// overloaded for long enough, and of what a late or draining server is to be rid of.
+    /// Returns the excess load of a server. This is the larger of the load above its share of the
+    /// mean, if it has been overloaded long enough, and the load to remove because of its high
+    /// delay or its draining.
     fn excess(&self, now: Micros, index: ServerIndex, mean_load: f64) -> Excess {
         let server = &self.servers[index];
         let (reactive, cause) = if server.draining {
             (server.load.connections.len() as f64, ExcessCause::Draining)
         } else {
-            (self.late_excess(now, index), ExcessCause::Late)
+            (self.high_delay_excess(now, index), ExcessCause::HighDelay)
         };
-        let proactive = if server.overloaded_periods >= OVERLOADED_PERIODS {
+        let proactive = if server.overloaded_periods >= PERIODS_BEFORE_SHEDDING {
             self.recorded_load(index) - mean_load * self.effective_weight(index)
         } else {
             0.0
@@ -111,26 +114,28 @@
         Excess { load: reactive.max(proactive), cause }
     }
 
-    /// What a late server has beyond what it manages, and what is to go for its backlog to clear in time.
-    fn late_excess(&self, now: Micros, index: ServerIndex) -> f64 {
-        let Some(late) = self.delay_if_late(now, index) else { return 0.0 };
+    /// Returns the load of a server with a high delay above the load that it can handle, plus the
+    /// load to remove so that its backlog clears in time.
+    fn high_delay_excess(&self, now: Micros, index: ServerIndex) -> f64 {
+        let Some(observed) = self.high_delay(now, index) else { return 0.0 };
         let load = self.recorded_load(index);
-        let manageable_load = self.manageable_load(&late, load);
-        let backlog = late.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
+        let manageable_load = self.manageable_load(&observed, load);
+        let backlog = observed.delay.as_secs_f64() / BACKLOG_CLEAR_TIME.as_secs_f64();
         (load - manageable_load * (1.0 - backlog)).clamp(0.0, load)
     }
 
-    fn delay_if_late(&self, now: Micros, index: ServerIndex) -> Option<MessageDelay> {
-        self.servers[index].delay.filter(|_| self.is_late(now, index))
+    fn high_delay(&self, now: Micros, index: ServerIndex) -> Option<MessageDelay> {
+        self.servers[index].delay.filter(|_| self.has_high_delay(now, index))
     }
 
-    /// The part of its load that a late server manages. The growth of its delay shows how far it is over its
-    /// capacity; where it is a little late that is little, so only where a whole objective is missed the
-    /// whole margin is kept.
-    fn manageable_load(&self, late: &MessageDelay, load: f64) -> f64 {
-        let utilization = (1.0 + late.growth).clamp(MIN_UTILIZATION, MAX_UTILIZATION);
-        let late_threshold_s = self.late_threshold.as_secs_f64();
-        let urgency = (late.delay.as_secs_f64() * LATE_SHARE_OF_OBJECTIVE / late_threshold_s).min(1.0);
+    /// Returns the part of its load that a server with a high delay can handle. The growth of the
+    /// delay shows by how much the server exceeds its capacity. A delay just above the threshold
+    /// indicates a small excess, so the full safety margin applies only if the full latency
+    /// objective is missed.
+    fn manageable_load(&self, observed: &MessageDelay, load: f64) -> f64 {
+        let utilization = (1.0 + observed.growth).clamp(MIN_UTILIZATION, MAX_UTILIZATION);
+        let threshold_s = self.high_delay_threshold.as_secs_f64();
+        let urgency = (observed.delay.as_secs_f64() * HIGH_DELAY_SHARE_OF_OBJECTIVE / threshold_s).min(1.0);
         (1.0 - (1.0 - CAPACITY_MARGIN) * urgency) * load / utilization
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! What the tests share: settings, shorthand for events, and a checker of the four rules on actions.
+//! Shared test support: settings, shorthand for events, and a checker that applies the four rules
+//! to all actions.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -79,33 +80,33 @@
 }
 
 #[derive(Default, Debug)]
-struct Held {
+struct RequestState {
     class: u16,
     attempts: u32,
     attempt_at: Option<ServerId>,
-    /// The first attempt that may have run.
-    first_run: Option<(ServerId, Micros)>,
+    /// First attempt that may have been executed.
+    first_execution: Option<(ServerId, Micros)>,
     sent: Micros,
     open: bool,
 }
 
-/// A node under test, the requests it owes, and the rules checked on each action.
+/// A node under test with its requests. Checks the rules on each action.
 pub struct Node {
     pub policy: Policy,
     pub now: Micros,
     pub settings: BalancerSettings,
-    held: BTreeMap<RequestId, Held>,
+    requests: BTreeMap<RequestId, RequestState>,
     ended: BTreeSet<RequestId>,
     listed: BTreeMap<ServerId, Endpoint>,
     sends_while_warming_up: BTreeMap<ServerId, Vec<Micros>>,
     pub timers: Vec<(Micros, TimerToken)>,
     pub last: Vec<Action>,
-    /// Connections that were moved and whose end is still to be told.
+    /// Migrated connections whose end has not been reported yet.
     migrating: Vec<(RequestId, ServerId)>,
-    /// When requests were taken, and when attempts beyond their first were sent.
+    /// Times of admitted requests and of retries.
     admitted_at: Vec<Micros>,
     retries_at: Vec<Micros>,
-    /// Servers that were told to drain and not to be ready since.
+    /// Servers listed as draining and not as ready since.
     draining: BTreeSet<ServerId>,
 }
 
@@ -123,7 +124,7 @@
             policy,
             now,
             settings,
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             ended: BTreeSet::new(),
             listed: BTreeMap::new(),
             sends_while_warming_up: BTreeMap::new(),
@@ -161,7 +162,7 @@
     }
 
     pub fn send_request(&mut self, request: Request) {
-        self.held.insert(request.id, Held { class: request.class, ..Held::default() });
+        self.requests.insert(request.id, RequestState { class: request.class, ..RequestState::default() });
         self.admitted_at.push(self.now);
         self.event(Event::Request(request));
     }
@@ -171,8 +172,9 @@
     }
 
     pub fn open_as(&mut self, request: Request, server: u64) {
-        let held = Held { attempt_at: Some(ServerId(server)), open: true, ..Held::default() };
-        self.held.insert(request.id, held);
+        let state =
+            RequestState { attempt_at: Some(ServerId(server)), open: true, ..RequestState::default() };
+        self.requests.insert(request.id, state);
         self.event(Event::ExistingConnection(request, ServerId(server)));
     }
 
@@ -181,39 +183,39 @@
     }
 
     pub fn establish_after(&mut self, id: u64, latency: Micros) {
-        if let Some(held) = self.held.get_mut(&RequestId(id))
-            && let Some(server) = held.attempt_at
+        if let Some(state) = self.requests.get_mut(&RequestId(id))
+            && let Some(server) = state.attempt_at
         {
-            held.open = true;
-            held.first_run.get_or_insert((server, held.sent));
+            state.open = true;
+            state.first_execution.get_or_insert((server, state.sent));
             self.event(Event::Established { id: RequestId(id), latency });
         }
     }
 
-    /// The end of the attempt that is out, as a server would report it.
+    /// Reports the end of the attempt in flight or of the connection.
     pub fn end(&mut self, id: u64, outcome: Outcome) {
         let id = RequestId(id);
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(server) = held.attempt_at.take() else { return };
+        let Some(state) = self.requests.get_mut(&id) else { return };
+        let Some(server) = state.attempt_at.take() else { return };
         if outcome.may_have_executed() {
-            held.first_run.get_or_insert((server, held.sent));
+            state.first_execution.get_or_insert((server, state.sent));
         }
-        let closed = held.open || outcome == Outcome::Ok;
+        let closed = state.open || outcome == Outcome::Ok;
         if closed {
-            self.held.remove(&id);
+            self.requests.remove(&id);
             self.ended.insert(id);
         }
         self.event(Event::Ended { id, server, outcome, closed, report: Vec::new() });
     }
 
-    pub fn client_gone(&mut self, id: u64) {
-        if self.held.remove(&RequestId(id)).is_some() {
+    pub fn disconnect_client(&mut self, id: u64) {
+        if self.requests.remove(&RequestId(id)).is_some() {
             self.ended.insert(RequestId(id));
         }
         self.event(Event::ClientDisconnected(RequestId(id)));
     }
 
-    /// Lets time pass and wakes each timer in its turn.
+    /// Advances the time and handles each timer when it expires.
     pub fn pass(&mut self, span: Micros) {
         let until = self.now + span;
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].0) {
@@ -223,22 +225,22 @@
             let (at, token) = self.timers.remove(i);
             self.now = self.now.max(at);
             self.event(Event::Timer(token));
-            let told = self.last.clone();
+            let last = self.last.clone();
             for (id, server) in std::mem::take(&mut self.migrating) {
                 let (outcome, closed, report) = (Outcome::Cancelled, true, Vec::new());
                 self.event(Event::Ended { id, server, outcome, closed, report });
             }
-            self.last = told;
+            self.last = last;
         }
         self.now = until;
     }
 
     pub fn server_of(&self, id: u64) -> Option<u64> {
-        self.held.get(&RequestId(id)).and_then(|held| held.attempt_at).map(|server| server.0)
+        self.requests.get(&RequestId(id)).and_then(|state| state.attempt_at).map(|server| server.0)
     }
 
-    pub fn is_held(&self, id: u64) -> bool {
-        self.held.contains_key(&RequestId(id))
+    pub fn has_request(&self, id: u64) -> bool {
+        self.requests.contains_key(&RequestId(id))
     }
 
     pub fn rejected(&self, id: u64) -> Option<Option<Micros>> {
@@ -260,7 +262,7 @@
         self.sends_while_warming_up.get(&ServerId(server)).map_or(&[], Vec::as_slice)
     }
 
-    /// Lands `n` connections from id `first` on and establishes them.
+    /// Places `n` connections with ids from `first` on, and establishes them.
     pub fn fill(&mut self, first: u64, n: u64) {
         for id in first..first + n {
             self.send_request(request(id));
@@ -271,28 +273,28 @@
     fn check(&mut self, actions: Vec<Action>) {
         for action in &actions {
             match action {
-                Action::Forward(id, server, time_out) => self.check_send(*id, *server, *time_out),
+                Action::Forward(id, server, timeout) => self.check_send(*id, *server, *timeout),
                 Action::Reject(id, wait) => {
                     assert!(
                         self.settings.retry_after_allowed || wait.is_none(),
-                        "a retry-after where none is allowed"
+                        "a Retry-After time where none is allowed"
                     );
                     assert!(wait.is_none_or(|w| w <= self.settings.max_retry_after));
-                    let held = self.answer(*id);
-                    let class = &self.settings.classes[usize::from(held.class)];
-                    let harmless = match class.idempotency {
+                    let state = self.answer(*id);
+                    let class = &self.settings.classes[usize::from(state.class)];
+                    let safe_to_retry = match class.idempotency {
                         Idempotency::Idempotent | Idempotency::Deduplicated(DedupScope::All) => true,
-                        _ => held.first_run.is_none(),
+                        _ => state.first_execution.is_none(),
                     };
-                    assert!(harmless, "refused {id:?}, which may have run");
+                    assert!(safe_to_retry, "rejected {id:?}, which may have been executed");
                 }
                 Action::Fail(id) => {
                     self.answer(*id);
                 }
                 Action::Migrate(id) => {
-                    let held = self.held.remove(id).expect("a connection that is held");
-                    assert!(held.open, "moved {id:?}, which is not open");
-                    self.migrating.extend(held.attempt_at.map(|server| (*id, server)));
+                    let state = self.requests.remove(id).expect("a known connection");
+                    assert!(state.open, "migrated {id:?}, which is not open");
+                    self.migrating.extend(state.attempt_at.map(|server| (*id, server)));
                     self.ended.insert(*id);
                 }
                 Action::SetTimer(after, token) => self.timers.push((self.now + *after, *token)),
@@ -302,12 +304,16 @@
                 Action::Log(_, line) => assert!(line.len() < 200),
             }
         }
-        for (id, held) in &self.held {
-            let looks = || self.timers.iter().any(|(_, token)| token.0 == id.0 | 1 << 63);
-            assert!(held.attempt_at.is_some() || looks(), "{id:?} is neither answered nor out");
-            // What came since it was decided must not go out any more, once its connection is up.
+        for (id, state) in &self.requests {
+            let waits_for_probe = || self.timers.iter().any(|(_, token)| token.0 == id.0 | 1 << 63);
+            assert!(
+                state.attempt_at.is_some() || waits_for_probe(),
+                "{id:?} has neither an answer nor an attempt"
+            );
+            // After an event since the decision, an attempt may only be sent if the rules still
+            // allow it.
             if let Some(server) =
-                held.attempt_at.filter(|_| !held.open && self.policy.may_still_send(self.now, *id))
+                state.attempt_at.filter(|_| !state.open && self.policy.may_still_send(self.now, *id))
             {
                 self.check_allowed(*id, server);
             }
@@ -315,52 +321,58 @@
         self.last = actions;
     }
 
-    fn answer(&mut self, id: RequestId) -> Held {
-        let held = self.held.remove(&id).unwrap_or_else(|| panic!("{id:?} answered though not held"));
-        assert!(held.attempt_at.is_none(), "{id:?} answered with an attempt out");
+    fn answer(&mut self, id: RequestId) -> RequestState {
+        let state = self.requests.remove(&id).unwrap_or_else(|| panic!("{id:?} answered, but unknown"));
+        assert!(state.attempt_at.is_none(), "{id:?} answered with an attempt in flight");
         assert!(self.ended.insert(id), "{id:?} answered twice");
-        held
+        state
     }
 
-    fn check_send(&mut self, id: RequestId, server: ServerId, time_out: Option<Micros>) {
+    fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Option<Micros>) {
         assert!(!self.ended.contains(&id), "sent {id:?} after its end");
-        assert!(time_out.is_none_or(|t| t > Micros(0)));
+        assert!(timeout.is_none_or(|t| t > Micros(0)));
         self.check_allowed(id, server);
         let entry = self.listed[&server];
-        let held = self.held.get_mut(&id).unwrap_or_else(|| panic!("{id:?} sent though not held"));
-        assert!(held.attempt_at.is_none(), "two attempts of {id:?} at once");
-        held.attempts += 1;
-        if let Some(budget) = self.settings.retry_budget.filter(|_| held.attempts > 1) {
-            // A plain recount: what lies exactly one span back is out for requests and in for attempts.
+        let state = self.requests.get_mut(&id).unwrap_or_else(|| panic!("{id:?} sent, but unknown"));
+        assert!(state.attempt_at.is_none(), "two attempts of {id:?} at once");
+        state.attempts += 1;
+        if let Some(budget) = self.settings.retry_budget.filter(|_| state.attempts > 1) {
+            // An independent count. An event exactly one window ago is excluded for requests and
+            // included for retries.
             self.retries_at.push(self.now);
-            let further = self.retries_at.iter().filter(|&&at| at + budget.window >= self.now).count() as f64;
-            let taken = self.admitted_at.iter().filter(|&&at| at + budget.window > self.now).count() as f64;
-            let allowed = budget.min_retries + budget.retry_ratio * taken;
-            assert!(further <= allowed, "{further} further attempts where {allowed} are allowed");
+            let retries = self.retries_at.iter().filter(|&&at| at + budget.window >= self.now).count() as f64;
+            let admitted =
+                self.admitted_at.iter().filter(|&&at| at + budget.window > self.now).count() as f64;
+            let allowed = budget.min_retries + budget.retry_ratio * admitted;
+            assert!(retries <= allowed, "{retries} retries where {allowed} are allowed");
         }
-        assert!(held.attempts <= self.settings.max_attempts);
-        held.attempt_at = Some(server);
-        held.sent = self.now;
+        assert!(state.attempts <= self.settings.max_attempts);
+        state.attempt_at = Some(server);
+        state.sent = self.now;
         if entry.started.is_some_and(|started| self.now < started + self.settings.warm_up) {
             self.sends_while_warming_up.entry(server).or_default().push(self.now);
         }
     }
 
-    /// Whether the list, and what an attempt may have done before, let a request go to a server now.
+    /// Checks that the list and the effects of earlier attempts allow a request to be sent to a
+    /// server.
     fn check_allowed(&self, id: RequestId, server: ServerId) {
-        let entry = *self.listed.get(&server).expect("a server of the list");
-        let advice = self.settings.removal_is_advisory && entry.state == EndpointState::Removed;
-        let free = entry.state == EndpointState::Ready || (advice && !self.draining.contains(&server));
-        assert!(free, "sent to {server}, which is not ready");
-        let held = self.held.get(&id).unwrap_or_else(|| panic!("{id:?} sent though not held"));
-        let class = &self.settings.classes[usize::from(held.class)];
-        if let Some((first, sent)) = held.first_run {
+        let entry = *self.listed.get(&server).expect("a listed server");
+        let advisory = self.settings.removal_is_advisory && entry.state == EndpointState::Removed;
+        let available = entry.state == EndpointState::Ready || (advisory && !self.draining.contains(&server));
+        assert!(available, "sent to {server}, which is not ready");
+        let state = self.requests.get(&id).unwrap_or_else(|| panic!("{id:?} sent, but unknown"));
+        let class = &self.settings.classes[usize::from(state.class)];
+        if let Some((first, sent)) = state.first_execution {
             let first = self.listed[&first];
             match class.idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NotIdempotent => panic!("{id:?} sent again though it may have run"),
+                Idempotency::NotIdempotent => panic!("{id:?} sent again though it may have been executed"),
                 Idempotency::Deduplicated(group) => {
-                    assert!(self.now < sent + class.dedup_window, "{id:?} sent again after its window");
+                    assert!(
+                        self.now < sent + class.dedup_window,
+                        "{id:?} sent again after its deduplication window"
+                    );
                     assert!(match group {
                         DedupScope::All => true,
                         DedupScope::Zone => first.zone == entry.zone,
@@ -380,7 +392,7 @@
     node.event(Event::DelayReported(ServerId(server), span_ms));
 }
 
-/// Passes `n` periods and returns all connections moved.
+/// Passes `n` periods and returns all migrated connections.
 pub fn pass_periods(node: &mut Node, n: u64) -> Vec<u64> {
     let mut moved = Vec::new();
     for _ in 0..n * 10 {
