--- a/crates/alderstile-node/src/lib.rs
+++ b/crates/alderstile-node/src/lib.rs
@@ -2,6 +2,10 @@
 //!
 //! All placement decisions are made by the `alderstile` library; this crate does the I/O. Everything runs on
 //! one thread, and [`node`] holds the state that the tasks share. Each folder covers one concern.
+//!
+//! In this crate a *host* is a server that clients are connected to, *discovery* is the service that
+//! publishes the list of hosts, and the *front* distributes clients over the nodes and checks the nodes'
+//! health.
 
 pub mod admin;
 pub mod clock;
--- a/crates/alderstile-node/src/proxy/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -63,7 +63,7 @@
     TcpListener::from_std(listener)
 }
 
-/// Accepts clients until the process is to stop accepting, then closes the listener.
+/// Accepts clients until `stop_accepting` of the process is notified, then drains and closes the listener.
 pub async fn run(node: Rc<Node>, listener: TcpListener) {
     let listener = Rc::new(listener);
     node.process.set_listener(Some(listener.clone()));
@@ -72,8 +72,7 @@
         () = node.process.stop_accepting.notified() => {}
     }
     node.process.set_listener(None);
-    // This is the last reference, unless the listener is being shared with the other process, which then
-    // serves its queue.
+    // Fails only while the listener is being shared with the other process, which then serves its queue.
     if let Ok(listener) = Rc::try_unwrap(listener) {
         close(&node, listener).await;
     }
--- a/crates/alderstile-node/src/proxy/migration.rs
+++ b/crates/alderstile-node/src/proxy/migration.rs
@@ -13,7 +13,7 @@
 #[derive(Default)]
 pub struct MigrationSignal {
     requested: Notify,
-    /// The reason, if not the policy requested the migration.
+    /// The reason, `None` if the policy requested the migration.
     reason: Cell<Option<TerminationReason>>,
 }
 
@@ -38,15 +38,15 @@
 #[derive(Default)]
 pub struct EstablishedClients {
     signals: RefCell<BTreeMap<RequestId, Rc<MigrationSignal>>>,
-    /// Set once all clients are to migrate: the reason.
-    all: Cell<Option<TerminationReason>>,
+    /// The reason for which all clients migrate, `None` unless that was requested.
+    all_reason: Cell<Option<TerminationReason>>,
 }
 
 impl EstablishedClients {
     /// Registers a client until the guard is dropped.
     pub fn add(self: &Rc<Self>, id: RequestId) -> EstablishedClient {
         let signal = Rc::new(MigrationSignal::default());
-        self.all.get().into_iter().for_each(|reason| signal.request(reason));
+        self.all_reason.get().into_iter().for_each(|reason| signal.request(reason));
         self.signals.borrow_mut().insert(id, signal.clone());
         EstablishedClient { clients: self.clone(), id, signal }
     }
@@ -72,7 +72,7 @@
 
     /// Requests the migration of all clients, and of each that is added later.
     pub fn migrate_all(&self, reason: TerminationReason) {
-        self.all.set(Some(reason));
+        self.all_reason.set(Some(reason));
         self.migrate_some(usize::MAX, reason);
     }
 }
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -78,7 +78,7 @@
     pub host: ServerId,
 }
 
-/// Tracks the lines that are forwarded, and reports load reports to the policy.
+/// Tracks the forwarded lines, and passes load reports to the policy.
 struct Monitor<'a> {
     decisions: &'a Decisions,
     served: ServedRequest,
--- a/crates/alderstile-node/tests/admission.rs
+++ b/crates/alderstile-node/tests/admission.rs
@@ -99,8 +99,8 @@
         };
         let answer = tokio::select! {
             answer = client.read_line() => answer.expect("an answer"),
-            () = reject_attempts(&hosts[0]) => unreachable!("it goes on"),
-            () = reject_attempts(&hosts[1]) => unreachable!("it goes on"),
+            () = reject_attempts(&hosts[0]) => unreachable!("the stub accepts attempts until the test ends"),
+            () = reject_attempts(&hosts[1]) => unreachable!("the stub accepts attempts until the test ends"),
         };
         assert!(answer.starts_with("BUSY"), "{answer}");
         assert_eq!(client.read_line().await, None);
--- a/crates/alderstile-node/tests/json_framer.rs
+++ b/crates/alderstile-node/tests/json_framer.rs
@@ -32,7 +32,7 @@
             // A watch sends empty lines between lists.
             stream.extend_from_slice(b"\r\n\r\n");
         }
-        let (mut framer, mut returned_lists, mut empty_lines) = (JsonFramer::default(), Vec::new(), 0);
+        let (mut framer, mut parsed, mut empty_lines) = (JsonFramer::default(), Vec::new(), 0);
         let mut cuts = cuts.into_iter();
         let mut rest = &stream[..];
         while !rest.is_empty() {
@@ -41,7 +41,7 @@
             for piece in chunk.split_inclusive(|byte| *byte == b'\n') {
                 match framer.push(piece) {
                     Some(value) if value.is_empty() => empty_lines += 1,
-                    Some(value) => returned_lists.push(serde_json::from_slice::<EndpointList>(&value).expect("a complete list")),
+                    Some(value) => parsed.push(serde_json::from_slice::<EndpointList>(&value).expect("a complete list")),
                     None => {}
                 }
             }
@@ -49,7 +49,7 @@
         prop_assert_eq!(empty_lines, lists.len());
         prop_assert_eq!(framer.buffered(), 0);
         let names = |list: &EndpointList| list.endpoints.iter().map(|host| host.name.clone()).collect::<Vec<_>>();
-        prop_assert_eq!(returned_lists.iter().map(names).collect::<Vec<_>>(), lists.into_iter().map(|(names, _)| names).collect::<Vec<_>>());
+        prop_assert_eq!(parsed.iter().map(names).collect::<Vec<_>>(), lists.into_iter().map(|(names, _)| names).collect::<Vec<_>>());
     }
 
     #[test]
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -353,8 +353,8 @@
         assert_served(&setup, 1, &host).await;
         assert!(setup.node.decisions.lease_remaining() > Micros(0), "no change can count as notified");
         // Discovery is back: it accepts calls and never answers them.
-        let restarted_discovery = Instant::now();
-        sleep_until(restarted_discovery + Duration::from_millis(7_000)).await;
+        let restarted_at = Instant::now();
+        sleep_until(restarted_at + Duration::from_millis(7_000)).await;
         assert_rejected(&setup, 2, &host).await;
     });
 }
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Stubs of clients, hosts and discovery on loopback, and a node under test that uses them.
 //!
-//! Tests wait for expected events without a separate time limit, so that a slow machine causes no failure. Only
-//! [`run`] limits the duration of a test, in case it is stuck.
+//! Tests wait for expected events without a separate time limit, so that a slow machine causes no failure.
+//! Only [`run`] limits the duration of a test, in case it is stuck.
 #![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::future::Future;
@@ -133,8 +133,8 @@
     }
 }
 
-/// Accepts an attempt at either of two hosts and reads its first line. Returns the connection and the index of
-/// the other host.
+/// Accepts an attempt at either of two hosts and reads its first line. Returns the connection and the index
+/// of the other host.
 pub async fn accept_attempt(hosts: &[StubHost; 2]) -> (LineConnection, usize) {
     let (mut server, other) = tokio::select! {
         server = hosts[0].accept() => (server, 1),
