--- a/crates/alderstile-lab/benches/emulated.rs
+++ b/crates/alderstile-lab/benches/emulated.rs
@@ -3,7 +3,7 @@
 use std::hint::black_box;
 use std::time::Duration;
 
-use alderstile_lab::emulated::{Way, run};
+use alderstile_lab::emulated::{Strategy, run};
 use alderstile_lab::history::History;
 use alderstile_lab::schedule::Plan;
 use criterion::{BenchmarkId, Criterion, Throughput, criterion_group, criterion_main};
@@ -25,7 +25,7 @@
         let plan = plan(nodes);
         group.throughput(Throughput::Elements(nodes as u64 * 1_000 / 3));
         group.bench_with_input(BenchmarkId::new("nodes", nodes), &plan, |b, plan| {
-            b.iter(|| black_box(run(plan, &Way::Module.into(), &History::unread())));
+            b.iter(|| black_box(run(plan, &Strategy::Alderstile.into(), &History::unread())));
         });
     }
     group.finish();
--- a/crates/alderstile-lab/src/compare.rs
+++ b/crates/alderstile-lab/src/compare.rs
@@ -7,7 +7,7 @@
 
 use thiserror::Error;
 
-use crate::emulated::{self, Choice, EmulatedError, Sums};
+use crate::emulated::{self, EmulationError, RunMetrics, StrategySpec};
 use crate::history::History;
 use crate::schedule::{Plan, ScheduleError};
 
@@ -25,7 +25,7 @@
     Schedule(#[from] ScheduleError),
     /// It can't be emulated.
     #[error(transparent)]
-    Emulated(#[from] EmulatedError),
+    Emulated(#[from] EmulationError),
     /// There are no choices in it.
     #[error("{0}: no hosts or no clients: nothing is chosen there")]
     NoChoices(String),
@@ -57,20 +57,20 @@
 #[derive(Clone, Debug)]
 pub struct Row {
     /// The way, and the parts on.
-    pub way: Choice,
+    pub way: StrategySpec,
     /// One outcome for each seed.
-    pub sums: Vec<Sums>,
+    pub sums: Vec<RunMetrics>,
 }
 
 impl Row {
     /// A figure of each outcome's traffic.
-    pub fn figures(&self, of: impl Fn(&emulated::Traffic) -> f64) -> Vec<f64> {
+    pub fn figures(&self, of: impl Fn(&emulated::TrafficMetrics) -> f64) -> Vec<f64> {
         self.sums.iter().filter_map(|sums| sums.traffic.as_ref()).map(of).collect()
     }
 
     /// How much more of what was wanted was served than by another way, seed by seed.
     pub fn gain(&self, other: &Row) -> Figure {
-        let share = |row: &Row| row.figures(emulated::Traffic::share);
+        let share = |row: &Row| row.figures(emulated::TrafficMetrics::served_share);
         let gains: Vec<f64> = share(self).iter().zip(share(other)).map(|(a, b)| a - b).collect();
         Figure::of(&gains)
     }
@@ -81,11 +81,11 @@
 /// # Errors
 ///
 /// If the schedule can't be read or emulated, or has no hosts or no clients.
-pub fn compare(file: &Path, ways: &[Choice], seeds: u64) -> Result<(Plan, Vec<Row>), CompareError> {
+pub fn compare(file: &Path, ways: &[StrategySpec], seeds: u64) -> Result<(Plan, Vec<Row>), CompareError> {
     let first = Plan::load(file, None)?;
     let plans = (0..seeds).map(|i| Plan::load(file, Some(first.seed.wrapping_add(i))));
     let plans: Vec<Plan> = plans.collect::<Result<_, _>>()?;
-    let jobs: Vec<(usize, &Choice)> =
+    let jobs: Vec<(usize, &StrategySpec)> =
         ways.iter().flat_map(|way| (0..plans.len()).map(move |plan| (plan, way))).collect();
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let work = || {
--- a/crates/alderstile-lab/src/emulated/choosers.rs
+++ b/crates/alderstile-lab/src/emulated/choosers.rs
@@ -25,22 +25,26 @@
 
 /// By what a node chooses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
-pub enum Way {
+pub enum Strategy {
     /// The decisions themselves
-    Module,
+    #[value(name = "module")]
+    Alderstile,
     /// Any ready host
     Random,
     /// The ready host that holds the fewest of the node's own connections for its weight
-    Least,
+    #[value(name = "least")]
+    LeastConnections,
     /// The better of two drawn hosts (Mitzenmacher 2001)
-    Two,
+    #[value(name = "two")]
+    TwoChoices,
     /// The least of the twenty hosts that the node draws highest (rendezvous: Thaler and Ravishankar 1998)
-    Subset,
+    #[value(name = "subset")]
+    RendezvousSubset,
     /// The host that truly has the most room: no real node can know it
     Oracle,
 }
 
-impl fmt::Display for Way {
+impl fmt::Display for Strategy {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.to_possible_value().as_ref().map_or("", |value| value.get_name()))
     }
@@ -48,37 +52,37 @@
 
 /// A way, and parts beside those that the schedule has on: `module+subsets`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Choice {
+pub struct StrategySpec {
     /// The way.
-    pub way: Way,
+    pub strategy: Strategy,
     /// Further parts.
-    pub parts: Vec<Feature>,
+    pub features: Vec<Feature>,
 }
 
-impl FromStr for Choice {
+impl FromStr for StrategySpec {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
         let mut words = text.split('+');
-        let way = Way::from_str(words.next().unwrap_or_default(), false)?;
+        let way = Strategy::from_str(words.next().unwrap_or_default(), false)?;
         let parts =
             words.map(|word| Feature::from_str(word, false)).collect::<Result<Vec<Feature>, String>>()?;
-        if way != Way::Module && !parts.is_empty() {
+        if way != Strategy::Alderstile && !parts.is_empty() {
             return Err("parts are for module".to_owned());
         }
-        Ok(Choice { way, parts })
+        Ok(StrategySpec { strategy: way, features: parts })
     }
 }
 
-impl From<Way> for Choice {
-    fn from(way: Way) -> Self {
-        Choice { way, parts: Vec::new() }
+impl From<Strategy> for StrategySpec {
+    fn from(way: Strategy) -> Self {
+        StrategySpec { strategy: way, features: Vec::new() }
     }
 }
 
-impl fmt::Display for Choice {
+impl fmt::Display for StrategySpec {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}", self.way)?;
-        let mut names = self.parts.iter().filter_map(|part| part.to_possible_value());
+        write!(f, "{}", self.strategy)?;
+        let mut names = self.features.iter().filter_map(|part| part.to_possible_value());
         names.try_for_each(|part| write!(f, "+{}", part.get_name()))
     }
 }
@@ -96,8 +100,14 @@
 
 impl Chooser {
     /// A node that has just started; what it begins with is added to `out`.
-    pub fn new(way: Way, settings: &BalancerSettings, seed: u64, now: Micros, out: &mut Vec<Action>) -> Self {
-        if way == Way::Module {
+    pub fn new(
+        way: Strategy,
+        settings: &BalancerSettings,
+        seed: u64,
+        now: Micros,
+        out: &mut Vec<Action>,
+    ) -> Self {
+        if way == Strategy::Alderstile {
             let mut policy = Policy::new(settings.clone(), seed, now);
             policy.start(out);
             return Chooser::Module(Box::new(policy));
@@ -148,7 +158,7 @@
 
 /// A plain way: a ready host, another one where that failed, nothing ever moves.
 pub struct Plain {
-    way: Way,
+    way: Strategy,
     classes: Vec<ClassSettings>,
     rng: Pcg64Mcg,
     name: u64,
@@ -227,16 +237,18 @@
         }
         let rng = &mut self.rng;
         match self.way {
-            Way::Random | Way::Module => return Some(ready[rng.random_range(0..ready.len())].0),
-            Way::Two => ready = [0, 0].map(|_| ready[rng.random_range(0..ready.len())]).to_vec(),
-            Way::Subset => {
+            Strategy::Random | Strategy::Alderstile => {
+                return Some(ready[rng.random_range(0..ready.len())].0);
+            }
+            Strategy::TwoChoices => ready = [0, 0].map(|_| ready[rng.random_range(0..ready.len())]).to_vec(),
+            Strategy::RendezvousSubset => {
                 let drawn =
                     |id: ServerId| Pcg64Mcg::seed_from_u64(self.name ^ id.0.rotate_left(32)).random::<u64>();
                 ready.sort_by_cached_key(|(id, _)| Reverse(drawn(*id)));
                 ready.truncate(SUBSET);
             }
-            Way::Oracle => ready.iter_mut().for_each(|host| host.1 = truth(host.0)),
-            Way::Least => {}
+            Strategy::Oracle => ready.iter_mut().for_each(|host| host.1 = truth(host.0)),
+            Strategy::LeastConnections => {}
         }
         let least = ready.iter().map(|(_, held)| *held).fold(f64::INFINITY, f64::min);
         // An oracle that sees none that serves sends nothing.
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/fleet.rs
@@ -16,7 +16,7 @@
 use alderstile_cluster::subsetting::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, share_table};
 use rand::RngExt;
 
-use super::choosers::{Choice, Chooser, Way};
+use super::choosers::{Chooser, Strategy, StrategySpec};
 use super::hosts::{Host, TICK};
 use super::{What, World, micros};
 use crate::history::{Event as Line, ProcessChange};
@@ -35,56 +35,57 @@
 /// Bits of a request's number that tell which of its client's it is.
 pub(super) const SERIAL_BITS: u32 = 24;
 
-/// What comes of choices, beside the history.
+/// Traffic metrics of an emulated run: what a load-balancing strategy achieved, besides the history.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Traffic {
-    /// Beats at which a client wanted to be served, and those at which it was.
-    pub wanted: u64,
-    /// See `wanted`.
-    pub served: u64,
-    /// From a request to its `UP`, seconds.
-    pub answers_s: Vec<f32>,
-    /// Requests turned away or failed.
-    pub declined: u64,
-    /// Attempts beyond requests' first.
-    pub further: u64,
-    /// Clients told to move.
-    pub moves: u64,
-    /// Cold hosts that were pushed over.
-    pub falls: u64,
-    /// The most that was asked of a cold host over what it bears.
-    pub cold_peak: f64,
-    /// What was asked of cold hosts in all, and what they bear.
-    pub cold_asked: (f64, f64),
-    /// Connections at the busiest host over its due, summed over so many seconds.
-    pub busiest: (f64, u64),
-    /// The same, in the last second.
-    pub busiest_last: f64,
-    /// Connections open at the end.
-    pub open: u64,
-    /// The most open at once.
-    pub most_open: u64,
-    /// Hosts that a node holds connections on, summed over nodes and seconds.
-    pub used: (f64, u64),
+pub struct TrafficMetrics {
+    /// Samples (one per client and half second) in which a client wanted to be served.
+    pub demand_samples: u64,
+    /// Those of `demand_samples` in which the client was served.
+    pub served_samples: u64,
+    /// Time from each request to its `UP`, seconds.
+    pub setup_latencies_s: Vec<f32>,
+    /// Requests that were rejected or failed.
+    pub unserved_requests: u64,
+    /// Attempts after the first of a request.
+    pub retries: u64,
+    /// Clients told to migrate to another host.
+    pub migrations: u64,
+    /// Cold hosts that failed from overload.
+    pub cold_overloads: u64,
+    /// Highest load of a cold host relative to the load at which it fails.
+    pub cold_load_peak: f64,
+    /// Sum of the same ratio over all samples of cold hosts, and the number of samples.
+    pub cold_load: (f64, f64),
+    /// Sum over samples (one per second) of the connections on the busiest host relative to its fair share, and the
+    /// number of samples.
+    pub imbalance: (f64, u64),
+    /// The same ratio in the last sample.
+    pub last_imbalance: f64,
+    /// Connections open in the last sample.
+    pub open_connections: u64,
+    /// Highest number of connections open in one sample.
+    pub peak_open_connections: u64,
+    /// Hosts on which a node has connections, summed over nodes and samples, and the number of nodes times samples.
+    pub hosts_used: (f64, u64),
 }
 
-impl Traffic {
-    /// The share of beats at which clients that wanted to be served were.
-    pub fn share(&self) -> f64 {
-        self.served as f64 / self.wanted.max(1) as f64
+impl TrafficMetrics {
+    /// Share of the samples with demand in which the client was served.
+    pub fn served_share(&self) -> f64 {
+        self.served_samples as f64 / self.demand_samples.max(1) as f64
     }
 
-    /// How long a request waits for its `UP`: in the mean, and so long at most for 99 of 100; seconds.
-    pub fn answer_s(&self) -> (f64, f64) {
-        let mut all = self.answers_s.clone();
+    /// Mean and 99th percentile of the time from a request to its `UP`, seconds.
+    pub fn setup_latency_s(&self) -> (f64, f64) {
+        let mut all = self.setup_latencies_s.clone();
         all.sort_unstable_by(f32::total_cmp);
         let mean = all.iter().map(|s| f64::from(*s)).sum::<f64>() / all.len().max(1) as f64;
         (mean, all.get(all.len() * 99 / 100).map_or(0.0, |s| f64::from(*s)))
     }
 
-    /// Connections at the busiest host over its due, in the mean over time.
-    pub fn busiest_over_due(&self) -> f64 {
-        self.busiest.0 / self.busiest.1.max(1) as f64
+    /// Mean over time of the connections on the busiest host relative to its fair share.
+    pub fn mean_imbalance(&self) -> f64 {
+        self.imbalance.0 / self.imbalance.1.max(1) as f64
     }
 }
 
@@ -203,7 +204,7 @@
 pub(super) struct Fleet {
     parts: HostAssignmentConfig,
     tables: Tables,
-    pub(super) way: Way,
+    pub(super) way: Strategy,
     pub(super) settings: BalancerSettings,
     pub(super) late_at: u64,
     pub(super) hosts: Vec<Host>,
@@ -214,7 +215,7 @@
     pub(super) front: Vec<(usize, f64)>,
     pub(super) list_free: u64,
     pub(super) receipts: u64,
-    pub(super) traffic: Traffic,
+    pub(super) traffic: TrafficMetrics,
 }
 
 pub(super) fn request_id(client: usize, serial: u32) -> RequestId {
@@ -231,14 +232,14 @@
 
 impl Fleet {
     /// The parties of a plan; none where it has no hosts or no clients.
-    pub(super) fn new(plan: &Plan, choice: &Choice) -> Self {
-        let has = |part| choice.parts.contains(&part) || plan.subsetting.enabled.contains(&part);
+    pub(super) fn new(plan: &Plan, choice: &StrategySpec) -> Self {
+        let has = |part| choice.features.contains(&part) || plan.subsetting.enabled.contains(&part);
         let rule = SubsettingParams {
             hosts_per_node: plan.subsetting.hosts_per_node,
             nodes_per_host: plan.subsetting.nodes_per_host,
             prefer_own_zone: plan.subsetting.prefer_own_zone,
         };
-        let subsets = (choice.way == Way::Module && has(On::Subsets)).then_some(rule);
+        let subsets = (choice.strategy == Strategy::Alderstile && has(On::Subsets)).then_some(rule);
         let parts = HostAssignmentConfig {
             subsetting: subsets,
             added_host_retention: Micros(micros(plan.subsetting.added_host_retention_s)),
@@ -282,7 +283,7 @@
         Fleet {
             parts,
             tables: Tables::default(),
-            way: choice.way,
+            way: choice.strategy,
             late_at: MESSAGE_AIM.0 / 3,
             settings,
             hosts,
@@ -292,7 +293,7 @@
             front: Vec::new(),
             list_free: 0,
             receipts: 0,
-            traffic: Traffic::default(),
+            traffic: TrafficMetrics::default(),
         }
     }
 
@@ -582,7 +583,7 @@
                 who.attempt += 1;
                 who.stage = Stage::Trying(host);
                 let attempt = who.attempt;
-                self.fleet.traffic.further += u64::from(attempt > 1);
+                self.fleet.traffic.retries += u64::from(attempt > 1);
                 let (forth, back) = (Party::Node(node), Party::Host(host));
                 let part = match (self.way(forth, back), self.faults.link(back, forth).cut) {
                     (Some(late), false) => (late, Part::Reaches { attempt, host }),
@@ -594,7 +595,7 @@
             Action::Fail(id) => self.decline(node, split(id), "failed", 0),
             Action::Migrate(id) => {
                 let (client, serial) = split(id);
-                self.fleet.traffic.moves += 1;
+                self.fleet.traffic.migrations += 1;
                 if let Some(late) = self.way(Party::Node(node), Party::Clients) {
                     self.step(self.now + late, of(client, serial, Part::Moved));
                 }
@@ -618,7 +619,7 @@
     }
 
     fn decline(&mut self, node: usize, (client, serial): (usize, u32), word: &'static str, wait: u64) {
-        self.fleet.traffic.declined += 1;
+        self.fleet.traffic.unserved_requests += 1;
         self.fleet.sides[node].clients.remove(&client);
         self.off_host(client, serial);
         self.fleet.clients[client].stage = Stage::Asking;
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -29,8 +29,8 @@
 mod requests;
 mod supply;
 
-pub use choosers::{Choice, Way};
-pub use fleet::Traffic;
+pub use choosers::{Strategy, StrategySpec};
+pub use fleet::TrafficMetrics;
 use fleet::{Fleet, Step};
 pub use hosts::{Host, TICK};
 
@@ -44,33 +44,33 @@
 
 /// Why a schedule can't be emulated.
 #[derive(Debug, Error)]
-pub enum EmulatedError {
-    /// Nothing to emulate.
-    #[error("a run on emulated nodes needs a table [members], or hosts and clients")]
-    Nothing,
-    /// A fault that acts on what is not emulated.
-    #[error("{0} is not emulated")]
-    Kind(FaultKind),
-    /// A fault of hosts or lists where there are none.
-    #[error("{0} needs hosts and clients")]
-    NoHosts(FaultKind),
+pub enum EmulationError {
+    /// The schedule has neither members nor hosts with clients.
+    #[error("nothing to emulate: expected a table [members], or hosts and clients")]
+    NothingToEmulate,
+    /// The simulator does not support this kind of fault.
+    #[error("fault `{0}` is not supported in an emulated run")]
+    UnsupportedFault(FaultKind),
+    /// A fault acts on hosts or discovery, but the schedule has no hosts or no clients.
+    #[error("fault `{0}` needs hosts and clients in the schedule")]
+    MissingHosts(FaultKind),
 }
 
-/// What came of an emulated run, beside its history.
+/// Metrics of an emulated run, besides its history.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Sums {
-    /// Datagrams sent.
-    pub sent: u64,
-    /// Their bytes.
-    pub sent_bytes: u64,
-    /// Seconds that members have run in all.
-    pub member_s: f64,
-    /// Suspicions raised by members themselves.
-    pub suspected: u64,
-    /// Times that a member had to say that it lives.
-    pub refuted: u64,
-    /// What came of choices; none where there were no hosts or clients.
-    pub traffic: Option<Traffic>,
+pub struct RunMetrics {
+    /// Membership datagrams sent.
+    pub datagrams_sent: u64,
+    /// Bytes of these datagrams.
+    pub bytes_sent: u64,
+    /// Total running time of all members, seconds.
+    pub member_seconds: f64,
+    /// Suspicions that members started themselves.
+    pub suspicions: u64,
+    /// Suspicions and deaths that members refuted about themselves.
+    pub refutations: u64,
+    /// Traffic metrics; `None` if the schedule has no hosts or no clients.
+    pub traffic: Option<TrafficMetrics>,
 }
 
 /// Something that comes, in microseconds from the start. Events of one moment come in the order in which they were made.
@@ -144,7 +144,7 @@
     /// All processes that a node has had.
     processes: Vec<Vec<InstanceId>>,
     fleet: Fleet,
-    sums: Sums,
+    sums: RunMetrics,
 }
 
 /// The address of a node: a label, nothing is bound there.
@@ -162,18 +162,18 @@
 /// # Errors
 ///
 /// When the plan has nothing to emulate, or a fault of something that is not emulated in it.
-pub fn run(plan: &Plan, choice: &Choice, history: &History) -> Result<Sums, EmulatedError> {
+pub fn run(plan: &Plan, choice: &StrategySpec, history: &History) -> Result<RunMetrics, EmulationError> {
     let fleet = Fleet::new(plan, choice);
     if plan.members.is_none() && !fleet.on() {
-        return Err(EmulatedError::Nothing);
+        return Err(EmulationError::NothingToEmulate);
     }
     for fault in &plan.faults {
         match fault.kind.target() {
             FaultTarget::Process if matches!(fault.kind, FaultKind::Replace | FaultKind::Reload) => {
-                return Err(EmulatedError::Kind(fault.kind));
+                return Err(EmulationError::UnsupportedFault(fault.kind));
             }
             FaultTarget::DiscoveryList | FaultTarget::Host if !fleet.on() => {
-                return Err(EmulatedError::NoHosts(fault.kind));
+                return Err(EmulationError::MissingHosts(fault.kind));
             }
             _ => {}
         }
@@ -207,7 +207,7 @@
         sessions: BTreeMap::new(),
         processes: vec![Vec::new(); plan.nodes],
         fleet,
-        sums: Sums::default(),
+        sums: RunMetrics::default(),
     };
     world.play(members.know_all);
     if world.fleet.on() {
@@ -323,11 +323,11 @@
         let sim = &mut self.nodes[node];
         if let Some(members) = sim.members.take() {
             let counters = members.counters();
-            self.sums.sent += counters.sent;
-            self.sums.sent_bytes += counters.sent_bytes;
-            self.sums.suspected += counters.suspicions_started;
-            self.sums.refuted += counters.refutations;
-            self.sums.member_s += now_s - sim.since_s;
+            self.sums.datagrams_sent += counters.sent;
+            self.sums.bytes_sent += counters.sent_bytes;
+            self.sums.suspicions += counters.suspicions_started;
+            self.sums.refutations += counters.refutations;
+            self.sums.member_seconds += now_s - sim.since_s;
         }
     }
 
--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -71,7 +71,8 @@
             served += u64::from(who.served + LINE > self.now);
         }
         let traffic = &mut self.fleet.traffic;
-        (traffic.wanted, traffic.served) = (traffic.wanted + wanted, traffic.served + served);
+        (traffic.demand_samples, traffic.served_samples) =
+            (traffic.demand_samples + wanted, traffic.served_samples + served);
         if wanted > 0 {
             self.write(Line::ServedTotal { served: served as usize, wanting: wanted as usize });
         }
@@ -91,12 +92,13 @@
         let held: usize = hosts.iter().map(|host| host.held.len()).sum();
         let over =
             |host: &Host| host.held.len() as f64 * able / (host.capacity(self.now) * held.max(1) as f64);
-        traffic.busiest_last = hosts.iter().filter(serves).map(over).fold(0.0, f64::max);
-        traffic.busiest = (traffic.busiest.0 + traffic.busiest_last, traffic.busiest.1 + 1);
-        traffic.open = held as u64;
-        traffic.most_open = traffic.most_open.max(held as u64);
+        traffic.last_imbalance = hosts.iter().filter(serves).map(over).fold(0.0, f64::max);
+        traffic.imbalance = (traffic.imbalance.0 + traffic.last_imbalance, traffic.imbalance.1 + 1);
+        traffic.open_connections = held as u64;
+        traffic.peak_open_connections = traffic.peak_open_connections.max(held as u64);
         let used = hosts.iter().map(|host| host.by_node.iter().filter(|n| **n > 0).count()).sum::<usize>();
-        traffic.used = (traffic.used.0 + used as f64, traffic.used.1 + self.plan.nodes as u64);
+        traffic.hosts_used =
+            (traffic.hosts_used.0 + used as f64, traffic.hosts_used.1 + self.plan.nodes as u64);
     }
 
     pub(super) fn client_comes(&mut self, client: usize, fresh: bool) {
@@ -337,7 +339,7 @@
         let who = &mut self.fleet.clients[client];
         (who.told, who.served) = (true, self.now);
         let (till, took) = (who.till.max(self.now + 1), (self.now - who.opened) as f32 / 1e6);
-        self.fleet.traffic.answers_s.push(took);
+        self.fleet.traffic.setup_latencies_s.push(took);
         self.step(till, of(client, serial, Part::Leaves));
     }
 
--- a/crates/alderstile-lab/src/emulated/supply.rs
+++ b/crates/alderstile-lab/src/emulated/supply.rs
@@ -176,10 +176,10 @@
             let it = &mut self.fleet.hosts[host];
             if let Some(over) = it.tick(self.now) {
                 let traffic = &mut self.fleet.traffic;
-                traffic.cold_peak = traffic.cold_peak.max(over);
-                traffic.cold_asked = (traffic.cold_asked.0 + over, traffic.cold_asked.1 + 1.0);
+                traffic.cold_load_peak = traffic.cold_load_peak.max(over);
+                traffic.cold_load = (traffic.cold_load.0 + over, traffic.cold_load.1 + 1.0);
                 if over > 1.0 {
-                    traffic.falls += 1;
+                    traffic.cold_overloads += 1;
                     self.write(Line::HostState { host, failed: true });
                     self.host_down(host);
                     let (life, after) = (self.fleet.hosts[host].life, micros(self.plan.hosts.restart_s));
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -2,14 +2,14 @@
 //! processes of their own. Hundreds share one process, and real `alderstile` processes stand among them: they send the
 //! same datagrams under the same keys, so that neither can tell the other.
 //!
-//! [`Hollows`] spreads them over a few threads. Each has [`Membership`], and may have a further core on a socket of its own
-//! ([`Part`]): whoever builds one runs it here at any number of nodes with an adapter of three calls.
+//! [`HollowNodes`] spreads them over a few threads. Each has [`Membership`], and may have a further core on a socket of its own
+//! ([`ExtraCore`]): whoever builds one runs it here at any number of nodes with an adapter of three calls.
 //!
 //! ```text
-//! let hollows = Hollows::new(4, Setup { parts: Arc::new(|spec| Some(Box::new(MyPart::new(spec)))), ..setup })?;
+//! let hollows = HollowNodes::new(4, HollowConfig { parts: Arc::new(|spec| Some(Box::new(MyPart::new(spec)))), ..config })?;
 //! hollows.start(spec)?;             // a node; hollows.kill(number) ends it without a word
-//! let looks = hollows.meter().await; // figures of each node, processor time of each thread
-//! let seen = hollows.seen().await;  // what each has learned since the last call, and when
+//! let looks = hollows.sample_and_reset_peaks().await; // figures of each node, processor time of each thread
+//! let seen = hollows.observations().await;  // what each has learned since the last call, and when
 //! ```
 //!
 //! Regions are parted where datagrams arrive: a hollow node passes by what comes from an address of another region, and
@@ -38,21 +38,21 @@
 use tokio::time::{MissedTickBehavior, interval};
 use tracing::debug;
 
-/// How often what each node sends and takes in is summed up for the peaks.
-const SAMPLE: Duration = Duration::from_secs(1);
+/// How often what each node sends and takes in is summed up for the reset_peaks.
+const PEAK_INTERVAL: Duration = Duration::from_secs(1);
 /// The largest datagram that a further core may be sent.
-const MOST: usize = 65_535;
+const MAX_EXTRA_DATAGRAM_BYTES: usize = 65_535;
 
 /// A further core of a hollow node, with a socket of its own. It does no I/O: what it wants sent it returns.
-pub trait Part: Send {
+pub trait ExtraCore: Send {
     /// Where its datagrams arrive.
     fn address(&self) -> SocketAddr;
-    /// When [`Part::tick`] has something to do next.
-    fn due(&self) -> Micros;
-    /// Does what is due. The node's members may be read, and told a digest or a fact.
-    fn tick(&mut self, now: Micros, members: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)>;
+    /// When [`ExtraCore::handle_timeout`] has something to do next.
+    fn next_timeout(&self) -> Micros;
+    /// Does what is deadline. The node's members may be read, and told a digest or a fact.
+    fn handle_timeout(&mut self, now: Micros, members: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)>;
     /// Takes a datagram in.
-    fn received(
+    fn handle_datagram(
         &mut self,
         now: Micros,
         from: SocketAddr,
@@ -62,11 +62,11 @@
 }
 
 /// Makes the further core of a node, if it has one.
-pub type MakePart = Arc<dyn Fn(&Spec) -> Option<Box<dyn Part>> + Send + Sync>;
+pub type ExtraCoreFactory = Arc<dyn Fn(&NodeSpec) -> Option<Box<dyn ExtraCore>> + Send + Sync>;
 
 /// A node among others.
 #[derive(Clone, Debug)]
-pub struct Spec {
+pub struct NodeSpec {
     /// Its number, over all nodes of the run.
     pub number: usize,
     /// Its name: letters, then its number.
@@ -79,29 +79,29 @@
 
 /// What lies between the nodes: one clock for all, and the regions.
 pub struct Network {
-    began: Instant,
+    started_at: Instant,
     regions: BTreeMap<SocketAddr, u8>,
-    parted: AtomicBool,
+    partitioned: AtomicBool,
 }
 
 impl Network {
     /// All addresses with their regions; those that are not named belong to all.
     pub fn new(regions: BTreeMap<SocketAddr, u8>) -> Arc<Self> {
-        Arc::new(Network { began: Instant::now(), regions, parted: AtomicBool::new(false) })
+        Arc::new(Network { started_at: Instant::now(), regions, partitioned: AtomicBool::new(false) })
     }
 
     /// Time since the start of the run.
     pub fn now(&self) -> Micros {
-        Micros(u64::try_from(self.began.elapsed().as_micros()).unwrap_or(u64::MAX))
+        Micros(u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
     /// From now on regions don't hear each other, or do again.
-    pub fn part(&self, parted: bool) {
-        self.parted.store(parted, Ordering::Relaxed);
+    pub fn set_partitioned(&self, partitioned: bool) {
+        self.partitioned.store(partitioned, Ordering::Relaxed);
     }
 
-    fn passes(&self, one: &SocketAddr, other: &SocketAddr) -> bool {
-        if !self.parted.load(Ordering::Relaxed) {
+    fn delivers(&self, one: &SocketAddr, other: &SocketAddr) -> bool {
+        if !self.partitioned.load(Ordering::Relaxed) {
             return true;
         }
         match (self.regions.get(one), self.regions.get(other)) {
@@ -113,9 +113,9 @@
 
 /// What all hollow nodes have alike.
 #[derive(Clone)]
-pub struct Setup {
+pub struct HollowConfig {
     /// What the members go by.
-    pub settings: MembershipConfig,
+    pub membership: MembershipConfig,
     /// The cluster's name and keys.
     pub codec: DatagramCodec,
     /// Whom a member asks that knows nobody.
@@ -125,15 +125,15 @@
     /// For all that is drawn.
     pub seed: u64,
     /// Makes each node's further core.
-    pub parts: MakePart,
+    pub extra_cores: ExtraCoreFactory,
     /// Nodes that each knows when it starts for the first time, with no news of them left to tell; none for nodes that
     /// know their seeds alone.
-    pub known: Arc<Vec<Spec>>,
+    pub known_nodes: Arc<Vec<NodeSpec>>,
 }
 
-impl Setup {
+impl HollowConfig {
     /// What a node tells of itself at its start of this number, from 1 on.
-    fn record(&self, spec: &Spec, start: u64) -> MemberRecord {
+    fn member_record(&self, spec: &NodeSpec, start: u64) -> MemberRecord {
         let text = format!("{} {} {} {start}", self.seed, spec.name, spec.address);
         MemberRecord {
             instance: InstanceId(alderstile_cluster::content_digest(text.as_bytes()).max(1)),
@@ -149,7 +149,7 @@
 
 /// What a node has learned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum ObservedChange {
     /// A process of that node is new.
     Joined,
     /// That node did not answer.
@@ -157,117 +157,117 @@
     /// That node is held dead.
     Died,
     /// That node lives after all.
-    Lives,
+    Recovered,
     /// The news of this number.
-    News(u64),
+    ConfigDigest(u64),
 }
 
 /// Who has learned what of whom, and when.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct Observation {
     /// When, since the start of the run.
     pub at: Micros,
     /// Who has learned it.
-    pub by: usize,
+    pub observer: usize,
     /// Of whom.
-    pub of: usize,
+    pub subject: usize,
     /// What.
-    pub what: What,
+    pub change: ObservedChange,
 }
 
 /// One node's figures.
 #[derive(Clone, Copy, Debug)]
-pub struct Look {
+pub struct NodeSample {
     /// Its number.
     pub number: usize,
     /// How it sees the others, and what it sent.
-    pub counts: MembershipStats,
+    pub stats: MembershipStats,
     /// Datagrams that came.
-    pub came: u64,
+    pub datagrams_received: u64,
     /// Their bytes.
-    pub came_bytes: u64,
+    pub bytes_received: u64,
     /// What its further core sent and was sent: datagrams and bytes.
-    pub part: [u64; 4],
-    /// Bytes out and in in its busiest second since the last [`Hollows::meter`].
+    pub extra_core: [u64; 4],
+    /// Bytes out and in in its busiest second since the last [`HollowNodes::sample_and_reset_peaks`].
     pub peak: (u64, u64),
 }
 
 /// A thread's figures.
 #[derive(Clone, Debug, Default)]
-pub struct Looks {
+pub struct ThreadSample {
     /// All its nodes.
-    pub nodes: Vec<Look>,
+    pub nodes: Vec<NodeSample>,
     /// Processor time that the thread has used.
     pub cpu: Duration,
 }
 
-enum Order {
-    Start(Spec),
+enum Command {
+    Start(NodeSpec),
     Kill(usize),
-    News { node: usize, digest: u64 },
+    SetConfigDigest { node: usize, digest: u64 },
     Watch { of: InstanceId, digest: u64 },
-    Look { peaks: bool, answer: oneshot::Sender<Looks> },
-    Seen(oneshot::Sender<Vec<Seen>>),
-    Session(usize, oneshot::Sender<Option<InstanceId>>),
+    Sample { reset_peaks: bool, answer: oneshot::Sender<ThreadSample> },
+    TakeObservations(oneshot::Sender<Vec<Observation>>),
+    Instance(usize, oneshot::Sender<Option<InstanceId>>),
 }
 
 /// Hollow nodes on threads. They end with their owner.
-pub struct Hollows {
-    threads: Vec<(mpsc::UnboundedSender<Order>, Option<JoinHandle<()>>)>,
+pub struct HollowNodes {
+    threads: Vec<(mpsc::UnboundedSender<Command>, Option<JoinHandle<()>>)>,
 }
 
-impl Hollows {
+impl HollowNodes {
     /// No nodes yet, on so many threads.
     ///
     /// # Errors
     ///
     /// If the system gives no thread or no runtime.
-    pub fn new(threads: usize, setup: &Setup) -> io::Result<Self> {
+    pub fn new(threads: usize, config: &HollowConfig) -> io::Result<Self> {
         let mut all = Vec::new();
         for number in 0..threads.max(1) {
-            let (order, orders) = mpsc::unbounded_channel();
-            let setup = setup.clone();
+            let (command, commands) = mpsc::unbounded_channel();
+            let config = config.clone();
             // Made here, so that a fault shows to who asked.
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
             let handle = std::thread::Builder::new().name(format!("hollow-{number}")).spawn(move || {
-                LocalSet::new().block_on(&runtime, work(Rc::new(Worker::new(setup)), orders));
+                LocalSet::new().block_on(&runtime, run_worker(Rc::new(Worker::new(config)), commands));
             })?;
-            all.push((order, Some(handle)));
+            all.push((command, Some(handle)));
         }
-        Ok(Hollows { threads: all })
+        Ok(HollowNodes { threads: all })
     }
 
-    fn order(&self, node: usize, order: Order) {
+    fn command(&self, node: usize, command: Command) {
         // A thread ends with this value alone.
-        let _ = self.threads[node % self.threads.len()].0.send(order);
+        let _ = self.threads[node % self.threads.len()].0.send(command);
     }
 
     /// Starts a node, or another process of it.
-    pub fn start(&self, spec: Spec) {
-        self.order(spec.number, Order::Start(spec));
+    pub fn start(&self, spec: NodeSpec) {
+        self.command(spec.number, Command::Start(spec));
     }
 
     /// Ends a node without a word.
     pub fn kill(&self, node: usize) {
-        self.order(node, Order::Kill(node));
+        self.command(node, Command::Kill(node));
     }
 
     /// From now on a node tells another digest of its settings, and every node's hearing of it is seen as this news.
-    pub async fn news(&self, node: usize, digest: u64) {
+    pub async fn set_config_digest(&self, node: usize, digest: u64) {
         let (answer, answered) = oneshot::channel();
-        self.order(node, Order::Session(node, answer));
+        self.command(node, Command::Instance(node, answer));
         let Ok(Some(of)) = answered.await else { return };
-        for (order, _) in &self.threads {
-            let _ = order.send(Order::Watch { of, digest });
+        for (command, _) in &self.threads {
+            let _ = command.send(Command::Watch { of, digest });
         }
-        self.order(node, Order::News { node, digest });
+        self.command(node, Command::SetConfigDigest { node, digest });
     }
 
-    async fn ask<T>(&self, order: impl Fn(oneshot::Sender<T>) -> Order) -> Vec<T> {
+    async fn ask<T>(&self, command: impl Fn(oneshot::Sender<T>) -> Command) -> Vec<T> {
         let mut answers = Vec::new();
         for (sender, _) in &self.threads {
             let (answer, answered) = oneshot::channel();
-            if sender.send(order(answer)).is_ok() {
+            if sender.send(command(answer)).is_ok() {
                 answers.push(answered);
             }
         }
@@ -279,25 +279,25 @@
     }
 
     /// Figures of each thread.
-    pub async fn look(&self) -> Vec<Looks> {
-        self.ask(|answer| Order::Look { peaks: false, answer }).await
+    pub async fn sample(&self) -> Vec<ThreadSample> {
+        self.ask(|answer| Command::Sample { reset_peaks: false, answer }).await
     }
 
     /// The same, and busiest seconds are counted anew from here on.
-    pub async fn meter(&self) -> Vec<Looks> {
-        self.ask(|answer| Order::Look { peaks: true, answer }).await
+    pub async fn sample_and_reset_peaks(&self) -> Vec<ThreadSample> {
+        self.ask(|answer| Command::Sample { reset_peaks: true, answer }).await
     }
 
-    /// What was learned since the last call, in no order.
-    pub async fn seen(&self) -> Vec<Seen> {
-        self.ask(Order::Seen).await.concat()
+    /// What was learned since the last call, in no command.
+    pub async fn take_observations(&self) -> Vec<Observation> {
+        self.ask(Command::TakeObservations).await.concat()
     }
 }
 
-impl Drop for Hollows {
+impl Drop for HollowNodes {
     fn drop(&mut self) {
         let threads: Vec<_> = self.threads.drain(..).collect();
-        // Each ends when nobody can order anything any more.
+        // Each ends when nobody can command anything any more.
         let handles: Vec<_> = threads.into_iter().filter_map(|(_, handle)| handle).collect();
         for handle in handles {
             let _ = handle.join();
@@ -306,260 +306,281 @@
 }
 
 struct Worker {
-    setup: Setup,
-    nodes: RefCell<BTreeMap<usize, Running>>,
+    config: HollowConfig,
+    nodes: RefCell<BTreeMap<usize, RunningNode>>,
     /// How often each node was started.
     starts: RefCell<BTreeMap<usize, u64>>,
-    seen: RefCell<Vec<Seen>>,
-    watched: RefCell<Vec<(InstanceId, u64)>>,
+    observations: RefCell<Vec<Observation>>,
+    watched_digests: RefCell<Vec<(InstanceId, u64)>>,
 }
 
-struct Running {
-    hollow: Rc<Hollow>,
+struct RunningNode {
+    node: Rc<HollowNode>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
     /// Bytes out and in at the last sample, and most in one second since the last look.
-    before: (u64, u64),
+    last_totals: (u64, u64),
     peak: (u64, u64),
 }
 
-impl Drop for Running {
+impl Drop for RunningNode {
     fn drop(&mut self) {
         self.tasks.iter().for_each(tokio::task::JoinHandle::abort);
     }
 }
 
-struct Hollow {
+struct HollowNode {
     number: usize,
     address: SocketAddr,
     members: RefCell<Membership>,
-    came: Cell<(u64, u64)>,
-    part: Cell<[u64; 4]>,
-    known: RefCell<BTreeSet<u64>>,
+    received: Cell<(u64, u64)>,
+    extra_core: Cell<[u64; 4]>,
+    known_digests: RefCell<BTreeSet<u64>>,
 }
 
-async fn work(worker: Rc<Worker>, mut orders: mpsc::UnboundedReceiver<Order>) {
-    let mut sample = interval(SAMPLE);
+async fn run_worker(worker: Rc<Worker>, mut commands: mpsc::UnboundedReceiver<Command>) {
+    let mut sample = interval(PEAK_INTERVAL);
     sample.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            order = orders.recv() => match order {
-                Some(order) => worker.perform(order).await,
+            command = commands.recv() => match command {
+                Some(command) => worker.execute(command).await,
                 None => break,
             },
-            _ = sample.tick() => worker.sample(),
+            _ = sample.tick() => worker.update_peaks(),
         }
     }
     worker.nodes.borrow_mut().clear();
 }
 
 impl Worker {
-    fn new(setup: Setup) -> Self {
+    fn new(config: HollowConfig) -> Self {
         Worker {
-            setup,
+            config,
             nodes: RefCell::default(),
             starts: RefCell::default(),
-            seen: RefCell::default(),
-            watched: RefCell::default(),
+            observations: RefCell::default(),
+            watched_digests: RefCell::default(),
         }
     }
 
-    async fn perform(self: &Rc<Self>, order: Order) {
-        match order {
-            Order::Start(spec) => {
+    async fn execute(self: &Rc<Self>, command: Command) {
+        match command {
+            Command::Start(spec) => {
                 let number = spec.number;
                 if let Err(error) = self.start(spec).await {
                     // Seen from outside as a node that nobody hears of.
                     tracing::error!("hollow node {number}: {error}");
                 }
             }
-            Order::Kill(node) => drop(self.nodes.borrow_mut().remove(&node)),
-            Order::News { node, digest } => {
+            Command::Kill(node) => drop(self.nodes.borrow_mut().remove(&node)),
+            Command::SetConfigDigest { node, digest } => {
                 if let Some(running) = self.nodes.borrow().get(&node) {
-                    running.hollow.members.borrow_mut().set_config_digest(digest);
+                    running.node.members.borrow_mut().set_config_digest(digest);
                 }
             }
-            Order::Watch { of, digest } => self.watched.borrow_mut().push((of, digest)),
-            Order::Session(node, answer) => {
+            Command::Watch { of, digest } => self.watched_digests.borrow_mut().push((of, digest)),
+            Command::Instance(node, answer) => {
                 let nodes = self.nodes.borrow();
-                let session =
-                    nodes.get(&node).map(|running| running.hollow.members.borrow().local().instance);
-                let _ = answer.send(session);
+                let instance = nodes.get(&node).map(|running| running.node.members.borrow().local().instance);
+                let _ = answer.send(instance);
             }
-            Order::Look { peaks, answer } => drop(answer.send(self.look(peaks))),
-            Order::Seen(answer) => drop(answer.send(self.seen.take())),
+            Command::Sample { reset_peaks, answer } => drop(answer.send(self.sample_nodes(reset_peaks))),
+            Command::TakeObservations(answer) => drop(answer.send(self.observations.take())),
         }
     }
 
-    async fn start(self: &Rc<Self>, spec: Spec) -> io::Result<()> {
-        let setup = &self.setup;
+    async fn start(self: &Rc<Self>, spec: NodeSpec) -> io::Result<()> {
+        let config = &self.config;
         let start = {
             let mut starts = self.starts.borrow_mut();
             let start = starts.entry(spec.number).or_default();
             *start += 1;
             *start
         };
-        let me = setup.record(&spec, start);
-        me.validate().map_err(io::Error::other)?;
+        let record = config.member_record(&spec, start);
+        record.validate().map_err(io::Error::other)?;
         let socket = UdpSocket::bind(spec.address).await?;
-        let (seeds, seed) = (setup.seeds.clone(), setup.seed ^ me.instance.0);
-        let mut members =
-            Membership::new(setup.settings, setup.codec.clone(), me, seeds, seed, setup.network.now());
+        let (seeds, seed) = (config.seeds.clone(), config.seed ^ record.instance.0);
+        let mut members = Membership::new(
+            config.membership,
+            config.codec.clone(),
+            record,
+            seeds,
+            seed,
+            config.network.now(),
+        );
         if start == 1 {
-            let others = setup.known.iter().filter(|other| other.number != spec.number);
-            members = members.with_known_members(others.map(|other| setup.record(other, 1)));
+            let others = config.known_nodes.iter().filter(|other| other.number != spec.number);
+            members = members.with_known_members(others.map(|other| config.member_record(other, 1)));
         }
-        let hollow = Rc::new(Hollow {
+        let node = Rc::new(HollowNode {
             number: spec.number,
             address: spec.address,
             members: RefCell::new(members),
-            came: Cell::default(),
-            part: Cell::default(),
-            known: RefCell::default(),
+            received: Cell::default(),
+            extra_core: Cell::default(),
+            known_digests: RefCell::default(),
         });
-        let mut tasks = vec![spawn_local(self.clone().run(hollow.clone(), socket))];
-        if let Some(part) = (setup.parts)(&spec) {
-            let socket = UdpSocket::bind(part.address()).await?;
-            tasks.push(spawn_local(self.clone().run_part(hollow.clone(), part, socket)));
+        let mut tasks = vec![spawn_local(self.clone().run(node.clone(), socket))];
+        if let Some(core) = (config.extra_cores)(&spec) {
+            let socket = UdpSocket::bind(core.address()).await?;
+            tasks.push(spawn_local(self.clone().run_extra_core(node.clone(), core, socket)));
         }
-        let running = Running { hollow, tasks, before: (0, 0), peak: (0, 0) };
+        let running = RunningNode { node, tasks, last_totals: (0, 0), peak: (0, 0) };
         self.nodes.borrow_mut().insert(spec.number, running);
         Ok(())
     }
 
     /// As the node's own adapter goes about it.
-    async fn run(self: Rc<Self>, hollow: Rc<Hollow>, socket: UdpSocket) {
-        let network = &self.setup.network;
+    async fn run(self: Rc<Self>, node: Rc<HollowNode>, socket: UdpSocket) {
+        let network = &self.config.network;
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = network.began + Duration::from_micros(hollow.members.borrow().next_timeout().0);
-            let out = tokio::select! {
+            let deadline = network.started_at + Duration::from_micros(node.members.borrow().next_timeout().0);
+            let outgoing = tokio::select! {
                 received = socket.recv_from(&mut data) => match received {
-                    Ok((length, from)) if network.passes(&from, &hollow.address) => {
-                        let (came, bytes) = hollow.came.get();
-                        hollow.came.set((came + 1, bytes + length as u64));
-                        hollow.members.borrow_mut().handle_datagram(network.now(), from, &data[..length])
+                    Ok((length, from)) if network.delivers(&from, &node.address) => {
+                        let (datagrams, bytes) = node.received.get();
+                        node.received.set((datagrams + 1, bytes + length as u64));
+                        node.members.borrow_mut().handle_datagram(network.now(), from, &data[..length])
                     }
                     Ok(_) => continue,
                     Err(error) => {
-                        debug!("hollow node {}: {error}", hollow.number);
+                        debug!("hollow node {}: {error}", node.number);
                         continue;
                     }
                 },
-                () = tokio::time::sleep_until(due.into()) => hollow.members.borrow_mut().handle_timeout(network.now()),
+                () = tokio::time::sleep_until(deadline.into()) => node.members.borrow_mut().handle_timeout(network.now()),
             };
-            for out in out {
+            for out in outgoing {
                 match out {
                     // Lost where the system has no room for it, as on the way.
                     MembershipEffect::Send { to, datagram: bytes }
-                        if network.passes(&hollow.address, &to) =>
+                        if network.delivers(&node.address, &to) =>
                     {
                         let _ = socket.try_send_to(&bytes, to);
                     }
                     MembershipEffect::Send { .. } => {}
-                    MembershipEffect::Changed(change) => self.note(&hollow, &change),
+                    MembershipEffect::Changed(change) => self.record_change(&node, &change),
                 }
             }
-            self.note_news(&hollow);
+            self.record_config_digests(&node);
         }
     }
 
-    async fn run_part(self: Rc<Self>, hollow: Rc<Hollow>, mut part: Box<dyn Part>, socket: UdpSocket) {
-        let network = &self.setup.network;
-        let mut data = vec![0; MOST];
+    async fn run_extra_core(
+        self: Rc<Self>,
+        node: Rc<HollowNode>,
+        mut core: Box<dyn ExtraCore>,
+        socket: UdpSocket,
+    ) {
+        let network = &self.config.network;
+        let mut data = vec![0; MAX_EXTRA_DATAGRAM_BYTES];
         loop {
-            let due = network.began + Duration::from_micros(part.due().0);
-            let mut sums = hollow.part.get();
-            let out = tokio::select! {
+            let deadline = network.started_at + Duration::from_micros(core.next_timeout().0);
+            let mut totals = node.extra_core.get();
+            let outgoing = tokio::select! {
                 received = socket.recv_from(&mut data) => match received {
-                    Ok((length, from)) if network.passes(&from, &hollow.address) => {
-                        sums[2] += 1;
-                        sums[3] += length as u64;
-                        let mut members = hollow.members.borrow_mut();
-                        part.received(network.now(), from, &data[..length], &mut members)
+                    Ok((length, from)) if network.delivers(&from, &node.address) => {
+                        totals[2] += 1;
+                        totals[3] += length as u64;
+                        let mut members = node.members.borrow_mut();
+                        core.handle_datagram(network.now(), from, &data[..length], &mut members)
                     }
                     _ => continue,
                 },
-                () = tokio::time::sleep_until(due.into()) => {
-                    part.tick(network.now(), &mut hollow.members.borrow_mut())
+                () = tokio::time::sleep_until(deadline.into()) => {
+                    core.handle_timeout(network.now(), &mut node.members.borrow_mut())
                 }
             };
-            for (to, bytes) in out {
-                sums[0] += 1;
-                sums[1] += bytes.len() as u64;
-                if network.passes(&hollow.address, &to) {
+            for (to, bytes) in outgoing {
+                totals[0] += 1;
+                totals[1] += bytes.len() as u64;
+                if network.delivers(&node.address, &to) {
                     let _ = socket.try_send_to(&bytes, to);
                 }
             }
-            hollow.part.set(sums);
+            node.extra_core.set(totals);
         }
     }
 
-    fn note(&self, hollow: &Hollow, change: &MembershipChange) {
-        let (session, what) = match change {
-            MembershipChange::Joined(session) => (session, What::Joined),
-            MembershipChange::Suspected(session) => (session, What::Suspected),
-            MembershipChange::Died(session) => (session, What::Died),
-            MembershipChange::Recovered(session) => (session, What::Lives),
+    fn record_change(&self, node: &HollowNode, change: &MembershipChange) {
+        let (instance, change) = match change {
+            MembershipChange::Joined(instance) => (instance, ObservedChange::Joined),
+            MembershipChange::Suspected(instance) => (instance, ObservedChange::Suspected),
+            MembershipChange::Died(instance) => (instance, ObservedChange::Died),
+            MembershipChange::Recovered(instance) => (instance, ObservedChange::Recovered),
             _ => return,
         };
-        let members = hollow.members.borrow();
-        let Some(of) = members.peer(*session).and_then(|member| number(&member.record.name)) else {
+        let members = node.members.borrow();
+        let Some(subject) = members.peer(*instance).and_then(|member| node_number(&member.record.name))
+        else {
             return;
         };
-        self.seen.borrow_mut().push(Seen { at: self.setup.network.now(), by: hollow.number, of, what });
+        self.observations.borrow_mut().push(Observation {
+            at: self.config.network.now(),
+            observer: node.number,
+            subject,
+            change,
+        });
     }
 
-    fn note_news(&self, hollow: &Hollow) {
-        let members = hollow.members.borrow();
-        for (of, digest) in self.watched.borrow().iter() {
+    fn record_config_digests(&self, node: &HollowNode) {
+        let members = node.members.borrow();
+        for (of, digest) in self.watched_digests.borrow().iter() {
             let Some(member) = members.peer(*of).filter(|member| member.record.config_digest == *digest)
             else {
                 continue;
             };
-            if hollow.known.borrow_mut().insert(*digest) {
-                let of = number(&member.record.name).unwrap_or_default();
-                let at = self.setup.network.now();
-                self.seen.borrow_mut().push(Seen { at, by: hollow.number, of, what: What::News(*digest) });
+            if node.known_digests.borrow_mut().insert(*digest) {
+                let subject = node_number(&member.record.name).unwrap_or_default();
+                let at = self.config.network.now();
+                self.observations.borrow_mut().push(Observation {
+                    at,
+                    observer: node.number,
+                    subject,
+                    change: ObservedChange::ConfigDigest(*digest),
+                });
             }
         }
     }
 
-    fn sample(&self) {
+    fn update_peaks(&self) {
         for running in self.nodes.borrow_mut().values_mut() {
-            let now = running.hollow.bytes();
-            let (out, into) = (now.0 - running.before.0, now.1 - running.before.1);
-            running.peak = (running.peak.0.max(out), running.peak.1.max(into));
-            running.before = now;
+            let now = running.node.byte_totals();
+            let (sent, received) = (now.0 - running.last_totals.0, now.1 - running.last_totals.1);
+            running.peak = (running.peak.0.max(sent), running.peak.1.max(received));
+            running.last_totals = now;
         }
     }
 
-    fn look(&self, peaks: bool) -> Looks {
+    fn sample_nodes(&self, reset_peaks: bool) -> ThreadSample {
         let time = clock_gettime(ClockId::ThreadCPUTime);
         let cpu = Duration::new(
             u64::try_from(time.tv_sec).unwrap_or_default(),
             u32::try_from(time.tv_nsec).unwrap_or_default(),
         );
         let mut nodes = self.nodes.borrow_mut();
-        let look = |running: &mut Running| {
-            let hollow = &running.hollow;
-            let (came, came_bytes) = hollow.came.get();
-            let (counts, part) = (hollow.members.borrow().stats(), hollow.part.get());
-            let peak = if peaks { std::mem::take(&mut running.peak) } else { running.peak };
-            Look { number: hollow.number, counts, came, came_bytes, part, peak }
+        let sample = |running: &mut RunningNode| {
+            let node = &running.node;
+            let (datagrams_received, bytes_received) = node.received.get();
+            let (stats, extra_core) = (node.members.borrow().stats(), node.extra_core.get());
+            let peak = if reset_peaks { std::mem::take(&mut running.peak) } else { running.peak };
+            NodeSample { number: node.number, stats, datagrams_received, bytes_received, extra_core, peak }
         };
-        Looks { nodes: nodes.values_mut().map(look).collect(), cpu }
+        ThreadSample { nodes: nodes.values_mut().map(sample).collect(), cpu }
     }
 }
 
-impl Hollow {
+impl HollowNode {
     /// Bytes out and in, of all its cores.
-    fn bytes(&self) -> (u64, u64) {
-        let part = self.part.get();
-        (self.members.borrow().counters().sent_bytes + part[1], self.came.get().1 + part[3])
+    fn byte_totals(&self) -> (u64, u64) {
+        let extra_core = self.extra_core.get();
+        (self.members.borrow().counters().sent_bytes + extra_core[1], self.received.get().1 + extra_core[3])
     }
 }
 
 /// A node's number, of its name.
-fn number(name: &str) -> Option<usize> {
+fn node_number(name: &str) -> Option<usize> {
     name.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().ok()
 }
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -7,7 +7,7 @@
 
 use alderstile_lab::check::{Report, Views, check};
 use alderstile_lab::compare::{Figure, Row, compare};
-use alderstile_lab::emulated::{self, Choice, Sums, Traffic};
+use alderstile_lab::emulated::{self, RunMetrics, StrategySpec, TrafficMetrics};
 use alderstile_lab::history::{self, History};
 use alderstile_lab::measure::{self, Sizes};
 use alderstile_lab::processes::{self, Options};
@@ -59,7 +59,7 @@
         seed: Option<u64>,
         /// What emulated nodes choose by: module, random, least, two, subset, oracle; module+subsets has that part on
         #[arg(long, default_value = "module")]
-        choose: Choice,
+        choose: StrategySpec,
         /// Where the history and the nodes' logs are left
         #[arg(long, default_value = "lab-out")]
         out: PathBuf,
@@ -79,7 +79,7 @@
         files: Vec<PathBuf>,
         /// The ways; the first is what the others are held against
         #[arg(long, value_delimiter = ',', default_value = "module,random,least,two,subset,oracle")]
-        choose: Vec<Choice>,
+        choose: Vec<StrategySpec>,
         /// So many seeds, from the file's own on
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
         seeds: u64,
@@ -327,7 +327,7 @@
         "falls"
     );
     for row in rows {
-        let mean = |of: fn(&Traffic) -> f64| Figure::of(&row.figures(of)).mean;
+        let mean = |of: fn(&TrafficMetrics) -> f64| Figure::of(&row.figures(of)).mean;
         let percent = |figure: Figure| match figure.half {
             Some(half) => format!("{:.2} ±{:.2}", figure.mean * 100.0, half * 100.0),
             None => format!("{:.2}", figure.mean * 100.0),
@@ -336,60 +336,67 @@
         println!(
             "  {:<16} {:>16} {:>18} {:>8.3} {:>8.3} {:>8.3} {:>9.0} {:>8.0} {:>7.0} {:>6.1}",
             row.way.to_string(),
-            percent(Figure::of(&row.figures(Traffic::share))),
+            percent(Figure::of(&row.figures(TrafficMetrics::served_share))),
             against.map_or(String::new(), |first| percent(row.gain(first))),
-            mean(|t| t.answer_s().0),
-            mean(|t| t.answer_s().1),
-            mean(Traffic::busiest_over_due),
-            mean(|t| t.declined as f64),
-            mean(|t| t.further as f64),
-            mean(|t| t.moves as f64),
-            mean(|t| t.falls as f64),
+            mean(|t| t.setup_latency_s().0),
+            mean(|t| t.setup_latency_s().1),
+            mean(TrafficMetrics::mean_imbalance),
+            mean(|t| t.unserved_requests as f64),
+            mean(|t| t.retries as f64),
+            mean(|t| t.migrations as f64),
+            mean(|t| t.cold_overloads as f64),
         );
     }
 }
 
-fn print_traffic(traffic: &Traffic) {
-    let (mean, most) = traffic.answer_s();
-    println!("  {:<28} {} at most, {} at the end", "connections", traffic.most_open, traffic.open);
+fn print_traffic(traffic: &TrafficMetrics) {
+    let (mean, most) = traffic.setup_latency_s();
+    println!(
+        "  {:<28} {} at most, {} at the end",
+        "connections", traffic.peak_open_connections, traffic.open_connections
+    );
     println!(
         "  {:<28} {:.3} in the mean, {:.3} at the end",
         "busiest host over its due",
-        traffic.busiest_over_due(),
-        traffic.busiest_last
+        traffic.mean_imbalance(),
+        traffic.last_imbalance
+    );
+    println!(
+        "  {:<28} {:.1}",
+        "hosts in use at a node",
+        traffic.hosts_used.0 / traffic.hosts_used.1.max(1) as f64
     );
-    println!("  {:<28} {:.1}", "hosts in use at a node", traffic.used.0 / traffic.used.1.max(1) as f64);
     println!("  {:<28} {mean:.3} s in the mean, {most:.3} s for 99 of 100", "answers");
     println!(
         "  {:<28} {} declined, {} further attempts, {} moves",
-        "clients", traffic.declined, traffic.further, traffic.moves
+        "clients", traffic.unserved_requests, traffic.retries, traffic.migrations
     );
     println!(
         "  {:<28} {:.2} of what they bear at most, {:.2} in the mean, {} fell",
         "asked of cold hosts",
-        traffic.cold_peak,
-        traffic.cold_asked.0 / traffic.cold_asked.1.max(1.0),
-        traffic.falls
+        traffic.cold_load_peak,
+        traffic.cold_load.0 / traffic.cold_load.1.max(1.0),
+        traffic.cold_overloads
     );
 }
 
-fn print_sums(sums: &Sums) {
+fn print_sums(sums: &RunMetrics) {
     sums.traffic.iter().for_each(print_traffic);
-    if sums.member_s == 0.0 {
+    if sums.member_seconds == 0.0 {
         return;
     }
-    let each = |n: f64| n / sums.member_s;
+    let each = |n: f64| n / sums.member_seconds;
     println!(
         "  {:<28} {:.0} bytes, {:.2} datagrams",
         "a member and second",
-        each(sums.sent_bytes as f64),
-        each(sums.sent as f64)
+        each(sums.bytes_sent as f64),
+        each(sums.datagrams_sent as f64)
     );
     println!(
         "  {:<28} {} in {:.1} member-hours",
         "suspicions, refuted",
-        format_args!("{}, {}", sums.suspected, sums.refuted),
-        sums.member_s / 3600.0
+        format_args!("{}, {}", sums.suspicions, sums.refutations),
+        sums.member_seconds / 3600.0
     );
 }
 
--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -18,7 +18,10 @@
 use tracing::{info, warn};
 
 use crate::history::History;
-use crate::hollow::{Hollows, Look, Looks, MakePart, Network, Seen, Setup, Spec, What};
+use crate::hollow::{
+    ExtraCoreFactory, HollowConfig, HollowNodes, Network, NodeSample, NodeSpec, Observation, ObservedChange,
+    ThreadSample,
+};
 use crate::processes::discovery::{Discovery, HostEntry};
 use crate::processes::nodes::{self, Node, RunDir};
 use crate::processes::{self, LoopbackAddresses, interrupt_signal, settings};
@@ -95,7 +98,7 @@
 pub fn run(
     runs: &Runs,
     program: &Path,
-    parts: &MakePart,
+    parts: &ExtraCoreFactory,
     mut done: impl FnMut(Size, &[Row]),
 ) -> Result<(), ScaleError> {
     for size in &runs.sizes {
@@ -127,9 +130,9 @@
 struct Fleet<'a> {
     runs: &'a Runs,
     size: Size,
-    specs: Vec<Spec>,
+    specs: Vec<NodeSpec>,
     network: Arc<Network>,
-    hollows: Hollows,
+    hollows: HollowNodes,
     real: Vec<Rc<Node>>,
     /// Which numbers are real.
     real_numbers: BTreeSet<usize>,
@@ -146,12 +149,12 @@
 /// What was counted at one moment.
 struct Meter {
     at: Micros,
-    looks: Vec<Looks>,
+    looks: Vec<ThreadSample>,
     real: Vec<Option<(Usage, BTreeMap<String, u64>)>>,
 }
 
 impl Meter {
-    fn nodes(&self) -> BTreeMap<usize, Look> {
+    fn nodes(&self) -> BTreeMap<usize, NodeSample> {
         self.looks.iter().flat_map(|looks| &looks.nodes).map(|look| (look.number, *look)).collect()
     }
 
@@ -166,22 +169,27 @@
     let spans: Vec<f64> = (to.nodes().iter())
         .filter_map(|(number, now)| {
             let then = before.get(number)?;
-            Some(now.counts.counters.sent_bytes.saturating_sub(then.counts.counters.sent_bytes) as f64)
+            Some(now.stats.counters.sent_bytes.saturating_sub(then.stats.counters.sent_bytes) as f64)
         })
         .collect();
     spans.iter().sum::<f64>() / spans.len().max(1) as f64 / (to.at - from.at).as_secs_f64()
 }
 
 impl<'a> Fleet<'a> {
-    async fn build(runs: &'a Runs, size: Size, program: &Path, parts: &MakePart) -> Result<Self, ScaleError> {
+    async fn build(
+        runs: &'a Runs,
+        size: Size,
+        program: &Path,
+        parts: &ExtraCoreFactory,
+    ) -> Result<Self, ScaleError> {
         let at = LoopbackAddresses::reserve().await?;
         let folder = RunDir::new(size.members as u32 + 10_000)?;
         let zone = |number| format!("z{}", runs.zone_of(number));
-        let specs: Vec<Spec> = (0..size.members)
+        let specs: Vec<NodeSpec> = (0..size.members)
             .map(|number| {
                 let kind = if number < runs.control { "c" } else { "n" };
                 let address = at.extended(number, MEMBERS);
-                Spec { number, name: format!("{kind}{number}"), zone: zone(number), address }
+                NodeSpec { number, name: format!("{kind}{number}"), zone: zone(number), address }
             })
             .collect();
         let regions = specs.iter().map(|spec| (spec.address, runs.region_of(spec.number))).collect();
@@ -193,17 +201,17 @@
         let numbers: Vec<usize> =
             (0..size.members).filter(|&number| runs.may_be_real(number)).take(size.real).collect();
         let known = specs.iter().filter(|spec| runs.know_all && !numbers.contains(&spec.number));
-        let setup = Setup {
-            known: Arc::new(known.cloned().collect()),
-            settings,
+        let setup = HollowConfig {
+            known_nodes: Arc::new(known.cloned().collect()),
+            membership: settings,
             codec,
             seeds: seeds.clone(),
             network: network.clone(),
             seed: runs.seed,
-            parts: parts.clone(),
+            extra_cores: parts.clone(),
         };
         let before = own_resident();
-        let hollows = Hollows::new(runs.threads, &setup)?;
+        let hollows = HollowNodes::new(runs.threads, &setup)?;
         let history = Rc::new(History::unread());
         let list = at.extended(0, 8_500);
         let entry = HostEntry { health: "up", zone: zone(0), started_ms: 0 };
@@ -310,7 +318,7 @@
         for node in &self.real {
             real.push(self.read(node).await);
         }
-        Meter { at: self.network.now(), looks: self.hollows.meter().await, real }
+        Meter { at: self.network.now(), looks: self.hollows.sample_and_reset_peaks().await, real }
     }
 
     async fn read(&self, node: &Node) -> Option<(Usage, BTreeMap<String, u64>)> {
@@ -324,21 +332,21 @@
     fn costs(&mut self, phase: &str, from: &Meter, to: &Meter) {
         let span = (to.at - from.at).as_secs_f64();
         let (before, after) = (from.nodes(), to.nodes());
-        let both: Vec<(Look, Look)> = after
+        let both: Vec<(NodeSample, NodeSample)> = after
             .iter()
             .filter_map(|(number, now)| Some((*before.get(number)?, *now)))
-            .filter(|(then, now)| now.counts.counters.sent >= then.counts.counters.sent)
+            .filter(|(then, now)| now.stats.counters.sent >= then.stats.counters.sent)
             .collect();
-        let each = |of: &dyn Fn(&Look) -> u64| -> Vec<f64> {
+        let each = |of: &dyn Fn(&NodeSample) -> u64| -> Vec<f64> {
             both.iter().map(|(then, now)| of(now).saturating_sub(of(then)) as f64 / span).collect()
         };
-        let out = each(&|look| look.counts.counters.sent_bytes + look.part[1]);
-        let into = each(&|look| look.came_bytes + look.part[3]);
-        let sent = each(&|look| look.counts.counters.sent + look.part[0]);
-        let came = each(&|look| look.came + look.part[2]);
+        let out = each(&|look| look.stats.counters.sent_bytes + look.extra_core[1]);
+        let into = each(&|look| look.bytes_received + look.extra_core[3]);
+        let sent = each(&|look| look.stats.counters.sent + look.extra_core[0]);
+        let came = each(&|look| look.datagrams_received + look.extra_core[2]);
         let held: Vec<f64> = both
             .iter()
-            .map(|(then, now)| (now.counts.counters.rate_limited - then.counts.counters.rate_limited) as f64)
+            .map(|(then, now)| (now.stats.counters.rate_limited - then.stats.counters.rate_limited) as f64)
             .collect();
         self.values(phase, "bytes out a node and second", &out);
         self.values(phase, "bytes in a node and second", &into);
@@ -346,7 +354,7 @@
         self.values(phase, "datagrams in a node and second", &came);
         self.values(phase, "datagrams held back a node", &held);
         let peaks =
-            |of: fn(&Look) -> u64| -> Vec<f64> { after.values().map(|look| of(look) as f64).collect() };
+            |of: fn(&NodeSample) -> u64| -> Vec<f64> { after.values().map(|look| of(look) as f64).collect() };
         self.values(phase, "bytes out in the busiest second", &peaks(|look| look.peak.0));
         self.values(phase, "bytes in in the busiest second", &peaks(|look| look.peak.1));
         let cpu = (to.cpu() - from.cpu()).as_secs_f64() / span / after.len().max(1) as f64;
@@ -375,13 +383,13 @@
         // What the start itself was news of is told by then.
         sleep(self.settle()).await;
         let from = self.meter().await;
-        self.hollows.seen().await;
+        self.hollows.take_observations().await;
         sleep(Duration::from_secs_f64(self.runs.quiet_s)).await;
         let to = self.meter().await;
         self.costs(phase, &from, &to);
         self.quiet = sent(&from, &to);
-        let seen = self.hollows.seen().await;
-        let dead = seen.iter().filter(|seen| seen.what == What::Died).count();
+        let seen = self.hollows.take_observations().await;
+        let dead = seen.iter().filter(|seen| seen.change == ObservedChange::Died).count();
         self.one(phase, "held dead though well (pairs)", dead as f64);
         self.memory(phase, &to);
         self.operators(phase).await;
@@ -412,7 +420,7 @@
             let node = node.clone();
             starts.spawn_local(async move { node.start().await });
         }
-        let hollow: Vec<Spec> =
+        let hollow: Vec<NodeSpec> =
             self.specs.iter().filter(|spec| !self.real_numbers.contains(&spec.number)).cloned().collect();
         let pause = STARTS / u32::try_from(hollow.len()).unwrap_or(1).max(1);
         let began = self.network.now();
@@ -429,7 +437,7 @@
         // Nothing was counted before a node began: all that it sent counts.
         let span = (to.at - began).as_secs_f64();
         let sent: Vec<f64> =
-            to.nodes().values().map(|look| look.counts.counters.sent_bytes as f64 / span).collect();
+            to.nodes().values().map(|look| look.stats.counters.sent_bytes as f64 / span).collect();
         self.values(phase, "bytes out a node and second", &sent);
         let peaks: Vec<f64> = to.nodes().values().map(|look| look.peak.0 as f64).collect();
         self.values(phase, "bytes out in the busiest second", &peaks);
@@ -447,9 +455,9 @@
         let (mut hollow, mut real) = (None, vec![None; self.real.len()]);
         loop {
             let now = self.network.now();
-            let looks = self.hollows.look().await;
+            let looks = self.hollows.sample().await;
             let counts: Vec<usize> =
-                looks.iter().flat_map(|l| &l.nodes).map(|l| l.counts.alive + l.counts.suspect).collect();
+                looks.iter().flat_map(|l| &l.nodes).map(|l| l.stats.alive + l.stats.suspect).collect();
             if counts.len() == self.hollow_alive.len() && counts.iter().all(|&count| count == members) {
                 hollow.get_or_insert(now);
             }
@@ -538,9 +546,9 @@
         &mut self,
         phase: &str,
         by: &BTreeSet<usize>,
-        of: &BTreeMap<usize, (What, Micros)>,
+        of: &BTreeMap<usize, (ObservedChange, Micros)>,
         real: Option<usize>,
-    ) -> (Vec<Seen>, Vec<Option<Micros>>) {
+    ) -> (Vec<Observation>, Vec<Option<Micros>>) {
         let began = of.values().map(|(_, at)| *at).fold(Micros(0), Micros::max);
         let last = began + Micros(u64::try_from(self.bound().as_micros()).unwrap_or(u64::MAX));
         let mut wanted: BTreeSet<(usize, usize)> = of
@@ -551,9 +559,12 @@
         let mut learned = Vec::new();
         let mut real_known = vec![None; if real.is_some() { self.real.len() } else { 0 }];
         loop {
-            for seen in self.hollows.seen().await {
-                let about = of.get(&seen.of).is_some_and(|(what, at)| *what == seen.what && *at <= seen.at);
-                if about && wanted.remove(&(seen.by, seen.of)) || seen.what == What::Suspected {
+            for seen in self.hollows.take_observations().await {
+                let about =
+                    of.get(&seen.subject).is_some_and(|(what, at)| *what == seen.change && *at <= seen.at);
+                if about && wanted.remove(&(seen.observer, seen.subject))
+                    || seen.change == ObservedChange::Suspected
+                {
                     learned.push(seen);
                 }
             }
@@ -570,19 +581,25 @@
     }
 
     /// How long each piece took to half of the nodes, and to all.
-    fn spread(&mut self, phase: &str, of: &BTreeMap<usize, (What, Micros)>, learned: &[Seen]) {
+    fn spread(
+        &mut self,
+        phase: &str,
+        of: &BTreeMap<usize, (ObservedChange, Micros)>,
+        learned: &[Observation],
+    ) {
         let (mut half, mut all, mut first) = (Vec::new(), Vec::new(), Vec::new());
         for (node, (what, began)) in of {
-            let about = |seen: &&Seen| seen.of == *node && *began <= seen.at;
+            let about = |seen: &&Observation| seen.subject == *node && *began <= seen.at;
             let mut times: Vec<f64> = (learned.iter().filter(about))
-                .filter(|seen| seen.what == *what)
+                .filter(|seen| seen.change == *what)
                 .map(|seen| (seen.at - *began).as_secs_f64())
                 .collect();
             times.sort_by(f64::total_cmp);
             half.extend(times.get(times.len() / 2));
             all.extend(times.last());
-            let suspected = learned.iter().filter(about).filter(|seen| seen.what == What::Suspected);
-            if *what == What::Died {
+            let suspected =
+                learned.iter().filter(about).filter(|seen| seen.change == ObservedChange::Suspected);
+            if *what == ObservedChange::Died {
                 first.extend(suspected.map(|seen| (seen.at - *began).as_secs_f64()).reduce(f64::min));
             }
         }
@@ -618,6 +635,6 @@
 }
 
 /// No node has a further core.
-pub fn no_parts() -> MakePart {
+pub fn no_parts() -> ExtraCoreFactory {
     Arc::new(|_| None)
 }
--- a/crates/alderstile-lab/tests/choices.rs
+++ b/crates/alderstile-lab/tests/choices.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use alderstile_lab::emulated::{Choice, run};
+use alderstile_lab::emulated::{StrategySpec, run};
 use alderstile_lab::history::History;
 use alderstile_lab::schedule::Plan;
 use support::{node, play};
@@ -59,10 +59,10 @@
 fn emulated_nodes_use_a_part_of_the_hosts_and_serve_as_many() {
     let used = |on: &str, choice: &str| {
         let plan = Plan::parse("test", &schedule(on), None).expect("a fine schedule");
-        let choice: Choice = choice.parse().expect("a choice");
+        let choice: StrategySpec = choice.parse().expect("a choice");
         let sums = run(&plan, &choice, &History::unread()).expect("a run");
         let traffic = sums.traffic.expect("clients");
-        (traffic.used.0 / traffic.used.1 as f64, traffic.share())
+        (traffic.hosts_used.0 / traffic.hosts_used.1 as f64, traffic.served_share())
     };
     let (all, with_all) = used("", "module");
     let (part, with_part) = used("\"subsets\"", "module");
@@ -80,5 +80,8 @@
     assert!(bad("size = 0").contains("choices.size"));
     assert!(bad("size = 2, sizes = 3").contains("sizes"));
     assert!(Plan::parse("f", &schedule("\"nothing\""), None).is_err());
-    assert!("random+subsets".parse::<Choice>().is_err() && "module+nothing".parse::<Choice>().is_err());
+    assert!(
+        "random+subsets".parse::<StrategySpec>().is_err()
+            && "module+nothing".parse::<StrategySpec>().is_err()
+    );
 }
--- a/crates/alderstile-lab/tests/fleet.rs
+++ b/crates/alderstile-lab/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Hosts, clients and decisions in simulated time.
 
-use alderstile_lab::emulated::Way;
+use alderstile_lab::emulated::Strategy;
 use alderstile_lab::schedule::Plan;
 
 mod support;
@@ -76,15 +76,15 @@
 #[test]
 fn the_decisions_keep_the_rules_under_all_faults_and_a_run_is_the_same_each_time() {
     let text = schedule(30, 1_000, 5.0, ALL);
-    let (first, report, sums) = emulate(&text, Way::Module, 3);
+    let (first, report, sums) = emulate(&text, Strategy::Alderstile, 3);
     assert_eq!(report.violations, [], "{report:?}");
     let share = report.served.expect("clients");
     assert!((0.9..1.0).contains(&share), "faults cost something, and not much: {share}");
     let traffic = sums.traffic.expect("clients");
-    assert!(traffic.busiest_over_due() < 1.6 && traffic.further > 0 && traffic.moves > 0, "{traffic:?}");
-    let (second, ..) = emulate(&text, Way::Module, 3);
+    assert!(traffic.mean_imbalance() < 1.6 && traffic.retries > 0 && traffic.migrations > 0, "{traffic:?}");
+    let (second, ..) = emulate(&text, Strategy::Alderstile, 3);
     assert!(first == second, "the same inputs give the same history");
-    let (other, ..) = emulate(&text, Way::Module, 4);
+    let (other, ..) = emulate(&text, Strategy::Alderstile, 4);
     assert!(first != other);
 }
 
@@ -99,9 +99,9 @@
 #[test]
 fn a_fleet_whose_nodes_restart_is_served_again() {
     // Found with 300 nodes: moves off late hosts came back as set-ups, which kept all hosts late for good (0.62 of what was wanted here).
-    let (_, report, sums) = emulate(&schedule(60, 6_000, 30.0, RESTARTS), Way::Module, 1);
+    let (_, report, sums) = emulate(&schedule(60, 6_000, 30.0, RESTARTS), Strategy::Alderstile, 1);
     assert_eq!(report.violations, []);
-    let share = sums.traffic.expect("clients").share();
+    let share = sums.traffic.expect("clients").served_share();
     assert!(share > 0.88, "{share}");
 }
 
@@ -116,24 +116,25 @@
 #[test]
 fn a_way_that_knows_no_cold_budget_pushes_hosts_over_and_the_decisions_do_not() {
     let text = schedule(60, 6_000, 30.0, HOSTS_DIE);
-    let (_, report, sums) = emulate(&text, Way::Least, 1);
+    let (_, report, sums) = emulate(&text, Strategy::LeastConnections, 1);
     assert!(report.violations.iter().any(|breach| breach.rule == "cold hosts"), "{report:?}");
-    assert!(sums.traffic.expect("clients").cold_peak > 1.0);
-    let (_, report, sums) = emulate(&text, Way::Module, 1);
+    assert!(sums.traffic.expect("clients").cold_load_peak > 1.0);
+    let (_, report, sums) = emulate(&text, Strategy::Alderstile, 1);
     assert_eq!(report.violations, []);
     let traffic = sums.traffic.expect("clients");
-    assert!(traffic.cold_peak < 1.0 && traffic.falls == 0, "{traffic:?}");
+    assert!(traffic.cold_load_peak < 1.0 && traffic.cold_overloads == 0, "{traffic:?}");
 }
 
 #[test]
 fn ways_that_know_more_spread_better() {
     let busiest = |way| {
         let (_, _, sums) = emulate(&schedule(30, 3_000, 5.0, ""), way, 1);
-        sums.traffic.expect("clients").busiest_over_due()
+        sums.traffic.expect("clients").mean_imbalance()
     };
-    let (least, two, random) = (busiest(Way::Least), busiest(Way::Two), busiest(Way::Random));
+    let (least, two, random) =
+        (busiest(Strategy::LeastConnections), busiest(Strategy::TwoChoices), busiest(Strategy::Random));
     assert!(least < two && two < random, "{least} {two} {random}");
-    assert!(busiest(Way::Subset) > least, "a node that uses a part of the hosts knows less");
+    assert!(busiest(Strategy::RendezvousSubset) > least, "a node that uses a part of the hosts knows less");
 }
 
 #[test]
--- a/crates/alderstile-lab/tests/members.rs
+++ b/crates/alderstile-lab/tests/members.rs
@@ -5,7 +5,7 @@
 use std::thread;
 
 use alderstile_lab::check::Report;
-use alderstile_lab::emulated::Way;
+use alderstile_lab::emulated::Strategy;
 use support::{node, play};
 
 const FAULTS: &str = r#"
@@ -55,7 +55,7 @@
 
 /// The history's text and the report of an emulated run.
 fn emulate(schedule: &str, seed: u64) -> (Vec<u8>, Report) {
-    let (history, report, _) = support::emulate(schedule, Way::Module, seed);
+    let (history, report, _) = support::emulate(schedule, Strategy::Alderstile, seed);
     (history, report)
 }
 
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -13,7 +13,7 @@
 use alderstile::types::Micros;
 use alderstile_cluster::membership::{DatagramCodec, Membership, MembershipConfig};
 use alderstile_lab::fit::Fit;
-use alderstile_lab::hollow::{Hollows, Network, Part, Setup, Spec, What};
+use alderstile_lab::hollow::{ExtraCore, HollowConfig, HollowNodes, Network, NodeSpec, ObservedChange};
 use alderstile_lab::measure::{self, Sizes};
 use alderstile_lab::real::parse_counters;
 use alderstile_lab::scale::{self, Runs};
@@ -114,18 +114,18 @@
     came: Arc<AtomicU64>,
 }
 
-impl Part for Sends {
+impl ExtraCore for Sends {
     fn address(&self) -> SocketAddr {
         self.at
     }
-    fn due(&self) -> Micros {
+    fn next_timeout(&self) -> Micros {
         self.due
     }
-    fn tick(&mut self, now: Micros, _: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)> {
+    fn handle_timeout(&mut self, now: Micros, _: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)> {
         self.due = now + Micros(50_000);
         vec![(self.to, b"ten bytes.".to_vec())]
     }
-    fn received(
+    fn handle_datagram(
         &mut self,
         _: Micros,
         from: SocketAddr,
@@ -148,31 +148,31 @@
     let regions = (0..2u8).flat_map(|n| [(at(n.into(), 7_946), n), (at(n.into(), 7_947), n)]).collect();
     let network = Network::new(regions);
     let counted = came.clone();
-    let setup = Setup {
-        settings: MembershipConfig::with_period(Micros(50_000)),
+    let setup = HollowConfig {
+        membership: MembershipConfig::with_period(Micros(50_000)),
         codec: DatagramCodec::new("test", &[vec![7; 32]]).expect("a key"),
         seeds: vec![at(0, 7_946)],
         network: network.clone(),
         seed: 1,
-        known: Arc::default(),
-        parts: Arc::new(move |spec: &Spec| {
+        known_nodes: Arc::default(),
+        extra_cores: Arc::new(move |spec: &NodeSpec| {
             let (at, to) = (at(spec.number, 7_947), at(1 - spec.number, 7_947));
             Some(Box::new(Sends { at, to, due: Micros(0), came: counted.clone() }))
         }),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
-        let hollows = Hollows::new(2, &setup).expect("threads");
+        let hollows = HollowNodes::new(2, &setup).expect("threads");
         for number in 0..2 {
             let name = format!("n{number}");
-            hollows.start(Spec { number, name, zone: "a".to_owned(), address: at(number, 7_946) });
+            hollows.start(NodeSpec { number, name, zone: "a".to_owned(), address: at(number, 7_946) });
         }
         let until = async |what: &str, done: &dyn Fn(&BTreeMap<usize, usize>) -> bool| {
             for _ in 0..400 {
                 tokio::time::sleep(Duration::from_millis(25)).await;
-                let looks = hollows.look().await;
+                let looks = hollows.sample().await;
                 let nodes = looks.iter().flat_map(|looks| &looks.nodes);
-                let counts = nodes.map(|look| (look.number, look.counts.alive)).collect();
+                let counts = nodes.map(|look| (look.number, look.stats.alive)).collect();
                 if done(&counts) {
                     return;
                 }
@@ -181,22 +181,27 @@
         };
         until("both know each other", &|counts| counts.values().eq(&[2, 2])).await;
         until("parts hear each other", &|_| came.load(Ordering::Relaxed) > 3).await;
-        hollows.news(0, 77).await;
+        hollows.set_config_digest(0, 77).await;
         let mut learned = Vec::new();
         for _ in 0..400 {
             tokio::time::sleep(Duration::from_millis(25)).await;
-            learned.extend(hollows.seen().await);
-            if learned.iter().any(|seen| seen.what == What::News(77)) {
+            learned.extend(hollows.take_observations().await);
+            if learned.iter().any(|seen| seen.change == ObservedChange::ConfigDigest(77)) {
                 break;
             }
         }
-        assert!(learned.iter().any(|s| (s.by, s.of, s.what) == (1, 0, What::News(77))), "{learned:?}");
-        network.part(true);
+        assert!(
+            learned
+                .iter()
+                .any(|s| (s.observer, s.subject, s.change) == (1, 0, ObservedChange::ConfigDigest(77))),
+            "{learned:?}"
+        );
+        network.set_partitioned(true);
         until("each holds the other dead", &|counts| counts.values().eq(&[1, 1])).await;
         let before = came.load(Ordering::Relaxed);
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(came.load(Ordering::Relaxed), before, "parted regions hear nothing");
-        network.part(false);
+        network.set_partitioned(false);
         until("both know each other again", &|counts| counts.values().eq(&[2, 2])).await;
         hollows.kill(1);
         until("one is left", &|counts| counts.len() == 1).await;
--- a/crates/alderstile-lab/tests/support/mod.rs
+++ b/crates/alderstile-lab/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use alderstile_lab::check::{Report, check};
-use alderstile_lab::emulated::{self, Sums, Way};
+use alderstile_lab::emulated::{self, RunMetrics, Strategy};
 use alderstile_lab::history::{History, read};
 use alderstile_lab::processes::{self, Options, RunError};
 use alderstile_lab::schedule::Plan;
@@ -63,7 +63,7 @@
 }
 
 /// Emulates a schedule: the history's bytes, what came of it, and its sums.
-pub fn emulate(schedule: &str, way: Way, seed: u64) -> (Vec<u8>, Report, Sums) {
+pub fn emulate(schedule: &str, way: Strategy, seed: u64) -> (Vec<u8>, Report, RunMetrics) {
     let plan = Plan::parse("test", schedule, Some(seed)).expect("a fine schedule");
     let out = Folder::new();
     let path = out.0.join("history.jsonl");
