--- a/crates/alderstile-node/src/commands/serve.rs
+++ b/crates/alderstile-node/src/commands/serve.rs
@@ -51,7 +51,7 @@
     #[error("cluster not joined: {0}")]
     Membership(#[from] RecordError),
     /// The membership socket can't be bound.
-    #[error("membership socket {address} not bound: {error}")]
+    #[error("membership socket not bound (cluster file, listen {address}): {error}")]
     MembershipSocket {
         /// The configured address.
         address: SocketAddr,
@@ -59,7 +59,7 @@
         error: io::Error,
     },
     /// The admin server's listener can't be bound.
-    #[error("admin listener {address} not bound: {error}")]
+    #[error("admin listener not bound (admin_addr {address}): {error}")]
     AdminSocket {
         /// The configured address.
         address: SocketAddr,
@@ -67,7 +67,7 @@
         error: io::Error,
     },
     /// The listener for clients can't be bound.
-    #[error("client listener {address} not bound: {error}")]
+    #[error("client listener not bound (listen {address}): {error}")]
     ClientSocket {
         /// The configured address.
         address: SocketAddr,
@@ -75,7 +75,7 @@
         error: io::Error,
     },
     /// The gossip socket can't be bound.
-    #[error("gossip socket not bound: {0}")]
+    #[error("gossip socket not bound (peer_listen): {0}")]
     GossipSocket(io::Error),
 }
 
@@ -117,9 +117,9 @@
         reload::reload(&node, files.config, env);
         reload::reload_keys(&node, files.cluster);
     };
-    signals.until_stop(reload).await;
+    signals.wait_for_stop(reload).await;
     // Reloads still apply: clients are served with the active configuration until the last one has left.
-    signals.reload_until(shutdown::run(node.clone(), accepting), reload).await;
+    signals.wait_for(shutdown::run(node.clone(), accepting), reload).await;
     Ok(())
 }
 
@@ -140,7 +140,7 @@
     }
 
     /// Waits for SIGTERM or SIGINT, and reloads at each SIGHUP.
-    async fn until_stop(&mut self, reload: impl Fn()) {
+    async fn wait_for_stop(&mut self, reload: impl Fn()) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
@@ -151,11 +151,11 @@
     }
 
     /// Waits for a future to complete, and reloads at each SIGHUP.
-    async fn reload_until(&mut self, done: impl Future<Output = ()>, reload: impl Fn()) {
-        tokio::pin!(done);
+    async fn wait_for(&mut self, future: impl Future<Output = ()>, reload: impl Fn()) {
+        tokio::pin!(future);
         loop {
             tokio::select! {
-                () = &mut done => return,
+                () = &mut future => return,
                 Some(()) = self.hangup.recv() => reload(),
             }
         }
@@ -232,10 +232,10 @@
 ) -> JoinHandle<()> {
     node.take_over(&predecessor.state);
     spawn_local(gossip.clone().run_after_predecessor(node.clone()));
-    let ended = upgrade::exchange_with_predecessor(node, predecessor);
+    let predecessor_ended = upgrade::exchange_with_predecessor(node, predecessor);
     let successor = node.clone();
     spawn_local(async move {
-        ended.await;
+        predecessor_ended.await;
         upgrade::accept_successors(successor).await;
     });
     spawn_local(accept_as_successor(node.clone()))
@@ -252,7 +252,7 @@
         // The listener was sent before the acknowledgement, but this process may not have received it yet.
         sleep(READINESS_POLL_INTERVAL).await;
     }
-    let listener = match shared_or_own_listener(&node) {
+    let listener = match shared_or_new_listener(&node) {
         Ok(listener) => listener,
         Err(error) => return error!(%error, "client listener not bound, no clients accepted"),
     };
@@ -268,9 +268,9 @@
 fn receive_connections(node: &Rc<Node>) {
     match connection_handover::bind(&node.config()) {
         Ok(Some(socket)) => {
-            let resuming = node.clone();
+            let resuming_node = node.clone();
             let resume = move |connection, sockets| {
-                drop(spawn_local(session::resume(resuming.clone(), connection, sockets)));
+                drop(spawn_local(session::resume(resuming_node.clone(), connection, sockets)));
             };
             spawn_local(connection_handover::receive(node.clone(), socket, resume));
         }
@@ -280,7 +280,7 @@
 }
 
 /// Returns the listener that the predecessor shares, or binds a separate one to the same address.
-fn shared_or_own_listener(node: &Node) -> Result<TcpListener, ServeError> {
+fn shared_or_new_listener(node: &Node) -> Result<TcpListener, ServeError> {
     match node.process.take_shared_listener().map(listener::from_shared) {
         Some(Ok(listener)) => {
             info!(node = %node.config().name, "listener shared with predecessor");
--- a/crates/alderstile-node/tests/restarts.rs
+++ b/crates/alderstile-node/tests/restarts.rs
@@ -18,6 +18,7 @@
 mod support;
 use support::*;
 
+/// The number of nodes in the fleet.
 const NODES: usize = 20;
 /// Time in which discovery answers one request.
 const REQUEST_DURATION: Duration = Duration::from_millis(1_000);
@@ -30,41 +31,42 @@
 /// line every 2 s.
 fn serve_slowly(discovery: StubDiscovery, complete_list: String) {
     let queue: Rc<RefCell<VecDeque<(Instant, LineConnection)>>> = Rc::default();
-    let calls = queue.clone();
+    let requests = queue.clone();
     spawn_local(async move {
         loop {
             // A request that its process had only begun to send when it was stopped is not queued.
-            let mut call =
-                LineConnection(tokio::io::BufReader::new(discovery.0.accept().await.expect("a call").0));
+            let mut connection = LineConnection(tokio::io::BufReader::new(
+                discovery.0.accept().await.expect("a connection").0,
+            ));
             let mut prefix = [0; 3];
-            let received = call.0.get_mut().read_exact(&mut prefix);
+            let received = connection.0.get_mut().read_exact(&mut prefix);
             if matches!(timeout(QUEUE_TIMEOUT, received).await, Ok(Ok(_))) {
-                calls.borrow_mut().push_back((Instant::now(), call));
+                requests.borrow_mut().push_back((Instant::now(), connection));
             }
         }
     });
-    let calls = queue.clone();
+    let requests = queue.clone();
     spawn_local(async move {
         loop {
             sleep(Duration::from_millis(20)).await;
             let timed_out =
-                calls.borrow().front().is_some_and(|(received, _)| received.elapsed() >= QUEUE_TIMEOUT);
-            let rejected = if timed_out { calls.borrow_mut().pop_front() } else { None };
-            if let Some((_, mut call)) = rejected {
+                requests.borrow().front().is_some_and(|(received, _)| received.elapsed() >= QUEUE_TIMEOUT);
+            let rejected = if timed_out { requests.borrow_mut().pop_front() } else { None };
+            if let Some((_, mut connection)) = rejected {
                 let answer = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-                call.0.get_mut().write_all(answer).await.unwrap_or_default();
+                connection.0.get_mut().write_all(answer).await.unwrap_or_default();
             }
         }
     });
     spawn_local(async move {
         loop {
             sleep(REQUEST_DURATION).await;
-            let Some((_, mut call)) = queue.borrow_mut().pop_front() else { continue };
+            let Some((_, mut connection)) = queue.borrow_mut().pop_front() else { continue };
             let complete_list = complete_list.clone();
             spawn_local(async move {
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let mut next = format!("{head}{:x}\r\n{complete_list}\r\n", complete_list.len());
-                while call.0.get_mut().write_all(next.as_bytes()).await.is_ok() {
+                while connection.0.get_mut().write_all(next.as_bytes()).await.is_ok() {
                     next = "1\r\n\n\r\n".to_owned();
                     sleep(Duration::from_secs(2)).await;
                 }
--- a/crates/alderstile-node/tests/support/processes.rs
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -44,15 +44,15 @@
 pub fn serve_host(host: StubHost, served: Rc<RefCell<BTreeMap<String, u32>>>) {
     spawn_local(async move {
         loop {
-            let mut peer = host.accept().await;
+            let mut connection = host.accept().await;
             let served = served.clone();
             spawn_local(async move {
-                let Some(line) = peer.read_line().await else { return };
+                let Some(line) = connection.read_line().await else { return };
                 let id = line.split(' ').nth(1).expect("an id").to_owned();
                 *served.borrow_mut().entry(id).or_default() += 1;
-                let _gone = peer.0.get_mut().write_all(b"UP 00ff\r\n").await;
-                while let Some(line) = peer.read_line().await {
-                    let _gone = peer.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
+                let _gone = connection.0.get_mut().write_all(b"UP 00ff\r\n").await;
+                while let Some(line) = connection.read_line().await {
+                    let _gone = connection.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
                 }
             });
         }
@@ -91,10 +91,10 @@
 
     /// Sends an admin request and returns the response's status and text; `None` if nothing listens.
     pub async fn admin_request(&self, method: &str, path: &str) -> Option<(u16, String)> {
-        let mut caller = tokio::net::TcpStream::connect(self.admin).await.ok()?;
-        caller.write_all(format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await.ok()?;
+        let mut stream = tokio::net::TcpStream::connect(self.admin).await.ok()?;
+        stream.write_all(format!("{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n").as_bytes()).await.ok()?;
         let mut text = String::new();
-        tokio::io::AsyncReadExt::read_to_string(&mut caller, &mut text).await.ok()?;
+        tokio::io::AsyncReadExt::read_to_string(&mut stream, &mut text).await.ok()?;
         Some((text.get(9..12)?.parse().ok()?, text))
     }
 
