--- a/crates/alderstile-node/src/config/reload.rs
+++ b/crates/alderstile-node/src/config/reload.rs
@@ -41,8 +41,8 @@
     /// Fails if a key is unknown, missing or invalid.
     pub fn reloaded(&self, value: Value) -> Result<ReloadedConfig, ConfigError> {
         if !value.is_object() {
-            let whole = plain_text(&value);
-            return Err(SettingValues::new("", []).invalid("(the whole file)", &whole, "an object").into());
+            let text = plain_text(&value);
+            return Err(SettingValues::new("", []).invalid("(root)", &text, "an object").into());
         }
         if let Some(key) = first_missing_key(&self.source, &value) {
             return Err(SettingsError::MissingKey(key).into());
--- a/crates/alderstile-node/src/config/shadow.rs
+++ b/crates/alderstile-node/src/config/shadow.rs
@@ -22,19 +22,19 @@
         return Err(SettingValues::new("", []).invalid("shadow", &plain_text(&section), "an object"));
     };
     let section_settings = fields.remove("settings").unwrap_or_default();
-    let (keys, own) =
+    let (section_values, own_settings) =
         (setting_values("shadow.", &section), setting_values("shadow.settings.", &section_settings));
     if !section_settings.is_null() && !section_settings.is_object() {
-        return Err(keys.invalid("settings", &plain_text(&section_settings), "an object"));
+        return Err(section_values.invalid("settings", &plain_text(&section_settings), "an object"));
     }
-    let on = keys.flag("on").or_else(default_if_missing(false))?;
-    keys.reject_unread(&keys)?;
-    let complete = own.overlaid_on(active);
+    let on = section_values.flag("on").or_else(default_if_missing(false))?;
+    section_values.reject_unread(&section_values)?;
+    let complete = own_settings.overlaid_on(active);
     let settings = adapted_to_subscription(settings::parse(&complete)?);
-    own.reject_unread(&complete)?;
+    own_settings.reject_unread(&complete)?;
     if settings.classes.len() != class_count {
         // Both instances receive the same requests.
-        return Err(own.invalid(
+        return Err(own_settings.invalid(
             "classes",
             &settings.classes.len().to_string(),
             "the number of classes of the active settings",
--- a/crates/alderstile-node/src/config/successor.rs
+++ b/crates/alderstile-node/src/config/successor.rs
@@ -23,11 +23,11 @@
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
         let in_force = Self::from_file_value(predecessor.config.clone(), &env)?;
-        let own = Self::read(path, &env).and_then(|file| {
+        let own_config = Self::read(path, &env).and_then(|file| {
             in_force.reloaded(file.clone())?;
             Self::from_file_value(file, &env)
         });
-        let mut config = own.unwrap_or_else(|error| {
+        let mut config = own_config.unwrap_or_else(|error| {
             warn!(%error, "configuration file rejected, configuration of predecessor kept");
             in_force.clone()
         });
--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -292,7 +292,7 @@
 
 #[test]
 fn next_process_loads_the_maintenance_file_and_rejects_a_damaged_one() {
-    let (dir, now) = (temp_dir("kept"), alderstile::types::Micros(7_000_000_000));
+    let (dir, now) = (temp_dir("maintenance"), alderstile::types::Micros(7_000_000_000));
     let mut store = MaintenanceStore::default();
     store.set("s-1", MaintenanceState::OutOfService, now);
     store.set("s-2", MaintenanceState::ReturnedAt(now.0), now);
@@ -327,7 +327,7 @@
         config.state_dir = Some(dir);
         let node = Rc::new(alderstile_node::node::Node::new(config));
         assert!(node.admin.metrics_text().contains("router.hosts_down:1|g"));
-        assert!(node.admin.set_host_online("s-1", true).await.expect("kept"));
+        assert!(node.admin.set_host_online("s-1", true).await.expect("saved"));
         assert!(node.admin.metrics_text().contains("router.hosts_down:0|g"));
     });
 }
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -107,14 +107,14 @@
         "ROUTER_DISCOVERY" => Some("127.0.0.9:2".to_owned()),
         "ROUTER_ADMIN_ADDR" => Some("127.0.0.9:3".to_owned()),
         "ROUTER_CONFIG" => Some(fixture("config.json").display().to_string()),
-        "TMPDIR" => Some("/of/its/own".to_owned()),
+        "TMPDIR" => Some("/state".to_owned()),
         _ => None,
     };
     let config = Config::load(None, env).expect("fine");
     let ports = [Some(config.listen), Some(config.discovery), config.admin_addr];
     assert_eq!(config.name, "n2");
     assert_eq!(ports.map(|address| address.map(|address| address.port())), [Some(1), Some(2), Some(3)]);
-    assert_eq!(config.state_dir.as_deref(), Some(Path::new("/of/its/own")));
+    assert_eq!(config.state_dir.as_deref(), Some(Path::new("/state")));
 }
 
 // ---- the cluster file ----
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -175,7 +175,7 @@
     let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
     let env = |name: &str| match name {
         "ROUTER_ADMIN_ADDR" => Some("127.0.0.1:7".to_owned()),
-        "TMPDIR" => Some("/of/its/own".to_owned()),
+        "TMPDIR" => Some("/state".to_owned()),
         _ => None,
     };
     let off = Config::from_file_value(value.clone(), |name| env(name).filter(|_| name == "TMPDIR"))
@@ -186,7 +186,7 @@
     assert_eq!(file.admin_addr.map(|address| address.port()), Some(3));
     let both = Config::from_file_value(value.clone(), env).expect("a valid configuration");
     assert_eq!(both.admin_addr.map(|address| address.port()), Some(7));
-    assert_eq!(both.state_dir.as_deref(), Some(Path::new("/of/its/own")));
+    assert_eq!(both.state_dir.as_deref(), Some(Path::new("/state")));
     assert_eq!(
         both.source["admin_addr"], "127.0.0.1:3",
         "the file's value, with which a reloaded file is compared"
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -28,12 +28,12 @@
 
 /// Answers a request for the complete endpoint list.
 async fn serve_complete_list(discovery: &StubDiscovery, seq: u64, hosts: &[&StubHost]) {
-    let (first, mut call) = discovery.accept_call().await;
+    let (request_line, mut connection) = discovery.accept_call().await;
     // The first request must ask for the complete list: a watch from a version of the old discovery, or
     // without version, may return only changes.
-    assert_eq!(first, "GET /catalog/members HTTP/1.1");
+    assert_eq!(request_line, "GET /catalog/members HTTP/1.1");
     let body = list_line(seq, true, &hosts.iter().map(|host| host.list_entry("up")).collect::<Vec<_>>());
-    call.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())).await;
+    connection.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())).await;
 }
 
 #[test]
