--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -7,7 +7,7 @@
 
 use alderstile_lab::check::{Report, Views, check};
 use alderstile_lab::compare::{Figure, Row, compare};
-use alderstile_lab::emulated::{self, Choice, Sums, Traffic};
+use alderstile_lab::emulated::{self, RunMetrics, StrategySpec, TrafficMetrics};
 use alderstile_lab::history::{self, History};
 use alderstile_lab::measure::{self, Sizes};
 use alderstile_lab::processes::{self, Options};
@@ -59,7 +59,7 @@
         seed: Option<u64>,
         /// What emulated nodes choose by: module, random, least, two, subset, oracle; module+subsets has that part on
         #[arg(long, default_value = "module")]
-        choose: Choice,
+        choose: StrategySpec,
         /// Where the history and the nodes' logs are left
         #[arg(long, default_value = "lab-out")]
         out: PathBuf,
@@ -79,7 +79,7 @@
         files: Vec<PathBuf>,
         /// The ways; the first is what the others are held against
         #[arg(long, value_delimiter = ',', default_value = "module,random,least,two,subset,oracle")]
-        choose: Vec<Choice>,
+        choose: Vec<StrategySpec>,
         /// So many seeds, from the file's own on
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
         seeds: u64,
@@ -169,7 +169,7 @@
             let program = match (on, program) {
                 (On::Emulated, _) => PathBuf::new(),
                 (On::Processes, Some(program)) => program,
-                (On::Processes, None) => processes::program_beside().map_err(|error| error.to_string())?,
+                (On::Processes, None) => processes::default_program().map_err(|error| error.to_string())?,
             };
             std::fs::create_dir_all(&out).map_err(|error| format!("{}: {error}", out.display()))?;
             let path = out.join("history.jsonl");
@@ -201,7 +201,7 @@
             let real = runs.sizes.iter().any(|size| size.real > 0);
             let program = match program {
                 Some(program) => program,
-                None if real => processes::program_beside().map_err(|error| error.to_string())?,
+                None if real => processes::default_program().map_err(|error| error.to_string())?,
                 None => PathBuf::new(),
             };
             let mut rows = Vec::new();
@@ -218,7 +218,7 @@
         }
         Command::Measure { short, out, name, program } => {
             let program =
-                program.map_or_else(processes::program_beside, Ok).map_err(|error| error.to_string())?;
+                program.map_or_else(processes::default_program, Ok).map_err(|error| error.to_string())?;
             let sizes = if short { Sizes::short() } else { Sizes::usual() };
             let mut rows = Vec::new();
             let mut written = Ok(());
@@ -252,7 +252,7 @@
 fn checked(path: &Path) -> Result<bool, String> {
     let report = check(&history::read(path).map_err(|error| error.to_string())?);
     print(&report, path);
-    Ok(report.kept())
+    Ok(report.passed())
 }
 
 fn print(report: &Report, path: &Path) {
@@ -261,15 +261,15 @@
         print_served(report);
     }
 
-    if let Some(views) = &report.views {
+    if let Some(views) = &report.membership {
         print_views(views);
     }
-    match report.breaches.first() {
+    match report.violations.first() {
         None => println!("  rules kept"),
         Some(first) => {
-            println!("  RULES BROKEN: {} times, first at {first}", report.breaches.len());
+            println!("  RULES BROKEN: {} times, first at {first}", report.violations.len());
             println!("  seed {}, history {}", report.seed, path.display());
-            report.breaches.iter().skip(1).take(9).for_each(|breach| println!("  then at {breach}"));
+            report.violations.iter().skip(1).take(9).for_each(|breach| println!("  then at {breach}"));
         }
     }
 }
@@ -279,7 +279,7 @@
     let answers: Vec<String> = report.answers.iter().map(|(what, n)| format!("{n} {what}")).collect();
     println!("  {:<28} {}", "requests", report.requests);
     println!("  {:<28} {}", "answers", answers.join(", "));
-    println!("  {:<28} {}", "without one in time", report.lost);
+    println!("  {:<28} {}", "without one in time", report.unanswered);
     println!("  {:<28} {}", "served, of all that wanted", percent(report.served));
     println!("  {:<28} {}", "in the worst second", percent(report.worst_second));
     let until = report
@@ -303,13 +303,13 @@
             spans.len()
         );
     };
-    row("a death suspected after", &views.suspected_s);
-    row("known to all after", &views.known_s);
+    row("a death suspected after", &views.suspicion_delays_s);
+    row("known to all after", &views.detection_delays_s);
     println!(
         "  {:<28} {}, the longest for {:.3} s",
-        "held dead though well", views.false_deaths, views.longest_false_s
+        "held dead though well", views.false_positives, views.longest_false_positive_s
     );
-    println!("  {:<28} {:.3} s at most", "held dead after a disturbance", views.longest_after_s);
+    println!("  {:<28} {:.3} s at most", "held dead after a disturbance", views.longest_recovery_s);
 }
 
 fn print_rows(rows: &[Row]) {
@@ -327,7 +327,7 @@
         "falls"
     );
     for row in rows {
-        let mean = |of: fn(&Traffic) -> f64| Figure::of(&row.figures(of)).mean;
+        let mean = |of: fn(&TrafficMetrics) -> f64| Figure::of(&row.figures(of)).mean;
         let percent = |figure: Figure| match figure.half {
             Some(half) => format!("{:.2} ±{:.2}", figure.mean * 100.0, half * 100.0),
             None => format!("{:.2}", figure.mean * 100.0),
@@ -336,60 +336,67 @@
         println!(
             "  {:<16} {:>16} {:>18} {:>8.3} {:>8.3} {:>8.3} {:>9.0} {:>8.0} {:>7.0} {:>6.1}",
             row.way.to_string(),
-            percent(Figure::of(&row.figures(Traffic::share))),
+            percent(Figure::of(&row.figures(TrafficMetrics::served_share))),
             against.map_or(String::new(), |first| percent(row.gain(first))),
-            mean(|t| t.answer_s().0),
-            mean(|t| t.answer_s().1),
-            mean(Traffic::busiest_over_due),
-            mean(|t| t.declined as f64),
-            mean(|t| t.further as f64),
-            mean(|t| t.moves as f64),
-            mean(|t| t.falls as f64),
+            mean(|t| t.setup_latency_s().0),
+            mean(|t| t.setup_latency_s().1),
+            mean(TrafficMetrics::mean_imbalance),
+            mean(|t| t.unserved_requests as f64),
+            mean(|t| t.retries as f64),
+            mean(|t| t.migrations as f64),
+            mean(|t| t.cold_overloads as f64),
         );
     }
 }
 
-fn print_traffic(traffic: &Traffic) {
-    let (mean, most) = traffic.answer_s();
-    println!("  {:<28} {} at most, {} at the end", "connections", traffic.most_open, traffic.open);
+fn print_traffic(traffic: &TrafficMetrics) {
+    let (mean, most) = traffic.setup_latency_s();
+    println!(
+        "  {:<28} {} at most, {} at the end",
+        "connections", traffic.peak_open_connections, traffic.open_connections
+    );
     println!(
         "  {:<28} {:.3} in the mean, {:.3} at the end",
         "busiest host over its due",
-        traffic.busiest_over_due(),
-        traffic.busiest_last
+        traffic.mean_imbalance(),
+        traffic.last_imbalance
+    );
+    println!(
+        "  {:<28} {:.1}",
+        "hosts in use at a node",
+        traffic.hosts_used.0 / traffic.hosts_used.1.max(1) as f64
     );
-    println!("  {:<28} {:.1}", "hosts in use at a node", traffic.used.0 / traffic.used.1.max(1) as f64);
     println!("  {:<28} {mean:.3} s in the mean, {most:.3} s for 99 of 100", "answers");
     println!(
         "  {:<28} {} declined, {} further attempts, {} moves",
-        "clients", traffic.declined, traffic.further, traffic.moves
+        "clients", traffic.unserved_requests, traffic.retries, traffic.migrations
     );
     println!(
         "  {:<28} {:.2} of what they bear at most, {:.2} in the mean, {} fell",
         "asked of cold hosts",
-        traffic.cold_peak,
-        traffic.cold_asked.0 / traffic.cold_asked.1.max(1.0),
-        traffic.falls
+        traffic.cold_load_peak,
+        traffic.cold_load.0 / traffic.cold_load.1.max(1.0),
+        traffic.cold_overloads
     );
 }
 
-fn print_sums(sums: &Sums) {
+fn print_sums(sums: &RunMetrics) {
     sums.traffic.iter().for_each(print_traffic);
-    if sums.member_s == 0.0 {
+    if sums.member_seconds == 0.0 {
         return;
     }
-    let each = |n: f64| n / sums.member_s;
+    let each = |n: f64| n / sums.member_seconds;
     println!(
         "  {:<28} {:.0} bytes, {:.2} datagrams",
         "a member and second",
-        each(sums.sent_bytes as f64),
-        each(sums.sent as f64)
+        each(sums.bytes_sent as f64),
+        each(sums.datagrams_sent as f64)
     );
     println!(
         "  {:<28} {} in {:.1} member-hours",
         "suspicions, refuted",
-        format_args!("{}, {}", sums.suspected, sums.refuted),
-        sums.member_s / 3600.0
+        format_args!("{}, {}", sums.suspicions, sums.refutations),
+        sums.member_seconds / 3600.0
     );
 }
 
