--- a/crates/alderstile-lab/src/charts.rs
+++ b/crates/alderstile-lab/src/charts.rs
@@ -1,4 +1,4 @@
-//! Charts of measured points and the lines through them, as SVG.
+//! SVG charts of measured points and the lines fitted to them.
 
 use std::io;
 use std::path::Path;
@@ -12,50 +12,50 @@
 
 use crate::fit::Fit;
 
-/// Why a chart can't be drawn.
+/// Errors of drawing a chart.
 #[derive(Debug, Error)]
 pub enum ChartError {
-    /// No point lies above 0 on both axes.
-    #[error("{file}: nothing to draw")]
+    /// No x is above 0, or neither a y nor the limit is: an axis would have no range.
+    #[error("drawing {file} failed: no values above 0 on an axis")]
     NoPoints {
-        /// The chart's path.
+        /// Path of the chart.
         file: String,
     },
-    /// The file can't be drawn to or written.
-    #[error("{file}: {error}")]
+    /// The chart can't be drawn, or its file can't be written.
+    #[error("drawing {file} failed: {error}")]
     Drawing {
-        /// The chart's path.
+        /// Path of the chart.
         file: String,
-        /// Why.
+        /// Cause.
         error: DrawingAreaErrorKind<io::Error>,
     },
 }
 
-/// One set of points.
+/// A named set of points.
 #[derive(Clone, Debug)]
 pub struct Series {
-    /// What they are.
+    /// Name in the legend.
     pub name: String,
-    /// x and y.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// What a chart says beside its points.
+/// Title and axis labels of a chart.
 #[derive(Clone, Copy, Debug)]
 pub struct Labels<'a> {
-    /// Above it.
+    /// Title above the chart.
     pub title: &'a str,
-    /// Along x, with the unit.
+    /// Label of the x axis, with the unit.
     pub x: &'a str,
-    /// Along y, with the unit.
+    /// Label of the y axis, with the unit.
     pub y: &'a str,
 }
 
-/// Draws points, and the line through those of each set that have one; `limit` is drawn across.
+/// Draws the points of each series, the line fitted to them where there is one, and `limit` as a horizontal line.
 ///
 /// # Errors
 ///
-/// If there is nothing to draw, or the file can't be drawn or written.
+/// If an axis has no values above 0, the chart can't be drawn, or its file can't be written.
 pub fn draw(
     path: &Path,
     labels: Labels<'_>,
@@ -63,10 +63,10 @@
     limit: Option<f64>,
 ) -> Result<(), ChartError> {
     let file = || path.display().to_string();
-    let all = || series.iter().flat_map(|series| series.points.iter());
-    let most_x = all().map(|(x, _)| *x).fold(0.0, f64::max);
-    let most_y = all().map(|(_, y)| *y).chain(limit).fold(0.0, f64::max);
-    if most_x <= 0.0 || most_y <= 0.0 {
+    let all_points = || series.iter().flat_map(|series| series.points.iter());
+    let max_x = all_points().map(|(x, _)| *x).fold(0.0, f64::max);
+    let max_y = all_points().map(|(_, y)| *y).chain(limit).fold(0.0, f64::max);
+    if max_x <= 0.0 || max_y <= 0.0 {
         return Err(ChartError::NoPoints { file: file() });
     }
     let failed = |error| ChartError::Drawing { file: file(), error };
@@ -77,7 +77,7 @@
         .margin(12)
         .x_label_area_size(40)
         .y_label_area_size(64)
-        .build_cartesian_2d(0.0..most_x * 1.05, 0.0..most_y * 1.1)
+        .build_cartesian_2d(0.0..max_x * 1.05, 0.0..max_y * 1.1)
         .map_err(failed)?;
     chart
         .configure_mesh()
@@ -86,21 +86,21 @@
         .light_line_style(WHITE)
         .draw()
         .map_err(failed)?;
-    for (i, one) in series.iter().enumerate() {
+    for (i, set) in series.iter().enumerate() {
         let color = Palette99::pick(i).to_rgba();
-        let points = one.points.iter().map(|point| Circle::new(*point, 4, color.filled()));
+        let points = set.points.iter().map(|point| Circle::new(*point, 4, color.filled()));
         chart
             .draw_series(points)
             .map_err(failed)?
-            .label(&one.name)
-            .legend(move |at| Circle::new(at, 4, color.filled()));
-        if let Some(fit) = Fit::line(&one.points) {
-            let ends = [(0.0, fit.at(0.0).max(0.0)), (most_x, fit.at(most_x).max(0.0))];
+            .label(&set.name)
+            .legend(move |position| Circle::new(position, 4, color.filled()));
+        if let Some(fit) = Fit::least_squares(&set.points) {
+            let ends = [(0.0, fit.value_at(0.0).max(0.0)), (max_x, fit.value_at(max_x).max(0.0))];
             chart.draw_series(LineSeries::new(ends, color.mix(0.5))).map_err(failed)?;
         }
     }
     if let Some(limit) = limit {
-        let ends = [(0.0, limit), (most_x * 1.05, limit)];
+        let ends = [(0.0, limit), (max_x * 1.05, limit)];
         chart
             .draw_series(LineSeries::new(ends, RED.stroke_width(2)))
             .map_err(failed)?
--- a/crates/alderstile-lab/src/compare.rs
+++ b/crates/alderstile-lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! Ways of choosing beside each other: the same emulated schedule at the same seeds, on all cores.
+//! Comparison of load-balancing strategies: each plays the same emulated schedule at the same seeds, on all cores.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -11,103 +11,116 @@
 use crate::history::History;
 use crate::schedule::{Plan, ScheduleError};
 
-/// Student's t, two-sided 95%, from one degree of freedom on; beyond the table the normal's is near enough.
-const T95: [f64; 20] = [
+/// Quantiles of Student's t distribution for a two-sided 95% interval, from one degree of freedom on. Beyond the table
+/// the quantile of the normal distribution is close enough.
+const STUDENT_T_95: [f64; 20] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086,
 ];
 
-/// Why nothing was compared.
+/// Errors of a comparison.
 #[derive(Debug, Error)]
 pub enum CompareError {
-    /// A schedule can't be played.
+    /// The schedule is invalid.
     #[error(transparent)]
     Schedule(#[from] ScheduleError),
-    /// It can't be emulated.
+    /// The schedule can't be emulated.
     #[error(transparent)]
     Emulated(#[from] EmulationError),
-    /// There are no choices in it.
-    #[error("{0}: no hosts or no clients: nothing is chosen there")]
-    NoChoices(String),
+    /// The schedule has no hosts or no clients, so that no load is balanced.
+    #[error("{0}: nothing to compare: expected a schedule with hosts and clients")]
+    NoTraffic(String),
 }
 
-/// A mean and half the width of its 95% confidence interval; none from a single value.
+/// A mean and its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Figure {
-    /// The mean.
+pub struct Estimate {
+    /// Mean of the values.
     pub mean: f64,
-    /// So much to either side.
-    pub half: Option<f64>,
+    /// Half the width of the 95% confidence interval; `None` for a single value.
+    pub half_width: Option<f64>,
 }
 
-impl Figure {
-    /// Of these values.
-    pub fn of(values: &[f64]) -> Self {
+impl Estimate {
+    /// Estimates the mean of the values.
+    pub fn from_values(values: &[f64]) -> Self {
         let n = values.len() as f64;
         let mean = values.iter().sum::<f64>() / n;
-        let half = (values.len() > 1).then(|| {
+        let half_width = (values.len() > 1).then(|| {
             let variance = values.iter().map(|value| (value - mean).powi(2)).sum::<f64>() / (n - 1.0);
-            T95.get(values.len() - 2).copied().unwrap_or(1.96) * (variance / n).sqrt()
+            STUDENT_T_95.get(values.len() - 2).copied().unwrap_or(1.96) * (variance / n).sqrt()
         });
-        Figure { mean, half }
+        Estimate { mean, half_width }
     }
 }
 
-/// What one way of choosing came to.
+/// Results of one load-balancing strategy.
 #[derive(Clone, Debug)]
-pub struct Row {
-    /// The way, and the parts on.
-    pub way: StrategySpec,
-    /// One outcome for each seed.
-    pub sums: Vec<RunMetrics>,
+pub struct StrategyResults {
+    /// The strategy and the additional features that are enabled.
+    pub strategy: StrategySpec,
+    /// Metrics of one run per seed.
+    pub runs: Vec<RunMetrics>,
 }
 
-impl Row {
-    /// A figure of each outcome's traffic.
-    pub fn figures(&self, of: impl Fn(&emulated::TrafficMetrics) -> f64) -> Vec<f64> {
-        self.sums.iter().filter_map(|sums| sums.traffic.as_ref()).map(of).collect()
+impl StrategyResults {
+    /// Returns a traffic metric of each run.
+    pub fn traffic_values(&self, metric: impl Fn(&emulated::TrafficMetrics) -> f64) -> Vec<f64> {
+        self.runs.iter().filter_map(|metrics| metrics.traffic.as_ref()).map(metric).collect()
     }
 
-    /// How much more of what was wanted was served than by another way, seed by seed.
-    pub fn gain(&self, other: &Row) -> Figure {
-        let share = |row: &Row| row.figures(emulated::TrafficMetrics::served_share);
-        let gains: Vec<f64> = share(self).iter().zip(share(other)).map(|(a, b)| a - b).collect();
-        Figure::of(&gains)
+    /// Estimates the difference of the served share to another strategy, paired by seed.
+    pub fn served_share_gain(&self, other: &StrategyResults) -> Estimate {
+        let served_share =
+            |result: &StrategyResults| result.traffic_values(emulated::TrafficMetrics::served_share);
+        let gains: Vec<f64> =
+            served_share(self).iter().zip(served_share(other)).map(|(a, b)| a - b).collect();
+        Estimate::from_values(&gains)
     }
 }
 
-/// Plays a schedule by each way and at each of so many seeds, from the file's own on.
+/// Plays a schedule with each strategy at `seeds` consecutive seeds, starting at the schedule's own seed.
 ///
 /// # Errors
 ///
 /// If the schedule can't be read or emulated, or has no hosts or no clients.
-pub fn compare(file: &Path, ways: &[StrategySpec], seeds: u64) -> Result<(Plan, Vec<Row>), CompareError> {
-    let first = Plan::load(file, None)?;
-    let plans = (0..seeds).map(|i| Plan::load(file, Some(first.seed.wrapping_add(i))));
+pub fn compare(
+    file: &Path,
+    strategies: &[StrategySpec],
+    seeds: u64,
+) -> Result<(Plan, Vec<StrategyResults>), CompareError> {
+    let base_plan = Plan::load(file, None)?;
+    let plans = (0..seeds).map(|i| Plan::load(file, Some(base_plan.seed.wrapping_add(i))));
     let plans: Vec<Plan> = plans.collect::<Result<_, _>>()?;
     let jobs: Vec<(usize, &StrategySpec)> =
-        ways.iter().flat_map(|way| (0..plans.len()).map(move |plan| (plan, way))).collect();
-    let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
-    let work = || {
-        while let Some(&(plan, way)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let sums = emulated::run(&plans[plan], way, &History::unread());
-            // A thread that panics takes the whole comparison with it.
-            done.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((way, plan, sums));
+        strategies.iter().flat_map(|strategy| (0..plans.len()).map(move |plan| (plan, strategy))).collect();
+    let (next, finished) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
+    let worker = || {
+        while let Some(&(plan, strategy)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
+            let metrics = emulated::run(&plans[plan], strategy, &History::unread());
+            // A poisoned lock is harmless: a panic of one worker fails the whole comparison when the scope joins it.
+            finished.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((strategy, plan, metrics));
         }
     };
     thread::scope(|scope| {
         let cores = thread::available_parallelism().map_or(1, usize::from).min(jobs.len());
-        (0..cores).for_each(|_| drop(scope.spawn(work)));
+        (0..cores).for_each(|_| drop(scope.spawn(worker)));
     });
-    let mut done = done.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
-    done.sort_by(|(a, m, _), (b, n, _)| (a, m).cmp(&(b, n)));
-    let mut rows: Vec<Row> = ways.iter().map(|way| Row { way: way.clone(), sums: Vec::new() }).collect();
-    for (way, _, sums) in done {
-        let sums = sums?;
-        if sums.traffic.is_none() {
-            return Err(CompareError::NoChoices(file.display().to_string()));
+    let mut finished = finished.into_inner().unwrap_or_else(|poisoned| poisoned.into_inner());
+    finished.sort_by(|(a, m, _), (b, n, _)| (a, m).cmp(&(b, n)));
+    let mut results: Vec<StrategyResults> = strategies
+        .iter()
+        .map(|strategy| StrategyResults { strategy: strategy.clone(), runs: Vec::new() })
+        .collect();
+    for (strategy, _, metrics) in finished {
+        let metrics = metrics?;
+        if metrics.traffic.is_none() {
+            return Err(CompareError::NoTraffic(file.display().to_string()));
         }
-        rows.iter_mut().filter(|row| row.way == *way).for_each(|row| row.sums.push(sums.clone()));
+        results
+            .iter_mut()
+            .filter(|result| result.strategy == *strategy)
+            .for_each(|result| result.runs.push(metrics.clone()));
     }
-    Ok((first, rows))
+    Ok((base_plan, results))
 }
--- a/crates/alderstile-lab/src/lib.rs
+++ b/crates/alderstile-lab/src/lib.rs
@@ -1,10 +1,12 @@
-//! Plays failures to several processes of alderstile and checks what came of it; see `docs/lab.md`.
+//! A fault-injection test bench for clusters of alderstile nodes; see `docs/lab.md`.
 //!
-//! A schedule ([`schedule`]) is played on real processes ([`processes`]) or on emulated ones ([`emulated`]). All that was sent, answered and told goes to one
-//! history ([`history`]), which is the only thing that the checkers ([`check`]) read.
+//! A schedule of faults ([`schedule`]) runs on real processes ([`processes`]) or on emulated nodes in simulated time
+//! ([`emulated`]). Requests, answers and the observed state are recorded in one history ([`history`]), which is the only
+//! input of the checkers ([`check`]).
 //!
-//! What things cost at a size is measured by [`scale`] (hollow nodes, [`hollow`], beside real ones) and [`measure`] (one real node with
-//! its clients and hosts); [`tables`], [`slopes`], [`fit`] and [`charts`] keep what came of it.
+//! Costs are measured by [`scale`] (clusters of several sizes, with hollow nodes from [`hollow`] and real ones) and by
+//! [`measure`] (one real node with stub clients and hosts). [`tables`] stores the results; [`slopes`], [`fit`] and
+//! [`charts`] evaluate them. [`compare`] compares load-balancing strategies on emulated schedules.
 
 pub mod charts;
 pub mod check;
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the fault-injection test bench.
 
 use std::io::IsTerminal;
 use std::path::{Path, PathBuf};
@@ -6,137 +6,144 @@
 use std::rc::Rc;
 
 use alderstile_lab::check::{Report, Views, check};
-use alderstile_lab::compare::{Figure, Row, compare};
+use alderstile_lab::compare::{Estimate, StrategyResults, compare};
 use alderstile_lab::emulated::{self, RunMetrics, StrategySpec, TrafficMetrics};
 use alderstile_lab::history::{self, History};
-use alderstile_lab::measure::{self, Sizes};
+use alderstile_lab::measure::{self, MeasurePlan};
 use alderstile_lab::processes::{self, Options};
-use alderstile_lab::scale::{self, Runs};
+use alderstile_lab::scale::{self, ScalePlan};
 use alderstile_lab::schedule::Plan;
 use alderstile_lab::{slopes, tables};
 use clap::{Parser, Subcommand, ValueEnum};
 use tracing::error;
 use tracing_subscriber::EnvFilter;
 
-/// Plays failures to several processes of alderstile and checks what came of it
+/// Injects faults into several processes of alderstile and checks their behaviour
 #[derive(Parser)]
 #[command(version)]
 struct Args {
-    /// How log lines look, on standard error
+    /// Format of log lines on standard error
     #[arg(long, value_enum, default_value = "text", global = true)]
-    log_format: Format,
+    log_format: LogFormat,
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum Format {
+enum LogFormat {
     Text,
     Json,
 }
 
 #[derive(Clone, Copy, ValueEnum)]
-enum On {
+enum Target {
     /// Real processes on loopback addresses
     Processes,
-    /// Members, decisions, hosts and clients in simulated time
+    /// Emulated nodes, hosts and clients in simulated time
     Emulated,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Play a schedule and check what came of it
+    /// Run a schedule and check its history
     ///
-    /// Ends with 0 where all rules were kept, 1 where one was broken, 2 where nothing was run.
+    /// Exits with 0 if no rule was violated, 1 if one was, 2 if nothing was run.
     Run {
-        /// The schedule, a TOML file
+        /// Schedule, a TOML file
         file: PathBuf,
-        /// What to play it on
-        #[arg(long, value_enum, default_value = "processes")]
-        on: On,
-        /// Stands above the file's seed
+        /// What the schedule is run on
+        #[arg(long = "on", value_name = "ON", value_enum, default_value = "processes")]
+        target: Target,
+        /// Seed, overrides that of the file
         #[arg(long)]
         seed: Option<u64>,
-        /// What emulated nodes choose by: module, random, least, two, subset, oracle; module+subsets has that part on
-        #[arg(long, default_value = "module")]
-        choose: StrategySpec,
-        /// Where the history and the nodes' logs are left
+        /// Load-balancing strategy of emulated nodes: module, random, least, two, subset, oracle; module+subsets also
+        /// enables a feature
+        #[arg(long = "choose", value_name = "CHOOSE", default_value = "module")]
+        strategy: StrategySpec,
+        /// Directory for the history and the logs of the nodes
         #[arg(long, default_value = "lab-out")]
         out: PathBuf,
-        /// The nodes' program; without, the one beside this program
+        /// Executable of the nodes; by default the one in the directory of this executable
         #[arg(long)]
         program: Option<PathBuf>,
-        /// A further argument for the nodes' program
+        /// Additional argument for the nodes; may be given several times
         #[arg(long = "program-arg", allow_hyphen_values = true)]
         program_args: Vec<String>,
     },
-    /// Play emulated schedules by several ways of choosing, at the same seeds
+    /// Compare load-balancing strategies on emulated schedules, at the same seeds
     ///
-    /// Ends with 0, or 2 where nothing was compared.
+    /// Exits with 0, or 2 if nothing was compared.
     Compare {
-        /// The schedules, TOML files
+        /// Schedules, TOML files
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// The ways; the first is what the others are held against
-        #[arg(long, value_delimiter = ',', default_value = "module,random,least,two,subset,oracle")]
-        choose: Vec<StrategySpec>,
-        /// So many seeds, from the file's own on
+        /// Strategies; the first is the baseline for the others
+        #[arg(
+            long = "choose",
+            value_name = "CHOOSE",
+            value_delimiter = ',',
+            default_value = "module,random,least,two,subset,oracle"
+        )]
+        strategies: Vec<StrategySpec>,
+        /// Number of consecutive seeds, starting at that of the file
         #[arg(long, default_value_t = 5, value_parser = clap::value_parser!(u64).range(1..=1000))]
         seeds: u64,
     },
-    /// Measure members at several sizes: hollow nodes beside real ones
+    /// Measure membership at several cluster sizes, with hollow and real nodes
     ///
-    /// Ends with 0, or 2 where nothing was measured. Tables are left as NAME.csv and NAME.md.
+    /// Exits with 0, or 2 if nothing was measured. Tables are written to NAME.csv and NAME.md.
     Scale {
-        /// What is to be done at which sizes, a TOML file
+        /// Plan of the runs and their sizes, a TOML file
         file: PathBuf,
-        /// Only the sizes of so many members
+        /// Run only the sizes with this number of members
         #[arg(long)]
         members: Option<usize>,
-        /// Where tables are left
+        /// Directory for the tables
         #[arg(long, default_value = "lab-out")]
         out: PathBuf,
-        /// The name of the tables
+        /// File name of the tables, without extension
         #[arg(long, default_value = "scale")]
         name: String,
-        /// The nodes' program; without, the one beside this program
+        /// Executable of the nodes; by default the one in the directory of this executable
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Measure one real node at several sizes: idle connections, lines, placements, lists, a return of all clients
+    /// Measure one real node at several sizes: idle connections, lines, placements, endpoint lists, reconnects of all
+    /// clients
     ///
-    /// Ends with 0, or 2 where something could not be measured; what was measured until then stays.
+    /// Exits with 0, or 2 if a measurement failed; the results before it are kept.
     Measure {
-        /// A run of seconds, for a look
+        /// Use small sizes, for a run of seconds
         #[arg(long)]
         short: bool,
-        /// Where tables are left
+        /// Directory for the tables
         #[arg(long, default_value = "lab-out")]
         out: PathBuf,
-        /// The name of the tables
+        /// File name of the tables, without extension
         #[arg(long, default_value = "node")]
         name: String,
-        /// The node's program; without, the one beside this program
+        /// Executable of the node; by default the one in the directory of this executable
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Draw lines through measured tables: their slopes as a table, and charts
+    /// Fit lines to measured tables; write a table of their slopes, and charts
     Slopes {
-        /// Tables of scale and measure, CSV files
+        /// Tables of the commands scale and measure, CSV files
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Where slopes.md and the charts are left
+        /// Directory for slopes.md and the charts
         #[arg(long, default_value = "lab-out")]
         out: PathBuf,
     },
-    /// Check a history again
+    /// Check an existing history
     Check {
-        /// The history, a file of JSON lines
+        /// History, a file of JSON lines
         file: PathBuf,
     },
-    /// List the schedules in a folder
+    /// List the schedules in a directory
     List {
-        /// The folder
+        /// Directory
         #[arg(default_value = "examples/lab")]
         folder: PathBuf,
     },
@@ -148,87 +155,92 @@
     let log =
         tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).with_target(false);
     match args.log_format {
-        Format::Text => log.with_ansi(std::io::stderr().is_terminal()).init(),
-        Format::Json => log.json().init(),
+        LogFormat::Text => log.with_ansi(std::io::stderr().is_terminal()).init(),
+        LogFormat::Json => log.json().init(),
     }
-    match perform(args.command) {
+    match execute(args.command) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(1),
-        Err(what) => {
-            error!("{what}");
+        Err(message) => {
+            error!("{message}");
             ExitCode::from(2)
         }
     }
 }
 
-/// Whether all rules were kept; an error where nothing was checked.
-fn perform(command: Command) -> Result<bool, String> {
+/// Executes a command. Returns whether no rule was violated, or the message of an error.
+///
+/// Commands that check no rules return `true`.
+fn execute(command: Command) -> Result<bool, String> {
     match command {
-        Command::Run { file, on, seed, choose, out, program, program_args } => {
+        Command::Run { file, target, seed, strategy, out, program, program_args } => {
             let plan = Plan::load(&file, seed).map_err(|error| error.to_string())?;
-            let program = match (on, program) {
-                (On::Emulated, _) => PathBuf::new(),
-                (On::Processes, Some(program)) => program,
-                (On::Processes, None) => processes::default_program().map_err(|error| error.to_string())?,
+            let program = match (target, program) {
+                (Target::Emulated, _) => PathBuf::new(),
+                (Target::Processes, Some(program)) => program,
+                (Target::Processes, None) => {
+                    processes::default_program().map_err(|error| error.to_string())?
+                }
             };
             std::fs::create_dir_all(&out).map_err(|error| format!("{}: {error}", out.display()))?;
             let path = out.join("history.jsonl");
             let history = History::create(&path).map_err(|error| format!("{}: {error}", path.display()))?;
             let history = Rc::new(history);
-            if let On::Emulated = on {
-                let sums = emulated::run(&plan, &choose, &history).map_err(|error| error.to_string())?;
+            if let Target::Emulated = target {
+                let metrics = emulated::run(&plan, &strategy, &history).map_err(|error| error.to_string())?;
                 history.written().map_err(|error| format!("{}: {error}", path.display()))?;
-                let kept = checked(&path)?;
-                print_sums(&sums);
-                return Ok(kept);
+                let passed = check_file(&path)?;
+                print_run_metrics(&metrics);
+                return Ok(passed);
             }
             let options = Options { program, args: program_args, logs: Some(out) };
             processes::run(&plan, &options, history.clone()).map_err(|error| error.to_string())?;
             history.finish().map_err(|error| format!("{}: {error}", path.display()))?;
-            checked(&path)
+            check_file(&path)
         }
-        Command::Compare { files, choose, seeds } => {
+        Command::Compare { files, strategies, seeds } => {
             for file in &files {
-                let (plan, rows) = compare(file, &choose, seeds).map_err(|error| error.to_string())?;
+                let (plan, rows) = compare(file, &strategies, seeds).map_err(|error| error.to_string())?;
                 println!("{} ({} seeds from {})", plan.title, seeds, plan.seed);
-                print_rows(&rows);
+                print_comparison(&rows);
             }
             Ok(true)
         }
         Command::Scale { file, members, out, name, program } => {
-            let mut runs = Runs::load(&file).map_err(|error| error.to_string())?;
-            runs.sizes.retain(|size| members.is_none_or(|members| members == size.members));
-            let real = runs.sizes.iter().any(|size| size.real > 0);
+            let mut plan = ScalePlan::load(&file).map_err(|error| error.to_string())?;
+            plan.sizes.retain(|size| members.is_none_or(|members| members == size.members));
+            let real = plan.sizes.iter().any(|size| size.real > 0);
             let program = match program {
                 Some(program) => program,
                 None if real => processes::default_program().map_err(|error| error.to_string())?,
                 None => PathBuf::new(),
             };
             let mut rows = Vec::new();
-            let mut written = Ok(());
-            scale::run(&runs, &program, &scale::no_parts(), |_, more| {
-                rows.extend_from_slice(more);
-                // After each size: what comes later may be interrupted.
-                written = tables::write(&out, &name, &rows);
+            let mut write_result = Ok(());
+            scale::run(&plan, &program, &scale::no_extra_cores(), |_, new_rows| {
+                rows.extend_from_slice(new_rows);
+                // Written after each size, as a later one may be interrupted.
+                write_result = tables::write(&out, &name, &rows);
             })
             .map_err(|error| error.to_string())?;
-            written.map_err(|error| format!("{}: {error}", out.display()))?;
+            write_result.map_err(|error| format!("{}: {error}", out.display()))?;
             print!("{}", tables::markdown(&rows));
             if rows.is_empty() { Err("no size was measured".to_owned()) } else { Ok(true) }
         }
         Command::Measure { short, out, name, program } => {
             let program =
                 program.map_or_else(processes::default_program, Ok).map_err(|error| error.to_string())?;
-            let sizes = if short { Sizes::short() } else { Sizes::usual() };
+            let sizes = if short { MeasurePlan::short() } else { MeasurePlan::full() };
             let mut rows = Vec::new();
-            let mut written = Ok(());
-            let done = measure::run(&sizes, &program, |more| {
-                rows.extend_from_slice(more);
-                written = tables::write(&out, &name, &rows);
+            let mut write_result = Ok(());
+            let result = measure::run(&sizes, &program, |new_rows| {
+                rows.extend_from_slice(new_rows);
+                write_result = tables::write(&out, &name, &rows);
             });
             print!("{}", tables::markdown(&rows));
-            done.map_err(|error| error.to_string())
-                .and(written.map_err(|error| format!("{}: {error}", out.display())))
+            result
+                .map_err(|error| error.to_string())
+                .and(write_result.map_err(|error| format!("{}: {error}", out.display())))
                 .map(|()| true)
         }
         Command::Slopes { files, out } => {
@@ -244,100 +256,100 @@
             print!("{table}");
             Ok(true)
         }
-        Command::Check { file } => checked(&file),
-        Command::List { folder } => list(&folder).map(|()| true),
+        Command::Check { file } => check_file(&file),
+        Command::List { folder } => list_schedules(&folder).map(|()| true),
     }
 }
 
-fn checked(path: &Path) -> Result<bool, String> {
+fn check_file(path: &Path) -> Result<bool, String> {
     let report = check(&history::read(path).map_err(|error| error.to_string())?);
-    print(&report, path);
+    print_report(&report, path);
     Ok(report.passed())
 }
 
-fn print(report: &Report, path: &Path) {
+fn print_report(report: &Report, path: &Path) {
     println!("{} (seed {})", report.title, report.seed);
     if report.requests > 0 {
-        print_served(report);
+        print_request_summary(report);
     }
 
     if let Some(views) = &report.membership {
-        print_views(views);
+        print_membership_summary(views);
     }
     match report.violations.first() {
-        None => println!("  rules kept"),
+        None => println!("  no rule violated"),
         Some(first) => {
-            println!("  RULES BROKEN: {} times, first at {first}", report.violations.len());
+            println!("  RULES VIOLATED: {} times, first at {first}", report.violations.len());
             println!("  seed {}, history {}", report.seed, path.display());
-            report.violations.iter().skip(1).take(9).for_each(|breach| println!("  then at {breach}"));
+            report.violations.iter().skip(1).take(9).for_each(|violation| println!("  then at {violation}"));
         }
     }
 }
 
-fn print_served(report: &Report) {
+fn print_request_summary(report: &Report) {
     let percent = |share: Option<f64>| share.map_or("-".to_owned(), |share| format!("{:.1}%", share * 100.0));
     let answers: Vec<String> = report.answers.iter().map(|(what, n)| format!("{n} {what}")).collect();
     println!("  {:<28} {}", "requests", report.requests);
     println!("  {:<28} {}", "answers", answers.join(", "));
-    println!("  {:<28} {}", "without one in time", report.unanswered);
-    println!("  {:<28} {}", "served, of all that wanted", percent(report.served));
+    println!("  {:<28} {}", "unanswered in time", report.unanswered);
+    println!("  {:<28} {}", "served, of all requests", percent(report.served));
     println!("  {:<28} {}", "in the worst second", percent(report.worst_second));
-    let until = report
+    let recovery = report
         .unserved_until_s
-        .map_or("all the time".to_owned(), |s| format!("{s:.1} s after the first fault"));
-    println!("  {:<28} {until}", "95% served again from");
+        .map_or("throughout".to_owned(), |s| format!("from {s:.1} s after the first fault"));
+    println!("  {:<28} {recovery}", "at least 95% served");
 }
 
-fn print_views(views: &Views) {
-    let row = |name: &str, spans: &[f64]| {
+fn print_membership_summary(views: &Views) {
+    let print_delays = |name: &str, spans: &[f64]| {
         if spans.is_empty() {
             return;
         }
-        let (sum, most) = spans.iter().fold((0.0, 0.0f64), |(sum, most), span| (sum + span, most.max(*span)));
+        let (sum, max) = spans.iter().fold((0.0, 0.0f64), |(sum, max), span| (sum + span, max.max(*span)));
         let mean = sum / spans.len() as f64;
         let periods = |s: f64| s / views.period_s;
         println!(
-            "  {name:<28} {mean:.3} s in the mean ({:.2} periods), {most:.3} s at most ({:.1}), of {}",
+            "  {name:<28} mean {mean:.3} s ({:.2} periods), maximum {max:.3} s ({:.1}), of {}",
             periods(mean),
-            periods(most),
+            periods(max),
             spans.len()
         );
     };
-    row("a death suspected after", &views.suspicion_delays_s);
-    row("known to all after", &views.detection_delays_s);
+    print_delays("death suspected after", &views.suspicion_delays_s);
+    print_delays("death known to all after", &views.detection_delays_s);
     println!(
-        "  {:<28} {}, the longest for {:.3} s",
-        "held dead though well", views.false_positives, views.longest_false_positive_s
+        "  {:<28} {}, longest {:.3} s",
+        "live, but declared dead", views.false_positives, views.longest_false_positive_s
     );
-    println!("  {:<28} {:.3} s at most", "held dead after a disturbance", views.longest_recovery_s);
+    println!("  {:<28} maximum {:.3} s", "dead after a disturbance", views.longest_recovery_s);
 }
 
-fn print_rows(rows: &[Row]) {
+fn print_comparison(rows: &[StrategyResults]) {
     println!(
         "  {:<16} {:>16} {:>18} {:>8} {:>8} {:>8} {:>9} {:>8} {:>7} {:>6}",
         "",
         "served, %",
-        "against the first",
+        "gain over first, %",
         "mean s",
         "p99 s",
         "busiest",
-        "declined",
-        "further",
+        "unserved",
+        "retries",
         "moves",
-        "falls"
+        "failed"
     );
     for row in rows {
-        let mean = |of: fn(&TrafficMetrics) -> f64| Figure::of(&row.figures(of)).mean;
-        let percent = |figure: Figure| match figure.half {
-            Some(half) => format!("{:.2} ±{:.2}", figure.mean * 100.0, half * 100.0),
+        let mean = |of: fn(&TrafficMetrics) -> f64| Estimate::from_values(&row.traffic_values(of)).mean;
+        let percent = |figure: Estimate| match figure.half_width {
+            Some(half_width) => format!("{:.2} ±{:.2}", figure.mean * 100.0, half_width * 100.0),
             None => format!("{:.2}", figure.mean * 100.0),
         };
-        let against = rows.first().filter(|first| first.way != row.way);
+        let gain = rows.first().filter(|first| first.strategy != row.strategy);
         println!(
             "  {:<16} {:>16} {:>18} {:>8.3} {:>8.3} {:>8.3} {:>9.0} {:>8.0} {:>7.0} {:>6.1}",
-            row.way.to_string(),
-            percent(Figure::of(&row.figures(TrafficMetrics::served_share))),
-            against.map_or(String::new(), |first| percent(row.gain(first))),
+            row.strategy.to_string(),
+            percent(Estimate::from_values(&row.traffic_values(TrafficMetrics::served_share))),
+            gain.map_or(String::new(), |first| percent(row.served_share_gain(first))),
             mean(|t| t.setup_latency_s().0),
             mean(|t| t.setup_latency_s().1),
             mean(TrafficMetrics::mean_imbalance),
@@ -350,62 +362,62 @@
 }
 
 fn print_traffic(traffic: &TrafficMetrics) {
-    let (mean, most) = traffic.setup_latency_s();
+    let (mean, p99) = traffic.setup_latency_s();
     println!(
-        "  {:<28} {} at most, {} at the end",
+        "  {:<28} maximum {}, final {}",
         "connections", traffic.peak_open_connections, traffic.open_connections
     );
     println!(
-        "  {:<28} {:.3} in the mean, {:.3} at the end",
-        "busiest host over its due",
+        "  {:<28} mean {:.3}, final {:.3}",
+        "imbalance of busiest host",
         traffic.mean_imbalance(),
         traffic.last_imbalance
     );
     println!(
         "  {:<28} {:.1}",
-        "hosts in use at a node",
+        "hosts in use per node",
         traffic.hosts_used.0 / traffic.hosts_used.1.max(1) as f64
     );
-    println!("  {:<28} {mean:.3} s in the mean, {most:.3} s for 99 of 100", "answers");
+    println!("  {:<28} mean {mean:.3} s, 99th percentile {p99:.3} s", "setup latency");
     println!(
-        "  {:<28} {} declined, {} further attempts, {} moves",
+        "  {:<28} {} unserved requests, {} retries, {} migrations",
         "clients", traffic.unserved_requests, traffic.retries, traffic.migrations
     );
     println!(
-        "  {:<28} {:.2} of what they bear at most, {:.2} in the mean, {} fell",
-        "asked of cold hosts",
+        "  {:<28} maximum {:.2}, mean {:.2} of their capacity, {} overloaded",
+        "load of cold hosts",
         traffic.cold_load_peak,
         traffic.cold_load.0 / traffic.cold_load.1.max(1.0),
         traffic.cold_overloads
     );
 }
 
-fn print_sums(sums: &RunMetrics) {
-    sums.traffic.iter().for_each(print_traffic);
-    if sums.member_seconds == 0.0 {
+fn print_run_metrics(metrics: &RunMetrics) {
+    metrics.traffic.iter().for_each(print_traffic);
+    if metrics.member_seconds == 0.0 {
         return;
     }
-    let each = |n: f64| n / sums.member_seconds;
+    let per_member_second = |n: f64| n / metrics.member_seconds;
     println!(
         "  {:<28} {:.0} bytes, {:.2} datagrams",
-        "a member and second",
-        each(sums.bytes_sent as f64),
-        each(sums.datagrams_sent as f64)
+        "per member and second",
+        per_member_second(metrics.bytes_sent as f64),
+        per_member_second(metrics.datagrams_sent as f64)
     );
     println!(
         "  {:<28} {} in {:.1} member-hours",
-        "suspicions, refuted",
-        format_args!("{}, {}", sums.suspicions, sums.refutations),
-        sums.member_seconds / 3600.0
+        "suspicions, refutations",
+        format_args!("{}, {}", metrics.suspicions, metrics.refutations),
+        metrics.member_seconds / 3600.0
     );
 }
 
-fn list(folder: &Path) -> Result<(), String> {
+fn list_schedules(folder: &Path) -> Result<(), String> {
     let failed = |error| format!("{}: {error}", folder.display());
     let mut files: Vec<PathBuf> = Vec::new();
     for entry in std::fs::read_dir(folder).map_err(failed)? {
         let path = entry.map_err(failed)?.path();
-        if path.extension().is_some_and(|kind| kind == "toml") {
+        if path.extension().is_some_and(|extension| extension == "toml") {
             files.push(path);
         }
     }
@@ -415,11 +427,11 @@
             Ok(plan) => {
                 println!("{:<32} {} nodes, {} s: {}", file.display(), plan.nodes, plan.length_s, plan.title)
             }
-            // Scale runs have a form of their own.
-            Err(error) => match Runs::load(&file) {
-                Ok(runs) => {
-                    let sizes: Vec<String> = runs.sizes.iter().map(|size| size.members.to_string()).collect();
-                    println!("{:<32} scale, {} members: {}", file.display(), sizes.join(", "), runs.title);
+            // Plans of scale runs have a separate schema.
+            Err(error) => match ScalePlan::load(&file) {
+                Ok(plan) => {
+                    let sizes: Vec<String> = plan.sizes.iter().map(|size| size.members.to_string()).collect();
+                    println!("{:<32} scale, {} members: {}", file.display(), sizes.join(", "), plan.title);
                 }
                 Err(_) => println!("{error}"),
             },
--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -1,5 +1,6 @@
-//! What one real node costs: a process with stand-in hosts and clients round it, at several sizes. Processor time is the
-//! process's own, so that a busy machine does not matter; times by the clock are of this machine as it was.
+//! Measures the cost of one real node at several sizes: a node process with stub hosts, stub clients and a stub for
+//! discovery. Processor time is that of the process, so that other load on the machine does not distort it; wall-clock
+//! times depend on the machine and its load.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -24,199 +25,214 @@
 use crate::processes::discovery::{Discovery, HostEntry};
 use crate::processes::nodes::{self, Node, RunDir};
 use crate::processes::{self, LoopbackAddresses, interrupt_signal};
-use crate::real::{Usage, counters, usage};
-use crate::scale::settings_of;
+use crate::real::{Usage, read_counters, usage};
+use crate::scale::lab_settings;
 use crate::schedule::ScheduleError;
 use crate::tables::Row;
 
-/// Descriptors that a node is given; the system's limit is read, and a node keeps some for itself.
-const MOST_SOCKETS: u64 = 19_900;
-/// Set-ups that are under way at once while clients are brought up for a measurement.
-const AT_ONCE: usize = 100;
-/// What a client waits for its answer, as it tells the node.
-const WAIT_MS: u64 = 2_000;
-/// A client that was turned away or cut off comes again after this, and up to as much more.
-const AGAIN: Duration = Duration::from_millis(50);
-const AGAIN_MORE_MS: u64 = 150;
-/// All of a step is waited for this long.
-const STEP: Duration = Duration::from_secs(60);
-/// How often is looked whether a step is done.
-const LOOK: Duration = Duration::from_millis(2);
-/// A line that hosts say to their clients, with its end: 100 bytes.
-const LINE: &str =
+/// Largest socket limit configured for the node. It is lower where the system's descriptor limit less 100 is lower, as a
+/// node needs some descriptors for other purposes.
+const MAX_SOCKETS: u64 = 19_900;
+/// Maximum number of concurrent connection setups while clients are connected before a measurement.
+const MAX_CONCURRENT_SETUPS: usize = 100;
+/// Time that a client waits for its answer, as declared in its first line, in milliseconds.
+const SETUP_TIMEOUT_MS: u64 = 2_000;
+/// Delay before a client that was refused or disconnected connects again; a random jitter is added.
+const RECONNECT_DELAY: Duration = Duration::from_millis(50);
+/// Upper bound of the jitter added to [`RECONNECT_DELAY`], in milliseconds.
+const RECONNECT_JITTER_MS: u64 = 150;
+/// Timeout of a step of a measurement.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Interval at which the completion of a step is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Line that hosts send to their clients: 100 bytes with the line ending.
+const BROADCAST_LINE: &str =
     "M 0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123\r\n";
 
-/// What is measured at which sizes.
+/// The measurements to run, and the sizes of each.
 #[derive(Clone, Debug)]
-pub struct Sizes {
-    /// Idle connections.
+pub struct MeasurePlan {
+    /// Numbers of idle connections.
     pub connections: Vec<usize>,
-    /// How long they idle.
+    /// Time over which idle connections are measured.
     pub idle: Duration,
-    /// Listeners of one line.
+    /// Numbers of clients that receive each line.
     pub listeners: Vec<usize>,
-    /// Lines to all of them, one after the other.
+    /// Number of lines sent to all of them, one after the other; more where there are few clients.
     pub lines: usize,
-    /// Hosts to place at, and in the list.
+    /// Numbers of hosts in the endpoint list, for placements and list updates.
     pub hosts: Vec<usize>,
-    /// Placements, one after the other, and lists taken in.
+    /// Number of placements (connections established through the node), one after the other.
     pub placements: usize,
-    /// Whole lists taken in.
-    pub lists: usize,
-    /// Clients that come back all at once.
-    pub returns: Vec<usize>,
+    /// Number of complete endpoint lists that the node applies.
+    pub list_updates: usize,
+    /// Numbers of clients that reconnect at the same time.
+    pub reconnects: Vec<usize>,
 }
 
-impl Sizes {
-    /// Those of the tables in `docs/experiments`.
-    pub fn usual() -> Self {
-        Sizes {
+impl MeasurePlan {
+    /// Returns the sizes of the tables in `docs/experiments`.
+    pub fn full() -> Self {
+        MeasurePlan {
             connections: vec![0, 100, 1_000, 3_000, 5_000, 9_900],
             idle: Duration::from_secs(20),
             listeners: vec![1, 100, 500, 1_000, 2_000, 5_000],
             lines: 20,
             hosts: vec![10, 30, 100, 300, 1_000],
             placements: 1_000,
-            lists: 20,
-            returns: vec![1_000, 3_000, 5_000, 9_900],
+            list_updates: 20,
+            reconnects: vec![1_000, 3_000, 5_000, 9_900],
         }
     }
 
-    /// A short run of each.
+    /// Returns small sizes, for a run of seconds.
     pub fn short() -> Self {
-        Sizes {
+        MeasurePlan {
             connections: vec![50, 200],
             idle: Duration::from_millis(500),
             listeners: vec![1, 50],
             lines: 3,
             hosts: vec![5, 20],
             placements: 20,
-            lists: 3,
-            returns: vec![100],
+            list_updates: 3,
+            reconnects: vec![100],
         }
     }
 }
 
-/// Why a measurement ended early.
+/// Errors that end the measurements early.
 #[derive(Debug, Error)]
 pub enum MeasureError {
     /// The system refused a resource, or the node did not start.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// There are no loopback addresses for the node and its hosts.
+    /// No loopback addresses are available for the node and its hosts.
     #[error(transparent)]
     Addresses(#[from] processes::RunError),
     /// The node's settings are invalid.
     #[error(transparent)]
     Settings(#[from] ScheduleError),
-    /// The node's process is gone.
-    #[error("no process")]
+    /// The process of the node is not running.
+    #[error("the process of the node is not running")]
     NoProcess,
-    /// A step took longer than all of a step may take.
-    #[error("{step}: not within {} s", STEP.as_secs())]
+    /// A step exceeded its timeout.
+    #[error("{step}: timed out after {} s", STEP_TIMEOUT.as_secs())]
     StepTimeout {
-        /// The step.
+        /// Description of the step.
         step: &'static str,
     },
-    /// Lines did not reach all listeners in time.
-    #[error("{listeners} listeners: lines did not arrive")]
+    /// A line did not reach all clients in time.
+    #[error("a line did not reach all {listeners} listeners in time")]
     LinesLost {
-        /// All listeners.
+        /// Number of clients that the line was sent to.
         listeners: usize,
     },
-    /// The node did not take a list in.
-    #[error("a list of {hosts} hosts was not taken in")]
+    /// The node did not apply an endpoint list in time.
+    #[error("an endpoint list of {hosts} hosts was not applied in time")]
     ListIgnored {
-        /// Hosts in the list.
+        /// Number of hosts in the list.
         hosts: usize,
     },
     /// A placement was not answered in time.
-    #[error("no answer")]
+    #[error("a placement was not answered in time")]
     NoAnswer,
-    /// A placement was turned down, or its connection broke.
-    #[error("a placement: {0}")]
+    /// A placement was refused, or its connection failed.
+    #[error("a placement failed: {0}")]
     Placement(io::Error),
-    /// A signal ended the run.
+    /// A signal interrupted the run.
     #[error("interrupted")]
     Interrupted,
 }
 
-/// Measures all of that; what is done is handed to `done` at once.
+/// Runs all measurements of the plan. The rows of each measurement are passed to `done` as it completes.
 ///
 /// # Errors
 ///
-/// If the node could not be set up, a step was not done in time, or a signal ended the run.
-pub fn run(sizes: &Sizes, program: &Path, mut done: impl FnMut(&[Row])) -> Result<(), MeasureError> {
+/// If the node could not be started, a step exceeded its timeout, or a signal interrupted the run.
+pub fn run(plan: &MeasurePlan, program: &Path, mut done: impl FnMut(&[Row])) -> Result<(), MeasureError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         tokio::select! {
-            all = all(sizes, program, &mut done) => all,
+            result = measure_all(plan, program, &mut done) => result,
             () = interrupt_signal() => Err(MeasureError::Interrupted),
         }
     })
 }
 
-async fn all(sizes: &Sizes, program: &Path, done: &mut impl FnMut(&[Row])) -> Result<(), MeasureError> {
-    for &connections in &sizes.connections {
-        info!("{connections} idle connections");
-        done(&with(program, 20, async |stand| idle(stand, connections, sizes.idle).await).await?);
+async fn measure_all(
+    plan: &MeasurePlan,
+    program: &Path,
+    done: &mut impl FnMut(&[Row]),
+) -> Result<(), MeasureError> {
+    for &connections in &plan.connections {
+        info!(connections, "measurement of idle connections started");
+        done(&with_test_bed(program, 20, async |bed| measure_idle(bed, connections, plan.idle).await).await?);
     }
-    for &listeners in &sizes.listeners {
-        info!("lines to {listeners} listeners");
-        done(&with(program, 20, async |stand| lines(stand, listeners, sizes.lines).await).await?);
+    for &listeners in &plan.listeners {
+        info!(listeners, "measurement of lines started");
+        done(&with_test_bed(program, 20, async |bed| measure_lines(bed, listeners, plan.lines).await).await?);
     }
-    for &hosts in &sizes.hosts {
-        info!("placements and lists of {hosts} hosts");
-        done(&with(program, hosts, async |stand| placements(stand, hosts, sizes.placements).await).await?);
-        done(&with(program, hosts, async |stand| lists(stand, hosts, sizes.lists).await).await?);
+    for &hosts in &plan.hosts {
+        info!(hosts, "measurement of placements and endpoint lists started");
+        done(
+            &with_test_bed(program, hosts, async |bed| measure_placements(bed, hosts, plan.placements).await)
+                .await?,
+        );
+        done(
+            &with_test_bed(program, hosts, async |bed| {
+                measure_list_updates(bed, hosts, plan.list_updates).await
+            })
+            .await?,
+        );
     }
-    for &clients in &sizes.returns {
-        info!("{clients} clients come back at once");
-        done(&with(program, 20, async |stand| comes_back(stand, clients).await).await?);
+    for &clients in &plan.reconnects {
+        info!(clients, "measurement of concurrent reconnects started");
+        done(&with_test_bed(program, 20, async |bed| measure_reconnects(bed, clients).await).await?);
     }
     Ok(())
 }
 
-/// A node with hosts and a list round it.
-struct Stand {
+/// A node process with the stubs for its hosts, its clients and discovery.
+struct TestBed {
     node: Rc<Node>,
-    hosts: Hosts,
+    hosts: StubHosts,
     discovery: Rc<Discovery>,
-    clients: Rc<Clients>,
+    clients: Rc<StubClients>,
     _folder: RunDir,
     _addresses: LoopbackAddresses,
 }
 
-/// Builds a stand, does something with it, and takes it away whatever came of that.
-async fn with(
+/// Builds a test bed, runs a measurement on it, and tears it down whether or not the measurement succeeded.
+async fn with_test_bed(
     program: &Path,
     hosts: usize,
-    what: impl AsyncFnOnce(&Stand) -> Result<Vec<Row>, MeasureError>,
+    measurement: impl AsyncFnOnce(&TestBed) -> Result<Vec<Row>, MeasureError>,
 ) -> Result<Vec<Row>, MeasureError> {
     let addresses = LoopbackAddresses::reserve().await?;
     let folder = RunDir::new(20_000 + hosts as u32)?;
-    let at: Vec<SocketAddr> = (0..hosts).map(|host| addresses.extended(host, 9_100)).collect();
+    let host_addresses: Vec<SocketAddr> = (0..hosts).map(|host| addresses.extended(host, 9_100)).collect();
     let history = Rc::new(History::unread());
     let entries = vec![HostEntry { health: "up", zone: "here".to_owned(), started_ms: 0 }; hosts];
-    let dial = at.clone();
-    let discovery =
-        Discovery::new(entries, 1, Duration::ZERO, history.clone(), move |_, host: usize| dial[host]);
+    let dial_addresses = host_addresses.clone();
+    let discovery = Discovery::new(entries, 1, Duration::ZERO, history.clone(), move |_, host: usize| {
+        dial_addresses[host]
+    });
     let list = addresses.extended(0, 8_500);
-    let answers = spawn_local({
+    let discovery_task = spawn_local({
         let discovery = discovery.clone();
         async move {
             if let Err(error) = discovery.answer(0, list).await {
-                warn!("discovery: {error}");
+                warn!(%error, "stub discovery failed");
             }
         }
     });
     let dir = folder.path().join("n0");
     std::fs::create_dir_all(&dir)?;
     let listen = addresses.extended(0, 9_000);
-    let mut config = nodes::node_config("n0", listen, list, settings_of(&["here".to_owned()])?);
+    let mut config = nodes::node_config("n0", listen, list, lab_settings(&["here".to_owned()])?);
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     config["limits"]["sockets"] =
-        limit.map_or(MOST_SOCKETS, |most| most.saturating_sub(100).min(MOST_SOCKETS)).into();
+        limit.map_or(MAX_SOCKETS, |max| max.saturating_sub(100).min(MAX_SOCKETS)).into();
     let node = Rc::new(Node {
         number: 0,
         program: program.to_owned(),
@@ -230,251 +246,256 @@
         started: Default::default(),
         up: tokio::sync::watch::Sender::new(None),
     });
-    let hosts = Hosts::start(at).await?;
-    let stand = Stand {
+    let hosts = StubHosts::start(host_addresses).await?;
+    let bed = TestBed {
         node: node.clone(),
         hosts,
         discovery,
-        clients: Clients::new(listen),
+        clients: StubClients::new(listen),
         _folder: folder,
         _addresses: addresses,
     };
     let done = match node.start().await {
-        Ok(()) => what(&stand).await,
+        Ok(()) => measurement(&bed).await,
         Err(error) => Err(error.into()),
     };
-    stand.clients.stop();
+    bed.clients.stop();
     let process = node.process.take();
     if let Some(process) = process {
         process.kill().await;
     }
-    answers.abort();
+    discovery_task.abort();
     done
 }
 
-impl Stand {
+impl TestBed {
     fn usage(&self) -> Result<Usage, MeasureError> {
         let pid = self.node.process.borrow().as_ref().map(|process| process.pid());
         Ok(usage(pid.ok_or(MeasureError::NoProcess)?)?)
     }
 
-    async fn figure(&self, name: &str) -> Option<u64> {
+    async fn counter(&self, name: &str) -> Option<u64> {
         let admin = self.node.process.borrow().as_ref()?.admin;
-        counters(admin).await?.get(name).copied()
+        read_counters(admin).await?.get(name).copied()
     }
 
-    /// Brings so many clients up, not too many at once.
-    async fn bring_up(&self, clients: usize) -> Result<(), MeasureError> {
-        self.clients.want(clients, AT_ONCE);
-        until("clients come up", || self.clients.up.get() == clients).await
+    /// Connects this number of clients, at most [`MAX_CONCURRENT_SETUPS`] at once, and waits until all are established.
+    async fn connect_clients(&self, clients: usize) -> Result<(), MeasureError> {
+        self.clients.start_clients(clients, MAX_CONCURRENT_SETUPS);
+        wait_until("connecting the clients", || self.clients.established.get() == clients).await
     }
 }
 
-async fn until(step: &'static str, done: impl Fn() -> bool) -> Result<(), MeasureError> {
-    let last = Instant::now() + STEP;
+async fn wait_until(step: &'static str, done: impl Fn() -> bool) -> Result<(), MeasureError> {
+    let deadline = Instant::now() + STEP_TIMEOUT;
     while !done() {
-        if Instant::now() > last {
+        if Instant::now() > deadline {
             return Err(MeasureError::StepTimeout { step });
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     Ok(())
 }
 
-async fn idle(stand: &Stand, connections: usize, span: Duration) -> Result<Vec<Row>, MeasureError> {
-    let empty = stand.usage()?;
-    stand.bring_up(connections).await?;
-    // What setting up left to do is done.
-    sleep(Duration::from_secs(2).min(span)).await;
-    let before = stand.usage()?;
-    sleep(span).await;
-    let after = stand.usage()?;
-    let row = |figure: &str, value: f64| Row::one(connections as f64, "idle", figure, value);
-    let idle = (after.cpu - before.cpu).as_secs_f64() / span.as_secs_f64();
+async fn measure_idle(
+    bed: &TestBed,
+    connections: usize,
+    duration: Duration,
+) -> Result<Vec<Row>, MeasureError> {
+    let without_connections = bed.usage()?;
+    bed.connect_clients(connections).await?;
+    // Work left over from connection setup ends before the measurement.
+    sleep(Duration::from_secs(2).min(duration)).await;
+    let before = bed.usage()?;
+    sleep(duration).await;
+    let after = bed.usage()?;
+    let row = |figure: &str, value: f64| Row::single(connections as f64, "idle", figure, value);
+    let idle = (after.cpu - before.cpu).as_secs_f64() / duration.as_secs_f64();
     Ok(vec![
         row("memory (KB)", after.resident as f64 / 1e3),
         row(
             "memory more than without connections (KB)",
-            after.resident.saturating_sub(empty.resident) as f64 / 1e3,
+            after.resident.saturating_sub(without_connections.resident) as f64 / 1e3,
         ),
         row("descriptors", after.descriptors as f64),
         row("processor time (us/s)", idle * 1e6),
-        row("processor time of all set-ups (ms)", (before.cpu - empty.cpu).as_secs_f64() * 1e3),
+        row("processor time of all set-ups (ms)", (before.cpu - without_connections.cpu).as_secs_f64() * 1e3),
     ])
 }
 
-async fn lines(stand: &Stand, listeners: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
-    stand.bring_up(listeners).await?;
-    // One listener: as many deliveries as make a figure.
+async fn measure_lines(bed: &TestBed, listeners: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
+    bed.connect_clients(listeners).await?;
+    // With few listeners more rounds are needed for a stable figure.
     let count = count.max(2_000 / listeners);
     sleep(Duration::from_millis(500)).await;
-    let (before, mut spans) = (stand.usage()?, Vec::new());
-    let began = Instant::now();
+    let (before, mut durations) = (bed.usage()?, Vec::new());
+    let start = Instant::now();
     for _ in 0..count {
-        let (wanted, from) = (stand.clients.lines.get() + listeners as u64, Instant::now());
-        stand.hosts.say().await;
-        // Not the clock's steps: the last line's arrival ends the wait.
-        let all = async {
-            while stand.clients.lines.get() < wanted {
-                stand.clients.heard.notified().await;
+        let (expected, from) = (bed.clients.lines_received.get() + listeners as u64, Instant::now());
+        bed.hosts.broadcast_line().await;
+        // Waits for the notification of the last line, as polling would limit the resolution.
+        let all_received = async {
+            while bed.clients.lines_received.get() < expected {
+                bed.clients.line_received.notified().await;
             }
         };
-        timeout(STEP, all).await.map_err(|_| MeasureError::LinesLost { listeners })?;
-        spans.push(from.elapsed().as_secs_f64() * 1e3);
+        timeout(STEP_TIMEOUT, all_received).await.map_err(|_| MeasureError::LinesLost { listeners })?;
+        durations.push(from.elapsed().as_secs_f64() * 1e3);
     }
-    let span = began.elapsed().as_secs_f64();
-    let after = stand.usage()?;
+    let duration = start.elapsed().as_secs_f64();
+    let after = bed.usage()?;
     let cpu = (after.cpu - before.cpu).as_secs_f64() * 1e6;
     let size = listeners as f64;
     let delivered = (count * listeners) as f64;
     let mut rows = vec![
-        Row::one(size, "lines", "processor time a round (us)", cpu / count as f64),
-        Row::one(size, "lines", "processor time a delivery (us)", cpu / delivered),
-        Row::one(size, "lines", "deliveries a second as played", delivered / span),
+        Row::single(size, "lines", "processor time a round (us)", cpu / count as f64),
+        Row::single(size, "lines", "processor time a delivery (us)", cpu / delivered),
+        Row::single(size, "lines", "deliveries a second as played", delivered / duration),
     ];
-    rows.extend(Row::of(size, "lines", "all listeners have it after (ms)", &spans));
+    rows.extend(Row::from_values(size, "lines", "all listeners have it after (ms)", &durations));
     Ok(rows)
 }
 
-async fn placements(stand: &Stand, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
-    // The first ones meet what is still unknown.
+async fn measure_placements(bed: &TestBed, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
+    // Warm-up: the node knows nothing about the hosts at its first placements.
     for _ in 0..(count / 10).max(5) {
-        stand.clients.once().await?;
+        bed.clients.connect_once().await?;
     }
-    let (before, mut spans) = (stand.usage()?, Vec::new());
+    let (before, mut durations) = (bed.usage()?, Vec::new());
     for _ in 0..count {
         let from = Instant::now();
-        stand.clients.once().await?;
-        spans.push(from.elapsed().as_secs_f64() * 1e6);
+        bed.clients.connect_once().await?;
+        durations.push(from.elapsed().as_secs_f64() * 1e6);
     }
-    let after = stand.usage()?;
-    spans.sort_by(f64::total_cmp);
+    let after = bed.usage()?;
+    durations.sort_by(f64::total_cmp);
     let size = hosts as f64;
     let cpu = (after.cpu - before.cpu).as_secs_f64() * 1e6 / count as f64;
-    let middle = spans.get(spans.len() / 2).copied().unwrap_or_default();
+    let median = durations.get(durations.len() / 2).copied().unwrap_or_default();
     let mut rows = vec![
-        Row::one(size, "placement", "processor time each (us)", cpu),
-        Row::one(size, "placement", "median answered after (us)", middle),
+        Row::single(size, "placement", "processor time each (us)", cpu),
+        Row::single(size, "placement", "median answered after (us)", median),
     ];
-    rows.extend(Row::of(size, "placement", "answered after (us)", &spans));
+    rows.extend(Row::from_values(size, "placement", "answered after (us)", &durations));
     Ok(rows)
 }
 
-/// Whole lists that lack a host, by turns another one.
-async fn lists(stand: &Stand, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
-    let (mut spans, mut cpu) = (Vec::new(), Vec::new());
-    let quiet = {
-        let before = stand.usage()?;
+/// Sends complete endpoint lists that omit one host, a different one each time, and then the full list again.
+async fn measure_list_updates(bed: &TestBed, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
+    let (mut durations, mut cpu) = (Vec::new(), Vec::new());
+    let idle_cpu = {
+        let before = bed.usage()?;
         sleep(Duration::from_millis(500)).await;
-        (stand.usage()?.cpu - before.cpu).as_secs_f64() / 0.5
+        (bed.usage()?.cpu - before.cpu).as_secs_f64() / 0.5
     };
-    for turn in 0..count {
-        // For the processor time nobody asks meanwhile.
-        let (before, from) = (stand.usage()?, Instant::now());
-        stand.discovery.set_faults(0, |faults| faults.omitted = vec![turn % hosts]);
+    for iteration in 0..count {
+        // The node is not polled while its processor time is measured, as its answers would add to it.
+        let (before, from) = (bed.usage()?, Instant::now());
+        bed.discovery.set_faults(0, |faults| faults.omitted = vec![iteration % hosts]);
         sleep(Duration::from_millis(200)).await;
-        let used = (stand.usage()?.cpu - before.cpu).as_secs_f64();
-        cpu.push((used - quiet * from.elapsed().as_secs_f64()).max(0.0) * 1e6);
-        // For the time it is asked until it has the whole list again.
+        let used = (bed.usage()?.cpu - before.cpu).as_secs_f64();
+        cpu.push((used - idle_cpu * from.elapsed().as_secs_f64()).max(0.0) * 1e6);
+        // The duration is measured by polling the node until it lists all hosts again.
         let from = Instant::now();
-        stand.discovery.set_faults(0, |faults| faults.omitted.clear());
-        while stand.figure("hosts_listed").await != Some(hosts as u64) {
-            if from.elapsed() > STEP {
+        bed.discovery.set_faults(0, |faults| faults.omitted.clear());
+        while bed.counter("hosts_listed").await != Some(hosts as u64) {
+            if from.elapsed() > STEP_TIMEOUT {
                 return Err(MeasureError::ListIgnored { hosts });
             }
         }
-        spans.push(from.elapsed().as_secs_f64() * 1e3);
+        durations.push(from.elapsed().as_secs_f64() * 1e3);
     }
     let size = hosts as f64;
     let mut rows: Vec<Row> =
-        Row::of(size, "list", "processor time a whole list (us)", &cpu).into_iter().collect();
-    rows.extend(Row::of(size, "list", "taken in after (ms)", &spans));
+        Row::from_values(size, "list", "processor time a whole list (us)", &cpu).into_iter().collect();
+    rows.extend(Row::from_values(size, "list", "taken in after (ms)", &durations));
     Ok(rows)
 }
 
-/// The node's process is killed with all its clients and started again; all of them come back at once.
-async fn comes_back(stand: &Stand, clients: usize) -> Result<Vec<Row>, MeasureError> {
-    stand.bring_up(clients).await?;
-    stand.clients.limit.add_permits(clients);
-    stand.clients.refused.set(0);
-    stand.node.kill().await;
-    let killed = Instant::now();
-    stand.node.start().await?;
-    let ready = killed.elapsed().as_secs_f64();
-    let mut marks: BTreeMap<usize, f64> = BTreeMap::new();
-    while stand.clients.up.get() < clients {
+/// Kills the node process, which disconnects all clients, and starts it again; all clients reconnect at the same time.
+async fn measure_reconnects(bed: &TestBed, clients: usize) -> Result<Vec<Row>, MeasureError> {
+    bed.connect_clients(clients).await?;
+    bed.clients.setup_permits.add_permits(clients);
+    bed.clients.interruptions.set(0);
+    bed.node.kill().await;
+    let killed_at = Instant::now();
+    bed.node.start().await?;
+    let ready_after = killed_at.elapsed().as_secs_f64();
+    let mut milestones: BTreeMap<usize, f64> = BTreeMap::new();
+    while bed.clients.established.get() < clients {
         for share in [50, 95, 99] {
-            if stand.clients.up.get() * 100 >= clients * share {
-                marks.entry(share).or_insert_with(|| killed.elapsed().as_secs_f64());
+            if bed.clients.established.get() * 100 >= clients * share {
+                milestones.entry(share).or_insert_with(|| killed_at.elapsed().as_secs_f64());
             }
         }
-        if killed.elapsed() > STEP {
+        if killed_at.elapsed() > STEP_TIMEOUT {
             break;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
-    let all = killed.elapsed().as_secs_f64();
-    let used = stand.usage()?;
+    let all_after = killed_at.elapsed().as_secs_f64();
+    let used = bed.usage()?;
     let size = clients as f64;
-    let row = |figure: &str, value: f64| Row::one(size, "return of all", figure, value);
-    let up = stand.clients.up.get();
-    let mut rows = vec![row("process ready after (s)", ready)];
-    rows.extend(marks.iter().map(|(share, s)| row(&format!("{share}% served after (s)"), *s)));
-    if up == clients {
-        rows.push(row("all served after (s)", all));
+    let row = |figure: &str, value: f64| Row::single(size, "return of all", figure, value);
+    let established = bed.clients.established.get();
+    let mut rows = vec![row("process ready after (s)", ready_after)];
+    rows.extend(milestones.iter().map(|(share, s)| row(&format!("{share}% served after (s)"), *s)));
+    if established == clients {
+        rows.push(row("all served after (s)", all_after));
     }
     rows.extend([
-        row("not served after a minute", (clients - up) as f64),
-        row("times turned away or cut off", stand.clients.refused.get() as f64),
+        row("not served after a minute", (clients - established) as f64),
+        row("times turned away or cut off", bed.clients.interruptions.get() as f64),
         row("processor time a client (us)", used.cpu.as_secs_f64() * 1e6 / size),
     ]);
     Ok(rows)
 }
 
-/// Stand-in clients of one node.
-struct Clients {
-    at: SocketAddr,
-    wanted: Cell<usize>,
-    /// Those that are up.
-    up: Cell<usize>,
-    /// Lines that came.
-    lines: Cell<u64>,
-    heard: tokio::sync::Notify,
-    /// Times that one was turned away or cut off.
-    refused: Cell<u64>,
-    limit: Rc<Semaphore>,
+/// Stub clients of one node.
+struct StubClients {
+    node_address: SocketAddr,
+    started: Cell<usize>,
+    /// Number of clients whose connection is established.
+    established: Cell<usize>,
+    /// Number of lines received by all clients.
+    lines_received: Cell<u64>,
+    line_received: tokio::sync::Notify,
+    /// Number of times that a client was refused or disconnected.
+    interruptions: Cell<u64>,
+    setup_permits: Rc<Semaphore>,
     tasks: RefCell<Vec<tokio::task::JoinHandle<()>>>,
-    ids: Cell<u64>,
+    next_id: Cell<u64>,
 }
 
-impl Clients {
-    fn new(at: SocketAddr) -> Rc<Self> {
-        Rc::new(Clients {
-            at,
-            wanted: Cell::new(0),
-            up: Cell::new(0),
-            lines: Cell::new(0),
-            heard: tokio::sync::Notify::new(),
-            refused: Cell::new(0),
-            limit: Rc::new(Semaphore::new(0)),
+impl StubClients {
+    fn new(node_address: SocketAddr) -> Rc<Self> {
+        Rc::new(StubClients {
+            node_address,
+            started: Cell::new(0),
+            established: Cell::new(0),
+            lines_received: Cell::new(0),
+            line_received: tokio::sync::Notify::new(),
+            interruptions: Cell::new(0),
+            setup_permits: Rc::new(Semaphore::new(0)),
             tasks: RefCell::default(),
-            ids: Cell::new(0),
+            next_id: Cell::new(0),
         })
     }
 
-    /// So many more come, so many of them at once.
-    fn want(self: &Rc<Self>, clients: usize, at_once: usize) {
-        self.limit.add_permits(at_once);
+    /// Starts additional clients; at most `max_concurrent_setups` of their connection setups run at once.
+    fn start_clients(self: &Rc<Self>, clients: usize, max_concurrent_setups: usize) {
+        self.setup_permits.add_permits(max_concurrent_setups);
         for _ in 0..clients {
-            let number = self.wanted.replace(self.wanted.get() + 1);
-            let own = self.clone();
+            let number = self.started.replace(self.started.get() + 1);
+            let this = self.clone();
             self.tasks.borrow_mut().push(spawn_local(async move {
                 let mut rng = Pcg64Mcg::seed_from_u64(number as u64);
                 loop {
-                    // It comes again, whatever ended it.
-                    let _ = own.stay().await;
-                    own.refused.set(own.refused.get() + 1);
-                    sleep(AGAIN + Duration::from_millis(rng.random_range(0..AGAIN_MORE_MS))).await;
+                    // The client reconnects whatever ended its connection.
+                    let _ = this.run_connection().await;
+                    this.interruptions.set(this.interruptions.get() + 1);
+                    sleep(RECONNECT_DELAY + Duration::from_millis(rng.random_range(0..RECONNECT_JITTER_MS)))
+                        .await;
                 }
             }));
         }
@@ -484,121 +505,125 @@
         self.tasks.borrow_mut().drain(..).for_each(|task| task.abort());
     }
 
-    /// Connects and says what it wants; returns when it is up.
+    /// Connects and sends a request; returns the connection once it is established.
     async fn open(&self) -> io::Result<BufReader<TcpStream>> {
-        let id = self.ids.replace(self.ids.get() + 1);
-        let stream = TcpStream::connect(self.at).await?;
+        let id = self.next_id.replace(self.next_id.get() + 1);
+        let stream = TcpStream::connect(self.node_address).await?;
         stream.set_nodelay(true)?;
         let mut stream = BufReader::with_capacity(256, stream);
-        let line = format!("OPEN {id:016x} {id:016x} c=chat,d={WAIT_MS}\r\n");
+        let line = format!("OPEN {id:016x} {id:016x} c=chat,d={SETUP_TIMEOUT_MS}\r\n");
         stream.get_mut().write_all(line.as_bytes()).await?;
         let mut line = String::new();
         stream.read_line(&mut line).await?;
         if line.starts_with("UP") { Ok(stream) } else { Err(io::Error::other(line)) }
     }
 
-    /// One connection from its first line to its end.
-    async fn stay(&self) -> io::Result<()> {
+    /// Runs one connection from its setup until it ends.
+    async fn run_connection(&self) -> io::Result<()> {
         let mut stream = {
-            // Those of a run end together.
-            let _one = self.limit.acquire().await.map_err(io::Error::other)?;
+            // The permit is held during the setup only. Acquiring it never fails: the semaphore lives as long as its clients.
+            let _permit = self.setup_permits.acquire().await.map_err(io::Error::other)?;
             self.open().await?
         };
-        self.up.set(self.up.get() + 1);
+        self.established.set(self.established.get() + 1);
         let mut line = String::new();
-        let ended = loop {
+        let result = loop {
             line.clear();
             match stream.read_line(&mut line).await {
                 Ok(0) => break Ok(()),
                 Err(error) => break Err(error),
                 Ok(_) if line.starts_with("MOVE") => break Ok(()),
                 Ok(_) => {
-                    self.lines.set(self.lines.get() + 1);
-                    self.heard.notify_one();
+                    self.lines_received.set(self.lines_received.get() + 1);
+                    self.line_received.notify_one();
                 }
             }
         };
-        self.up.set(self.up.get() - 1);
-        ended
+        self.established.set(self.established.get() - 1);
+        result
     }
 
-    /// Comes, is placed and goes.
-    async fn once(&self) -> Result<(), MeasureError> {
-        let opened = timeout(STEP, self.open()).await.map_err(|_| MeasureError::NoAnswer)?;
+    /// Establishes a connection through the node and closes it.
+    async fn connect_once(&self) -> Result<(), MeasureError> {
+        let opened = timeout(STEP_TIMEOUT, self.open()).await.map_err(|_| MeasureError::NoAnswer)?;
         drop(opened.map_err(MeasureError::Placement)?);
         Ok(())
     }
 }
 
-enum Say {
-    All(oneshot::Sender<()>),
+enum HostCommand {
+    BroadcastLine(oneshot::Sender<()>),
 }
 
-/// Stand-in hosts on a thread of their own, so that they don't wait for the clients. They end with their owner.
-struct Hosts {
-    say: Option<mpsc::UnboundedSender<Say>>,
+/// Stub hosts on a separate thread, so that clients don't delay them. The thread ends when this is dropped.
+struct StubHosts {
+    commands: Option<mpsc::UnboundedSender<HostCommand>>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Hosts {
-    /// Hosts at these addresses.
-    async fn start(at: Vec<SocketAddr>) -> io::Result<Self> {
-        let (say, mut said) = mpsc::unbounded_channel::<Say>();
-        let (ready, is_ready) = oneshot::channel();
+impl StubHosts {
+    /// Starts a host at each address; returns once all of them listen.
+    async fn start(addresses: Vec<SocketAddr>) -> io::Result<Self> {
+        let (commands, mut received_commands) = mpsc::unbounded_channel::<HostCommand>();
+        let (ready, readiness) = oneshot::channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         let thread = std::thread::Builder::new().name("hosts".to_owned()).spawn(move || {
-            let open: Rc<RefCell<BTreeMap<u64, Rc<TcpStream>>>> = Rc::default();
+            let connections: Rc<RefCell<BTreeMap<u64, Rc<TcpStream>>>> = Rc::default();
             let next = Rc::new(Cell::new(0));
             LocalSet::new().block_on(&runtime, async {
-                let mut bound = Ok(());
-                for address in at {
+                let mut bind_result = Ok(());
+                for address in addresses {
                     match TcpListener::bind(address).await {
                         Ok(listener) => {
-                            spawn_local(accept(listener, open.clone(), next.clone()));
+                            spawn_local(accept(listener, connections.clone(), next.clone()));
                         }
-                        Err(error) => bound = Err(error),
+                        Err(error) => bind_result = Err(error),
                     }
                 }
-                let _ = ready.send(bound);
-                while let Some(Say::All(done)) = said.recv().await {
-                    for stream in open.borrow().values() {
-                        // A line of 100 bytes has room where the one before was taken.
-                        let _ = stream.try_write(LINE.as_bytes());
+                let _ = ready.send(bind_result);
+                while let Some(HostCommand::BroadcastLine(done)) = received_commands.recv().await {
+                    for stream in connections.borrow().values() {
+                        // A line of 100 bytes fits into the socket buffer if the client has read the previous one.
+                        let _ = stream.try_write(BROADCAST_LINE.as_bytes());
                     }
                     let _ = done.send(());
                 }
             });
         })?;
-        is_ready.await.map_err(io::Error::other)??;
-        Ok(Hosts { say: Some(say), thread: Some(thread) })
+        readiness.await.map_err(io::Error::other)??;
+        Ok(StubHosts { commands: Some(commands), thread: Some(thread) })
     }
 
-    /// Every host says a line to each of its clients.
-    async fn say(&self) {
-        let (done, is_done) = oneshot::channel();
-        if let Some(say) = &self.say {
-            let _ = say.send(Say::All(done));
+    /// Makes every host send a line to each of its clients.
+    async fn broadcast_line(&self) {
+        let (done, completion) = oneshot::channel();
+        if let Some(commands) = &self.commands {
+            let _ = commands.send(HostCommand::BroadcastLine(done));
         }
-        let _ = is_done.await;
+        let _ = completion.await;
     }
 }
 
-impl Drop for Hosts {
+impl Drop for StubHosts {
     fn drop(&mut self) {
-        self.say.take();
+        self.commands.take();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-async fn accept(listener: TcpListener, open: Rc<RefCell<BTreeMap<u64, Rc<TcpStream>>>>, next: Rc<Cell<u64>>) {
+async fn accept(
+    listener: TcpListener,
+    connections: Rc<RefCell<BTreeMap<u64, Rc<TcpStream>>>>,
+    next: Rc<Cell<u64>>,
+) {
     while let Ok((stream, _)) = listener.accept().await {
-        let (open, next) = (open.clone(), next.clone());
+        let (connections, next) = (connections.clone(), next.clone());
         spawn_local(async move {
             let _ = stream.set_nodelay(true);
             let stream = Rc::new(stream);
-            // The first line comes whole: a node sends it in one piece.
+            // The first line arrives in one read: a node sends it in one write.
             let mut data = [0; 512];
             if !matches!(read(&stream, &mut data).await, Ok(1..)) {
                 return;
@@ -607,9 +632,9 @@
             if stream.try_write(format!("UP {id:012x}\r\n").as_bytes()).is_err() {
                 return;
             }
-            open.borrow_mut().insert(id, stream.clone());
+            connections.borrow_mut().insert(id, stream.clone());
             while matches!(read(&stream, &mut data).await, Ok(1..)) {}
-            open.borrow_mut().remove(&id);
+            connections.borrow_mut().remove(&id);
         });
     }
 }
--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! Scale runs: hollow nodes ([`crate::hollow`]) with real ones among them, at several sizes, and what membership costs and
-//! how long its news takes at each.
+//! Scale runs: clusters of hollow nodes ([`crate::hollow`]) and some real ones, at several sizes. Each run measures the cost
+//! of membership and how long its changes take to propagate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -25,146 +25,160 @@
 use crate::processes::discovery::{Discovery, HostEntry};
 use crate::processes::nodes::{self, Node, RunDir};
 use crate::processes::{self, LoopbackAddresses, interrupt_signal, settings};
-use crate::real::{Usage, counters, usage};
+use crate::real::{Usage, read_counters, usage};
 use crate::schedule::{Plan, ScheduleError};
 use crate::tables::Row;
 
 mod phases;
 mod plan;
 
-pub use plan::{Runs, RunsError, Size};
-
-/// Where members' datagrams arrive.
-const MEMBERS: u16 = 7_946;
-/// How often is looked whether something is known everywhere; what a real node sees is known this exactly.
-const LOOK: Duration = Duration::from_millis(100);
-/// All hollow nodes start within this.
-const STARTS: Duration = Duration::from_secs(1);
-/// Nothing is given up before this.
-const LEAST_BOUND: Duration = Duration::from_secs(20);
-/// What happened before is waited for no longer than these periods.
-const MOST_TOLD: f64 = 120.0;
-/// An operator's call is given up after this.
-const CALL: Duration = Duration::from_secs(10);
-/// Between two deaths, and between two pieces of news.
-const APART: Duration = Duration::from_secs(2);
-/// The cluster's key: these nodes have nothing to hide.
-const KEY: [u8; 32] = [0x5a; 32];
-
-/// Why scale runs ended early.
+pub use plan::{ScalePlan, ScalePlanError, Size};
+
+/// UDP port of membership.
+const MEMBERSHIP_PORT: u16 = 7_946;
+/// Interval at which the nodes are polled for what they know; the resolution of the delays measured at real nodes.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Time over which the starts of the hollow nodes are spread.
+const START_SPREAD: Duration = Duration::from_secs(1);
+/// Smallest timeout for a change to reach all nodes.
+const MIN_LEARN_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum number of protocol periods to wait until the gossip about earlier changes has ended.
+const MAX_GOSSIP_PERIODS: f64 = 120.0;
+/// Timeout of a call to the admin address.
+const ADMIN_CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval between two deaths, and between two configuration changes.
+const DISTURBANCE_INTERVAL: Duration = Duration::from_secs(2);
+/// Key of the cluster. It is fixed: these clusters exchange test data only.
+const CLUSTER_KEY: [u8; 32] = [0x5a; 32];
+
+/// Errors that end scale runs early.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// The system refused a resource that a run needs.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// There are no loopback addresses for the run.
+    /// No loopback addresses are available for the run.
     #[error(transparent)]
     Addresses(#[from] processes::RunError),
     /// The settings of the real nodes are invalid.
     #[error(transparent)]
     Settings(#[from] ScheduleError),
-    /// The cluster's key is invalid.
-    #[error("no key")]
+    /// The key of the cluster is invalid.
+    #[error("invalid cluster key")]
     Key,
     /// A real node did not start.
-    #[error("{members} members: {source}")]
+    #[error("starting a real node in a cluster of {members} members failed: {source}")]
     Start {
-        /// The size of the run.
+        /// Number of members of the run.
         members: usize,
-        /// Why the node did not start.
+        /// Cause.
         source: io::Error,
     },
-    /// A signal ended the run.
+    /// A signal interrupted the run.
     #[error("interrupted")]
     Interrupted,
 }
 
-/// Why a size was not played to its end.
-enum Cut {
-    /// It took too long.
-    Late,
-    /// Something did not start.
+/// Why a size was not measured completely.
+enum Incomplete {
+    /// The size exceeded its time limit.
+    TimedOut,
+    /// A real node did not start.
     Failed(io::Error),
-    /// A person or a program ended it.
+    /// A signal interrupted the run.
     Interrupted,
 }
 
-/// Plays all sizes; each size's figures are handed to `done` as it ends.
+/// Runs all sizes of the plan. The rows of each size are passed to `done` as the size ends.
 ///
 /// # Errors
 ///
-/// If a size could not be set up, a real node did not start, or a signal ended the run. A size that took too long is
-/// logged, and the next one is played.
+/// If a size can't be set up, a real node does not start, or a signal interrupts the run. A size that exceeds its time
+/// limit is logged, and the next one is run.
 pub fn run(
-    runs: &Runs,
+    plan: &ScalePlan,
     program: &Path,
-    parts: &ExtraCoreFactory,
+    extra_cores: &ExtraCoreFactory,
     mut done: impl FnMut(Size, &[Row]),
 ) -> Result<(), ScaleError> {
-    for size in &runs.sizes {
+    for size in &plan.sizes {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let (rows, played) = LocalSet::new().block_on(&runtime, async {
-            let mut fleet = Fleet::build(runs, *size, program, parts).await?;
-            let most = Duration::from_secs_f64(runs.most_s);
-            let played = tokio::select! {
-                played = timeout(most, fleet.play()) => played.map_err(|_| Cut::Late).and_then(|played| played.map_err(Cut::Failed)),
-                () = interrupt_signal() => Err(Cut::Interrupted),
+        let (rows, result) = LocalSet::new().block_on(&runtime, async {
+            let mut cluster = TestCluster::build(plan, *size, program, extra_cores).await?;
+            let time_limit = Duration::from_secs_f64(plan.time_limit_s);
+            let result = tokio::select! {
+                result = timeout(time_limit, cluster.run_phases()) => result.map_err(|_| Incomplete::TimedOut).and_then(|result| result.map_err(Incomplete::Failed)),
+                () = interrupt_signal() => Err(Incomplete::Interrupted),
             };
-            fleet.end().await;
-            Ok::<_, ScaleError>((std::mem::take(&mut fleet.rows), played))
+            cluster.shut_down().await;
+            Ok::<_, ScaleError>((std::mem::take(&mut cluster.rows), result))
         })?;
-        // What was measured until then stays.
+        // The rows measured before an early end are kept.
         done(*size, &rows);
-        match played {
+        match result {
             Ok(()) => {}
-            // The sizes that follow are not kept from their turn.
-            Err(Cut::Late) => warn!("{} members: not done after {} s", size.members, runs.most_s),
-            Err(Cut::Failed(source)) => return Err(ScaleError::Start { members: size.members, source }),
-            Err(Cut::Interrupted) => return Err(ScaleError::Interrupted),
+            // The remaining sizes are still run.
+            Err(Incomplete::TimedOut) => warn!(
+                members = size.members,
+                time_limit_s = plan.time_limit_s,
+                "size aborted: time limit exceeded"
+            ),
+            Err(Incomplete::Failed(source)) => {
+                return Err(ScaleError::Start { members: size.members, source });
+            }
+            Err(Incomplete::Interrupted) => return Err(ScaleError::Interrupted),
         }
     }
     Ok(())
 }
 
-/// All members of one run.
-struct Fleet<'a> {
-    runs: &'a Runs,
+/// The cluster of one run: its members, hollow and real, and the rows measured so far.
+struct TestCluster<'a> {
+    plan: &'a ScalePlan,
     size: Size,
     specs: Vec<NodeSpec>,
     network: Arc<Network>,
     hollows: HollowNodes,
     real: Vec<Rc<Node>>,
-    /// Which numbers are real.
+    /// Numbers of the real members.
     real_numbers: BTreeSet<usize>,
+    /// Numbers of the hollow members that are running.
     hollow_alive: BTreeSet<usize>,
     discovery: Vec<JoinHandle<()>>,
     rows: Vec<Row>,
-    before: u64,
-    /// Bytes out a node and second while nothing happens.
-    quiet: f64,
-    _folder: RunDir,
+    /// Memory of this process before the hollow nodes were created, in bytes.
+    initial_memory: u64,
+    /// Bytes sent per hollow node and second in the phase without changes.
+    quiet_bytes_per_s: f64,
+    _run_dir: RunDir,
     _addresses: LoopbackAddresses,
 }
 
-/// What was counted at one moment.
-struct Meter {
+/// Readings of all members at one time.
+struct Snapshot {
     at: Micros,
-    looks: Vec<ThreadSample>,
+    /// One per thread of hollow nodes.
+    samples: Vec<ThreadSample>,
+    /// One per real node; `None` if it did not answer.
     real: Vec<Option<(Usage, BTreeMap<String, u64>)>>,
 }
 
-impl Meter {
+impl Snapshot {
     fn nodes(&self) -> BTreeMap<usize, NodeSample> {
-        self.looks.iter().flat_map(|looks| &looks.nodes).map(|look| (look.number, *look)).collect()
+        self.samples
+            .iter()
+            .flat_map(|samples| &samples.nodes)
+            .map(|sample| (sample.number, *sample))
+            .collect()
     }
 
     fn cpu(&self) -> Duration {
-        self.looks.iter().map(|looks| looks.cpu).sum()
+        self.samples.iter().map(|samples| samples.cpu).sum()
     }
 }
 
-/// Bytes that all hollow nodes sent in a second, in the mean of them.
-fn sent(from: &Meter, to: &Meter) -> f64 {
+/// Returns the bytes sent per second between two snapshots, as the mean of the hollow nodes.
+fn mean_bytes_sent_per_s(from: &Snapshot, to: &Snapshot) -> f64 {
     let before = from.nodes();
     let spans: Vec<f64> = (to.nodes().iter())
         .filter_map(|(number, now)| {
@@ -175,83 +189,85 @@
     spans.iter().sum::<f64>() / spans.len().max(1) as f64 / (to.at - from.at).as_secs_f64()
 }
 
-impl<'a> Fleet<'a> {
+impl<'a> TestCluster<'a> {
     async fn build(
-        runs: &'a Runs,
+        plan: &'a ScalePlan,
         size: Size,
         program: &Path,
-        parts: &ExtraCoreFactory,
+        extra_cores: &ExtraCoreFactory,
     ) -> Result<Self, ScaleError> {
-        let at = LoopbackAddresses::reserve().await?;
-        let folder = RunDir::new(size.members as u32 + 10_000)?;
-        let zone = |number| format!("z{}", runs.zone_of(number));
+        let addresses = LoopbackAddresses::reserve().await?;
+        let run_dir = RunDir::new(size.members as u32 + 10_000)?;
+        let zone = |number| format!("z{}", plan.zone_of(number));
         let specs: Vec<NodeSpec> = (0..size.members)
             .map(|number| {
-                let kind = if number < runs.control { "c" } else { "n" };
-                let address = at.extended(number, MEMBERS);
+                let kind = if number < plan.control_nodes { "c" } else { "n" };
+                let address = addresses.extended(number, MEMBERSHIP_PORT);
                 NodeSpec { number, name: format!("{kind}{number}"), zone: zone(number), address }
             })
             .collect();
-        let regions = specs.iter().map(|spec| (spec.address, runs.region_of(spec.number))).collect();
+        let regions = specs.iter().map(|spec| (spec.address, plan.region_of(spec.number))).collect();
         let network = Network::new(regions);
-        let mut settings = MembershipConfig::with_period(Micros::from_millis(runs.period_ms));
-        settings.suspicion_multiplier = runs.suspicion;
-        let codec = DatagramCodec::new("scale", &[KEY.to_vec()]).map_err(|_| ScaleError::Key)?;
+        let mut settings = MembershipConfig::with_period(Micros::from_millis(plan.period_ms));
+        settings.suspicion_multiplier = plan.suspicion;
+        let codec = DatagramCodec::new("scale", &[CLUSTER_KEY.to_vec()]).map_err(|_| ScaleError::Key)?;
         let seeds: Vec<SocketAddr> = specs.iter().take(3).map(|spec| spec.address).collect();
-        let numbers: Vec<usize> =
-            (0..size.members).filter(|&number| runs.may_be_real(number)).take(size.real).collect();
-        let known = specs.iter().filter(|spec| runs.know_all && !numbers.contains(&spec.number));
-        let setup = HollowConfig {
-            known_nodes: Arc::new(known.cloned().collect()),
+        let real_numbers: Vec<usize> =
+            (0..size.members).filter(|&number| plan.may_be_real(number)).take(size.real).collect();
+        let known_nodes =
+            specs.iter().filter(|spec| plan.start_joined && !real_numbers.contains(&spec.number));
+        let config = HollowConfig {
+            known_nodes: Arc::new(known_nodes.cloned().collect()),
             membership: settings,
             codec,
             seeds: seeds.clone(),
             network: network.clone(),
-            seed: runs.seed,
-            extra_cores: parts.clone(),
+            seed: plan.seed,
+            extra_cores: extra_cores.clone(),
         };
-        let before = own_resident();
-        let hollows = HollowNodes::new(runs.threads, &setup)?;
+        let initial_memory = resident_memory();
+        let hollows = HollowNodes::new(plan.threads, &config)?;
         let history = Rc::new(History::unread());
-        let list = at.extended(0, 8_500);
+        let discovery_address = addresses.extended(0, 8_500);
         let entry = HostEntry { health: "up", zone: zone(0), started_ms: 0 };
-        let host = at.extended(0, 9_009);
-        let list_of = Discovery::new(vec![entry], 1, Duration::ZERO, history.clone(), move |_, _| host);
+        let host = addresses.extended(0, 9_009);
+        let stub_discovery =
+            Discovery::new(vec![entry], 1, Duration::ZERO, history.clone(), move |_, _| host);
         let mut discovery = Vec::new();
-        if !numbers.is_empty() {
+        if !real_numbers.is_empty() {
             discovery.push(spawn_local(async move {
-                if let Err(error) = list_of.answer(0, list).await {
-                    warn!("discovery: {error}");
+                if let Err(error) = stub_discovery.answer(0, discovery_address).await {
+                    warn!(%error, "stub discovery failed");
                 }
             }));
         }
-        let zones: Vec<String> = (0..runs.zones).map(zone).collect();
+        let zones: Vec<String> = (0..plan.zones).map(zone).collect();
         let mut real = Vec::new();
-        for &number in &numbers {
+        for &number in &real_numbers {
             let spec = &specs[number];
-            let dir = folder.path().join(&spec.name);
+            let dir = run_dir.path().join(&spec.name);
             std::fs::create_dir_all(&dir)?;
             let file = dir.join("cluster.toml");
             let quoted: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
-            let key: String = KEY.iter().map(|byte| format!("{byte:02x}")).collect();
+            let key: String = CLUSTER_KEY.iter().map(|byte| format!("{byte:02x}")).collect();
             let cluster = format!(
                 "name = \"scale\"\nlisten = \"{}\"\nseeds = [{}]\nkeys = [\"{key}\"]\nperiod_ms = {}\nsuspicion = {:?}\n",
                 spec.address,
                 quoted.join(", "),
-                runs.period_ms,
-                runs.suspicion
+                plan.period_ms,
+                plan.suspicion
             );
             std::fs::write(&file, cluster)?;
-            let mut node_settings = settings_of(&zones)?;
-            node_settings["my_zone"] = json!(runs.zone_of(number));
-            let listen = at.extended(number, 9_000);
+            let mut node_settings = lab_settings(&zones)?;
+            node_settings["my_zone"] = json!(plan.zone_of(number));
+            let listen = addresses.extended(number, 9_000);
             real.push(Rc::new(Node {
                 number,
                 program: program.to_owned(),
                 dir,
-                config: nodes::node_config(&spec.name, listen, list, node_settings).into(),
+                config: nodes::node_config(&spec.name, listen, discovery_address, node_settings).into(),
                 listen,
-                admin: [at.extended(number, 9_001), at.extended(number, 9_002)],
+                admin: [addresses.extended(number, 9_001), addresses.extended(number, 9_002)],
                 args: vec!["--cluster".to_owned(), file.display().to_string()],
                 history: history.clone(),
                 process: Default::default(),
@@ -259,25 +275,25 @@
                 up: tokio::sync::watch::Sender::new(None),
             }));
         }
-        Ok(Fleet {
-            runs,
+        Ok(TestCluster {
+            plan,
             size,
             specs,
             network,
             hollows,
             real,
-            real_numbers: numbers.into_iter().collect(),
+            real_numbers: real_numbers.into_iter().collect(),
             hollow_alive: BTreeSet::new(),
             discovery,
             rows: Vec::new(),
-            before,
-            quiet: 0.0,
-            _folder: folder,
-            _addresses: at,
+            initial_memory,
+            quiet_bytes_per_s: 0.0,
+            _run_dir: run_dir,
+            _addresses: addresses,
         })
     }
 
-    async fn end(&mut self) {
+    async fn shut_down(&mut self) {
         for node in &self.real {
             let process = node.process.take();
             if let Some(process) = process {
@@ -287,78 +303,83 @@
         self.discovery.iter().for_each(JoinHandle::abort);
     }
 
-    fn add(&mut self, row: Option<Row>) {
+    fn push_row(&mut self, row: Option<Row>) {
         self.rows.extend(row);
     }
 
-    fn one(&mut self, phase: &str, figure: &str, value: f64) {
-        self.rows.push(Row::one(self.size.members as f64, phase, figure, value));
+    fn record(&mut self, phase: &str, figure: &str, value: f64) {
+        self.rows.push(Row::single(self.size.members as f64, phase, figure, value));
     }
 
-    fn values(&mut self, phase: &str, figure: &str, values: &[f64]) {
-        let row = Row::of(self.size.members as f64, phase, figure, values);
-        self.add(row);
+    fn record_values(&mut self, phase: &str, figure: &str, values: &[f64]) {
+        let row = Row::from_values(self.size.members as f64, phase, figure, values);
+        self.push_row(row);
     }
 
-    /// The longest that is waited for all to know something: well beyond the members' bound.
-    fn bound(&self) -> Duration {
+    /// Returns the timeout for a change to reach all nodes: well above the bound that membership guarantees.
+    fn learn_timeout(&self) -> Duration {
         let periods = 30.0 + 10.0 * (self.size.members as f64).log2();
-        // Short periods on a busy machine: late is not never.
-        Duration::from_secs_f64(periods * self.runs.period_s()).max(LEAST_BOUND)
+        // With short periods, delays of a busy machine must not count as changes that were never learned.
+        Duration::from_secs_f64(periods * self.plan.period_s()).max(MIN_LEARN_TIMEOUT)
     }
 
-    /// After this nobody tells of what all know: each rumor is told 3 log2(N) times, about twice a period.
-    fn settle(&self) -> Duration {
+    /// Returns the time after which gossip about a change that all nodes know has ended: each node sends each change
+    /// 3 log2(N) times, about twice per period.
+    fn settle_time(&self) -> Duration {
         let periods = 3.0 * (self.size.members as f64).log2();
-        Duration::from_secs_f64(periods * self.runs.period_s())
+        Duration::from_secs_f64(periods * self.plan.period_s())
     }
 
-    async fn meter(&self) -> Meter {
+    async fn snapshot(&self) -> Snapshot {
         let mut real = Vec::new();
         for node in &self.real {
-            real.push(self.read(node).await);
+            real.push(self.read_real_node(node).await);
         }
-        Meter { at: self.network.now(), looks: self.hollows.sample_and_reset_peaks().await, real }
+        Snapshot { at: self.network.now(), samples: self.hollows.sample_and_reset_peaks().await, real }
     }
 
-    async fn read(&self, node: &Node) -> Option<(Usage, BTreeMap<String, u64>)> {
+    async fn read_real_node(&self, node: &Node) -> Option<(Usage, BTreeMap<String, u64>)> {
         let process = node.process.borrow().clone()?;
-        // First: answering costs processor time.
+        // Usage is read first, as answering the call costs the node processor time.
         let used = usage(process.pid()).ok()?;
-        Some((used, counters(process.admin).await?))
+        Some((used, read_counters(process.admin).await?))
     }
 
-    /// What each node used from one moment to another.
-    fn costs(&mut self, phase: &str, from: &Meter, to: &Meter) {
+    /// Records the resources that the nodes used between two snapshots.
+    fn record_costs(&mut self, phase: &str, from: &Snapshot, to: &Snapshot) {
         let span = (to.at - from.at).as_secs_f64();
         let (before, after) = (from.nodes(), to.nodes());
-        let both: Vec<(NodeSample, NodeSample)> = after
+        let pairs_of_samples: Vec<(NodeSample, NodeSample)> = after
             .iter()
             .filter_map(|(number, now)| Some((*before.get(number)?, *now)))
             .filter(|(then, now)| now.stats.counters.sent >= then.stats.counters.sent)
             .collect();
-        let each = |of: &dyn Fn(&NodeSample) -> u64| -> Vec<f64> {
-            both.iter().map(|(then, now)| of(now).saturating_sub(of(then)) as f64 / span).collect()
+        let per_second = |of: &dyn Fn(&NodeSample) -> u64| -> Vec<f64> {
+            pairs_of_samples
+                .iter()
+                .map(|(then, now)| of(now).saturating_sub(of(then)) as f64 / span)
+                .collect()
         };
-        let out = each(&|look| look.stats.counters.sent_bytes + look.extra_core[1]);
-        let into = each(&|look| look.bytes_received + look.extra_core[3]);
-        let sent = each(&|look| look.stats.counters.sent + look.extra_core[0]);
-        let came = each(&|look| look.datagrams_received + look.extra_core[2]);
-        let held: Vec<f64> = both
+        let bytes_out = per_second(&|sample| sample.stats.counters.sent_bytes + sample.extra_core[1]);
+        let bytes_in = per_second(&|sample| sample.bytes_received + sample.extra_core[3]);
+        let sent = per_second(&|sample| sample.stats.counters.sent + sample.extra_core[0]);
+        let received = per_second(&|sample| sample.datagrams_received + sample.extra_core[2]);
+        let rate_limited: Vec<f64> = pairs_of_samples
             .iter()
             .map(|(then, now)| (now.stats.counters.rate_limited - then.stats.counters.rate_limited) as f64)
             .collect();
-        self.values(phase, "bytes out a node and second", &out);
-        self.values(phase, "bytes in a node and second", &into);
-        self.values(phase, "datagrams out a node and second", &sent);
-        self.values(phase, "datagrams in a node and second", &came);
-        self.values(phase, "datagrams held back a node", &held);
-        let peaks =
-            |of: fn(&NodeSample) -> u64| -> Vec<f64> { after.values().map(|look| of(look) as f64).collect() };
-        self.values(phase, "bytes out in the busiest second", &peaks(|look| look.peak.0));
-        self.values(phase, "bytes in in the busiest second", &peaks(|look| look.peak.1));
+        self.record_values(phase, "bytes out a node and second", &bytes_out);
+        self.record_values(phase, "bytes in a node and second", &bytes_in);
+        self.record_values(phase, "datagrams out a node and second", &sent);
+        self.record_values(phase, "datagrams in a node and second", &received);
+        self.record_values(phase, "datagrams held back a node", &rate_limited);
+        let peaks = |of: fn(&NodeSample) -> u64| -> Vec<f64> {
+            after.values().map(|sample| of(sample) as f64).collect()
+        };
+        self.record_values(phase, "bytes out in the busiest second", &peaks(|sample| sample.peak.0));
+        self.record_values(phase, "bytes in in the busiest second", &peaks(|sample| sample.peak.1));
         let cpu = (to.cpu() - from.cpu()).as_secs_f64() / span / after.len().max(1) as f64;
-        self.one(phase, "processor time a hollow node (us/s)", cpu * 1e6);
+        self.record(phase, "processor time a hollow node (us/s)", cpu * 1e6);
         let pairs: Vec<_> =
             from.real.iter().zip(&to.real).filter_map(|(a, b)| Some((a.as_ref()?, b.as_ref()?))).collect();
         let cpu: Vec<f64> = pairs
@@ -373,48 +394,48 @@
                 of(&now.1).saturating_sub(of(&then.1)) as f64 / span
             })
             .collect();
-        self.values(phase, "processor time a real node (us/s)", &cpu);
-        self.values(phase, "bytes out a real node and second", &bytes);
+        self.record_values(phase, "processor time a real node (us/s)", &cpu);
+        self.record_values(phase, "bytes out a real node and second", &bytes);
     }
 
-    async fn play(&mut self) -> io::Result<()> {
-        self.start().await?;
+    async fn run_phases(&mut self) -> io::Result<()> {
+        self.start_all().await?;
         let phase = "quiet";
-        // What the start itself was news of is told by then.
-        sleep(self.settle()).await;
-        let from = self.meter().await;
+        // The gossip about the start ends before the baseline is measured.
+        sleep(self.settle_time()).await;
+        let from = self.snapshot().await;
         self.hollows.take_observations().await;
-        sleep(Duration::from_secs_f64(self.runs.quiet_s)).await;
-        let to = self.meter().await;
-        self.costs(phase, &from, &to);
-        self.quiet = sent(&from, &to);
+        sleep(Duration::from_secs_f64(self.plan.quiet_s)).await;
+        let to = self.snapshot().await;
+        self.record_costs(phase, &from, &to);
+        self.quiet_bytes_per_s = mean_bytes_sent_per_s(&from, &to);
         let seen = self.hollows.take_observations().await;
         let dead = seen.iter().filter(|seen| seen.change == ObservedChange::Died).count();
-        self.one(phase, "held dead though well (pairs)", dead as f64);
-        self.memory(phase, &to);
-        self.operators(phase).await;
-        if self.runs.news > 0 {
-            self.news().await;
+        self.record(phase, "held dead though well (pairs)", dead as f64);
+        self.record_memory(phase, &to);
+        self.record_operator_view(phase).await;
+        if self.plan.config_changes > 0 {
+            self.run_config_changes().await;
         }
-        if self.runs.deaths > 0 {
-            self.deaths().await;
+        if self.plan.deaths > 0 {
+            self.run_deaths().await;
         }
-        if self.runs.zone {
-            self.told_out("start").await;
-            self.zone().await;
+        if self.plan.lose_zone {
+            self.wait_for_gossip_end("start").await;
+            self.run_zone_loss().await;
         }
-        if self.runs.parted_s > 0.0 {
-            self.told_out("zone back").await;
-            self.parted().await;
+        if self.plan.partition_s > 0.0 {
+            self.wait_for_gossip_end("zone back").await;
+            self.run_partition().await;
         }
         Ok(())
     }
 
-    /// All members start within a second, and know three of them.
-    async fn start(&mut self) -> io::Result<()> {
+    /// Starts all members within [`START_SPREAD`], with three of them as seeds, and waits until all see each other.
+    async fn start_all(&mut self) -> io::Result<()> {
         let phase = "start of all";
-        info!("{} members, {} of them real: start", self.size.members, self.size.real);
-        let from = self.meter().await;
+        info!(members = self.size.members, real = self.size.real, "scale run started");
+        let from = self.snapshot().await;
         let mut starts = JoinSet::new();
         for node in &self.real {
             let node = node.clone();
@@ -422,8 +443,8 @@
         }
         let hollow: Vec<NodeSpec> =
             self.specs.iter().filter(|spec| !self.real_numbers.contains(&spec.number)).cloned().collect();
-        let pause = STARTS / u32::try_from(hollow.len()).unwrap_or(1).max(1);
-        let began = self.network.now();
+        let pause = START_SPREAD / u32::try_from(hollow.len()).unwrap_or(1).max(1);
+        let start = self.network.now();
         for spec in hollow {
             self.hollow_alive.insert(spec.number);
             self.hollows.start(spec);
@@ -432,59 +453,61 @@
         while let Some(started) = starts.join_next().await {
             started.map_err(io::Error::other).flatten()?;
         }
-        let known = self.until_all_see(phase, began, self.size.members).await;
-        let to = self.meter().await;
-        // Nothing was counted before a node began: all that it sent counts.
-        let span = (to.at - began).as_secs_f64();
+        let known = self.wait_until_all_see(phase, start, self.size.members).await;
+        let to = self.snapshot().await;
+        // The counters of each node start at 0, so their values are the totals of this phase.
+        let span = (to.at - start).as_secs_f64();
         let sent: Vec<f64> =
-            to.nodes().values().map(|look| look.stats.counters.sent_bytes as f64 / span).collect();
-        self.values(phase, "bytes out a node and second", &sent);
-        let peaks: Vec<f64> = to.nodes().values().map(|look| look.peak.0 as f64).collect();
-        self.values(phase, "bytes out in the busiest second", &peaks);
+            to.nodes().values().map(|sample| sample.stats.counters.sent_bytes as f64 / span).collect();
+        self.record_values(phase, "bytes out a node and second", &sent);
+        let peaks: Vec<f64> = to.nodes().values().map(|sample| sample.peak.0 as f64).collect();
+        self.record_values(phase, "bytes out in the busiest second", &peaks);
         let cpu = (to.cpu() - from.cpu()).as_secs_f64() / self.hollow_alive.len().max(1) as f64;
-        self.one(phase, "processor time a hollow node (us)", cpu * 1e6);
+        self.record(phase, "processor time a hollow node (us)", cpu * 1e6);
         if !known {
-            warn!("{} members: not all found each other in time", self.size.members);
+            warn!(members = self.size.members, "cluster start incomplete: not all members see each other");
         }
         Ok(())
     }
 
-    /// Waits until every node counts so many members; writes down when hollow and real ones did.
-    async fn until_all_see(&mut self, phase: &str, began: Micros, members: usize) -> bool {
-        let last = began + Micros(u64::try_from(self.bound().as_micros()).unwrap_or(u64::MAX));
+    /// Waits until every node counts `members` members, and records when the hollow and the real nodes did.
+    ///
+    /// Returns whether all of them did before the timeout.
+    async fn wait_until_all_see(&mut self, phase: &str, start: Micros, members: usize) -> bool {
+        let deadline = start + Micros(u64::try_from(self.learn_timeout().as_micros()).unwrap_or(u64::MAX));
         let (mut hollow, mut real) = (None, vec![None; self.real.len()]);
         loop {
             let now = self.network.now();
-            let looks = self.hollows.sample().await;
+            let samples = self.hollows.sample().await;
             let counts: Vec<usize> =
-                looks.iter().flat_map(|l| &l.nodes).map(|l| l.stats.alive + l.stats.suspect).collect();
+                samples.iter().flat_map(|l| &l.nodes).map(|l| l.stats.alive + l.stats.suspect).collect();
             if counts.len() == self.hollow_alive.len() && counts.iter().all(|&count| count == members) {
                 hollow.get_or_insert(now);
             }
-            self.ask_real(&mut real, members).await;
+            self.poll_real_nodes(&mut real, members).await;
             let all_real = real.iter().all(Option::is_some);
-            let over = now > last;
-            if over || hollow.is_some() && all_real {
-                let after = |at: Micros| (at - began).as_secs_f64();
+            let timed_out = now > deadline;
+            if timed_out || hollow.is_some() && all_real {
+                let after = |at: Micros| (at - start).as_secs_f64();
                 match hollow {
-                    Some(at) => self.one(phase, "all hollow nodes see all after (s)", after(at)),
+                    Some(at) => self.record(phase, "all hollow nodes see all after (s)", after(at)),
                     None => {
-                        let not = counts.iter().filter(|&&count| count != members).count();
-                        self.one(phase, "hollow nodes that did not see all in time", not as f64);
+                        let unaware = counts.iter().filter(|&&count| count != members).count();
+                        self.record(phase, "hollow nodes that did not see all in time", unaware as f64);
                     }
                 }
-                self.real_after(phase, "a real node sees all after (s)", began, &real);
+                self.record_real_delays(phase, "a real node sees all after (s)", start, &real);
                 return hollow.is_some() && all_real;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Notes the time of each real node that counts so many members for the first time.
-    async fn ask_real(&self, known: &mut [Option<Micros>], members: usize) {
+    /// Polls the real nodes and stores in `known` the time at which each first counted `members` members.
+    async fn poll_real_nodes(&self, known: &mut [Option<Micros>], members: usize) {
         for (node, known) in self.real.iter().zip(known).filter(|(_, known)| known.is_none()) {
             let Some(admin) = node.process.borrow().as_ref().map(|process| process.admin) else { continue };
-            let Some(figures) = counters(admin).await else { continue };
+            let Some(figures) = read_counters(admin).await else { continue };
             let of = |name: &str| figures.get(name).copied().unwrap_or_default();
             if of("members_alive") + of("members_suspect") == members as u64 {
                 *known = Some(self.network.now());
@@ -492,139 +515,149 @@
         }
     }
 
-    fn real_after(&mut self, phase: &str, figure: &str, began: Micros, known: &[Option<Micros>]) {
-        let after: Vec<f64> = known.iter().flatten().map(|at| (*at - began).as_secs_f64()).collect();
-        self.values(phase, figure, &after);
+    fn record_real_delays(&mut self, phase: &str, figure: &str, start: Micros, known: &[Option<Micros>]) {
+        let after: Vec<f64> = known.iter().flatten().map(|at| (*at - start).as_secs_f64()).collect();
+        self.record_values(phase, figure, &after);
         if !known.is_empty() {
-            self.one(phase, "real nodes that did not know in time", (known.len() - after.len()) as f64);
+            self.record(phase, "real nodes that did not know in time", (known.len() - after.len()) as f64);
         }
     }
 
-    fn memory(&mut self, phase: &str, meter: &Meter) {
-        let own = own_resident().saturating_sub(self.before) as f64;
-        self.one(phase, "memory a hollow node (KB)", own / self.hollow_alive.len().max(1) as f64 / 1e3);
+    fn record_memory(&mut self, phase: &str, snapshot: &Snapshot) {
+        let own = resident_memory().saturating_sub(self.initial_memory) as f64;
+        self.record(phase, "memory a hollow node (KB)", own / self.hollow_alive.len().max(1) as f64 / 1e3);
         let real: Vec<f64> =
-            meter.real.iter().flatten().map(|(used, _)| used.resident as f64 / 1e3).collect();
-        self.values(phase, "memory a real node (KB)", &real);
+            snapshot.real.iter().flatten().map(|(used, _)| used.resident as f64 / 1e3).collect();
+        self.record_values(phase, "memory a real node (KB)", &real);
     }
 
-    /// Waits until nodes send little more than in the quiet time: what happened before is told no more. Not for ever.
-    async fn told_out(&mut self, phase: &str) {
-        let began = self.network.now();
-        let last = Duration::from_secs_f64(MOST_TOLD * self.runs.period_s());
+    /// Waits until the nodes send little more than in the quiet phase: gossip about earlier changes has ended. Stops after
+    /// [`MAX_GOSSIP_PERIODS`].
+    async fn wait_for_gossip_end(&mut self, phase: &str) {
+        let start = self.network.now();
+        let deadline = Duration::from_secs_f64(MAX_GOSSIP_PERIODS * self.plan.period_s());
         loop {
-            let from = self.meter().await;
-            sleep(Duration::from_secs_f64(5.0 * self.runs.period_s())).await;
-            let now = sent(&from, &self.meter().await);
-            let after = (self.network.now() - began).as_secs_f64();
-            if now < 1.3 * self.quiet {
-                return self.one(phase, "told out after (s)", after);
+            let from = self.snapshot().await;
+            sleep(Duration::from_secs_f64(5.0 * self.plan.period_s())).await;
+            let now = mean_bytes_sent_per_s(&from, &self.snapshot().await);
+            let after = (self.network.now() - start).as_secs_f64();
+            if now < 1.3 * self.quiet_bytes_per_s {
+                return self.record(phase, "told out after (s)", after);
             }
-            if after > last.as_secs_f64() {
-                return self.one(phase, "not told out after (s)", after);
+            if after > deadline.as_secs_f64() {
+                return self.record(phase, "not told out after (s)", after);
             }
         }
     }
 
-    /// What an operator's call for all members brings.
-    async fn operators(&mut self, phase: &str) {
+    /// Records the size and the delay of an operator's call for all members.
+    async fn record_operator_view(&mut self, phase: &str) {
         let (mut bytes, mut spans) = (Vec::new(), Vec::new());
         for node in &self.real {
             let Some(admin) = node.process.borrow().as_ref().map(|process| process.admin) else { continue };
             let from = self.network.now();
-            if let Ok(Ok((200, view))) = timeout(CALL, nodes::admin_get(admin, "/members")).await {
+            if let Ok(Ok((200, view))) =
+                timeout(ADMIN_CALL_TIMEOUT, nodes::admin_get(admin, "/members")).await
+            {
                 bytes.push(view.len() as f64 / 1e3);
                 spans.push((self.network.now() - from).as_secs_f64() * 1e3);
             }
         }
-        self.values(phase, "view for operators (KB)", &bytes);
-        self.values(phase, "view for operators after (ms)", &spans);
+        self.record_values(phase, "view for operators (KB)", &bytes);
+        self.record_values(phase, "view for operators after (ms)", &spans);
     }
 
-    /// Waits until each of these learned each of those, and returns when: the last time for each of those.
-    async fn until_learned(
+    /// Waits until each observer has learned each change, by subject, and returns the observations.
+    ///
+    /// With `real` it also waits until each real node counts this number of members, and returns when they did.
+    async fn wait_until_learned(
         &mut self,
         phase: &str,
-        by: &BTreeSet<usize>,
-        of: &BTreeMap<usize, (ObservedChange, Micros)>,
+        observers: &BTreeSet<usize>,
+        changes: &BTreeMap<usize, (ObservedChange, Micros)>,
         real: Option<usize>,
     ) -> (Vec<Observation>, Vec<Option<Micros>>) {
-        let began = of.values().map(|(_, at)| *at).fold(Micros(0), Micros::max);
-        let last = began + Micros(u64::try_from(self.bound().as_micros()).unwrap_or(u64::MAX));
-        let mut wanted: BTreeSet<(usize, usize)> = of
+        let start = changes.values().map(|(_, at)| *at).fold(Micros(0), Micros::max);
+        let deadline = start + Micros(u64::try_from(self.learn_timeout().as_micros()).unwrap_or(u64::MAX));
+        let mut pending: BTreeSet<(usize, usize)> = changes
             .keys()
-            .flat_map(|of| by.iter().map(move |by| (*by, *of)))
-            .filter(|(by, of)| by != of)
+            .flat_map(|subject| observers.iter().map(move |observer| (*observer, *subject)))
+            .filter(|(observer, subject)| observer != subject)
             .collect();
-        let mut learned = Vec::new();
+        let mut observations = Vec::new();
         let mut real_known = vec![None; if real.is_some() { self.real.len() } else { 0 }];
         loop {
             for seen in self.hollows.take_observations().await {
-                let about =
-                    of.get(&seen.subject).is_some_and(|(what, at)| *what == seen.change && *at <= seen.at);
-                if about && wanted.remove(&(seen.observer, seen.subject))
+                let matches_change = changes
+                    .get(&seen.subject)
+                    .is_some_and(|(change, at)| *change == seen.change && *at <= seen.at);
+                if matches_change && pending.remove(&(seen.observer, seen.subject))
                     || seen.change == ObservedChange::Suspected
                 {
-                    learned.push(seen);
+                    observations.push(seen);
                 }
             }
             if let Some(members) = real {
-                self.ask_real(&mut real_known, members).await;
+                self.poll_real_nodes(&mut real_known, members).await;
             }
             let now = self.network.now();
-            if wanted.is_empty() && real_known.iter().all(Option::is_some) || now > last {
-                self.one(phase, "pairs not known in time", wanted.len() as f64);
-                return (learned, real_known);
+            if pending.is_empty() && real_known.iter().all(Option::is_some) || now > deadline {
+                self.record(phase, "pairs not known in time", pending.len() as f64);
+                return (observations, real_known);
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// How long each piece took to half of the nodes, and to all.
-    fn spread(
+    /// Records how long each change took to reach half of the nodes and all of them, and each death to be suspected first.
+    fn record_propagation(
         &mut self,
         phase: &str,
-        of: &BTreeMap<usize, (ObservedChange, Micros)>,
-        learned: &[Observation],
+        changes: &BTreeMap<usize, (ObservedChange, Micros)>,
+        observations: &[Observation],
     ) {
-        let (mut half, mut all, mut first) = (Vec::new(), Vec::new(), Vec::new());
-        for (node, (what, began)) in of {
-            let about = |seen: &&Observation| seen.subject == *node && *began <= seen.at;
-            let mut times: Vec<f64> = (learned.iter().filter(about))
-                .filter(|seen| seen.change == *what)
-                .map(|seen| (seen.at - *began).as_secs_f64())
+        let (mut half_know, mut all_know, mut first_suspected) = (Vec::new(), Vec::new(), Vec::new());
+        for (node, (change, changed_at)) in changes {
+            let about_subject = |seen: &&Observation| seen.subject == *node && *changed_at <= seen.at;
+            let mut times: Vec<f64> = (observations.iter().filter(about_subject))
+                .filter(|seen| seen.change == *change)
+                .map(|seen| (seen.at - *changed_at).as_secs_f64())
                 .collect();
             times.sort_by(f64::total_cmp);
-            half.extend(times.get(times.len() / 2));
-            all.extend(times.last());
-            let suspected =
-                learned.iter().filter(about).filter(|seen| seen.change == ObservedChange::Suspected);
-            if *what == ObservedChange::Died {
-                first.extend(suspected.map(|seen| (seen.at - *began).as_secs_f64()).reduce(f64::min));
+            half_know.extend(times.get(times.len() / 2));
+            all_know.extend(times.last());
+            let suspected = observations
+                .iter()
+                .filter(about_subject)
+                .filter(|seen| seen.change == ObservedChange::Suspected);
+            if *change == ObservedChange::Died {
+                first_suspected
+                    .extend(suspected.map(|seen| (seen.at - *changed_at).as_secs_f64()).reduce(f64::min));
             }
         }
-        self.values(phase, "first suspected after (s)", &first);
-        self.values(phase, "half know after (s)", &half);
-        self.values(phase, "all know after (s)", &all);
-        let periods: Vec<f64> = all.iter().map(|s| s / self.runs.period_s()).collect();
-        self.values(phase, "all know after (periods)", &periods);
+        self.record_values(phase, "first suspected after (s)", &first_suspected);
+        self.record_values(phase, "half know after (s)", &half_know);
+        self.record_values(phase, "all know after (s)", &all_know);
+        let periods: Vec<f64> = all_know.iter().map(|s| s / self.plan.period_s()).collect();
+        self.record_values(phase, "all know after (periods)", &periods);
     }
 
-    /// Hollow nodes that are neither control machines nor of the zone that is lost.
-    fn ordinary(&self, count: usize) -> Vec<usize> {
-        let able = self.hollow_alive.iter().rev().copied().filter(|number| self.runs.is_ordinary(*number));
-        able.take(count).collect()
+    /// Returns up to `count` running hollow nodes that are neither control nodes nor in the zone that is lost.
+    fn ordinary_hollow_nodes(&self, count: usize) -> Vec<usize> {
+        let candidates =
+            self.hollow_alive.iter().rev().copied().filter(|number| self.plan.is_ordinary(*number));
+        candidates.take(count).collect()
     }
 }
 
-/// Memory of this process's own, bytes; 0 where the system does not tell.
-fn own_resident() -> u64 {
+/// Returns the resident anonymous memory of this process, in bytes; 0 if it can't be read.
+fn resident_memory() -> u64 {
     let pid = i32::try_from(std::process::id()).unwrap_or_default();
     usage(pid).map_or(0, |used| used.resident)
 }
 
-/// The settings that real nodes have: those of the lab's schedules.
-pub(crate) fn settings_of(zones: &[String]) -> Result<serde_json::Value, ScheduleError> {
+/// Returns the settings of real nodes, which are the same as in the lab's schedules.
+pub(crate) fn lab_settings(zones: &[String]) -> Result<serde_json::Value, ScheduleError> {
     let zones: Vec<String> = zones.iter().map(|zone| format!("{zone:?}")).collect();
     let text = format!(
         "title = \"measure\"\nlength_s = 1.0\n[nodes]\ncount = 1\nzones = [{}]\n[hosts]\ncount = 1\n\
@@ -634,7 +667,7 @@
     Ok(settings(&Plan::parse("measure", &text, None)?))
 }
 
-/// No node has a further core.
-pub fn no_parts() -> ExtraCoreFactory {
+/// Returns a factory that gives no node an extra core.
+pub fn no_extra_cores() -> ExtraCoreFactory {
     Arc::new(|_| None)
 }
--- a/crates/alderstile-lab/src/scale/phases.rs
+++ b/crates/alderstile-lab/src/scale/phases.rs
@@ -1,4 +1,5 @@
-//! The disturbances of a scale run, one after the other: news, deaths, a lost zone, and regions that are parted.
+//! The disturbances of a scale run, one after the other: configuration changes, deaths, the loss of a zone, and a partition
+//! between the regions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,124 +8,142 @@
 use tokio::time::sleep;
 use tracing::info;
 
-use super::{APART, Fleet, Meter};
+use super::{DISTURBANCE_INTERVAL, Snapshot, TestCluster};
 use crate::hollow::ObservedChange;
 
-impl Fleet<'_> {
-    /// News of the members' own: another digest of the settings, as after a file was taken in.
-    pub(super) async fn news(&mut self) {
+impl TestCluster<'_> {
+    /// Changes the configuration digest of some members, as happens when a node loads a changed file, and measures how
+    /// long the changes take to reach all nodes.
+    pub(super) async fn run_config_changes(&mut self) {
         let phase = "news";
-        info!("{} members: {} pieces of news", self.size.members, self.runs.news);
+        info!(
+            members = self.size.members,
+            changes = self.plan.config_changes,
+            "configuration changes started"
+        );
         self.hollows.take_observations().await;
-        let (mut told, mut of) = (Vec::new(), BTreeMap::new());
-        let from = self.meter().await;
-        for node in self.ordinary(self.runs.news) {
+        let (mut changed, mut changes) = (Vec::new(), BTreeMap::new());
+        let from = self.snapshot().await;
+        for node in self.ordinary_hollow_nodes(self.plan.config_changes) {
             let digest = 1_000 + node as u64;
-            told.push(node);
-            of.insert(node, (ObservedChange::ConfigDigest(digest), self.network.now()));
+            changed.push(node);
+            changes.insert(node, (ObservedChange::ConfigDigest(digest), self.network.now()));
             self.hollows.set_config_digest(node, digest).await;
-            sleep(APART).await;
+            sleep(DISTURBANCE_INTERVAL).await;
         }
-        let by = self.hollow_alive.clone();
-        let (learned, _) = self.until_learned(phase, &by, &of, None).await;
-        let to = self.meter().await;
-        self.spread(phase, &of, &learned);
-        self.costs(phase, &from, &to);
+        let observers = self.hollow_alive.clone();
+        let (observations, _) = self.wait_until_learned(phase, &observers, &changes, None).await;
+        let to = self.snapshot().await;
+        self.record_propagation(phase, &changes, &observations);
+        self.record_costs(phase, &from, &to);
     }
 
-    pub(super) async fn deaths(&mut self) {
-        info!("{} members: {} deaths", self.size.members, self.runs.deaths);
+    /// Kills some members, one after the other, and starts them again.
+    pub(super) async fn run_deaths(&mut self) {
+        info!(members = self.size.members, deaths = self.plan.deaths, "member deaths started");
         self.hollows.take_observations().await;
-        let mut of = BTreeMap::new();
-        let from = self.meter().await;
-        for node in self.ordinary(self.runs.deaths) {
-            of.insert(node, (ObservedChange::Died, self.network.now()));
+        let mut changes = BTreeMap::new();
+        let from = self.snapshot().await;
+        for node in self.ordinary_hollow_nodes(self.plan.deaths) {
+            changes.insert(node, (ObservedChange::Died, self.network.now()));
             self.hollows.kill(node);
             self.hollow_alive.remove(&node);
-            sleep(APART).await;
+            sleep(DISTURBANCE_INTERVAL).await;
         }
-        self.lost_and_back("death", "start", of, from).await;
+        self.record_loss_and_return("death", "start", changes, from).await;
     }
 
-    pub(super) async fn zone(&mut self) {
-        let last = self.runs.zones - 1;
+    /// Kills all hollow members of the last zone at the same time, and starts them again.
+    pub(super) async fn run_zone_loss(&mut self) {
+        let last = self.plan.zones - 1;
         let lost: Vec<usize> =
-            self.hollow_alive.iter().filter(|n| self.runs.zone_of(**n) == last).copied().collect();
-        info!("{} members: a zone of {} is lost", self.size.members, lost.len());
+            self.hollow_alive.iter().filter(|n| self.plan.zone_of(**n) == last).copied().collect();
+        info!(members = self.size.members, lost = lost.len(), "zone loss started");
         self.hollows.take_observations().await;
-        let from = self.meter().await;
+        let from = self.snapshot().await;
         let at = self.network.now();
-        let mut of = BTreeMap::new();
+        let mut changes = BTreeMap::new();
         for node in lost {
-            of.insert(node, (ObservedChange::Died, at));
+            changes.insert(node, (ObservedChange::Died, at));
             self.hollows.kill(node);
             self.hollow_alive.remove(&node);
         }
-        self.lost_and_back("zone lost", "zone back", of, from).await;
+        self.record_loss_and_return("zone lost", "zone back", changes, from).await;
     }
 
-    /// Until all know that these are gone, and then that they are back.
-    async fn lost_and_back(
+    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes see them.
+    ///
+    /// `lost` and `back` are the names of the two phases; `from` is the snapshot before the first death.
+    async fn record_loss_and_return(
         &mut self,
         lost: &str,
         back: &str,
-        of: BTreeMap<usize, (ObservedChange, Micros)>,
-        from: Meter,
+        changes: BTreeMap<usize, (ObservedChange, Micros)>,
+        from: Snapshot,
     ) {
-        let (by, rest) = (self.hollow_alive.clone(), self.size.members - of.len());
-        let began = of.values().map(|(_, at)| *at).fold(Micros(0), Micros::max);
-        let (learned, real) = self.until_learned(lost, &by, &of, Some(rest)).await;
-        let to = self.meter().await;
-        self.spread(lost, &of, &learned);
-        self.real_after(lost, "a real node counts right after (s)", began, &real);
-        self.costs(lost, &from, &to);
+        let (observers, remaining) = (self.hollow_alive.clone(), self.size.members - changes.len());
+        let start = changes.values().map(|(_, at)| *at).fold(Micros(0), Micros::max);
+        let (observations, real) = self.wait_until_learned(lost, &observers, &changes, Some(remaining)).await;
+        let to = self.snapshot().await;
+        self.record_propagation(lost, &changes, &observations);
+        self.record_real_delays(lost, "a real node counts right after (s)", start, &real);
+        self.record_costs(lost, &from, &to);
         let at = self.network.now();
         let joined: BTreeMap<usize, (ObservedChange, Micros)> =
-            of.keys().map(|node| (*node, (ObservedChange::Joined, at))).collect();
-        for node in of.keys() {
+            changes.keys().map(|node| (*node, (ObservedChange::Joined, at))).collect();
+        for node in changes.keys() {
             self.hollows.start(self.specs[*node].clone());
         }
-        let (learned, real) = self.until_learned(back, &by, &joined, Some(self.size.members)).await;
-        self.hollow_alive.extend(of.keys());
-        self.spread(back, &joined, &learned);
-        self.real_after(back, "a real node counts right after (s)", at, &real);
-        let after = self.meter().await;
-        self.costs(back, &to, &after);
-        self.until_all_see(back, at, self.size.members).await;
+        let (observations, real) =
+            self.wait_until_learned(back, &observers, &joined, Some(self.size.members)).await;
+        self.hollow_alive.extend(changes.keys());
+        self.record_propagation(back, &joined, &observations);
+        self.record_real_delays(back, "a real node counts right after (s)", at, &real);
+        let after = self.snapshot().await;
+        self.record_costs(back, &to, &after);
+        self.wait_until_all_see(back, at, self.size.members).await;
     }
 
-    pub(super) async fn parted(&mut self) {
+    /// Partitions the two regions, then heals the partition and waits until all nodes see each other.
+    pub(super) async fn run_partition(&mut self) {
         let phase = "regions parted";
-        info!("{} members: regions parted for {} s", self.size.members, self.runs.parted_s);
+        info!(members = self.size.members, partition_s = self.plan.partition_s, "region partition started");
         self.hollows.take_observations().await;
-        let from = self.meter().await;
+        let from = self.snapshot().await;
         let at = self.network.now();
         self.network.set_partitioned(true);
-        sleep(Duration::from_secs_f64(self.runs.parted_s)).await;
+        sleep(Duration::from_secs_f64(self.plan.partition_s)).await;
         let seen = self.hollows.take_observations().await;
-        let mut last: BTreeMap<(usize, usize), f64> = BTreeMap::new();
+        let mut death_delays: BTreeMap<(usize, usize), f64> = BTreeMap::new();
         for seen in seen.iter().filter(|seen| seen.change == ObservedChange::Died) {
-            if self.runs.region_of(seen.observer) != self.runs.region_of(seen.subject) {
-                last.insert((seen.observer, seen.subject), (seen.at - at).as_secs_f64());
+            if self.plan.region_of(seen.observer) != self.plan.region_of(seen.subject) {
+                death_delays.insert((seen.observer, seen.subject), (seen.at - at).as_secs_f64());
             }
         }
-        let own = |region| self.hollow_alive.iter().filter(|n| self.runs.region_of(**n) == region).count();
-        let all = |region| (0..self.size.members).filter(|n| self.runs.region_of(*n) == region).count();
-        let pairs = own(0) * all(1) + own(1) * all(0);
-        let spans: Vec<f64> = last.values().copied().collect();
-        let wrong = seen.iter().filter(|seen| seen.change == ObservedChange::Died);
-        let wrong =
-            wrong.filter(|s| self.runs.region_of(s.observer) == self.runs.region_of(s.subject)).count();
-        self.values(phase, "one of the other side is held dead after (s)", &spans);
-        self.one(phase, "pairs that still held each other alive", pairs.saturating_sub(spans.len()) as f64);
-        self.one(phase, "held dead though well on the same side (pairs)", wrong as f64);
-        let to = self.meter().await;
-        self.costs(phase, &from, &to);
+        let alive_in_region =
+            |region| self.hollow_alive.iter().filter(|n| self.plan.region_of(**n) == region).count();
+        let members_in_region =
+            |region| (0..self.size.members).filter(|n| self.plan.region_of(*n) == region).count();
+        let pairs = alive_in_region(0) * members_in_region(1) + alive_in_region(1) * members_in_region(0);
+        let spans: Vec<f64> = death_delays.values().copied().collect();
+        let false_deaths = seen.iter().filter(|seen| seen.change == ObservedChange::Died);
+        let false_deaths = false_deaths
+            .filter(|s| self.plan.region_of(s.observer) == self.plan.region_of(s.subject))
+            .count();
+        self.record_values(phase, "one of the other side is held dead after (s)", &spans);
+        self.record(
+            phase,
+            "pairs that still held each other alive",
+            pairs.saturating_sub(spans.len()) as f64,
+        );
+        self.record(phase, "held dead though well on the same side (pairs)", false_deaths as f64);
+        let to = self.snapshot().await;
+        self.record_costs(phase, &from, &to);
         let phase = "regions joined";
         let at = self.network.now();
         self.network.set_partitioned(false);
-        self.until_all_see(phase, at, self.size.members).await;
-        let after = self.meter().await;
-        self.costs(phase, &to, &after);
+        self.wait_until_all_see(phase, at, self.size.members).await;
+        let after = self.snapshot().await;
+        self.record_costs(phase, &to, &after);
     }
 }
--- a/crates/alderstile-lab/src/scale/plan.rs
+++ b/crates/alderstile-lab/src/scale/plan.rs
@@ -1,4 +1,4 @@
-//! The file of scale runs: its form, its bounds, and how members are dealt out over zones and regions.
+//! The plan of scale runs: its TOML schema, the valid ranges, and the assignment of members to zones and regions.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -6,162 +6,173 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Most members of a run, and most real processes among them.
-const MOST_MEMBERS: usize = 5_000;
-const MOST_REAL: usize = 100;
+/// Maximum number of members of a run.
+const MAX_MEMBERS: usize = 5_000;
+/// Maximum number of real node processes among them.
+const MAX_REAL: usize = 100;
 
-/// One size.
+/// Cluster size of one run.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Size {
-    /// All members.
+    /// Number of members, hollow and real.
     pub members: usize,
-    /// Real processes among them.
+    /// Number of real node processes among them.
     pub real: usize,
 }
 
-/// What a run is to do: the file's form.
+/// Plan of scale runs, as read from a TOML file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Runs {
-    /// What it is about.
+pub struct ScalePlan {
+    /// Title.
     pub title: String,
-    /// For all that is drawn.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// One run after the other.
+    /// Sizes, one run each, in this order.
     pub sizes: Vec<Size>,
-    /// Members that are set aside for control, spread over all zones. So far they do what all members do.
-    pub control: usize,
-    /// Zones over which members are dealt out, one after the other.
+    /// Number of members reserved as control nodes, spread over all zones. At present they act like all other members.
+    #[serde(rename = "control")]
+    pub control_nodes: usize,
+    /// Number of zones; members are assigned to them in turn.
     pub zones: usize,
-    /// The first so many of them are one region, with all real nodes; the rest are the other.
+    /// Number of zones that form the first region, which contains all real nodes; the other zones form the second region.
     pub zones_of_first_region: usize,
-    /// The protocol period.
+    /// Protocol period of membership, in milliseconds.
     pub period_ms: u64,
-    /// As in the cluster's file.
+    /// Suspicion multiplier, as in the cluster file.
     pub suspicion: f64,
-    /// Threads that share the hollow nodes.
+    /// Number of threads that run the hollow nodes.
     pub threads: usize,
-    /// Whether hollow nodes know each other when they start; without, all know three seeds.
-    #[serde(default)]
-    pub know_all: bool,
-    /// How long nothing happens while costs are measured.
+    /// Whether hollow nodes know all other hollow nodes when they start; otherwise every node starts with three seeds.
+    #[serde(rename = "know_all", default)]
+    pub start_joined: bool,
+    /// Duration of the phase without changes in which the baseline costs are measured, in seconds.
     pub quiet_s: f64,
-    /// Members that die and come back, one after the other.
+    /// Number of members that are killed, one after the other, and started again.
     pub deaths: usize,
-    /// Members that tell another digest of their settings, one after the other.
-    pub news: usize,
-    /// Whether the last zone dies and comes back.
-    pub zone: bool,
-    /// How long regions don't hear each other; 0 for not at all.
-    pub parted_s: f64,
-    /// A size that is not done by then is given up.
-    pub most_s: f64,
+    /// Number of members that announce a changed configuration digest, one after the other.
+    #[serde(rename = "news")]
+    pub config_changes: usize,
+    /// Whether all members of the last zone are killed and started again.
+    #[serde(rename = "zone")]
+    pub lose_zone: bool,
+    /// Duration of the partition between the two regions, in seconds; 0 for no partition.
+    #[serde(rename = "parted_s")]
+    pub partition_s: f64,
+    /// Time limit of one size, in seconds; a size that exceeds it is aborted.
+    #[serde(rename = "most_s")]
+    pub time_limit_s: f64,
 }
 
-/// Why a file of scale runs was refused.
+/// Errors of loading a plan.
 #[derive(Debug, Error)]
-pub enum RunsError {
-    /// The file could not be read.
-    #[error("{}: {source}", path.display())]
+pub enum ScalePlanError {
+    /// The file can't be read.
+    #[error("reading {} failed: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Cause.
         source: io::Error,
     },
-    /// The text is no TOML, or lacks a key, or has one that is unknown.
+    /// The text is not valid TOML, lacks a key, or has an unknown key.
     #[error("{file}: {source}")]
     Syntax {
-        /// The file, as it is shown.
+        /// Name of the file.
         file: String,
-        /// What the parser said.
+        /// Error of the parser.
         source: Box<toml::de::Error>,
     },
-    /// A key has a value out of its range.
-    #[error("{file}: the key {key}: {expected}")]
+    /// A value is out of range.
+    #[error("{file}: invalid {key}: expected {expected}")]
     Value {
-        /// The file, as it is shown.
+        /// Name of the file.
         file: String,
-        /// The key.
+        /// Path of the key.
         key: String,
-        /// What the key may be.
+        /// Allowed values.
         expected: String,
     },
 }
 
-impl Runs {
-    /// Reads and checks a file.
+impl ScalePlan {
+    /// Reads and validates a plan file.
     ///
     /// # Errors
     ///
-    /// If the file can't be read, or as [`Runs::parse`].
-    pub fn load(path: &Path) -> Result<Self, RunsError> {
+    /// If the file can't be read, or for the reasons given at [`ScalePlan::parse`].
+    pub fn load(path: &Path) -> Result<Self, ScalePlanError> {
         let text = std::fs::read_to_string(path)
-            .map_err(|source| RunsError::Read { path: path.to_owned(), source })?;
+            .map_err(|source| ScalePlanError::Read { path: path.to_owned(), source })?;
         Self::parse(&path.display().to_string(), &text)
     }
 
-    /// Checks a text; `shown` names the file in errors.
+    /// Parses and validates the text of a plan; `file_name` names the file in errors.
     ///
     /// # Errors
     ///
-    /// If the text has not the form of [`Runs`], or a value is out of its range.
-    pub fn parse(shown: &str, text: &str) -> Result<Self, RunsError> {
-        let runs: Runs = toml::from_str(text)
-            .map_err(|error| RunsError::Syntax { file: shown.to_owned(), source: Box::new(error) })?;
-        let bad = |key: &str, expected: &str| {
-            Err(RunsError::Value {
-                file: shown.to_owned(),
+    /// If the text does not match the schema of [`ScalePlan`], or a value is out of range.
+    pub fn parse(file_name: &str, text: &str) -> Result<Self, ScalePlanError> {
+        let plan: ScalePlan = toml::from_str(text).map_err(|error| ScalePlanError::Syntax {
+            file: file_name.to_owned(),
+            source: Box::new(error),
+        })?;
+        let invalid = |key: &str, expected: &str| {
+            Err(ScalePlanError::Value {
+                file: file_name.to_owned(),
                 key: key.to_owned(),
                 expected: expected.to_owned(),
             })
         };
-        if runs.sizes.is_empty() {
-            return bad("sizes", "at least one is wanted");
+        if plan.sizes.is_empty() {
+            return invalid("sizes", "at least one size");
         }
-        for (i, size) in runs.sizes.iter().enumerate() {
-            if size.members < 2 || size.members > MOST_MEMBERS {
-                return bad(&format!("sizes[{i}].members"), &format!("2 to {MOST_MEMBERS} is wanted"));
+        for (i, size) in plan.sizes.iter().enumerate() {
+            if size.members < 2 || size.members > MAX_MEMBERS {
+                return invalid(&format!("sizes[{i}].members"), &format!("2 to {MAX_MEMBERS}"));
             }
-            let room = (0..size.members).filter(|&number| runs.may_be_real(number)).count();
-            if size.real > MOST_REAL.min(room) {
-                return bad(
+            let eligible_real = (0..size.members).filter(|&number| plan.may_be_real(number)).count();
+            if size.real > MAX_REAL.min(eligible_real) {
+                return invalid(
                     &format!("sizes[{i}].real"),
                     &format!(
-                        "at most {} is wanted: real nodes are in the first region and no control machines",
-                        MOST_REAL.min(room)
+                        "at most {}, since real nodes are in the first region and are not control nodes",
+                        MAX_REAL.min(eligible_real)
                     ),
                 );
             }
-            // Those that die and tell are hollow, no control machines, and not of the zone that is lost.
-            let able = (0..size.members).filter(|&number| runs.is_ordinary(number)).count() - size.real;
-            let most = able.min(size.members / 3);
-            for (key, value) in [("deaths", runs.deaths), ("news", runs.news)] {
-                if value > most {
-                    return bad(key, &format!("at most {most} is wanted for {} members", size.members));
+            // Members that are killed or change their configuration are hollow, are not control nodes, and are outside the
+            // zone that is lost.
+            let ordinary_hollow =
+                (0..size.members).filter(|&number| plan.is_ordinary(number)).count() - size.real;
+            let max = ordinary_hollow.min(size.members / 3);
+            for (key, value) in [("deaths", plan.deaths), ("news", plan.config_changes)] {
+                if value > max {
+                    return invalid(key, &format!("at most {max} for {} members", size.members));
                 }
             }
         }
-        if runs.zones == 0 || runs.zones > 100 || runs.zones_of_first_region > runs.zones {
-            return bad("zones", "1 to 100 is wanted, with zones_of_first_region of them at most");
+        if plan.zones == 0 || plan.zones > 100 || plan.zones_of_first_region > plan.zones {
+            return invalid("zones", "1 to 100, and zones_of_first_region not above it");
         }
-        if !(50..=60_000).contains(&runs.period_ms) {
-            return bad("period_ms", "50 to 60000 is wanted");
+        if !(50..=60_000).contains(&plan.period_ms) {
+            return invalid("period_ms", "50 to 60000");
         }
-        if !(1.0..=100.0).contains(&runs.suspicion) {
-            return bad("suspicion", "1 to 100 is wanted");
+        if !(1.0..=100.0).contains(&plan.suspicion) {
+            return invalid("suspicion", "1 to 100");
         }
-        if !(1..=64).contains(&runs.threads) {
-            return bad("threads", "1 to 64 is wanted");
+        if !(1..=64).contains(&plan.threads) {
+            return invalid("threads", "1 to 64");
         }
-        for (key, value) in [("quiet_s", runs.quiet_s), ("parted_s", runs.parted_s), ("most_s", runs.most_s)]
+        for (key, value) in
+            [("quiet_s", plan.quiet_s), ("parted_s", plan.partition_s), ("most_s", plan.time_limit_s)]
         {
             if !(0.0..=86_400.0).contains(&value) {
-                return bad(key, "0 to 86400 is wanted");
+                return invalid(key, "0 to 86400");
             }
         }
-        Ok(runs)
+        Ok(plan)
     }
 
     pub(super) fn zone_of(&self, number: usize) -> usize {
@@ -176,9 +187,9 @@
         self.is_ordinary(number) && self.region_of(number) == 0
     }
 
-    /// Neither a control machine nor of the zone that is lost.
+    /// Returns whether a member is neither a control node nor in the zone that is lost (the last one).
     pub(super) fn is_ordinary(&self, number: usize) -> bool {
-        number >= self.control && (self.zones == 1 || self.zone_of(number) + 1 != self.zones)
+        number >= self.control_nodes && (self.zones == 1 || self.zone_of(number) + 1 != self.zones)
     }
 
     pub(super) fn period_s(&self) -> f64 {
--- a/crates/alderstile-lab/src/slopes.rs
+++ b/crates/alderstile-lab/src/slopes.rs
@@ -1,50 +1,50 @@
-//! Which lines are drawn through the tables of [`crate::scale`] and [`crate::measure`], as a table of slopes and as charts.
+//! Linear regressions over the tables of [`crate::scale`] and [`crate::measure`], as a table of slopes and as charts.
 
 use std::fmt::Write as _;
 use std::path::Path;
 
 use crate::charts::{ChartError, Labels, Series, draw};
 use crate::fit::Fit;
-use crate::tables::{Row, short};
+use crate::tables::{Row, format_value};
 
-/// What x is.
+/// How a size maps to the x axis.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Over {
-    /// The size.
+enum XScale {
+    /// The size itself.
     Size,
-    /// Its logarithm to base 2.
+    /// Logarithm of the size to base 2.
     Log2,
 }
 
-impl Over {
-    fn of(self, size: f64) -> f64 {
+impl XScale {
+    fn apply(self, size: f64) -> f64 {
         match self {
-            Over::Size => size,
-            Over::Log2 => size.log2(),
+            XScale::Size => size,
+            XScale::Log2 => size.log2(),
         }
     }
 }
 
-/// One chart, with a line through each of its sets of points.
+/// A chart, with a line fitted to each of its series.
 struct Plot {
     file: &'static str,
     title: &'static str,
-    over: Over,
+    x_scale: XScale,
     x: &'static str,
     y: &'static str,
-    /// A name, and the phase and figure of the table; the worst where the name ends so.
+    /// Series as (name, phase, figure); a name that ends with [`WORST_SUFFIX`] selects the largest value of a row.
     lines: &'static [(&'static str, &'static str, &'static str)],
     limit: Option<f64>,
 }
 
-/// A name that ends so stands for the worst of all nodes and not for the mean.
-const WORST: &str = ", worst";
+/// Suffix of series that show the largest value of a row and not the mean.
+const WORST_SUFFIX: &str = ", worst";
 
 const PLOTS: &[Plot] = &[
     Plot {
         file: "members-bytes",
         title: "Bytes that a member sends in a second (T = 1 s)",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "members",
         y: "bytes/s",
         lines: &[
@@ -61,7 +61,7 @@
     Plot {
         file: "members-busiest",
         title: "Bytes that a member sends in its busiest second (T = 1 s), mean of members",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "members",
         y: "bytes",
         lines: &[
@@ -75,7 +75,7 @@
     Plot {
         file: "members-spread",
         title: "Time until all members know (T = 1 s)",
-        over: Over::Log2,
+        x_scale: XScale::Log2,
         x: "log2 of members",
         y: "s",
         lines: &[
@@ -91,7 +91,7 @@
     Plot {
         file: "members-cpu",
         title: "Processor time of membership (T = 1 s, quiet)",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "members",
         y: "us/s",
         lines: &[
@@ -103,7 +103,7 @@
     Plot {
         file: "members-memory",
         title: "Memory of membership",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "members",
         y: "KB",
         lines: &[
@@ -115,7 +115,7 @@
     Plot {
         file: "operators-view",
         title: "All members as an operator fetches them from a real node",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "members",
         y: "KB",
         lines: &[("the answer", "quiet", "view for operators (KB)")],
@@ -124,7 +124,7 @@
     Plot {
         file: "node-memory",
         title: "Memory of a node with idle connections",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "connections",
         y: "KB",
         lines: &[("memory", "idle", "memory (KB)")],
@@ -133,7 +133,7 @@
     Plot {
         file: "node-descriptors",
         title: "Descriptors of a node with idle connections",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "connections",
         y: "descriptors",
         lines: &[("descriptors", "idle", "descriptors")],
@@ -142,7 +142,7 @@
     Plot {
         file: "node-idle-cpu",
         title: "Processor time of idle connections",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "connections",
         y: "us/s",
         lines: &[("idle", "idle", "processor time (us/s)")],
@@ -151,7 +151,7 @@
     Plot {
         file: "node-setup-cpu",
         title: "Processor time of set-ups",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "connections",
         y: "ms",
         lines: &[("set-ups", "idle", "processor time of all set-ups (ms)")],
@@ -160,7 +160,7 @@
     Plot {
         file: "node-lines",
         title: "Processor time of one line to all listeners",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "listeners",
         y: "us",
         lines: &[("a round", "lines", "processor time a round (us)")],
@@ -169,7 +169,7 @@
     Plot {
         file: "node-lines-after",
         title: "Time until all listeners have a line",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "listeners",
         y: "ms",
         lines: &[
@@ -181,7 +181,7 @@
     Plot {
         file: "node-placement",
         title: "A placement, by the number of hosts",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "hosts",
         y: "us",
         lines: &[
@@ -193,7 +193,7 @@
     Plot {
         file: "node-list",
         title: "A whole list, by the number of hosts",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "hosts",
         y: "us",
         lines: &[("processor time", "list", "processor time a whole list (us)")],
@@ -202,7 +202,7 @@
     Plot {
         file: "node-list-after",
         title: "Time until a whole list is taken in",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "hosts",
         y: "ms",
         lines: &[("taken in after", "list", "taken in after (ms)")],
@@ -211,7 +211,7 @@
     Plot {
         file: "node-return",
         title: "All clients come back to a node that was restarted",
-        over: Over::Size,
+        x_scale: XScale::Size,
         x: "clients",
         y: "s",
         lines: &[
@@ -224,14 +224,15 @@
 
 fn points(rows: &[Row], plot: &Plot, line: (&str, &str, &str)) -> Vec<(f64, f64)> {
     let (name, phase, figure) = line;
-    let of = rows.iter().filter(|row| row.phase == phase && row.figure == figure);
-    let value = |row: &Row| if name.ends_with(WORST) { row.worst } else { row.mean };
-    let mut points: Vec<(f64, f64)> = of.map(|row| (plot.over.of(row.size), value(row))).collect();
+    let matching = rows.iter().filter(|row| row.phase == phase && row.figure == figure);
+    let value = |row: &Row| if name.ends_with(WORST_SUFFIX) { row.worst } else { row.mean };
+    let mut points: Vec<(f64, f64)> =
+        matching.map(|row| (plot.x_scale.apply(row.size), value(row))).collect();
     points.sort_by(|a, b| a.0.total_cmp(&b.0));
     points
 }
 
-/// The slopes of all lines that have points, as a Markdown table.
+/// Formats the slopes of all series that can be fitted as a Markdown table.
 pub fn table(rows: &[Row]) -> String {
     let mut text = String::from(
         "| what | unit | over | points | at 0 | slope | its standard error | about the line | explained |\n\
@@ -240,10 +241,10 @@
     for plot in PLOTS {
         for line in plot.lines {
             let points = points(rows, plot, *line);
-            let Some(fit) = Fit::line(&points) else { continue };
-            let shown: Vec<String> =
-                points.iter().map(|(x, y)| format!("{}: {}", short(*x), short(*y))).collect();
-            let or = |value: Option<f64>| value.map_or("-".to_owned(), short);
+            let Some(fit) = Fit::least_squares(&points) else { continue };
+            let point_list: Vec<String> =
+                points.iter().map(|(x, y)| format!("{}: {}", format_value(*x), format_value(*y))).collect();
+            let or_dash = |value: Option<f64>| value.map_or("-".to_owned(), format_value);
             // Writing to a String does not fail.
             let _ = writeln!(
                 text,
@@ -252,19 +253,19 @@
                 line.0,
                 plot.y,
                 plot.x,
-                shown.join("; "),
-                short(fit.at_zero),
-                short(fit.slope),
-                or(fit.error),
-                or(fit.about),
-                or(fit.explained)
+                point_list.join("; "),
+                format_value(fit.intercept),
+                format_value(fit.slope),
+                or_dash(fit.slope_error),
+                or_dash(fit.residual_deviation),
+                or_dash(fit.r_squared)
             );
         }
     }
     text
 }
 
-/// Draws all charts that have points; returns their files.
+/// Draws every chart that has points and returns the file names.
 ///
 /// # Errors
 ///
--- a/crates/alderstile-lab/src/tables.rs
+++ b/crates/alderstile-lab/src/tables.rs
@@ -1,4 +1,4 @@
-//! Results as tables: one figure a row, in CSV and in Markdown.
+//! Tables of measurement results, one figure per row, in CSV and in Markdown.
 
 use std::fmt::Write as _;
 use std::io;
@@ -6,26 +6,26 @@
 
 use thiserror::Error;
 
-/// One figure.
+/// One figure at one size: the mean and the largest of its samples.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
-    /// The size that it was measured at: members, connections, hosts, listeners.
+    /// Size of the setup: number of members, connections, hosts or listeners.
     pub size: f64,
-    /// What was going on.
+    /// Phase of the measurement.
     pub phase: String,
-    /// What was measured, with its unit.
+    /// Name of the figure, with its unit.
     pub figure: String,
-    /// In the mean.
+    /// Mean of the samples.
     pub mean: f64,
-    /// The worst of them.
+    /// Largest sample.
     pub worst: f64,
-    /// Of so many.
-    pub of: usize,
+    /// Number of samples; the column `of`.
+    pub samples: usize,
 }
 
 impl Row {
-    /// The mean and the largest of some values; none of no values.
-    pub fn of(size: f64, phase: &str, figure: &str, values: &[f64]) -> Option<Self> {
+    /// Creates a row with the mean and the largest of the values; `None` without values.
+    pub fn from_values(size: f64, phase: &str, figure: &str, values: &[f64]) -> Option<Self> {
         if values.is_empty() {
             return None;
         }
@@ -35,57 +35,69 @@
             figure: figure.to_owned(),
             mean: values.iter().sum::<f64>() / values.len() as f64,
             worst: values.iter().copied().fold(f64::MIN, f64::max),
-            of: values.len(),
+            samples: values.len(),
         })
     }
 
-    /// One value.
-    pub fn one(size: f64, phase: &str, figure: &str, value: f64) -> Self {
-        Row { size, phase: phase.to_owned(), figure: figure.to_owned(), mean: value, worst: value, of: 1 }
+    /// Creates a row from a single value.
+    pub fn single(size: f64, phase: &str, figure: &str, value: f64) -> Self {
+        Row {
+            size,
+            phase: phase.to_owned(),
+            figure: figure.to_owned(),
+            mean: value,
+            worst: value,
+            samples: 1,
+        }
     }
 }
 
-/// The first line of a CSV file.
-const HEAD: &str = "size,phase,figure,mean,worst,of";
+/// Header line of a CSV file.
+const HEADER: &str = "size,phase,figure,mean,worst,of";
 
-/// The rows as CSV. A comma in a text becomes a semicolon: a row has as many commas as the first line.
+/// Formats the rows as CSV. A comma in a text becomes a semicolon, so that every row has as many columns as the header.
 pub fn csv(rows: &[Row]) -> String {
-    let mut text = format!("{HEAD}\n");
+    let mut text = format!("{HEADER}\n");
     for row in rows {
-        let Row { size, phase, figure, mean, worst, of } = row;
+        let Row { size, phase, figure, mean, worst, samples } = row;
         let [phase, figure] = [phase, figure].map(|text| text.replace(',', ";"));
         // Writing to a String does not fail.
-        let _ = writeln!(text, "{size},{phase},{figure},{},{},{of}", short(*mean), short(*worst));
+        let _ = writeln!(
+            text,
+            "{size},{phase},{figure},{},{},{samples}",
+            format_value(*mean),
+            format_value(*worst)
+        );
     }
     text
 }
 
-/// Why a table can't be read.
+/// Errors of reading a table.
 #[derive(Debug, Error)]
 pub enum TableError {
     /// The file can't be read.
-    #[error("{file}: {error}")]
+    #[error("reading {file} failed: {error}")]
     File {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Cause.
         error: io::Error,
     },
-    /// A line is not a row of a table.
-    #[error("{file}:{line}: not a row of \"{HEAD}\"")]
+    /// A line is not a valid row.
+    #[error("{file}:{line}: invalid row: expected the columns \"{HEADER}\"")]
     Row {
-        /// The file's path.
+        /// Path of the file.
         file: String,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
     },
 }
 
-/// Reads a CSV file that [`write()`] wrote.
+/// Reads a CSV file written by [`write()`].
 ///
 /// # Errors
 ///
-/// If the file can't be read, or a line of it is not a row.
+/// If the file can't be read, or a line is not a valid row.
 pub fn read(path: &Path) -> Result<Vec<Row>, TableError> {
     let file = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
@@ -95,18 +107,18 @@
     parse(&text).map_err(|line| TableError::Row { file, line })
 }
 
-/// Reads the text of such a file.
+/// Parses the text of a CSV file.
 ///
 /// # Errors
 ///
-/// The number of the first line that is not a row, from 1.
+/// The number of the first invalid line, from 1.
 pub fn parse(text: &str) -> Result<Vec<Row>, usize> {
     let mut lines = text.lines();
-    if lines.next() != Some(HEAD) {
+    if lines.next() != Some(HEADER) {
         return Err(1);
     }
-    let row = |line: &str| {
-        let [size, phase, figure, mean, worst, of] = line.split(',').collect::<Vec<_>>()[..] else {
+    let parse_row = |line: &str| {
+        let [size, phase, figure, mean, worst, samples] = line.split(',').collect::<Vec<_>>()[..] else {
             return None;
         };
         Some(Row {
@@ -115,35 +127,42 @@
             figure: figure.to_owned(),
             mean: mean.parse().ok()?,
             worst: worst.parse().ok()?,
-            of: of.parse().ok()?,
+            samples: samples.parse().ok()?,
         })
     };
-    lines.enumerate().map(|(i, line)| row(line).ok_or(i + 2)).collect()
+    lines.enumerate().map(|(i, line)| parse_row(line).ok_or(i + 2)).collect()
 }
 
-/// The rows as a Markdown table: a line a figure, a column a size, mean and worst in each.
+/// Formats the rows as a Markdown table: one line per figure, one column per size, with the mean, the largest value and
+/// the number of samples in each cell.
 pub fn markdown(rows: &[Row]) -> String {
     let mut sizes: Vec<f64> = rows.iter().map(|row| row.size).collect();
     sizes.sort_by(f64::total_cmp);
     sizes.dedup();
-    let mut kinds: Vec<(&str, &str)> = Vec::new();
+    let mut keys: Vec<(&str, &str)> = Vec::new();
     for row in rows {
-        let kind = (row.phase.as_str(), row.figure.as_str());
-        if !kinds.contains(&kind) {
-            kinds.push(kind);
+        let key = (row.phase.as_str(), row.figure.as_str());
+        if !keys.contains(&key) {
+            keys.push(key);
         }
     }
-    let heads: Vec<String> = sizes.iter().map(|size| size.to_string()).collect();
+    let size_headers: Vec<String> = sizes.iter().map(|size| size.to_string()).collect();
     let mut text =
-        format!("| phase | figure | {} |\n|{}\n", heads.join(" | "), " --- |".repeat(sizes.len() + 2));
-    for (phase, figure) in kinds {
+        format!("| phase | figure | {} |\n|{}\n", size_headers.join(" | "), " --- |".repeat(sizes.len() + 2));
+    for (phase, figure) in keys {
         let _ = write!(text, "| {phase} | {figure} |");
         for size in &sizes {
             let row = rows.iter().find(|row| row.size == *size && row.phase == phase && row.figure == figure);
             let _ = match row {
                 None => write!(text, " - |"),
-                Some(row) if row.of == 1 => write!(text, " {} |", short(row.mean)),
-                Some(row) => write!(text, " {}, {} ({}) |", short(row.mean), short(row.worst), row.of),
+                Some(row) if row.samples == 1 => write!(text, " {} |", format_value(row.mean)),
+                Some(row) => write!(
+                    text,
+                    " {}, {} ({}) |",
+                    format_value(row.mean),
+                    format_value(row.worst),
+                    row.samples
+                ),
             };
         }
         text.push('\n');
@@ -151,8 +170,8 @@
     text
 }
 
-/// Four digits are more than any of these is sure of.
-pub(crate) fn short(value: f64) -> String {
+/// Formats a value with four significant digits, more than the precision of any measurement here.
+pub(crate) fn format_value(value: f64) -> String {
     if value == 0.0 || !value.is_finite() {
         return value.to_string();
     }
@@ -161,7 +180,7 @@
     if text.contains('.') { text.trim_end_matches('0').trim_end_matches('.').to_owned() } else { text }
 }
 
-/// Writes rows beside each other as `NAME.csv` and `NAME.md`.
+/// Writes the rows as `NAME.csv` and as `NAME.md`.
 ///
 /// # Errors
 ///
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -1,4 +1,4 @@
-//! Hollow nodes beside real ones, and what is kept of their figures.
+//! Scale runs with hollow and real nodes, measurements of one node, and the tables, fits and charts of their results.
 
 mod support;
 
@@ -14,14 +14,14 @@
 use alderstile_cluster::membership::{DatagramCodec, Membership, MembershipConfig};
 use alderstile_lab::fit::Fit;
 use alderstile_lab::hollow::{ExtraCore, HollowConfig, HollowNodes, Network, NodeSpec, ObservedChange};
-use alderstile_lab::measure::{self, Sizes};
+use alderstile_lab::measure::{self, MeasurePlan};
 use alderstile_lab::real::parse_counters;
-use alderstile_lab::scale::{self, Runs};
+use alderstile_lab::scale::{self, ScalePlan};
 use alderstile_lab::slopes;
 use alderstile_lab::tables::{self, Row};
 use support::{Folder, lab, left_behind, node};
 
-const SMALL: &str = r#"
+const SMALL_PLAN: &str = r#"
 title = "a test"
 seed = 3
 sizes = [{ members = 16, real = 2 }]
@@ -40,11 +40,12 @@
 "#;
 
 #[test]
-fn hollow_and_real_nodes_see_each_other_through_deaths_a_lost_zone_and_parted_regions() {
-    let runs = Runs::parse("test", SMALL).expect("a fine file");
-    assert!(!runs.know_all, "each finds all others");
+fn hollow_and_real_nodes_agree_after_deaths_a_zone_loss_and_a_partition() {
+    let plan = ScalePlan::parse("test", SMALL_PLAN).expect("a valid plan");
+    assert!(!plan.start_joined, "nodes start with the seeds only");
     let mut rows = Vec::new();
-    scale::run(&runs, &node(), &scale::no_parts(), |_, more| rows.extend_from_slice(more)).expect("a run");
+    scale::run(&plan, &node(), &scale::no_extra_cores(), |_, new_rows| rows.extend_from_slice(new_rows))
+        .expect("a run");
     let of = |phase: &str, figure: &str| {
         let row = rows.iter().find(|row| row.phase == phase && row.figure == figure);
         row.unwrap_or_else(|| panic!("{phase}: {figure}: not in {rows:#?}"))
@@ -58,26 +59,27 @@
     }
     assert!(of("regions joined", "all hollow nodes see all after (s)").worst > 0.0);
     assert_eq!(of("regions parted", "pairs that still held each other alive").worst, 0.0);
-    // Real processes are sent to as hollow ones are, and answer alike.
+    // Real and hollow nodes run the same protocol, so they send similar amounts.
     let hollow = of("quiet", "bytes out a node and second");
     let real = of("quiet", "bytes out a real node and second");
-    assert_eq!((hollow.of, real.of), (14, 2));
+    assert_eq!((hollow.samples, real.samples), (14, 2));
     assert!((0.5..2.0).contains(&(real.mean / hollow.mean)), "{real:?} {hollow:?}");
-    // Other tests of this process have processes of their own.
-    let named = format!("alderstile-lab-{}-10016", std::process::id());
-    assert_eq!(left_behind(&named), Vec::<String>::new());
+    // Only this test's processes count: other tests of this process start nodes at the same time.
+    let run_dir_prefix = format!("alderstile-lab-{}-10016", std::process::id());
+    assert_eq!(left_behind(&run_dir_prefix), Vec::<String>::new());
 }
 
 #[test]
-fn one_node_is_measured_at_each_size_and_nothing_is_left_behind() {
+fn measurement_covers_each_size_and_leaves_no_processes() {
     let mut rows = Vec::new();
-    measure::run(&Sizes::short(), &node(), |more| rows.extend_from_slice(more)).expect("all is measured");
+    measure::run(&MeasurePlan::short(), &node(), |new_rows| rows.extend_from_slice(new_rows))
+        .expect("a complete measurement");
     let of = |size: f64, phase: &str, figure: &str| {
         let row =
             rows.iter().find(|r| (r.size, r.phase.as_str(), r.figure.as_str()) == (size, phase, figure));
         row.unwrap_or_else(|| panic!("{size} {phase}: {figure}: not in {rows:#?}")).mean
     };
-    // Two descriptors a connection, and no more for more of them.
+    // Two descriptors per connection, independent of their number.
     let (few, many) = (of(50.0, "idle", "descriptors"), of(200.0, "idle", "descriptors"));
     assert_eq!(many - few, 300.0, "{few} {many}");
     assert!(of(200.0, "idle", "memory (KB)") > of(50.0, "idle", "memory (KB)"));
@@ -89,14 +91,17 @@
         assert!(of(hosts, "list", "taken in after (ms)") > 0.0);
     }
     assert_eq!(of(100.0, "return of all", "not served after a minute"), 0.0);
-    assert!(of(100.0, "return of all", "times turned away or cut off") >= 100.0, "all were cut off");
-    let named = format!("alderstile-lab-{}-200", std::process::id());
-    assert_eq!(left_behind(&named), Vec::<String>::new());
+    assert!(
+        of(100.0, "return of all", "times turned away or cut off") >= 100.0,
+        "all clients were disconnected"
+    );
+    let run_dir_prefix = format!("alderstile-lab-{}-200", std::process::id());
+    assert_eq!(left_behind(&run_dir_prefix), Vec::<String>::new());
 }
 
 #[test]
-fn slopes_are_told_with_their_points_and_drawn() {
-    let at = |size: f64, value: f64| Row::one(size, "idle", "memory (KB)", value);
+fn slopes_are_listed_with_their_points_and_charted() {
+    let at = |size: f64, value: f64| Row::single(size, "idle", "memory (KB)", value);
     let rows = [at(1_000.0, 5_500.0), at(100.0, 1_000.0), at(500.0, 3_000.0)];
     let table = slopes::table(&rows);
     assert!(table.contains("| connections | 100: 1000; 500: 3000; 1000: 5500 | 500 | 5 | 0 |"), "{table}");
@@ -106,24 +111,24 @@
     assert!(drawn.starts_with("<svg") && drawn.contains("connections"));
 }
 
-/// Answers nothing; sends its node's neighbour a datagram each 50 ms.
-struct Sends {
-    at: SocketAddr,
-    to: SocketAddr,
-    due: Micros,
-    came: Arc<AtomicU64>,
+/// An extra core that sends a datagram to the other node every 50 ms and answers nothing.
+struct PeriodicSender {
+    address: SocketAddr,
+    peer: SocketAddr,
+    next_send: Micros,
+    received: Arc<AtomicU64>,
 }
 
-impl ExtraCore for Sends {
+impl ExtraCore for PeriodicSender {
     fn address(&self) -> SocketAddr {
-        self.at
+        self.address
     }
     fn next_timeout(&self) -> Micros {
-        self.due
+        self.next_send
     }
     fn handle_timeout(&mut self, now: Micros, _: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)> {
-        self.due = now + Micros(50_000);
-        vec![(self.to, b"ten bytes.".to_vec())]
+        self.next_send = now + Micros(50_000);
+        vec![(self.peer, b"ten bytes.".to_vec())]
     }
     fn handle_datagram(
         &mut self,
@@ -132,23 +137,23 @@
         bytes: &[u8],
         members: &mut Membership,
     ) -> Vec<(SocketAddr, Vec<u8>)> {
-        assert!(from == self.to && bytes == b"ten bytes." && members.live_count() >= 1);
-        self.came.fetch_add(1, Ordering::Relaxed);
+        assert!(from == self.peer && bytes == b"ten bytes." && members.live_count() >= 1);
+        self.received.fetch_add(1, Ordering::Relaxed);
         Vec::new()
     }
 }
 
 #[test]
-fn a_further_core_has_a_socket_of_its_own_and_regions_that_are_parted_hear_nothing() {
+fn extra_core_uses_its_own_socket_and_partitioned_regions_receive_nothing() {
     let at = |node: usize, port: u16| -> SocketAddr {
         let last = 1 + node;
         format!("127.99.{}.{last}:{port}", std::process::id() % 200).parse().expect("an address")
     };
-    let came = Arc::new(AtomicU64::new(0));
+    let received = Arc::new(AtomicU64::new(0));
     let regions = (0..2u8).flat_map(|n| [(at(n.into(), 7_946), n), (at(n.into(), 7_947), n)]).collect();
     let network = Network::new(regions);
-    let counted = came.clone();
-    let setup = HollowConfig {
+    let received_by_core = received.clone();
+    let config = HollowConfig {
         membership: MembershipConfig::with_period(Micros(50_000)),
         codec: DatagramCodec::new("test", &[vec![7; 32]]).expect("a key"),
         seeds: vec![at(0, 7_946)],
@@ -156,60 +161,65 @@
         seed: 1,
         known_nodes: Arc::default(),
         extra_cores: Arc::new(move |spec: &NodeSpec| {
-            let (at, to) = (at(spec.number, 7_947), at(1 - spec.number, 7_947));
-            Some(Box::new(Sends { at, to, due: Micros(0), came: counted.clone() }))
+            let (address, peer) = (at(spec.number, 7_947), at(1 - spec.number, 7_947));
+            Some(Box::new(PeriodicSender {
+                address,
+                peer,
+                next_send: Micros(0),
+                received: received_by_core.clone(),
+            }))
         }),
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     runtime.block_on(async {
-        let hollows = HollowNodes::new(2, &setup).expect("threads");
+        let hollows = HollowNodes::new(2, &config).expect("threads");
         for number in 0..2 {
             let name = format!("n{number}");
             hollows.start(NodeSpec { number, name, zone: "a".to_owned(), address: at(number, 7_946) });
         }
-        let until = async |what: &str, done: &dyn Fn(&BTreeMap<usize, usize>) -> bool| {
+        let wait_until = async |what: &str, done: &dyn Fn(&BTreeMap<usize, usize>) -> bool| {
             for _ in 0..400 {
                 tokio::time::sleep(Duration::from_millis(25)).await;
-                let looks = hollows.sample().await;
-                let nodes = looks.iter().flat_map(|looks| &looks.nodes);
-                let counts = nodes.map(|look| (look.number, look.stats.alive)).collect();
+                let samples = hollows.sample().await;
+                let nodes = samples.iter().flat_map(|samples| &samples.nodes);
+                let counts = nodes.map(|sample| (sample.number, sample.stats.alive)).collect();
                 if done(&counts) {
                     return;
                 }
             }
-            panic!("{what}: not within 10 s");
+            panic!("{what}: timed out after 10 s");
         };
-        until("both know each other", &|counts| counts.values().eq(&[2, 2])).await;
-        until("parts hear each other", &|_| came.load(Ordering::Relaxed) > 3).await;
+        wait_until("both nodes know each other", &|counts| counts.values().eq(&[2, 2])).await;
+        wait_until("the extra cores receive datagrams", &|_| received.load(Ordering::Relaxed) > 3).await;
         hollows.set_config_digest(0, 77).await;
-        let mut learned = Vec::new();
+        let mut observations = Vec::new();
         for _ in 0..400 {
             tokio::time::sleep(Duration::from_millis(25)).await;
-            learned.extend(hollows.take_observations().await);
-            if learned.iter().any(|seen| seen.change == ObservedChange::ConfigDigest(77)) {
+            observations.extend(hollows.take_observations().await);
+            if observations.iter().any(|seen| seen.change == ObservedChange::ConfigDigest(77)) {
                 break;
             }
         }
         assert!(
-            learned
+            observations
                 .iter()
                 .any(|s| (s.observer, s.subject, s.change) == (1, 0, ObservedChange::ConfigDigest(77))),
-            "{learned:?}"
+            "{observations:?}"
         );
         network.set_partitioned(true);
-        until("each holds the other dead", &|counts| counts.values().eq(&[1, 1])).await;
-        let before = came.load(Ordering::Relaxed);
+        wait_until("each node considers the other dead", &|counts| counts.values().eq(&[1, 1])).await;
+        let before = received.load(Ordering::Relaxed);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        assert_eq!(came.load(Ordering::Relaxed), before, "parted regions hear nothing");
+        assert_eq!(received.load(Ordering::Relaxed), before, "partitioned regions receive nothing");
         network.set_partitioned(false);
-        until("both know each other again", &|counts| counts.values().eq(&[2, 2])).await;
+        wait_until("both nodes know each other again", &|counts| counts.values().eq(&[2, 2])).await;
         hollows.kill(1);
-        until("one is left", &|counts| counts.len() == 1).await;
+        wait_until("one node remains", &|counts| counts.len() == 1).await;
     });
 }
 
 #[test]
-fn a_faulty_file_is_refused_with_its_key_and_runs_nothing() {
+fn invalid_plan_is_rejected_with_its_key() {
     for (from, to, key) in [
         ("members = 16", "members = 1", "sizes[0].members"),
         ("real = 2", "real = 7", "sizes[0].real"),
@@ -223,19 +233,20 @@
         ("most_s = 90.0", "most_s = inf", "most_s"),
         ("seed = 3", "seed = 3\nwhat = 1", "what"),
     ] {
-        assert!(SMALL.contains(from), "{from}");
-        let error = Runs::parse("f.toml", &SMALL.replace(from, to)).expect_err("refused").to_string();
+        assert!(SMALL_PLAN.contains(from), "{from}");
+        let error =
+            ScalePlan::parse("f.toml", &SMALL_PLAN.replace(from, to)).expect_err("rejected").to_string();
         assert!(error.starts_with("f.toml: ") && error.contains(key), "{to}: {error}");
     }
 }
 
 #[test]
-fn an_interrupt_ends_the_run_with_what_was_measured_and_leaves_nothing_behind() {
+fn interrupt_ends_the_run_keeps_measured_rows_and_leaves_no_processes() {
     let out = Folder::new();
     let file = out.0.join("two.toml");
-    // Two sizes, each far longer than the test; the first has figures by the time of its news.
+    // Each of the two sizes runs far longer than the test. The first has recorded rows when its configuration changes start.
     let sizes = "sizes = [{ members = 18, real = 1 }, { members = 19, real = 1 }]";
-    let text = SMALL
+    let text = SMALL_PLAN
         .replace("sizes = [{ members = 16, real = 2 }]", sizes)
         .replace("quiet_s = 2.0", "quiet_s = 0.2")
         .replace("parted_s = 6.0", "parted_s = 80.0");
@@ -245,76 +256,78 @@
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the lab");
-    let named = format!("alderstile-lab-{}-", child.id());
-    let mut said = BufReader::new(child.stderr.take().expect("its log")).lines();
-    let news = said.find(|line| line.as_ref().is_ok_and(|line| line.contains("pieces of news")));
-    assert!(news.is_some(), "it gets to the news");
-    assert!(!left_behind(&named).is_empty(), "a real node is there");
-    let last = Instant::now() + Duration::from_secs(30);
+        .expect("the lab starts");
+    let run_dir_prefix = format!("alderstile-lab-{}-", child.id());
+    let mut log_lines = BufReader::new(child.stderr.take().expect("its standard error")).lines();
+    let news =
+        log_lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("configuration changes started")));
+    assert!(news.is_some(), "the run reaches the configuration changes");
+    assert!(!left_behind(&run_dir_prefix).is_empty(), "a real node is running");
+    let deadline = Instant::now() + Duration::from_secs(30);
     let pid = rustix::process::Pid::from_child(&child);
     rustix::process::kill_process(pid, rustix::process::Signal::INT).expect("a signal");
     let status = child.wait().expect("an end");
     assert_eq!(status.code(), Some(2));
-    let rows = tables::read(&out.0.join("scale.csv")).expect("the first size's figures");
+    let rows = tables::read(&out.0.join("scale.csv")).expect("rows of the first size");
     assert!(rows.iter().all(|row| row.size == 18.0) && rows.iter().any(|row| row.phase == "quiet"));
-    // The system takes killed processes away a moment later.
-    while !left_behind(&named).is_empty() {
-        assert!(Instant::now() < last, "{:?}", left_behind(&named));
+    // Killed processes remain visible for a short time.
+    while !left_behind(&run_dir_prefix).is_empty() {
+        assert!(Instant::now() < deadline, "{:?}", left_behind(&run_dir_prefix));
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(Instant::now() < last, "the second size is not begun");
+    assert!(Instant::now() < deadline, "the second size is not started");
 }
 
 #[test]
-fn the_examples_are_fine() {
+fn example_plan_is_valid() {
     let folder = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/lab");
-    let runs = Runs::load(&folder.join("scale.toml")).expect("a fine file");
-    assert!(runs.sizes.iter().any(|size| (size.members, size.real) == (510, 12)) && runs.control == 9);
+    let plan = ScalePlan::load(&folder.join("scale.toml")).expect("a valid plan");
+    assert!(plan.sizes.iter().any(|size| (size.members, size.real) == (510, 12)) && plan.control_nodes == 9);
 }
 
 #[test]
-fn a_line_goes_through_its_points_and_tells_how_sure_it_is() {
-    let fit = Fit::line(&[(1.0, 3.0), (2.0, 5.0), (4.0, 9.0)]).expect("a line");
-    assert!((fit.slope - 2.0).abs() < 1e-12 && (fit.at_zero - 1.0).abs() < 1e-12);
-    assert!(fit.error.expect("three points") < 1e-9 && fit.explained.expect("they differ") > 0.999);
-    // By hand: means 2 and 11/3; slope 3/2 over Sxx 2; residuals 1/6, -1/3, 1/6.
-    let rough = Fit::line(&[(1.0, 2.0 + 1.0 / 3.0), (2.0, 3.0 + 1.0 / 3.0), (3.0, 5.0 + 1.0 / 3.0)]);
-    let rough = rough.expect("a line");
-    assert!((rough.slope - 1.5).abs() < 1e-12);
-    assert!((rough.about.expect("three") - (1.0f64 / 6.0).sqrt()).abs() < 1e-12);
-    assert!((rough.error.expect("three") - (1.0f64 / 12.0).sqrt()).abs() < 1e-12);
-    let two = Fit::line(&[(0.0, 1.0), (1.0, 1.0)]).expect("a line");
-    assert_eq!((two.slope, two.error, two.explained), (0.0, None, None));
-    assert_eq!(Fit::line(&[(1.0, 1.0), (1.0, 2.0)]), None, "one x");
-    assert_eq!(Fit::line(&[(1.0, f64::NAN), (2.0, 2.0)]), None);
-    assert_eq!(Fit::line(&[]), None);
+fn fitted_line_has_its_slope_and_standard_error() {
+    let fit = Fit::least_squares(&[(1.0, 3.0), (2.0, 5.0), (4.0, 9.0)]).expect("a line");
+    assert!((fit.slope - 2.0).abs() < 1e-12 && (fit.intercept - 1.0).abs() < 1e-12);
+    assert!(fit.slope_error.expect("three points") < 1e-9 && fit.r_squared.expect("distinct y") > 0.999);
+    // Calculated by hand: means 2 and 11/3, Sxx = 2, Sxy = 3, so slope 3/2; residuals 1/6, -1/3, 1/6.
+    let scattered =
+        Fit::least_squares(&[(1.0, 2.0 + 1.0 / 3.0), (2.0, 3.0 + 1.0 / 3.0), (3.0, 5.0 + 1.0 / 3.0)]);
+    let scattered = scattered.expect("a line");
+    assert!((scattered.slope - 1.5).abs() < 1e-12);
+    assert!((scattered.residual_deviation.expect("three") - (1.0f64 / 6.0).sqrt()).abs() < 1e-12);
+    assert!((scattered.slope_error.expect("three") - (1.0f64 / 12.0).sqrt()).abs() < 1e-12);
+    let two_points = Fit::least_squares(&[(0.0, 1.0), (1.0, 1.0)]).expect("a line");
+    assert_eq!((two_points.slope, two_points.slope_error, two_points.r_squared), (0.0, None, None));
+    assert_eq!(Fit::least_squares(&[(1.0, 1.0), (1.0, 2.0)]), None, "a single x");
+    assert_eq!(Fit::least_squares(&[(1.0, f64::NAN), (2.0, 2.0)]), None);
+    assert_eq!(Fit::least_squares(&[]), None);
 }
 
 #[test]
-fn tables_read_back_what_they_wrote() {
+fn tables_round_trip_through_csv() {
     let rows = vec![
-        Row::of(30.0, "quiet", "bytes", &[1.0, 2.5]).expect("values"),
-        Row::one(510.0, "quiet", "bytes", 12_345.6),
-        Row::one(30.0, "death", "seconds", 0.000_123_4),
+        Row::from_values(30.0, "quiet", "bytes", &[1.0, 2.5]).expect("values"),
+        Row::single(510.0, "quiet", "bytes", 12_345.6),
+        Row::single(30.0, "death", "seconds", 0.000_123_4),
     ];
     let text = tables::csv(&rows);
-    let back = tables::parse(&text).expect("rows");
-    assert_eq!(back.len(), 3);
-    assert_eq!((back[0].mean, back[0].worst, back[0].of), (1.75, 2.5, 2));
-    assert_eq!((back[1].mean, back[2].mean), (12_346.0, 0.000_123_4));
-    let shown = tables::markdown(&rows);
-    assert!(shown.contains("| quiet | bytes | 1.75, 2.5 (2) | 12346 |"), "{shown}");
-    assert!(shown.contains("| death | seconds | 0.0001234 | - |"), "{shown}");
-    let comma = tables::csv(&[Row::one(1.0, "lost, and back", "turned away, times", 2.0)]);
-    assert_eq!(tables::parse(&comma).expect("a row")[0].figure, "turned away; times");
+    let parsed = tables::parse(&text).expect("rows");
+    assert_eq!(parsed.len(), 3);
+    assert_eq!((parsed[0].mean, parsed[0].worst, parsed[0].samples), (1.75, 2.5, 2));
+    assert_eq!((parsed[1].mean, parsed[2].mean), (12_346.0, 0.000_123_4));
+    let markdown = tables::markdown(&rows);
+    assert!(markdown.contains("| quiet | bytes | 1.75, 2.5 (2) | 12346 |"), "{markdown}");
+    assert!(markdown.contains("| death | seconds | 0.0001234 | - |"), "{markdown}");
+    let with_commas = tables::csv(&[Row::single(1.0, "lost, and back", "turned away, times", 2.0)]);
+    assert_eq!(tables::parse(&with_commas).expect("a row")[0].figure, "turned away; times");
     assert_eq!(tables::parse("size,phase\n"), Err(1));
     assert_eq!(tables::parse(&text.replace("0.0001234,0", "x,0")), Err(4));
-    assert_eq!(Row::of(1.0, "a", "b", &[]), None);
+    assert_eq!(Row::from_values(1.0, "a", "b", &[]), None);
 }
 
 #[test]
-fn a_nodes_figures_are_read_by_their_names() {
+fn node_counters_are_parsed_by_name() {
     let figures =
         parse_counters("router.success.chat:812|c\nrouter.members_alive:30|g\nnonsense\nrouter.x:y|c\n");
     assert_eq!(figures.get("members_alive"), Some(&30));
