--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -333,10 +333,10 @@
         "mean s",
         "p99 s",
         "busiest",
-        "unserved",
-        "retries",
+        "declined",
+        "further",
         "moves",
-        "failed"
+        "falls"
     );
     for row in rows {
         let mean = |of: fn(&TrafficMetrics) -> f64| Estimate::from_values(&row.traffic_values(of)).mean;
