--- a/crates/alderstile-cluster/src/membership/record.rs
+++ b/crates/alderstile-cluster/src/membership/record.rs
@@ -58,7 +58,8 @@
 }
 
 impl MemberRecord {
-    /// Checks that the record fits into a datagram, with space left for updates.
+    /// Checks the lengths of the name, the zone and the metadata. Within these bounds, the record fits into a
+    /// datagram and leaves space for updates about other members.
     ///
     /// # Errors
     /// Returns an error if the length of a field is out of bounds.
--- a/crates/alderstile-cluster/src/replicated_config/activation.rs
+++ b/crates/alderstile-cluster/src/replicated_config/activation.rs
@@ -75,7 +75,7 @@
 
     /// Returns the remaining time until the latest version becomes active.
     pub fn activates_in(&self) -> Micros {
-        self.committed_for().map_or(Micros(0), |age| self.settings.activation_delay() - age)
+        self.commit_age().map_or(Micros(0), |age| self.settings.activation_delay() - age)
     }
 
     /// Returns the time since the latest version was last known to be the latest.
@@ -105,7 +105,7 @@
     }
 
     /// Returns a lower bound on the time since the latest version was committed.
-    pub(super) fn committed_for(&self) -> Option<Micros> {
+    pub(super) fn commit_age(&self) -> Option<Micros> {
         self.committed.age.map(|age| age.at(self.now))
     }
 
@@ -141,7 +141,7 @@
         &mut self,
         effects: &mut Vec<Effect>,
         header: VersionHeader,
-        committed_for: Micros,
+        commit_age: Micros,
         latest_at: Option<Micros>,
     ) {
         let (version, known) = (header.position.version, self.committed_version());
@@ -158,7 +158,7 @@
             // The same document under a later leader's term.
             self.committed.header.position = self.committed.header.position.max(header.position);
         }
-        self.raise_commit_age(committed_for);
+        self.raise_commit_age(commit_age);
         let renewed = self.renew_lease(latest_at);
         self.activate(effects);
         if (version > known || renewed) && self.documents.contains(self.committed.header.digest) {
@@ -168,7 +168,7 @@
 
     fn raise_commit_age(&mut self, age: Micros) {
         let proposed = self.committed_version() > 0;
-        if proposed && self.committed_for().is_none_or(|known| known < age) {
+        if proposed && self.commit_age().is_none_or(|known| known < age) {
             self.committed.age = Some(CommitAge { age, observed_at: self.now });
         }
     }
--- a/crates/alderstile-cluster/src/replicated_config/codec/decode.rs
+++ b/crates/alderstile-cluster/src/replicated_config/codec/decode.rs
@@ -12,7 +12,7 @@
     MAX_REASON, Message, ProposalOutcome, ProposalRequest, RaftPayload, VersionHeader,
 };
 
-/// Length of a delta's header, which holds its prefix and suffix lengths, bytes.
+/// Length in bytes of a delta's header, which contains the lengths of the common prefix and suffix.
 const DELTA_HEADER_BYTES: usize = 8;
 
 type Decoded<T> = Result<T, ErrMode<ContextError>>;
@@ -90,16 +90,16 @@
 
 fn append(input: &mut &[u8]) -> Decoded<AppendEntry> {
     let has_committed = flag(input)?;
-    let (round, committed_for_us) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
+    let (round, commit_age_us) = (le_u64.parse_next(input)?, le_u64.parse_next(input)?);
     let (latest_at_us, entry) = (le_u64.parse_next(input)?, header(input)?);
     let committed = if has_committed { Some(header(input)?) } else { None };
-    Ok(AppendEntry { round, entry, committed, committed_for_us, latest_at_us })
+    Ok(AppendEntry { round, entry, committed, commit_age_us, latest_at_us })
 }
 
 fn announcement(input: &mut &[u8]) -> Decoded<Announcement> {
     Ok(Announcement {
         header: header(input)?,
-        committed_for_us: le_u64.parse_next(input)?,
+        commit_age_us: le_u64.parse_next(input)?,
         latest_at_us: le_u64.parse_next(input)?,
     })
 }
--- a/crates/alderstile-cluster/src/replicated_config/codec/encode.rs
+++ b/crates/alderstile-cluster/src/replicated_config/codec/encode.rs
@@ -21,7 +21,7 @@
         Message::Announce(announcement) => {
             bytes.push(message_tag::ANNOUNCE);
             put_header(bytes, &announcement.header);
-            put_u64s(bytes, &[announcement.committed_for_us, announcement.latest_at_us]);
+            put_u64s(bytes, &[announcement.commit_age_us, announcement.latest_at_us]);
         }
         Message::ChunkRequest(request) => {
             bytes.push(message_tag::CHUNK_REQUEST);
@@ -121,7 +121,7 @@
 
 fn put_append(bytes: &mut Vec<u8>, append: &AppendEntry) {
     bytes.extend([raft_tag::APPEND_ENTRY, u8::from(append.committed.is_some())]);
-    put_u64s(bytes, &[append.round, append.committed_for_us, append.latest_at_us]);
+    put_u64s(bytes, &[append.round, append.commit_age_us, append.latest_at_us]);
     put_header(bytes, &append.entry);
     append.committed.iter().for_each(|committed| put_header(bytes, committed));
 }
--- a/crates/alderstile-cluster/src/replicated_config/message.rs
+++ b/crates/alderstile-cluster/src/replicated_config/message.rs
@@ -42,7 +42,7 @@
     /// The committed version, if it differs from `entry`.
     pub committed: Option<VersionHeader>,
     /// Minimum time since the committed version was committed, microseconds.
-    pub committed_for_us: u64,
+    pub commit_age_us: u64,
     /// Reading of the receiver's clock at which that version was the latest; 0 if unknown to the leader.
     pub latest_at_us: u64,
 }
@@ -140,7 +140,7 @@
     /// Header of the version.
     pub header: VersionHeader,
     /// Minimum time since the version was committed, microseconds.
-    pub committed_for_us: u64,
+    pub commit_age_us: u64,
     /// Reading of the receiver's clock at which the version was the latest; 0 if unknown to the sender.
     pub latest_at_us: u64,
 }
--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -68,7 +68,7 @@
     /// The same time with the clock's random offset, as sent to other nodes.
     pub clock_us: u64,
     /// Minimum time since the latest committed version was committed.
-    pub committed_for: Micros,
+    pub commit_age: Micros,
 }
 
 /// Effects that a call requests.
--- a/crates/alderstile-cluster/src/replicated_config/raft/replication.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/replication.rs
@@ -62,8 +62,8 @@
             }
             _ => 0,
         };
-        let committed_for_us = time.committed_for.0;
-        AppendEntry { round: self.round, entry, committed, committed_for_us, latest_at_us }
+        let commit_age_us = time.commit_age.0;
+        AppendEntry { round: self.round, entry, committed, commit_age_us, latest_at_us }
     }
 
     /// Writes a document as the next version and returns that version. Returns `None` unless the current
@@ -209,7 +209,7 @@
 pub(super) fn announcement(append: &AppendEntry) -> Announcement {
     Announcement {
         header: append.committed.unwrap_or(append.entry),
-        committed_for_us: append.committed_for_us,
+        commit_age_us: append.commit_age_us,
         latest_at_us: append.latest_at_us,
     }
 }
--- a/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft_driver.rs
@@ -46,8 +46,8 @@
         effects: &mut Vec<Effect>,
         call: impl FnOnce(&mut Raft, StepTime, &ChunkedTransfer, &mut RaftEffects),
     ) {
-        let committed_for = self.committed_for().unwrap_or_default();
-        let time = StepTime { now: self.now, clock_us: self.clock_us(), committed_for };
+        let commit_age = self.commit_age().unwrap_or_default();
+        let time = StepTime { now: self.now, clock_us: self.clock_us(), commit_age };
         let Some(raft) = &mut self.raft else { return };
         let (before, mut raft_effects) = (RaftState::of(raft), RaftEffects::default());
         call(raft, time, &self.documents, &mut raft_effects);
@@ -115,8 +115,8 @@
     }
 
     pub(super) fn record_announced(&mut self, announcement: Announcement, effects: &mut Vec<Effect>) {
-        let Announcement { header, committed_for_us, latest_at_us } = announcement;
+        let Announcement { header, commit_age_us, latest_at_us } = announcement;
         let latest_at = self.echoed_time(latest_at_us);
-        self.record_committed(effects, header, Micros(committed_for_us), latest_at);
+        self.record_committed(effects, header, Micros(commit_age_us), latest_at);
     }
 }
--- a/crates/alderstile-cluster/src/replicated_config/subscription.rs
+++ b/crates/alderstile-cluster/src/replicated_config/subscription.rs
@@ -198,8 +198,8 @@
         let latest_at_us = self.committed.latest_at.map_or(0, |latest_at| {
             subscriber.clock_us.saturating_add(latest_at.0).saturating_sub(subscriber.received_at.0)
         });
-        let committed_for_us = self.committed_for().unwrap_or_default().0;
-        Announcement { header: self.committed.header, committed_for_us, latest_at_us }
+        let commit_age_us = self.commit_age().unwrap_or_default().0;
+        Announcement { header: self.committed.header, commit_age_us, latest_at_us }
     }
 
     pub(super) fn handle_announcement(
--- a/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
+++ b/crates/alderstile-cluster/src/subsetting/proportional_fitting.rs
@@ -1,8 +1,9 @@
 //! Iterative proportional fitting (Deming and Stephan 1940; Sinkhorn and Knopp 1967): scales the rows of a
 //! table to the nodes' traffic and its columns to the hosts' target loads, alternately, until both match.
 //!
-//! Of all tables that match, the result is the closest to the initial one. Traffic therefore stays in its
-//! zone as far as the target loads allow, and a new node or host moves little of it.
+//! Of all tables that match, the result is the closest to the initial one, measured by relative entropy.
+//! Traffic therefore stays in its zone as far as the target loads allow, and a new node or host moves little
+//! of it.
 
 use super::share_table::Preferences;
 use super::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, bounded_weight};
--- a/crates/alderstile-cluster/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_compatibility.rs
@@ -19,8 +19,8 @@
     };
     let voter = |payload| Message::Raft { voters_digest: 0x0102_0304_0506_0708, from: 2, term: 8, payload };
     let append = |committed| {
-        let (committed_for_us, latest_at_us) = (1_234_567, 0x2000_0000_0000_0001);
-        let append = AppendEntry { round: 99, entry: header, committed, committed_for_us, latest_at_us };
+        let (commit_age_us, latest_at_us) = (1_234_567, 0x2000_0000_0000_0001);
+        let append = AppendEntry { round: 99, entry: header, committed, commit_age_us, latest_at_us };
         voter(RaftPayload::AppendEntry(append))
     };
     let propose_reply = |outcome| Message::ProposeReply { nonce: 0xfeed, outcome };
@@ -46,7 +46,7 @@
             "announce",
             Message::Announce(Announcement {
                 header,
-                committed_for_us: 2_345_678,
+                commit_age_us: 2_345_678,
                 latest_at_us: 0x2000_0000_0000_0004,
             }),
         ),
--- a/crates/alderstile-cluster/tests/replicated_config_messages.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_messages.rs
@@ -25,11 +25,11 @@
         })
     };
     let append = (number(), header(), proptest::option::of(header()), number(), number()).prop_map(
-        |(round, entry, committed, committed_for_us, latest_at_us)| AppendEntry {
+        |(round, entry, committed, commit_age_us, latest_at_us)| AppendEntry {
             round,
             entry,
             committed,
-            committed_for_us,
+            commit_age_us,
             latest_at_us,
         },
     );
@@ -53,8 +53,8 @@
         "[a-zé]{0,100}".prop_map(ProposalOutcome::Rejected),
         any::<u8>().prop_map(ProposalOutcome::NotLeader),
     ];
-    let announcement = (header(), number(), number()).prop_map(|(header, committed_for_us, latest_at_us)| {
-        Announcement { header, committed_for_us, latest_at_us }
+    let announcement = (header(), number(), number()).prop_map(|(header, commit_age_us, latest_at_us)| {
+        Announcement { header, commit_age_us, latest_at_us }
     });
     let chunk_request = (number(), number(), any::<u32>()).prop_map(|(digest, base, offset)| ChunkRequest {
         digest,
--- a/crates/alderstile-cluster/tests/replicated_config_raft.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_raft.rs
@@ -14,7 +14,7 @@
 }
 
 fn at_ms(ms: u64) -> StepTime {
-    StepTime { now: Micros::from_millis(ms), clock_us: ms, committed_for: Micros(0) }
+    StepTime { now: Micros::from_millis(ms), clock_us: ms, commit_age: Micros(0) }
 }
 
 #[test]
@@ -27,7 +27,7 @@
     };
     let position = LogPosition { term: 7, version: 9 };
     let entry = VersionHeader { position, digest: 1, length: 1 };
-    let append = AppendEntry { round: 1, entry, committed: None, committed_for_us: 0, latest_at_us: 0 };
+    let append = AppendEntry { round: 1, entry, committed: None, commit_age_us: 0, latest_at_us: 0 };
     for payload in [
         RaftPayload::PreVote { last_entry: position },
         RaftPayload::RequestVote { last_entry: position },
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -139,9 +139,9 @@
     fn reset_history(&mut self, now: Micros, index: ServerIndex, endpoint: Endpoint) {
         let nodes = u64::from(self.settings.node_count);
         let node = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
-        let turn = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
+        let fraction = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
         let server = &mut self.servers[index];
-        server.slow_start = SlowStartTokens::starting_at(turn);
+        server.slow_start = SlowStartTokens::with_fraction(fraction);
         // Clocks differ, but a listed server has started by now.
         let latest_start = |started: Micros| (started + self.settings.start_time_tolerance).min(now);
         server.started = endpoint.started.map(latest_start);
--- a/src/policy/message_delay.rs
+++ b/src/policy/message_delay.rs
@@ -1,26 +1,28 @@
-//! Message delay: which servers have a high delay.
+//! Message delay: how long messages on open connections wait at a server, and which servers have a
+//! high delay.
 //!
 //! Servers report their delay about once per second while it is high. Where servers do not report
-//! delays, the time of a connection setup in excess of the typical one is taken as the message
-//! delay, and nodes that may use gossip share it with each other.
+//! delays, the difference between the duration of a connection setup and the typical duration is
+//! taken as the message delay. If gossip is allowed, nodes send high delays to each other.
 
 use crate::types::{Action, BalancerSettings, Micros, ServerId};
 
 use super::Policy;
 use super::server::ServerIndex;
 
-/// A delay is high from this share of the shortest message latency objective on.
+/// Share of the shortest latency objective at which a delay becomes high. The message latency
+/// objective of each class counts, or its connection setup objective if there is none.
 pub(super) const HIGH_DELAY_SHARE_OF_OBJECTIVE: f64 = 1.0 / 3.0;
 /// How long a delay is valid; it is reported once per second while it is high.
 const DELAY_VALID_FOR: Micros = Micros::from_millis(1_600);
 /// How long a delay is valid at a server without connections of this node, where no report can show
 /// that the delay has ended.
 const DELAY_VALID_UNOBSERVED_FOR: Micros = Micros::from_millis(30_000);
-/// A first delay of this length indicates a stalled server, because a queue takes longer to grow to
-/// it.
+/// A delay that is at least this long when it first becomes high indicates a stalled server, because
+/// a growing queue would have caused a shorter high delay before.
 const STALL_DELAY: Micros = Micros::from_millis(2_000);
-/// A stalled server is considered stalled while the growth of its delay is below this, in seconds
-/// per second.
+/// A server that is known to be stalled counts as stalled until its delay grows at least this fast,
+/// in seconds per second.
 const STALL_MAX_GROWTH: f64 = 1.5;
 /// Maximum valid delay in milliseconds, which is one minute.
 const MAX_DELAY_MS: f64 = 60_000.0;
@@ -50,7 +52,7 @@
     }
 }
 
-/// Returns the delay from which on a message delay is high.
+/// Returns the minimum message delay that counts as high.
 pub(super) fn high_delay_threshold(settings: &BalancerSettings) -> Micros {
     let objectives = settings
         .classes
@@ -72,7 +74,7 @@
         let Some(&index) = self.index_by_id.get(&server) else { return };
         let delay = Micros((ms * 1_000.0) as u64);
         let last = self.servers[index].delay.filter(|last| last.is_fresh(now) && now > last.at);
-        // Setups occur at irregular times and show no growth.
+        // Without delay reports, the growth is taken as 0, because setups occur at irregular times.
         let growing = last.filter(|_| self.settings.servers_report_delay);
         let growth = growing.map_or(0.0, |last| last.growth_to(delay, now));
         let stalled = match last.filter(|last| last.delay >= self.high_delay_threshold) {
@@ -82,9 +84,9 @@
         self.servers[index].delay = Some(MessageDelay { delay, at: now, stalled, growth, unconfirmed });
     }
 
-    /// Takes the time of a setup in excess of the typical one, in milliseconds, as the server's
-    /// message delay. Applies where servers do not report delays. Without it, a slow server would
-    /// receive new connections and keep its clients.
+    /// Records the difference between the duration of a setup and the typical duration, in
+    /// milliseconds, as the server's message delay. Applies where servers do not report delays.
+    /// Without this record, a slow server would receive new connections and keep its clients.
     pub(super) fn on_setup_excess(
         &mut self,
         now: Micros,
@@ -100,9 +102,9 @@
         }
     }
 
-    /// Returns whether a first delay derived from a setup is below the full latency objective. A
-    /// single setup may be long because of its own work, so the next setup there has to be long as
-    /// well.
+    /// Returns whether a delay derived from a setup has to be confirmed by the next setup at the
+    /// server. This applies if the delay is high but below the latency objective, and the last
+    /// delay was not high. A single setup may take long only because of the work that it requires.
     fn is_unconfirmed(&self, index: ServerIndex, delay_ms: f64) -> bool {
         let threshold_ms = self.high_delay_threshold.as_secs_f64() * 1e3;
         let had_high_delay =
@@ -128,8 +130,8 @@
         })
     }
 
-    /// Returns whether a server that was stalled still counts as having a high delay only because
-    /// this node has no connection there that could show otherwise.
+    /// Returns whether a server counts as having a high delay only because it was stalled and this
+    /// node has no connection there that could show that the stall has ended.
     pub(super) fn has_unobserved_high_delay(&self, now: Micros, index: ServerIndex) -> bool {
         let server = &self.servers[index];
         let outdated = server.delay.is_some_and(|last| last.stalled && !last.is_fresh(now));
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -73,7 +73,7 @@
     removal_probes: RemovalProbes,
     /// Factor applied to the weight of servers in this node's zone.
     zone_affinity: f64,
-    /// Delay from which on a message delay is high.
+    /// Minimum message delay that counts as high.
     high_delay_threshold: Micros,
     log_limit: LogLimit,
 }
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: limits the work that is sent to recently started servers.
 //!
 //! A warming-up server is overloaded if it receives more than a certain multiple of its current
-//! capacity for too long. Each node therefore sends it only as many attempts as it has tokens, and
-//! the tokens of all nodes together stay within that limit.
+//! capacity for too long. Each node therefore needs a token for each attempt at such a server,
+//! and the tokens of all nodes together stay within that limit.
 
 use crate::types::Micros;
 
@@ -24,16 +24,16 @@
     tokens: u32,
     /// Time at which unused tokens expire; zero before the first tokens.
     expire_at: Micros,
-    /// Fraction earned of the next token.
+    /// Part of the next token that has been earned so far.
     fraction: f64,
 }
 
 impl SlowStartTokens {
-    /// Creates a state without tokens. `turn`, from 0 to 1, is the position of this node among all
-    /// nodes; different initial fractions prevent the nodes from sending their first attempts at
+    /// Creates a state without tokens. `fraction`, from 0 to 1, is the part of the next token that
+    /// counts as earned. It differs between nodes, so that they do not send their first attempts at
     /// the same time.
-    pub(super) fn starting_at(turn: f64) -> Self {
-        SlowStartTokens { fraction: turn, ..SlowStartTokens::default() }
+    pub(super) fn with_fraction(fraction: f64) -> Self {
+        SlowStartTokens { fraction, ..SlowStartTokens::default() }
     }
 
     pub(super) fn is_empty(&self) -> bool {
@@ -48,9 +48,10 @@
         self.tokens = 0;
     }
 
-    /// Adds the tokens of one period at `rate` tokens per second. Tokens expire `lifetime` after
-    /// the period. The first refill includes the tokens of that lifetime, because most clients
-    /// reconnect right after a start.
+    /// Earns the tokens of one period at `rate` tokens per second. The earned tokens replace the
+    /// unused ones as soon as there is a complete one or the unused ones have expired. They expire
+    /// `lifetime` after the period. The first refill includes the tokens of that lifetime, because
+    /// most clients reconnect right after the server's start.
     fn refill(&mut self, now: Micros, rate: f64, lifetime: Micros) {
         let first = if self.expire_at == Micros(0) { lifetime.as_secs_f64() } else { 0.0 };
         self.fraction += (rate * (PERIOD.as_secs_f64() + first)).min(MAX_LOAD);
@@ -67,7 +68,8 @@
 pub(super) struct ConnectionTurnover {
     /// Sum of the time that all connections have been open, in seconds.
     connection_seconds: f64,
-    /// Number of connections that ended by themselves.
+    /// Number of open connections that were completed or whose client disconnected. Failed and
+    /// migrated connections are not included.
     pub(super) ended: u32,
     /// Running mean of [`Policy::mean_connections`].
     typical_connections: RunningMean,
@@ -78,8 +80,8 @@
         self.connection_seconds / f64::from(self.ended.max(1))
     }
 
-    /// Records one period, with the total number of connections of this node and its mean number on
-    /// warm servers per unit of weight.
+    /// Records one period. `total_connections` is the number of all connections of this node, and
+    /// `mean_connections` is the result of [`Policy::mean_connections`].
     fn observe(&mut self, total_connections: usize, mean_connections: f64) {
         self.connection_seconds += total_connections as f64 * PERIOD.as_secs_f64();
         self.typical_connections.add(mean_connections);
@@ -107,12 +109,12 @@
     /// node's subset. This node's record of a server that joined recently says little about its
     /// load.
     pub(super) fn local_warm_up_fraction(&self, now: Micros, index: ServerIndex) -> f64 {
-        let assigned = self.servers[index].endpoint.joined;
-        self.warm_up_fraction(now, index).min(elapsed_fraction(assigned, now, self.settings.warm_up))
+        let joined = self.servers[index].endpoint.joined;
+        self.warm_up_fraction(now, index).min(elapsed_fraction(joined, now, self.settings.warm_up))
     }
 
     /// Refills the tokens for all warming-up servers. Runs once per period. `mean_connections` is
-    /// the number of this node's connections on a warm server per unit of weight.
+    /// the result of [`Policy::mean_connections`].
     pub(super) fn refill_slow_start_tokens(&mut self, now: Micros, mean_connections: f64) {
         self.turnover.observe(self.connections.len(), mean_connections);
         // After a release, the only warm server may be a slow one with almost no connections. The
@@ -130,26 +132,27 @@
     }
 
     /// Returns the rate of tokens for a warming-up server, in tokens per second. This is the rate
-    /// at which a warm server of its weight receives new connections, multiplied by its current
-    /// share of its capacity and by the multiple of that capacity that it withstands.
-    /// `connections_per_server` is the number of this node's connections on a warm server per unit
-    /// of weight.
+    /// at which a warm server of the same weight receives new connections, multiplied by the share
+    /// of its capacity that the warming-up server has now and by the multiple of that capacity that
+    /// it withstands. `connections_per_server` is the number of this node's connections and groups
+    /// on a warm server per unit of weight.
     fn token_rate(&self, now: Micros, index: ServerIndex, connections_per_server: f64) -> f64 {
         let period = PERIOD.as_secs_f64();
         let initial = self.settings.warm_up_initial_capacity;
         let capacity_share = initial + (1.0 - initial) * self.warm_up_fraction(now, index);
-        // Warm servers receive as many new connections as they have within the mean lifetime of a
-        // connection.
+        // Within the mean lifetime of a connection, a warm server receives as many new connections
+        // as it has open ones.
         let lifetime = self.turnover.mean_lifetime_s();
         let (headroom, lifetime) = if self.settings.groups {
             // Without headroom, because all nodes start a group on the same servers and therefore
             // use the same warming-up server.
             (1.0, lifetime)
         } else {
-            // An overload window overlaps one more period than its length.
+            // A window that does not start with a period also overlaps the tokens of one more period.
             let window = self.settings.overload_window.as_secs_f64();
             let headroom = FLEET_HEADROOM * window / (window + period);
-            // No server takes longer to fill than to warm up.
+            // If connections last longer than the warm-up, the server receives its connections
+            // within the warm-up.
             (headroom, lifetime.min(self.settings.warm_up.as_secs_f64()))
         };
         headroom
@@ -160,10 +163,13 @@
             / lifetime.max(period)
     }
 
-    /// Returns how long a token is valid beyond its period. This is zero unless groups share work.
-    /// With groups, a node has few requests for any one server, and if all clients reconnected at
-    /// once, only a part of the nodes would have a request for it. Tokens are therefore kept as
-    /// long as this part of the nodes spends no more than the tokens earned in one overload window.
+    /// Returns how long a token is valid beyond its period. This is zero unless the connections of
+    /// a group share work.
+    ///
+    /// With groups, a node has few requests for any one server. Even if all clients reconnected at
+    /// once, only a part of the nodes would have a request for it. Tokens therefore stay valid for
+    /// the overload window divided by this part: all tokens that this part of the nodes can spend at
+    /// once are no more than all nodes earn in one overload window.
     fn token_lifetime(&self, now: Micros) -> Micros {
         if !self.settings.groups {
             return Micros(0);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,8 +1,9 @@
 //! Parser of a policy instance's settings, given as text values by key path.
 //!
 //! The simulator sends lines of `path=value`; the node flattens nested JSON to the same paths.
-//! Unknown keys are ignored. The keys are part of the external interface, and [`parse`] is the only
-//! place that maps them to the fields of [`BalancerSettings`].
+//! [`parse`] ignores unknown keys, which [`SettingValues::reject_unread`] reports. The keys are part
+//! of the external interface, and [`parse`] is the only place that maps them to the fields of
+//! [`BalancerSettings`].
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, HashMap};
@@ -25,7 +26,7 @@
 /// An error in the settings.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum SettingsError {
-    /// A key that no setting uses, where unknown keys are rejected.
+    /// No setting uses this key. Returned only by [`SettingValues::reject_unread`].
     #[error("unknown key {0}")]
     UnknownKey(String),
     /// A required key is missing.
@@ -71,8 +72,9 @@
         SettingValues::new(self.prefix, both.map(|(key, value)| (key.clone(), value.clone())))
     }
 
-    /// Checks that each key here was read from `merged`. Without this check, a misspelt key would
-    /// silently be replaced by its default.
+    /// Checks that every key of these values is the key of a setting. `merged` is the result of
+    /// [`SettingValues::overlaid_on`], or these values themselves, after all settings were read from
+    /// it. Without this check, the default would silently be used in place of a misspelt key.
     ///
     /// # Errors
     ///
@@ -204,7 +206,7 @@
         gossip_allowed: values.flag("allowed.may_tell")?,
         weight_meaning: values.keyword("weights", &WEIGHT_KEYWORDS, "silent, nominal, rough or live")?,
         servers_report_delay: values.flag("extra.tells_delay").or_else(default_if_missing(true))?,
-        // The balancer enables it. In the simulator, clients notice at once when a server stops,
+        // Nodes that serve real connections enable it in `balancer.rs`. In the simulator, clients notice at once when a server stops,
         // and migrating them earlier costs more than it gains.
         migrate_from_draining: false,
         groups,
@@ -253,7 +255,7 @@
     }
 }
 
-/// Rejects a group load without `extra.groups`: whoever sets it expects connections to share work,
+/// Parses the shared work of a group. Rejects the key without `extra.groups`: whoever sets it expects connections to share work,
 /// but the setting would have no effect.
 fn group_load(values: &SettingValues, groups: bool) -> Result<f64, SettingsError> {
     let load = values.number("extra.group_load");
@@ -269,6 +271,7 @@
 
 fn report_fields(values: &SettingValues) -> Vec<ReportField> {
     let field = |name: &&str| match *name {
+        // The name of the column with the load ratio in the external interface.
         "x0" => ReportField::LoadRatio,
         _ => ReportField::Other,
     };
@@ -302,8 +305,8 @@
     (0..count).map(tenant).collect()
 }
 
-/// Parses the retry budget. The three keys must be set together, because a part of them limits
-/// nothing.
+/// Parses the retry budget; there is none if all three keys are missing. The keys must be set
+/// together, because one or two of them define no limit.
 fn retry_budget(values: &SettingValues) -> Result<Option<RetryBudget>, SettingsError> {
     let [min_retries, retry_ratio, window] =
         ["free_resends", "resend_ratio", "counted_over"].map(|key| format!("obligations.{key}"));
--- a/tests/pages.rs
+++ b/tests/pages.rs
@@ -1,10 +1,10 @@
-//! The documentation refers only to files and types that exist.
+//! Checks that the pages of the documentation refer only to files and types that exist.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Directories whose files the pages reference by their path from the root.
+/// Directories whose files a page may reference in backticks. The path starts at the root.
 const FOLDERS: [&str; 6] = ["src/", "crates/", "tests/", "docs/", "examples/", "deploy/"];
 
 fn root() -> &'static Path {
@@ -15,7 +15,8 @@
     path.extension().is_some_and(|extension| extension == "md")
 }
 
-/// Returns all pages: those in the root, in `docs/` with its subdirectories, and in `examples/`.
+/// Returns all pages: `README.md`, `CONTRIBUTING.md`, and the Markdown files below `docs/` and
+/// `examples/`.
 fn pages() -> Vec<PathBuf> {
     let mut folders = vec![root().join("docs"), root().join("examples")];
     let mut pages: Vec<PathBuf> =
@@ -33,8 +34,8 @@
     pages
 }
 
-/// Returns the paths that a page references in backticks. A path with a placeholder or a wildcard
-/// is no single file and is skipped.
+/// Returns the paths that the text of a page references in backticks. A path with a placeholder or a
+/// wildcard does not name a single file and is skipped.
 fn named_paths(text: &str) -> BTreeSet<&str> {
     let quoted = text.split('`').skip(1).step_by(2);
     let is_path = |quoted: &&str| {
@@ -48,7 +49,7 @@
 fn pages_reference_existing_files() {
     let mut missing = Vec::new();
     for page in pages() {
-        let text = fs::read_to_string(&page).expect("a page");
+        let text = fs::read_to_string(&page).expect("every page is readable");
         let missing_paths = named_paths(&text).into_iter().filter(|path| !root().join(path).exists());
         missing.extend(missing_paths.map(|path| format!("{}: {path}", page.display())));
     }
@@ -56,10 +57,10 @@
 }
 
 #[test]
-fn links_between_pages_lead_to_files() {
+fn links_to_local_files_are_not_broken() {
     let mut broken = Vec::new();
     for page in pages() {
-        let text = fs::read_to_string(&page).expect("a page");
+        let text = fs::read_to_string(&page).expect("every page is readable");
         let folder = page.parent().expect("the directory of the page");
         let targets = text.split("](").skip(1).filter_map(|rest| rest.split(')').next());
         let local = targets.filter(|target| !target.contains("://") && !target.starts_with('#'));
@@ -87,7 +88,8 @@
     text
 }
 
-/// Returns whether a word looks like a type name, with at least two capitalized parts.
+/// Returns whether a word looks like a type name: it starts with a capital letter, consists of letters
+/// and digits, and has at least two capital letters and one small one.
 fn is_type_name(word: &str) -> bool {
     let capitals = word.chars().filter(char::is_ascii_uppercase).count();
     word.starts_with(|first: char| first.is_ascii_uppercase())
@@ -96,6 +98,7 @@
         && word.chars().all(|c| c.is_ascii_alphanumeric())
 }
 
+/// A type counts as existing if its name occurs anywhere in the source files.
 #[test]
 fn pages_reference_existing_types() {
     let sources = sources();
@@ -103,7 +106,7 @@
         sources.split(|c: char| !c.is_ascii_alphanumeric() && c != '_').filter(|w| is_type_name(w)).collect();
     let mut missing = Vec::new();
     for page in pages() {
-        let text = fs::read_to_string(&page).expect("a page");
+        let text = fs::read_to_string(&page).expect("every page is readable");
         let quoted = text.split('`').skip(1).step_by(2).filter(|quoted| !quoted.contains('\n'));
         let words = quoted.flat_map(|quoted| quoted.split(|c: char| !c.is_ascii_alphanumeric() && c != '_'));
         let unknown: BTreeSet<&str> = words.filter(|w| is_type_name(w) && !known.contains(w)).collect();
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -1,5 +1,5 @@
-//! Admission control: load limits, capacity reserved by class, and the answer without a further
-//! attempt.
+//! Admission control: load limits, capacity reserved by class, and the answer to a request that gets
+//! no further attempt.
 
 use crate::support::{
     Node, class, connections_by_server, ms, pass_periods, report_delay, report_load, request, settings,
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn request_without_attempt_is_rejected_at_once_with_retry_after() {
+fn request_without_available_server_is_rejected_at_once_with_retry_after_if_allowed() {
     let mut node = Node::new(settings(), 0);
     node.send_request(request(1));
     assert!(node.rejected(1).flatten().is_some());
@@ -36,15 +36,15 @@
 }
 
 #[test]
-fn last_capacity_is_reserved_for_the_class_with_the_highest_priority_per_load() {
+fn part_of_the_capacity_is_reserved_for_the_class_with_the_highest_priority_per_load() {
     // Guards against heavy connections of low priority using the capacity of many light ones in an
     // overload.
-    let mut two = settings();
-    two.classes = vec![
+    let mut two_classes = settings();
+    two_classes.classes = vec![
         ClassSettings { priority_weight: 5.0, ..class(Idempotency::Idempotent) },
         ClassSettings { priority_weight: 1.0, ..class(Idempotency::Idempotent) },
     ];
-    let mut node = Node::new(two, 1);
+    let mut node = Node::new(two_classes, 1);
     let heavy = |id| Request { class: 1, ..request(id) };
     for id in 1..=20 {
         node.send_request(if id <= 10 { request(id) } else { heavy(id) });
@@ -53,16 +53,16 @@
     }
     report_delay(&mut node, 1, 60.0);
     node.pass(ms(1_100));
-    // The high delay limits the server; after the delay, some capacity becomes free.
-    let weight = |node: &Node| -> u64 {
+    // The high delay limits the load of the server. Connections end until the load is below the limit.
+    let load = |node: &Node| -> u64 {
         (1..=20).filter(|&id| node.has_request(id)).map(|id| if id <= 10 { 10 } else { 100 }).sum()
     };
     for id in 11..=20 {
-        if weight(&node) > 600 {
+        if load(&node) > 600 {
             node.end(id, Outcome::Ok);
         }
     }
-    assert!((500..=600).contains(&weight(&node)), "about half of the load at which the server was full");
+    assert!((500..=600).contains(&load(&node)), "about half of the load at which the server was full");
     node.pass(ms(1_000));
     node.send_request(heavy(30));
     assert!(node.rejected(30).is_some(), "heavy connections of low priority are rejected");
--- a/tests/policy/selection.rs
+++ b/tests/policy/selection.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn ties_are_broken_at_random() {
-    let first = |seed| {
+    let actions_for_one_request = |seed| {
         let mut policy = alderstile::policy::Policy::new(settings(), seed, ms(0));
         let mut actions = Vec::new();
         policy.handle(
@@ -32,26 +32,26 @@
         policy.handle(ms(2), Event::Request(request(1)), &mut actions);
         format!("{actions:?}")
     };
-    let distinct: std::collections::BTreeSet<String> = (0..40).map(first).collect();
+    let distinct: std::collections::BTreeSet<String> = (0..40).map(actions_for_one_request).collect();
     assert_eq!(distinct.len(), 4, "each of four equal servers is selected with some seed");
 }
 
 #[test]
-fn ties_are_broken_by_weight() {
-    let mut first = [0; 2];
+fn ties_are_broken_at_random_in_proportion_to_weight() {
+    let mut selections = [0; 2];
     for seed in 0..400 {
         let mut node = Node::with_seed(
             BalancerSettings { weight_meaning: WeightMeaning::NominalCapacity, ..settings() },
             0,
             seed,
         );
-        let sizes = [(1, 3.0), (2, 1.0)].map(|(id, weight)| Endpoint { weight, ..entry(id) });
-        node.list(EndpointListKind::Full, sizes.to_vec());
+        let endpoints = [(1, 3.0), (2, 1.0)].map(|(id, weight)| Endpoint { weight, ..entry(id) });
+        node.list(EndpointListKind::Full, endpoints.to_vec());
         node.send_request(request(1));
-        first[node.server_of(1).map_or(1, |server| server as usize - 1)] += 1;
+        selections[node.server_of(1).map_or(1, |server| server as usize - 1)] += 1;
     }
     assert!(
-        (270..330).contains(&first[0]),
-        "three times the weight, selected three out of four times: {first:?}"
+        (270..330).contains(&selections[0]),
+        "three times the weight, selected three out of four times: {selections:?}"
     );
 }
