--- a/src/balancer.rs
+++ b/src/balancer.rs
@@ -143,8 +143,9 @@
     }
 
     /// Stops retries in this process if there is a retry budget, and returns the budget's window
-    /// for the process that takes over, with ages in place of times. Returns `None` if the window
-    /// is not completely known. The two processes of one node share one budget.
+    /// for the process that takes over, with the age of each event in place of its time. Returns
+    /// `None` if the window is not completely known. The two processes of one node share one
+    /// budget.
     pub fn hand_over_retry_budget(&mut self, now: Micros) -> Option<Vec<RetryBudgetBucket>> {
         let buckets = self.policy.hand_over_retry_budget(now);
         let aged = |bucket: RetryBudgetBucket| RetryBudgetBucket {
@@ -161,7 +162,7 @@
     pub fn take_over_retry_budget(
         &mut self,
         now: Micros,
-        exported: Option<Vec<RetryBudgetBucket>>,
+        reported: Option<Vec<RetryBudgetBucket>>,
         transfer_time: Micros,
     ) {
         // Admitted requests expire by the first event, which may be dated too early, and retries by
@@ -172,7 +173,7 @@
             last_event: now - bucket.last_event,
             ..bucket
         };
-        let buckets = exported.map(|buckets| buckets.into_iter().map(dated).collect());
+        let buckets = reported.map(|buckets| buckets.into_iter().map(dated).collect());
         self.policy.take_over_retry_budget(now, buckets);
     }
 
--- a/src/maintenance.rs
+++ b/src/maintenance.rs
@@ -58,13 +58,13 @@
         self.listed.get(&id).map(|endpoint| self.overlaid(*endpoint))
     }
 
-    /// Takes a server out of maintenance. Returns the changed endpoint, or `None` if the server was
-    /// not in maintenance or is not listed.
-    pub fn end(&mut self, now: Micros, id: ServerId) -> Option<Endpoint> {
+    /// Takes a server out of maintenance as of `since`. Returns the changed endpoint, or `None` if
+    /// the server was not in maintenance or is not listed.
+    pub fn end(&mut self, since: Micros, id: ServerId) -> Option<Endpoint> {
         if !self.in_maintenance.remove(&id) {
             return None;
         }
-        self.returned_at.insert(id, now);
+        self.returned_at.insert(id, since);
         self.listed.get(&id).map(|endpoint| self.overlaid(*endpoint))
     }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -1,5 +1,5 @@
-//! Admission control: whether a server has capacity for a class, and the answer to a request
-//! without a further attempt.
+//! Admission control: whether a server has capacity for a class, and the answer to a request that
+//! gets no further attempt.
 
 use rand::RngExt;
 
@@ -38,7 +38,7 @@
         load.map_or(0.0, |load| priority / load)
     }
 
-    /// Answers a request without a further attempt. The answer is sent at once, so that the client
+    /// Answers a request that gets no further attempt. The answer is sent at once, so that the client
     /// can retry. A request that may have been executed and cannot safely be repeated at every
     /// server fails; any other is rejected.
     pub(super) fn give_up(&mut self, connection: &Connection, actions: &mut Vec<Action>) {
--- a/src/policy/attempt_timeout.rs
+++ b/src/policy/attempt_timeout.rs
@@ -13,8 +13,8 @@
 /// Share of setups that time out above which attempts have no timeout, because the whole fleet is
 /// slow.
 const MAX_TIMED_OUT_SHARE: f64 = 0.15;
-/// Maximum time with which one setup enters the typical setup time, in multiples of the latter, so
-/// that a single slow setup does not distort it.
+/// Maximum duration with which one setup is included in the typical setup time, in multiples of that
+/// time. It prevents a single slow setup from distorting the typical setup time.
 const MAX_SETUP_MULTIPLE: f64 = 2.0;
 /// Number of attempts in flight that never indicates a slow fleet, whatever the request rate.
 const MIN_ATTEMPTS_IN_FLIGHT: f64 = 2.0;
--- a/src/policy/effective_weight.rs
+++ b/src/policy/effective_weight.rs
@@ -37,8 +37,8 @@
     /// copy of a group in each zone costs more than cross-zone attempts.
     pub(super) fn update_zone_affinity(&mut self, now: Micros) {
         let warming_up = self.available_servers(now).any(|index| !self.is_warm(now, index));
-        let charged = self.settings.costs.cross_zone > 0.0;
-        let active = charged && !warming_up && !self.settings.groups;
+        let has_cross_zone_cost = self.settings.costs.cross_zone > 0.0;
+        let active = has_cross_zone_cost && !warming_up && !self.settings.groups;
         self.zone_affinity = if active { ZONE_AFFINITY } else { 1.0 };
     }
 }
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -17,7 +17,7 @@
 /// Timer of the next poll of the endpoint list.
 pub(super) const POLL_TIMER: TimerToken = TimerToken(1);
 
-/// Backoff before the next poll after a first failure.
+/// Backoff before the next poll after the first failure.
 const POLL_BACKOFF: Micros = Micros::from_millis(500);
 /// Maximum number of times that the backoff doubles with further failures.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 2;
@@ -126,8 +126,8 @@
         let next = self.servers.len();
         let index = *self.index_by_id.entry(endpoint.id).or_insert(next);
         if index == next {
-            // A random time within the interval. Otherwise nearly all servers would be due for a
-            // setup when there are many nodes.
+            // The last attempt is dated at random within the interval. With many nodes, nearly all
+            // servers would otherwise be due for a setup.
             let last_attempt_at = now - self.setup_interval().scale(self.rng.random::<f64>());
             let endpoint = Endpoint { started: None, ..endpoint };
             self.servers.push(Server { endpoint, last_attempt_at, ..Server::default() });
--- a/src/policy/load_estimate.rs
+++ b/src/policy/load_estimate.rs
@@ -15,7 +15,7 @@
 /// Maximum valid load, about the work of a thousand cores.
 pub(super) const MAX_LOAD: f64 = 1e9;
 
-/// Returns whether a value is a valid load. A NaN, negative or absurd value would corrupt every sum
+/// Returns whether a value is a valid load. A NaN, negative or excessive value would corrupt every sum
 /// that includes it.
 pub(super) fn is_valid_load(load: &f64) -> bool {
     (0.0..=MAX_LOAD).contains(load)
@@ -40,8 +40,8 @@
         load.reported + unreported + self.group_load_share() * load.groups.len() as f64
     }
 
-    /// Returns this node's share of the work that a group causes at a server. With more nodes, more
-    /// of them have connections of the group there as well.
+    /// Returns this node's share of the work that a group causes at a server. The share is smaller
+    /// with more nodes, because more of them have connections of the group at the same server.
     pub(super) fn group_load_share(&self) -> f64 {
         let share = (2.0 / f64::from(self.settings.node_count)).min(1.0);
         self.typical_load() * self.settings.group_load * share
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -51,8 +51,8 @@
     pub(super) fn migration_limit(&mut self, now: Micros, cause: ExcessCause) -> MigrationLimit {
         let fleet_has_high_delay = cause != ExcessCause::Draining
             && self.high_delay_share(now, self.warm_servers(now)) >= FLEET_HIGH_DELAY_SHARE;
-        // Drawn for every cause, so that the sequence of random numbers depends on the state of the
-        // fleet alone.
+        // Also drawn for overloaded servers, where it is not used, so that the sequence of random
+        // numbers does not depend on which of the two causes applies.
         let rounding = if fleet_has_high_delay { self.rng.random() } else { ROUND_UP_OFFSET };
         match cause {
             ExcessCause::Overloaded => MigrationLimit { share: PROACTIVE_MIGRATION_SHARE, rounding: 0.0 },
@@ -124,13 +124,13 @@
     }
 
     /// Returns the load to shed, which is the excess if that is at least the load of the lightest
-    /// candidate.
+    /// candidate, and `None` if there is nothing to shed.
     ///
     /// A server with a high delay may also lose a connection for a smaller excess, with a
     /// probability proportional to the excess and at most [`REACTIVE_MIGRATION_SHARE`]. This
     /// applies if this node has few connections or the server misses the full latency objective.
-    /// Otherwise each of many nodes could keep its one connection there and none would start
-    /// shedding, although a connection that stays is of no use to its client.
+    /// Without this rule, each of many nodes could keep its one connection there and none would
+    /// start shedding, although a connection that stays is of no use to its client.
     pub(super) fn load_to_shed(
         &mut self,
         index: ServerIndex,
@@ -160,7 +160,7 @@
     }
 
     /// Migrates at most `migrations` connections. Each is the one whose load is closest to the load
-    /// still to shed, and migration stops when no connection brings the rest closer to zero.
+    /// still to shed, and migration stops when no connection brings the remaining load closer to zero.
     pub(super) fn migrate_closest(
         &mut self,
         index: ServerIndex,
--- a/src/policy/outlier.rs
+++ b/src/policy/outlier.rs
@@ -37,8 +37,9 @@
     /// Whether a connection to the server could not be established, it rejected a request or it
     /// dropped all connections of this node, and no setup has succeeded since.
     pub(super) unreachable: bool,
-    /// Whether a connection could not be established while the server had none of this node, and no
-    /// setup has succeeded since. Such a server receives one trial attempt at a time.
+    /// Whether a connection could not be established while the server had no other connection of
+    /// this node, and no setup has succeeded since. Such a server receives one trial attempt at a
+    /// time.
     pub(super) connect_failed: bool,
 }
 
--- a/src/policy/rebalance.rs
+++ b/src/policy/rebalance.rs
@@ -12,13 +12,13 @@
 
 /// Multiple of the mean load above which a server is overloaded.
 pub(super) const OVERLOAD_THRESHOLD: f64 = 1.1;
-/// Number of consecutive periods above the threshold before a server sheds load. A load that
-/// fluctuates by itself falls below the threshold within that time.
+/// Number of consecutive periods above the threshold before a server sheds load. A random
+/// fluctuation of the load ends within that time.
 const PERIODS_BEFORE_SHEDDING: u32 = 3;
 /// Time within which the backlog of a server with a high delay is to be cleared.
 const BACKLOG_CLEAR_TIME: Micros = Micros::from_millis(1_000);
-/// Share of the load processed by a server with a high delay that counts as manageable if the full
-/// latency objective is missed.
+/// Assumed capacity of a server with a high delay, as a share of the load that it processes, once its
+/// delay reaches the full latency objective.
 const CAPACITY_MARGIN: f64 = 0.7;
 /// Bounds of the ratio of offered to processed work at a server with a high delay.
 const MIN_UTILIZATION: f64 = 0.5;
--- a/src/policy/retry.rs
+++ b/src/policy/retry.rs
@@ -141,8 +141,9 @@
         self.attempt(now, connection, actions);
     }
 
-    /// Returns whether an outcome shows that the client's time has run out, regardless of the
-    /// deadline. Clocks differ, and the attempt could use all of that time.
+    /// Returns whether an outcome shows that the client's deadline has passed, even if it has not
+    /// passed by this node's clock. Applies if clocks may differ and the attempt had no timeout of
+    /// its own, so that only the client's deadline limited it.
     fn client_has_given_up(&self, connection: &Connection, outcome: Outcome) -> bool {
         let out_of_time = matches!(outcome, Outcome::Timeout | Outcome::NeverSent);
         let clocks_differ = self.settings.deadline_tolerance > Micros(0);
--- a/src/policy/retry_budget.rs
+++ b/src/policy/retry_budget.rs
@@ -32,7 +32,7 @@
 
 /// Counts retries and admitted requests of a sliding window in buckets. A bucket that is partly
 /// outside the window is excluded from the admitted requests and included in the retries, so that
-/// the count never allows more than the rule.
+/// the count never allows more than the budget.
 #[derive(Default)]
 struct SlidingWindow {
     buckets: VecDeque<RetryBudgetBucket>,
@@ -134,8 +134,8 @@
     /// Returns whether a retry after this outcome needs a token. With a budget, no tokens are
     /// needed. An attempt that reached no server caused no load, so its retry is free.
     fn needs_retry_token(&self, outcome: Outcome) -> bool {
-        let unseen = matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
-        self.settings.retry_budget.is_none() && !unseen
+        let reached_no_server = matches!(outcome, Outcome::NotForwarded | Outcome::ConnectFailed);
+        self.settings.retry_budget.is_none() && !reached_no_server
     }
 
     /// Returns whether a token is available if a retry after this outcome needs one.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -15,8 +15,8 @@
 use super::rebalance::OVERLOAD_THRESHOLD;
 use super::server::ServerIndex;
 
-/// Interval at which each server should receive a setup from any node, where only setups show
-/// delays.
+/// Interval at which each server should receive a setup, from whichever node, if delays are derived
+/// from setups.
 const SETUP_INTERVAL: Micros = Micros::from_millis(2_000);
 
 /// Returns a sort key for weighted random selection. Among servers with independent uniform hashes,
@@ -37,8 +37,8 @@
     outside_group: bool,
     /// The server is not due for a setup that would show its delay.
     setup_not_due: bool,
-    /// Load per unit of effective weight after the connection is placed.
-    load_after_placement: f64,
+    /// Load per unit of effective weight, see [`Selection::load_per_weight`].
+    load_per_weight: f64,
     /// Among equals, a warming-up server is preferred: its tokens limit its load, while a warm
     /// server without connections of this node is filled by other nodes.
     warm: bool,
@@ -74,8 +74,8 @@
         lowest.map(|(_, index)| index)
     }
 
-    /// Returns whether a request may go to a server now, given the rules and the possible effects
-    /// of earlier attempts.
+    /// Returns whether a request may be sent to a server now. Considers the state of the server and
+    /// the possible effects of earlier attempts, but not the load.
     fn is_eligible(&self, now: Micros, index: ServerIndex, connection: &Connection) -> bool {
         let server = &self.servers[index];
         let awaits_trial_setup = server.outlier.connect_failed && !server.load.connections.is_empty();
@@ -87,8 +87,8 @@
             && self.may_retry_at(now, index, connection)
     }
 
-    /// Returns the time after its last attempt at a server at which this node is due to make
-    /// another one.
+    /// Returns the interval after which this node is due to make another attempt at a server. It is
+    /// longer with more nodes, because any node's attempt counts.
     pub(super) fn setup_interval(&self) -> Micros {
         SETUP_INTERVAL.scale(f64::from(self.settings.node_count))
     }
@@ -141,7 +141,7 @@
             has_high_load_ratio: load_ratio.is_some_and(|ratio| ratio > HIGH_LOAD_RATIO),
             outside_group: !self.may_join_group(index),
             setup_not_due: !policy.is_setup_due(now, index, self.mean_load),
-            load_after_placement: self.load_after_placement(index),
+            load_per_weight: self.load_per_weight(index),
             warm: policy.is_warm(now, index),
             unreported: self.connection.request.group.is_none() && load_ratio.is_none(),
             weighted_tie_breaker: weighted_tie_breaker(self.hash(index), policy.weight(index)),
@@ -152,15 +152,15 @@
         rendezvous_hash(self.hash_key, self.policy.servers[index].endpoint.id)
     }
 
-    /// Returns the load of a server per unit of effective weight, with the group's work if the
+    /// Returns the load of a server per unit of effective weight, including the group's work if the
     /// group would start there.
     ///
-    /// A warming-up server initially counts with the mean load of the others and at the end of its
-    /// warm-up with its own load. The added load is rounded at random to whole connections, because
-    /// recorded loads consist of whole connections. A fraction of a connection would rank the
-    /// server behind every server without connections, and with many nodes nearly all servers have
-    /// none.
-    fn load_after_placement(&self, index: ServerIndex) -> f64 {
+    /// A load is added to a warming-up server, which decreases from the mean load at its start to
+    /// zero at the end of its warm-up. The added load is rounded at random to whole connections,
+    /// because recorded loads consist of whole connections. A fraction of a connection would rank
+    /// the server behind every server without connections, and with many nodes nearly all servers
+    /// have none.
+    fn load_per_weight(&self, index: ServerIndex) -> f64 {
         let begins_group = self.connection.request.group.is_some() && !self.has_group(index);
         let group_load = if begins_group { self.group_load_share } else { 0.0 };
         let load = self.policy.recorded_load(index) + group_load;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -206,8 +206,8 @@
         gossip_allowed: values.flag("allowed.may_tell")?,
         weight_meaning: values.keyword("weights", &WEIGHT_KEYWORDS, "silent, nominal, rough or live")?,
         servers_report_delay: values.flag("extra.tells_delay").or_else(default_if_missing(true))?,
-        // Nodes that serve real connections enable it in `balancer.rs`. In the simulator, clients notice at once when a server stops,
-        // and migrating them earlier costs more than it gains.
+        // Nodes that serve real connections enable it in `balancer.rs`. In the simulator, clients
+        // notice at once when a server stops, and migrating them earlier costs more than it gains.
         migrate_from_draining: false,
         groups,
         group_load,
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -127,7 +127,7 @@
     pub classes: Vec<ClassSettings>,
     /// Whether the node has to subscribe to the endpoint list. Otherwise changes are pushed to it.
     pub must_subscribe: bool,
-    /// Maximum interval between polls of the endpoint list without a subscription.
+    /// Maximum interval between polls of the endpoint list while there is no subscription.
     pub max_poll_interval: Micros,
     /// Maximum number of attempts per request.
     pub max_attempts: u32,
--- a/tests/policy/admission.rs
+++ b/tests/policy/admission.rs
@@ -53,7 +53,7 @@
     }
     report_delay(&mut node, 1, 60.0);
     node.pass(ms(1_100));
-    // The high delay limits the load of the server. Connections end until the load is below the limit.
+    // The high delay limits the server; ending some of its connections frees capacity.
     let load = |node: &Node| -> u64 {
         (1..=20).filter(|&id| node.has_request(id)).map(|id| if id <= 10 { 10 } else { 100 }).sum()
     };
