--- a/crates/alderstile-cluster/src/host_assignment/mod.rs
+++ b/crates/alderstile-cluster/src/host_assignment/mod.rs
@@ -1,5 +1,4 @@
-//! Host assignment: turns the endpoint list into the list that one node's decisions use, by the node's
-//! subset.
+//! Host assignment: applies a node's subset to the endpoint list that the node passes to its policy.
 //!
 //! A host of the subset has the node's share of traffic as its weight; every other host is cordoned. If
 //! subsetting is disabled, lists are passed on unchanged.
@@ -40,7 +39,7 @@
     reported_level: ReportedLevel,
     /// The endpoints as received from discovery.
     listed: BTreeMap<ServerId, Endpoint>,
-    /// The endpoints as the decisions see them.
+    /// The endpoints as passed to the policy.
     assigned: BTreeMap<ServerId, Endpoint>,
     /// Whether members or hosts have changed since the subset was computed.
     is_subset_outdated: bool,
@@ -75,7 +74,7 @@
         self.other_nodes = other_nodes;
     }
 
-    /// Applies a list from discovery and returns it as the decisions are to see it. A new host is cordoned
+    /// Applies a list from discovery and returns it as it is passed to the policy. A new host is cordoned
     /// until the next [`HostAssignment::refresh`], which the caller must run at once if
     /// [`HostAssignment::has_no_ready_host`] is true.
     pub fn apply_list(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) -> Vec<Endpoint> {
@@ -196,7 +195,8 @@
             let last = self.assigned.get(&id);
             let assigned = match host_use {
                 HostUse::Assigned(share) => Endpoint {
-                    // The mean weight is 1: the decisions count in connections of an average host.
+                    // Scaled to a mean weight of 1, so that the policy's loads per unit of weight are those of
+                    // an average host.
                     weight: share * used_hosts,
                     joined: joined_at(last, had_ready_host, now),
                     ..*entry
@@ -220,7 +220,7 @@
 }
 
 /// Returns when a used host joined the subset. If the subset was already in use, a new host gets the current
-/// time, so that the decisions warm it up gradually.
+/// time, so that the policy warms it up gradually.
 fn joined_at(last: Option<&Endpoint>, subset_in_use: bool, now: Micros) -> Option<Micros> {
     let was_used = last.is_some_and(Endpoint::ready);
     if was_used || !subset_in_use { last.and_then(|last| last.joined) } else { Some(now) }
--- a/crates/alderstile-cluster/src/host_assignment/traffic_level.rs
+++ b/crates/alderstile-cluster/src/host_assignment/traffic_level.rs
@@ -7,8 +7,8 @@
 pub const TRAFFIC_METADATA_TAG: u8 = b't';
 /// Levels per doubling: 12 make steps of 6 %, so that one byte covers up to two million connections.
 const STEPS_PER_DOUBLING: f64 = 12.0;
-/// The change, in levels, from which a new level is reported: 8 levels are a change of about 60 %. Reports
-/// are rare because each one is gossiped to every member.
+/// The minimum change, in levels, at which a new level is reported: 8 levels are a change of about 60 %.
+/// Reports are rare because each one is gossiped to every member.
 const REPORT_THRESHOLD_STEPS: u8 = 8;
 /// The minimum time between two reports.
 const MIN_REPORT_INTERVAL: Micros = Micros::from_millis(10_000);
--- a/crates/alderstile-cluster/src/membership/anti_entropy.rs
+++ b/crates/alderstile-cluster/src/membership/anti_entropy.rs
@@ -11,7 +11,7 @@
 pub(super) const SYNC_INTERVAL_PERIODS: u64 = 10;
 /// The maximum number of pages that a member requests per period until it has copied a complete view.
 const MAX_REQUESTS_PER_PERIOD: u32 = 8;
-/// An upper bound on the members that fit on a page, by the shortest record.
+/// An upper bound on the number of members that fit on a page, derived from the shortest record.
 const MAX_PAGE_ENTRIES: usize = MAX_DATAGRAM_BYTES / 32;
 
 /// The progress of copying other members' views.
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Returns a page with as many members as fit: those after `after` in instance order, then those from the
-    /// first one on. The cost of a page does not depend on the number of members.
+    /// Returns a page with as many members as fit, in instance order: those after the instance `after`, then
+    /// those from the lowest instance on. The cost of a page does not depend on the number of members.
     pub(super) fn sync_page(&self, after: InstanceId) -> Message {
         let (following, preceding) = self.page_candidates(after);
         let following_count = following.len();
--- a/crates/alderstile-cluster/src/membership/peer.rs
+++ b/crates/alderstile-cluster/src/membership/peer.rs
@@ -46,8 +46,8 @@
     pub record: MemberRecord,
     /// The state of the peer.
     pub state: MemberState,
-    /// When the peer entered this state. While it is suspected, time in which this process was stalled is
-    /// added.
+    /// When the peer entered this state. For a suspected peer, the durations of this process's stalls are
+    /// added, so that the suspicion lasts longer.
     pub state_since: Micros,
     /// The members that reported the suspicion, while the peer is suspected (Lifeguard section IV-B).
     pub(super) reporters: Vec<InstanceId>,
--- a/crates/alderstile-cluster/src/membership/peer_table.rs
+++ b/crates/alderstile-cluster/src/membership/peer_table.rs
@@ -129,7 +129,7 @@
         self.suspects.remove(&instance);
     }
 
-    /// Returns the peers that have been dead or left since before `cutoff`.
+    /// Returns the peers that died or left before `cutoff`.
     pub fn dead_or_left_before(&self, cutoff: Micros) -> Vec<InstanceId> {
         let expired = self.iter().filter(|(_, peer)| !peer.state.is_live() && peer.state_since < cutoff);
         expired.map(|(instance, _)| instance).collect()
--- a/crates/alderstile-cluster/src/membership/probe.rs
+++ b/crates/alderstile-cluster/src/membership/probe.rs
@@ -19,9 +19,10 @@
 /// e/(e-1) periods after its death on average, as in the SWIM paper, although the members' periods start at
 /// different times.
 pub(super) const PROBE_TIMEOUT_PERIODS: f64 = 0.58;
-/// The maximum number of periods between two probes of a member with degraded local health. Its probes have
-/// longer timeouts, so that several are pending at once; but a member that is cut off together with few
-/// others must detect that without waiting for the longest timeout in every step of a round.
+/// The maximum number of periods between two probes that a member with degraded local health sends. Their
+/// timeouts are longer, so that several probes are pending at a time. The interval is bounded because a member
+/// that is cut off together with few others has to detect that without waiting for the longest timeout in
+/// every step of a round.
 const MAX_PROBE_INTERVAL_PERIODS: u32 = 3;
 
 /// Selects the peer to probe next, and holds the probes that wait for an answer.
@@ -44,8 +45,9 @@
     nonce: u64,
     stage: ProbeStage,
     deadline: Micros,
-    /// The number of members asked to ping the target, and how many of them have sent a nack.
+    /// The number of members asked to ping the target.
     indirect_probes: u32,
+    /// The number of those members that have sent a nack.
     nacks: u32,
 }
 
--- a/crates/alderstile-cluster/src/membership/suspicion.rs
+++ b/crates/alderstile-cluster/src/membership/suspicion.rs
@@ -93,7 +93,7 @@
         longest - (longest - shortest).scale(fraction)
     }
 
-    /// Extends suspicions by time in which this process could not receive a refutation.
+    /// Extends suspicions by a time in which this process could not receive a refutation.
     pub(super) fn extend_suspicions(&mut self, by: Micros) {
         let suspects: Vec<InstanceId> = self.peers.suspects().iter().copied().collect();
         for suspect in suspects {
--- a/crates/alderstile-cluster/src/membership/timeout.rs
+++ b/crates/alderstile-cluster/src/membership/timeout.rs
@@ -6,7 +6,8 @@
 use super::anti_entropy::SYNC_INTERVAL_PERIODS;
 use super::effect::{MembershipChange, MembershipEffect};
 
-/// The delay of a timeout, in periods, above which the process was stalled: it was not scheduled.
+/// The delay of a timeout, in periods, above which the process is considered to have been stalled, that is,
+/// not scheduled.
 const STALL_THRESHOLD_PERIODS: f64 = 0.5;
 
 impl Membership {
--- a/crates/alderstile-cluster/src/membership/transmit.rs
+++ b/crates/alderstile-cluster/src/membership/transmit.rs
@@ -10,7 +10,7 @@
 use super::record::InstanceId;
 use crate::authentication::MAX_DATAGRAM_BYTES;
 
-/// An upper bound on the updates that fit into a datagram, by the shortest update.
+/// An upper bound on the number of updates that fit into a datagram, derived from the shortest update.
 const MAX_UPDATES: usize = MAX_DATAGRAM_BYTES / 16;
 
 /// The last sequence number, and the number of datagrams sent in this period.
@@ -75,8 +75,8 @@
         self.effects.push(MembershipEffect::Send { to: address, datagram });
     }
 
-    /// Returns the suspicion or death of the receiver, if any. It is sent first, so that the receiver can
-    /// refute it (the buddy system of Lifeguard section IV-C).
+    /// Returns the update about the receiver if it is suspected or dead. It is sent first, so that the
+    /// receiver can refute it (the buddy system of Lifeguard section IV-C).
     fn suspicion_of(&self, receiver: InstanceId) -> Option<MemberUpdate> {
         let peer = self.peers.get(receiver)?;
         let (instance, incarnation) = (receiver, peer.record.incarnation);
--- a/crates/alderstile-cluster/src/replicated_config/activation.rs
+++ b/crates/alderstile-cluster/src/replicated_config/activation.rs
@@ -151,7 +151,8 @@
         if version > known {
             self.committed = CommittedVersion::new(header);
         } else if header.digest != self.committed.header.digest {
-            // A version is committed only once. Accepting a different document would split the fleet.
+            // A version is committed only once. If this node accepted a different document, nodes could
+            // act on different documents of one version.
             self.traffic.conflicting += 1;
             return;
         } else {
--- a/crates/alderstile-cluster/src/replicated_config/message.rs
+++ b/crates/alderstile-cluster/src/replicated_config/message.rs
@@ -3,9 +3,9 @@
 //! Clock readings are in microseconds of the named node's clock. Each process's clock starts at a random
 //! offset.
 
-/// Maximum length of a document, bytes.
+/// Maximum length of a document, in bytes.
 pub const MAX_DOCUMENT: usize = 32 << 10;
-/// Maximum length of the reason in the reply to a proposal, bytes.
+/// Maximum length of the reason in the reply to a proposal, in bytes.
 pub const MAX_REASON: usize = 400;
 /// Maximum bytes of a document or delta in one datagram. With its headers, the datagram stays below
 /// [`crate::authentication::MAX_DATAGRAM_BYTES`].
@@ -28,7 +28,7 @@
     pub position: LogPosition,
     /// Digest of the document.
     pub digest: u64,
-    /// Length of the document, bytes.
+    /// Length of the document, in bytes.
     pub length: u32,
 }
 
@@ -41,7 +41,7 @@
     pub entry: VersionHeader,
     /// The committed version, if it differs from `entry`.
     pub committed: Option<VersionHeader>,
-    /// Minimum time since the committed version was committed, microseconds.
+    /// Minimum time since the committed version was committed, in microseconds.
     pub commit_age_us: u64,
     /// Reading of the receiver's clock at which that version was the latest; 0 if unknown to the leader.
     pub latest_at_us: u64,
@@ -115,7 +115,7 @@
 pub enum ProposalOutcome {
     /// The document is committed as this version.
     Committed(u64),
-    /// The proposal changes nothing, for this reason.
+    /// The proposal is rejected for this reason and has no effect.
     Rejected(String),
     /// The sender is not the leader. The leader may be the voter with this index.
     NotLeader(u8),
@@ -130,7 +130,7 @@
     pub expected_version: u64,
     /// Digest of the document.
     pub digest: u64,
-    /// Length of the document, bytes.
+    /// Length of the document, in bytes.
     pub length: u32,
 }
 
@@ -139,7 +139,7 @@
 pub struct Announcement {
     /// Header of the version.
     pub header: VersionHeader,
-    /// Minimum time since the version was committed, microseconds.
+    /// Minimum time since the version was committed, in microseconds.
     pub commit_age_us: u64,
     /// Reading of the receiver's clock at which the version was the latest; 0 if unknown to the sender.
     pub latest_at_us: u64,
@@ -152,7 +152,7 @@
     pub digest: u64,
     /// Digest of a document stored by the sender, against which a delta may be sent; 0 for the full document.
     pub base: u64,
-    /// Offset of the first chunk, bytes.
+    /// Offset of the first chunk, in bytes.
     pub offset: u32,
 }
 
@@ -163,9 +163,9 @@
     pub digest: u64,
     /// Digest of the document that the delta applies to; 0 for the full document.
     pub base: u64,
-    /// Length of the full document or delta, bytes.
+    /// Length of the full document or delta, in bytes.
     pub total: u32,
-    /// Offset of this chunk, bytes.
+    /// Offset of this chunk, in bytes.
     pub offset: u32,
     /// Content of the chunk.
     pub bytes: Vec<u8>,
--- a/crates/alderstile-cluster/src/replicated_config/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/mod.rs
@@ -148,7 +148,7 @@
         self.codec = codec;
     }
 
-    /// Handles a failure to persist the hard state: the voter becomes a learner, as if the state were lost.
+    /// Handles a failure to persist the hard state: the voter becomes a learner, as if it had lost the state.
     pub fn handle_persist_failure(&mut self, now: Micros) {
         let now = self.now.max(now);
         if let Some(raft) = &mut self.raft {
@@ -261,7 +261,8 @@
         self.documents.insert(document, &in_use)
     }
 
-    /// Fetches a document, as a delta against the latest one if it is a different document.
+    /// Fetches a document, as a delta against the latest committed one. If that is the document to fetch, the
+    /// delta is against the active one.
     fn fetch(&mut self, effects: &mut Vec<Effect>, digest: u64, from: SocketAddr) {
         let latest = self.committed.header.digest;
         let base = if latest == digest { self.active.header.digest } else { latest };
--- a/crates/alderstile-cluster/src/replicated_config/proposal.rs
+++ b/crates/alderstile-cluster/src/replicated_config/proposal.rs
@@ -129,7 +129,8 @@
         Ok((self.validate)(document)?)
     }
 
-    /// Stops retransmitting this node's proposal. It may still be committed, which the latest version shows.
+    /// Stops retransmitting this node's proposal. The proposal may still be committed as a later
+    /// version.
     pub fn abandon_proposal(&mut self, nonce: u64) {
         self.proposals.own.take_if(|own| own.request.nonce == nonce);
     }
@@ -219,8 +220,8 @@
         }
     }
 
-    /// At the leader: writes a proposal whose document is stored as the next version, or replies with the
-    /// reason for rejecting it.
+    /// At the leader: writes a proposal as the next version, or replies with the reason for rejecting it. Does
+    /// nothing unless the proposal's document is stored.
     fn process_proposal(&mut self, proposal: PendingProposal, effects: &mut Vec<Effect>) {
         let PendingProposal { from, request, .. } = proposal;
         if !self.documents.contains(request.digest) {
--- a/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
+++ b/crates/alderstile-cluster/src/replicated_config/raft/mod.rs
@@ -31,9 +31,9 @@
 pub struct HardState {
     /// The highest term seen.
     pub term: u64,
-    /// The voter it voted for in that term.
+    /// The voter that this voter voted for in that term.
     pub vote: Option<u8>,
-    /// Its log entry.
+    /// The voter's log entry.
     pub entry: VersionHeader,
 }
 
@@ -107,7 +107,7 @@
     reported_state: Option<ReportedState>,
 }
 
-/// A reading of another voter's clock, microseconds, and the time it was received.
+/// A reading of another voter's clock, in microseconds, and the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct ClockReading {
     clock_us: u64,
@@ -202,7 +202,7 @@
         raft
     }
 
-    /// Returns its role.
+    /// Returns this voter's role.
     pub fn role(&self) -> Role {
         self.role
     }
@@ -212,7 +212,7 @@
         self.leader
     }
 
-    /// Returns its hard state, or `None` for a learner.
+    /// Returns this voter's hard state, or `None` for a learner.
     pub fn hard_state(&self) -> Option<&HardState> {
         self.hard_state.as_ref()
     }
--- a/crates/alderstile-cluster/src/replicated_config/subscription.rs
+++ b/crates/alderstile-cluster/src/replicated_config/subscription.rs
@@ -14,7 +14,8 @@
 use super::message::{Announcement, Message};
 use super::raft::Role;
 
-/// Time without news, in heartbeats, after which a node switches upstreams. Tolerates one lost announcement.
+/// Time without a newer announcement, in heartbeats, after which a node switches upstreams. Tolerates one lost
+/// announcement.
 const UPSTREAM_TIMEOUT_HEARTBEATS: f64 = 2.5;
 /// Interval between renewals of a subscription, in heartbeats.
 const RENEWAL_HEARTBEATS: f64 = 2.0;
@@ -51,7 +52,7 @@
     /// Number of upstream changes since the upstream in the tree was first chosen.
     attempt: u32,
     attempt_at: Micros,
-    /// When the current upstream last sent news.
+    /// When the current upstream last sent a newer announcement.
     last_update_at: Micros,
     subscribe_at: Micros,
 }
--- a/crates/alderstile-cluster/src/subsetting/node_subset.rs
+++ b/crates/alderstile-cluster/src/subsetting/node_subset.rs
@@ -39,7 +39,7 @@
 ///   each of them is replaced by the next host in preference order that is reachable and warmed up, if there
 ///   is one.
 /// - **Narrowing.** An added host stays for a while after it was last needed. The time depends on a hash of
-///   node and host, so that nodes that lost the same hosts at once do not remove their replacements at once.
+///   node and host, so that nodes that lost the same hosts do not remove their replacements simultaneously.
 ///   Connections to a removed host stay.
 #[derive(Debug)]
 pub struct NodeSubset {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -155,8 +155,8 @@
     /// Returns the load of a server per unit of effective weight, including the group's work if the
     /// group would start there.
     ///
-    /// A load is added to a warming-up server, which decreases from the mean load at its start to
-    /// zero at the end of its warm-up. The added load is rounded at random to whole connections,
+    /// A load is added to that of a warming-up server. The added load decreases from the mean load
+    /// at the start to zero at the end of the warm-up. It is rounded at random to whole connections,
     /// because recorded loads consist of whole connections. A fraction of a connection would rank
     /// the server behind every server without connections, and with many nodes nearly all servers
     /// have none.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -151,8 +151,8 @@
             // A window that does not start with a period also overlaps the tokens of one more period.
             let window = self.settings.overload_window.as_secs_f64();
             let headroom = FLEET_HEADROOM * window / (window + period);
-            // If connections last longer than the warm-up, the server receives its connections
-            // within the warm-up.
+            // Even if connections last longer than the warm-up, the server must have received its
+            // share of connections by the end of the warm-up.
             (headroom, lifetime.min(self.settings.warm_up.as_secs_f64()))
         };
         headroom
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -255,8 +255,8 @@
     }
 }
 
-/// Parses the shared work of a group. Rejects the key without `extra.groups`: whoever sets it expects connections to share work,
-/// but the setting would have no effect.
+/// Parses the shared work of a group. Rejects the key without `extra.groups`: whoever sets it expects
+/// connections to share work, but the setting would have no effect.
 fn group_load(values: &SettingValues, groups: bool) -> Result<f64, SettingsError> {
     let load = values.number("extra.group_load");
     match (groups, &load) {
