--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -1,19 +1,24 @@
-//! Hollow nodes: the cores that a node runs, on real UDP sockets at loopback addresses, without clients, hosts and
-//! processes of their own. Hundreds share one process, and real `alderstile` processes stand among them: they send the
-//! same datagrams under the same keys, so that neither can tell the other.
+//! Hollow nodes: the protocol cores of a node on real UDP sockets at loopback addresses, without clients, hosts or a
+//! separate process.
 //!
-//! [`HollowNodes`] spreads them over a few threads. Each has [`Membership`], and may have a further core on a socket of its own
-//! ([`ExtraCore`]): whoever builds one runs it here at any number of nodes with an adapter of three calls.
+//! The term is that of Kubernetes' kubemark, which measures a control plane with nodes that run no workload. Hundreds of
+//! hollow nodes share one process and run in one cluster with real `alderstile` processes. Both send the same datagrams
+//! under the same keys, so a node cannot tell whether a peer is hollow or real.
+//!
+//! [`HollowNodes`] distributes the nodes over a few threads. Each node runs [`Membership`] and optionally an
+//! [`ExtraCore`] on a separate socket, so that another protocol core can be measured at any number of nodes through an
+//! adapter of a few calls.
 //!
 //! ```text
-//! let hollows = HollowNodes::new(4, HollowConfig { parts: Arc::new(|spec| Some(Box::new(MyPart::new(spec)))), ..config })?;
-//! hollows.start(spec)?;             // a node; hollows.kill(number) ends it without a word
-//! let looks = hollows.sample_and_reset_peaks().await; // figures of each node, processor time of each thread
-//! let seen = hollows.observations().await;  // what each has learned since the last call, and when
+//! let extra_cores: ExtraCoreFactory = Arc::new(|spec| Some(Box::new(MyCore::new(spec))));
+//! let hollows = HollowNodes::new(4, &HollowConfig { extra_cores, ..config })?;
+//! hollows.start(spec);                                    // a node; hollows.kill(number) ends it without a leave message
+//! let samples = hollows.sample_and_reset_peaks().await;   // counters of each node, processor time of each thread
+//! let observations = hollows.take_observations().await;   // what each node has learned since the last call, and when
 //! ```
 //!
-//! Regions are parted where datagrams arrive: a hollow node passes by what comes from an address of another region, and
-//! sends nothing there. Between two real processes nothing is parted, so all of them belong into one region.
+//! A network partition takes effect at the hollow nodes: they ignore datagrams from addresses of another region and send
+//! none there. Traffic between two real processes cannot be blocked, so all real processes must be in one region.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,20 +43,24 @@
 use tokio::time::{MissedTickBehavior, interval};
 use tracing::debug;
 
-/// How often what each node sends and takes in is summed up for the reset_peaks.
+/// Interval over which bytes sent and received are summed to find each node's busiest second.
 const PEAK_INTERVAL: Duration = Duration::from_secs(1);
-/// The largest datagram that a further core may be sent.
+/// Largest datagram that an extra core can receive, bytes.
 const MAX_EXTRA_DATAGRAM_BYTES: usize = 65_535;
 
-/// A further core of a hollow node, with a socket of its own. It does no I/O: what it wants sent it returns.
+/// An additional protocol core of a hollow node, with a separate socket.
+///
+/// A core does no I/O: it returns the datagrams to send, each with its destination.
 pub trait ExtraCore: Send {
-    /// Where its datagrams arrive.
+    /// Returns the address at which the core receives datagrams.
     fn address(&self) -> SocketAddr;
-    /// When [`ExtraCore::handle_timeout`] has something to do next.
+    /// Returns the time at which [`ExtraCore::handle_timeout`] must be called next.
     fn next_timeout(&self) -> Micros;
-    /// Does what is deadline. The node's members may be read, and told a digest or a fact.
+    /// Does the work that is due at `now` and returns the datagrams to send.
+    ///
+    /// The core may read the node's membership and set its metadata or digest of the settings.
     fn handle_timeout(&mut self, now: Micros, members: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)>;
-    /// Takes a datagram in.
+    /// Processes a received datagram and returns the datagrams to send.
     fn handle_datagram(
         &mut self,
         now: Micros,
@@ -61,23 +70,23 @@
     ) -> Vec<(SocketAddr, Vec<u8>)>;
 }
 
-/// Makes the further core of a node, if it has one.
+/// Creates the extra core of a node, or returns `None` if the node has none.
 pub type ExtraCoreFactory = Arc<dyn Fn(&NodeSpec) -> Option<Box<dyn ExtraCore>> + Send + Sync>;
 
-/// A node among others.
+/// Identity of a node in a scale run.
 #[derive(Clone, Debug)]
 pub struct NodeSpec {
-    /// Its number, over all nodes of the run.
+    /// The node's number, unique among all hollow and real nodes of the run.
     pub number: usize,
-    /// Its name: letters, then its number.
+    /// The node's name: letters followed by its number.
     pub name: String,
-    /// Its zone.
+    /// The node's zone.
     pub zone: String,
-    /// Where members' datagrams arrive.
+    /// Address at which the node receives membership datagrams.
     pub address: SocketAddr,
 }
 
-/// What lies between the nodes: one clock for all, and the regions.
+/// The network between the nodes: a common clock and the regions that can be partitioned.
 pub struct Network {
     started_at: Instant,
     regions: BTreeMap<SocketAddr, u8>,
@@ -85,17 +94,17 @@
 }
 
 impl Network {
-    /// All addresses with their regions; those that are not named belong to all.
+    /// Creates a network from the region of each address. Addresses without a region reach all others.
     pub fn new(regions: BTreeMap<SocketAddr, u8>) -> Arc<Self> {
         Arc::new(Network { started_at: Instant::now(), regions, partitioned: AtomicBool::new(false) })
     }
 
-    /// Time since the start of the run.
+    /// Returns the time since the start of the run.
     pub fn now(&self) -> Micros {
         Micros(u64::try_from(self.started_at.elapsed().as_micros()).unwrap_or(u64::MAX))
     }
 
-    /// From now on regions don't hear each other, or do again.
+    /// Starts or ends the partition between the regions.
     pub fn set_partitioned(&self, partitioned: bool) {
         self.partitioned.store(partitioned, Ordering::Relaxed);
     }
@@ -111,28 +120,28 @@
     }
 }
 
-/// What all hollow nodes have alike.
+/// Configuration common to all hollow nodes.
 #[derive(Clone)]
 pub struct HollowConfig {
-    /// What the members go by.
+    /// Configuration of the membership protocol.
     pub membership: MembershipConfig,
-    /// The cluster's name and keys.
+    /// Encodes datagrams with the cluster's name and keys.
     pub codec: DatagramCodec,
-    /// Whom a member asks that knows nobody.
+    /// Addresses that a member contacts when it knows no others.
     pub seeds: Vec<SocketAddr>,
-    /// What lies between them.
+    /// The network between the nodes.
     pub network: Arc<Network>,
-    /// For all that is drawn.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// Makes each node's further core.
+    /// Creates each node's extra core.
     pub extra_cores: ExtraCoreFactory,
-    /// Nodes that each knows when it starts for the first time, with no news of them left to tell; none for nodes that
-    /// know their seeds alone.
+    /// Nodes that each node knows at its first start, with no updates about them left to disseminate. Empty if nodes know
+    /// their seeds alone.
     pub known_nodes: Arc<Vec<NodeSpec>>,
 }
 
 impl HollowConfig {
-    /// What a node tells of itself at its start of this number, from 1 on.
+    /// Returns the member record of a node's process; `start` counts the node's processes from 1.
     fn member_record(&self, spec: &NodeSpec, start: u64) -> MemberRecord {
         let text = format!("{} {} {} {start}", self.seed, spec.name, spec.address);
         MemberRecord {
@@ -147,55 +156,56 @@
     }
 }
 
-/// What a node has learned.
+/// A change that a node has observed of another node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ObservedChange {
-    /// A process of that node is new.
+    /// A new process of the node joined.
     Joined,
-    /// That node did not answer.
+    /// The node is suspected because it did not reply.
     Suspected,
-    /// That node is held dead.
+    /// The node was declared dead.
     Died,
-    /// That node lives after all.
+    /// The node was suspected or dead and is alive.
     Recovered,
-    /// The news of this number.
+    /// The node announced this digest of its settings.
     ConfigDigest(u64),
 }
 
-/// Who has learned what of whom, and when.
+/// A change in the membership view of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
-    /// When, since the start of the run.
+    /// Time of the observation since the start of the run.
     pub at: Micros,
-    /// Who has learned it.
+    /// Number of the node whose view changed.
     pub observer: usize,
-    /// Of whom.
+    /// Number of the node that the change is about.
     pub subject: usize,
-    /// What.
+    /// The change.
     pub change: ObservedChange,
 }
 
-/// One node's figures.
+/// Counters of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeSample {
-    /// Its number.
+    /// The node's number.
     pub number: usize,
-    /// How it sees the others, and what it sent.
+    /// The node's view of the members and the membership counters.
     pub stats: MembershipStats,
-    /// Datagrams that came.
+    /// Membership datagrams received.
     pub datagrams_received: u64,
-    /// Their bytes.
+    /// Bytes of these datagrams.
     pub bytes_received: u64,
-    /// What its further core sent and was sent: datagrams and bytes.
+    /// Counters of the extra core: datagrams sent, bytes sent, datagrams received, bytes received.
     pub extra_core: [u64; 4],
-    /// Bytes out and in in its busiest second since the last [`HollowNodes::sample_and_reset_peaks`].
+    /// Bytes sent and bytes received, each in its busiest second since the last
+    /// [`HollowNodes::sample_and_reset_peaks`].
     pub peak: (u64, u64),
 }
 
-/// A thread's figures.
+/// Counters of one thread.
 #[derive(Clone, Debug, Default)]
 pub struct ThreadSample {
-    /// All its nodes.
+    /// Counters of all nodes of the thread.
     pub nodes: Vec<NodeSample>,
     /// Processor time that the thread has used.
     pub cpu: Duration,
@@ -204,30 +214,41 @@
 enum Command {
     Start(NodeSpec),
     Kill(usize),
-    SetConfigDigest { node: usize, digest: u64 },
-    Watch { of: InstanceId, digest: u64 },
-    Sample { reset_peaks: bool, answer: oneshot::Sender<ThreadSample> },
+    SetConfigDigest {
+        node: usize,
+        digest: u64,
+    },
+    /// Records an observation when a node learns that a process has this digest.
+    WatchDigest {
+        instance: InstanceId,
+        digest: u64,
+    },
+    Sample {
+        reset_peaks: bool,
+        reply: oneshot::Sender<ThreadSample>,
+    },
     TakeObservations(oneshot::Sender<Vec<Observation>>),
-    Instance(usize, oneshot::Sender<Option<InstanceId>>),
+    /// Returns the instance ID of a node's current process.
+    GetInstance(usize, oneshot::Sender<Option<InstanceId>>),
 }
 
-/// Hollow nodes on threads. They end with their owner.
+/// Hollow nodes on a fixed number of threads. Dropping the value ends all of them.
 pub struct HollowNodes {
     threads: Vec<(mpsc::UnboundedSender<Command>, Option<JoinHandle<()>>)>,
 }
 
 impl HollowNodes {
-    /// No nodes yet, on so many threads.
+    /// Starts the given number of threads (at least one), without nodes.
     ///
     /// # Errors
     ///
-    /// If the system gives no thread or no runtime.
+    /// Returns an error if a thread or its runtime cannot be created.
     pub fn new(threads: usize, config: &HollowConfig) -> io::Result<Self> {
         let mut all = Vec::new();
         for number in 0..threads.max(1) {
             let (command, commands) = mpsc::unbounded_channel();
             let config = config.clone();
-            // Made here, so that a fault shows to who asked.
+            // Created here rather than in the thread, so that a failure is returned to the caller.
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
             let handle = std::thread::Builder::new().name(format!("hollow-{number}")).spawn(move || {
                 LocalSet::new().block_on(&runtime, run_worker(Rc::new(Worker::new(config)), commands));
@@ -238,57 +259,58 @@
     }
 
     fn command(&self, node: usize, command: Command) {
-        // A thread ends with this value alone.
+        // Sending cannot fail: the threads end only when this value is dropped.
         let _ = self.threads[node % self.threads.len()].0.send(command);
     }
 
-    /// Starts a node, or another process of it.
+    /// Starts a node, or a new process of a node that was started before.
     pub fn start(&self, spec: NodeSpec) {
         self.command(spec.number, Command::Start(spec));
     }
 
-    /// Ends a node without a word.
+    /// Ends a node without a leave message.
     pub fn kill(&self, node: usize) {
         self.command(node, Command::Kill(node));
     }
 
-    /// From now on a node tells another digest of its settings, and every node's hearing of it is seen as this news.
+    /// Changes the digest of a node's settings, and records when each node learns of it as
+    /// [`ObservedChange::ConfigDigest`].
     pub async fn set_config_digest(&self, node: usize, digest: u64) {
-        let (answer, answered) = oneshot::channel();
-        self.command(node, Command::Instance(node, answer));
-        let Ok(Some(of)) = answered.await else { return };
+        let (reply, receiver) = oneshot::channel();
+        self.command(node, Command::GetInstance(node, reply));
+        let Ok(Some(instance)) = receiver.await else { return };
         for (command, _) in &self.threads {
-            let _ = command.send(Command::Watch { of, digest });
+            let _ = command.send(Command::WatchDigest { instance, digest });
         }
         self.command(node, Command::SetConfigDigest { node, digest });
     }
 
     async fn ask<T>(&self, command: impl Fn(oneshot::Sender<T>) -> Command) -> Vec<T> {
-        let mut answers = Vec::new();
+        let mut receivers = Vec::new();
         for (sender, _) in &self.threads {
-            let (answer, answered) = oneshot::channel();
-            if sender.send(command(answer)).is_ok() {
-                answers.push(answered);
+            let (reply, receiver) = oneshot::channel();
+            if sender.send(command(reply)).is_ok() {
+                receivers.push(receiver);
             }
         }
         let mut all = Vec::new();
-        for answer in answers {
-            all.extend(answer.await);
+        for receiver in receivers {
+            all.extend(receiver.await);
         }
         all
     }
 
-    /// Figures of each thread.
+    /// Returns the counters of each thread.
     pub async fn sample(&self) -> Vec<ThreadSample> {
-        self.ask(|answer| Command::Sample { reset_peaks: false, answer }).await
+        self.ask(|reply| Command::Sample { reset_peaks: false, reply }).await
     }
 
-    /// The same, and busiest seconds are counted anew from here on.
+    /// Returns the counters of each thread and resets the peaks of all nodes.
     pub async fn sample_and_reset_peaks(&self) -> Vec<ThreadSample> {
-        self.ask(|answer| Command::Sample { reset_peaks: true, answer }).await
+        self.ask(|reply| Command::Sample { reset_peaks: true, reply }).await
     }
 
-    /// What was learned since the last call, in no command.
+    /// Returns all observations since the last call, in no particular order.
     pub async fn take_observations(&self) -> Vec<Observation> {
         self.ask(Command::TakeObservations).await.concat()
     }
@@ -297,7 +319,7 @@
 impl Drop for HollowNodes {
     fn drop(&mut self) {
         let threads: Vec<_> = self.threads.drain(..).collect();
-        // Each ends when nobody can command anything any more.
+        // The channels are closed here, and each thread ends when its channel is closed.
         let handles: Vec<_> = threads.into_iter().filter_map(|(_, handle)| handle).collect();
         for handle in handles {
             let _ = handle.join();
@@ -308,17 +330,19 @@
 struct Worker {
     config: HollowConfig,
     nodes: RefCell<BTreeMap<usize, RunningNode>>,
-    /// How often each node was started.
+    /// Number of starts of each node.
     starts: RefCell<BTreeMap<usize, u64>>,
     observations: RefCell<Vec<Observation>>,
+    /// Processes and the digests of which each node's first observation is recorded.
     watched_digests: RefCell<Vec<(InstanceId, u64)>>,
 }
 
 struct RunningNode {
     node: Rc<HollowNode>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
-    /// Bytes out and in at the last sample, and most in one second since the last look.
+    /// Bytes sent and received until the last update of the peaks.
     last_totals: (u64, u64),
+    /// Most bytes sent and most bytes received in one interval since the last reset.
     peak: (u64, u64),
 }
 
@@ -332,8 +356,11 @@
     number: usize,
     address: SocketAddr,
     members: RefCell<Membership>,
+    /// Membership datagrams and bytes received.
     received: Cell<(u64, u64)>,
+    /// See [`NodeSample::extra_core`].
     extra_core: Cell<[u64; 4]>,
+    /// Watched digests that this node has learned.
     known_digests: RefCell<BTreeSet<u64>>,
 }
 
@@ -368,8 +395,8 @@
             Command::Start(spec) => {
                 let number = spec.number;
                 if let Err(error) = self.start(spec).await {
-                    // Seen from outside as a node that nobody hears of.
-                    tracing::error!("hollow node {number}: {error}");
+                    // The run goes on: to other nodes, this one is a member that never joined.
+                    tracing::error!(node = number, error = %error, "hollow node start failed");
                 }
             }
             Command::Kill(node) => drop(self.nodes.borrow_mut().remove(&node)),
@@ -378,14 +405,16 @@
                     running.node.members.borrow_mut().set_config_digest(digest);
                 }
             }
-            Command::Watch { of, digest } => self.watched_digests.borrow_mut().push((of, digest)),
-            Command::Instance(node, answer) => {
+            Command::WatchDigest { instance, digest } => {
+                self.watched_digests.borrow_mut().push((instance, digest))
+            }
+            Command::GetInstance(node, reply) => {
                 let nodes = self.nodes.borrow();
                 let instance = nodes.get(&node).map(|running| running.node.members.borrow().local().instance);
-                let _ = answer.send(instance);
+                let _ = reply.send(instance);
             }
-            Command::Sample { reset_peaks, answer } => drop(answer.send(self.sample_nodes(reset_peaks))),
-            Command::TakeObservations(answer) => drop(answer.send(self.observations.take())),
+            Command::Sample { reset_peaks, reply } => drop(reply.send(self.sample_nodes(reset_peaks))),
+            Command::TakeObservations(reply) => drop(reply.send(self.observations.take())),
         }
     }
 
@@ -431,7 +460,7 @@
         Ok(())
     }
 
-    /// As the node's own adapter goes about it.
+    /// Runs a node's membership on its socket, as the membership adapter of a real node does.
     async fn run(self: Rc<Self>, node: Rc<HollowNode>, socket: UdpSocket) {
         let network = &self.config.network;
         let mut data = [0; MAX_DATAGRAM_BYTES + 1];
@@ -446,7 +475,7 @@
                     }
                     Ok(_) => continue,
                     Err(error) => {
-                        debug!("hollow node {}: {error}", node.number);
+                        debug!(node = node.number, error = %error, "datagram receive failed");
                         continue;
                     }
                 },
@@ -454,7 +483,7 @@
             };
             for out in outgoing {
                 match out {
-                    // Lost where the system has no room for it, as on the way.
+                    // A datagram for which the send buffer has no room is dropped, as the network may drop any.
                     MembershipEffect::Send { to, datagram: bytes }
                         if network.delivers(&node.address, &to) =>
                     {
@@ -527,8 +556,9 @@
 
     fn record_config_digests(&self, node: &HollowNode) {
         let members = node.members.borrow();
-        for (of, digest) in self.watched_digests.borrow().iter() {
-            let Some(member) = members.peer(*of).filter(|member| member.record.config_digest == *digest)
+        for (instance, digest) in self.watched_digests.borrow().iter() {
+            let Some(member) =
+                members.peer(*instance).filter(|member| member.record.config_digest == *digest)
             else {
                 continue;
             };
@@ -573,14 +603,14 @@
 }
 
 impl HollowNode {
-    /// Bytes out and in, of all its cores.
+    /// Returns the bytes sent and received by membership and the extra core.
     fn byte_totals(&self) -> (u64, u64) {
         let extra_core = self.extra_core.get();
         (self.members.borrow().counters().sent_bytes + extra_core[1], self.received.get().1 + extra_core[3])
     }
 }
 
-/// A node's number, of its name.
+/// Returns the number at the end of a node's name.
 fn node_number(name: &str) -> Option<usize> {
     name.trim_start_matches(|c: char| !c.is_ascii_digit()).parse().ok()
 }
