--- a/crates/alderstile-lab/src/emulated/supply.rs
+++ b/crates/alderstile-lab/src/emulated/discovery.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use super::fleet::{Part, Step, of, server_id};
 use super::hosts::TICK;
+use super::traffic::{Part, Step, of, server_id};
 use super::{World, micros};
 use crate::history::{Event as Line, ProcessChange};
 use crate::schedule::{FaultKind, Party};
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -23,16 +23,16 @@
 use crate::links::LinkFaults;
 use crate::schedule::{FaultKind, FaultTarget, Party, Plan, PlannedFault};
 
-mod choosers;
-mod fleet;
+mod discovery;
 mod hosts;
 mod requests;
-mod supply;
+mod strategies;
+mod traffic;
 
-pub use choosers::{Strategy, StrategySpec};
-pub use fleet::TrafficMetrics;
-use fleet::{Fleet, Step};
 pub use hosts::{Host, TICK};
+pub use strategies::{Strategy, StrategySpec};
+pub use traffic::TrafficMetrics;
+use traffic::{Fleet, Step};
 
 /// The seeds of all members: the first so many nodes.
 const SEEDS: usize = 3;
--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -3,8 +3,8 @@
 use alderstile::types::{Event, Micros, Outcome, Request, RequestId};
 use rand::RngExt;
 
-use super::fleet::{Fleet, Part, SERIAL_BITS, Stage, Step, of, request_id, server_id};
 use super::hosts::Host;
+use super::traffic::{Fleet, Part, SERIAL_BITS, Stage, Step, of, request_id, server_id};
 use super::{World, micros};
 use crate::history::Event as Line;
 use crate::schedule::Party;
--- a/crates/alderstile-lab/src/emulated/fleet.rs
+++ b/crates/alderstile-lab/src/emulated/traffic.rs
@@ -16,8 +16,8 @@
 use alderstile_cluster::subsetting::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, share_table};
 use rand::RngExt;
 
-use super::choosers::{Chooser, Strategy, StrategySpec};
 use super::hosts::{Host, TICK};
+use super::strategies::{Chooser, Strategy, StrategySpec};
 use super::{What, World, micros};
 use crate::history::{Event as Line, ProcessChange};
 use crate::schedule::{Feature as On, Idempotency as Repeats, Party, Plan};
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -334,7 +334,7 @@
     starts: RefCell<BTreeMap<usize, u64>>,
     observations: RefCell<Vec<Observation>>,
     /// Processes and the digests of which each node's first observation is recorded.
-    watched_digests: RefCell<Vec<(InstanceId, u64)>>,
+    watched: RefCell<Vec<(InstanceId, u64)>>,
 }
 
 struct RunningNode {
@@ -386,7 +386,7 @@
             nodes: RefCell::default(),
             starts: RefCell::default(),
             observations: RefCell::default(),
-            watched_digests: RefCell::default(),
+            watched: RefCell::default(),
         }
     }
 
@@ -405,9 +405,7 @@
                     running.node.members.borrow_mut().set_config_digest(digest);
                 }
             }
-            Command::WatchDigest { instance, digest } => {
-                self.watched_digests.borrow_mut().push((instance, digest))
-            }
+            Command::WatchDigest { instance, digest } => self.watched.borrow_mut().push((instance, digest)),
             Command::GetInstance(node, reply) => {
                 let nodes = self.nodes.borrow();
                 let instance = nodes.get(&node).map(|running| running.node.members.borrow().local().instance);
@@ -556,7 +554,7 @@
 
     fn record_config_digests(&self, node: &HollowNode) {
         let members = node.members.borrow();
-        for (instance, digest) in self.watched_digests.borrow().iter() {
+        for (instance, digest) in self.watched.borrow().iter() {
             let Some(member) =
                 members.peer(*instance).filter(|member| member.record.config_digest == *digest)
             else {
