--- a/crates/alderstile-lab/benches/emulated.rs
+++ b/crates/alderstile-lab/benches/emulated.rs
@@ -1,4 +1,5 @@
-//! What an emulated day costs: a host for each three nodes, some 330 clients a node, ten seconds.
+//! Benchmark of the discrete-event simulator: a run of ten seconds with one host for three nodes and about
+//! 330 clients per node.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -15,11 +16,11 @@
          [[clients]]\nclass = \"chat\"\nsemantics = \"retryable\"\ncount = {clients}\nhold_s = 40.0\nrest_s = 2.0\n\
          load_us = 1500.0\n"
     );
-    Plan::parse("bench", &text, None).expect("a fine schedule")
+    Plan::parse("bench", &text, None).expect("valid schedule")
 }
 
-fn days(c: &mut Criterion) {
-    let mut group = c.benchmark_group("emulated day of 10 s");
+fn emulated_runs(c: &mut Criterion) {
+    let mut group = c.benchmark_group("emulated run of 10 s");
     group.sample_size(10).measurement_time(Duration::from_secs(10));
     for nodes in [3, 30, 300] {
         let plan = plan(nodes);
@@ -31,5 +32,5 @@
     group.finish();
 }
 
-criterion_group!(benches, days);
+criterion_group!(benches, emulated_runs);
 criterion_main!(benches);
--- a/crates/alderstile-lab/src/emulated/discovery.rs
+++ b/crates/alderstile-lab/src/emulated/discovery.rs
@@ -1,200 +1,232 @@
-//! Hosts under their faults, and the list that tells of them.
+//! Discovery and the faults of hosts and of endpoint lists in an emulated run.
 
 use std::collections::BTreeSet;
 
-use super::hosts::TICK;
-use super::traffic::{Part, Step, of, server_id};
-use super::{World, micros};
-use crate::history::{Event as Line, ProcessChange};
+use super::hosts::SAMPLE_INTERVAL;
+use super::traffic::{RequestEvent, TrafficEvent, request_event, server_id};
+use super::{Simulation, micros};
+use crate::history::{Event as HistoryEvent, ProcessChange};
 use crate::schedule::{FaultKind, Party};
 use alderstile::types::{Endpoint, EndpointListKind, EndpointState, Event};
 
-/// A call for the list that is not answered has failed after this, and one that would wait longer is turned away.
-const LIST_WAIT: u64 = 2_000_000;
+/// Time after which a list request without an answer has failed, microseconds. Discovery refuses requests
+/// that would have to wait longer.
+const LIST_TIMEOUT: u64 = 2_000_000;
 
-impl World<'_> {
-    pub(super) fn calls(&mut self, node: usize, life: u64) {
-        match self.way(Party::Node(node), Party::Discovery) {
-            Some(late) => self.step(self.now + late, Step::Calls { node, life }),
-            None => self.step(self.now + LIST_WAIT, Step::Lists { node, life, of: None }),
+impl Simulation<'_> {
+    /// Sends a node's request for the endpoint list.
+    pub(super) fn send_list_request(&mut self, node: usize, incarnation: u64) {
+        match self.draw_link_delay(Party::Node(node), Party::Discovery) {
+            Some(delay) => {
+                self.schedule_traffic(self.now + delay, TrafficEvent::ListRequest { node, incarnation })
+            }
+            None => self.schedule_traffic(
+                self.now + LIST_TIMEOUT,
+                TrafficEvent::ListResponse { node, incarnation, list: None },
+            ),
         }
     }
 
-    pub(super) fn called(&mut self, node: usize, life: u64) {
-        let gap = micros(1.0 / self.plan.hosts.list_requests_per_second);
-        let at = self.fleet.list_free.max(self.now) + gap;
-        let way = self.way(Party::Discovery, Party::Node(node));
-        let telling = &self.fleet.sides[node].telling;
-        let (turned, late) = (telling.refuses || at > self.now + LIST_WAIT, telling.late);
-        let (at, of) = match way {
-            Some(way) if turned => (self.now + way, None),
-            Some(way) => {
-                self.fleet.list_free = at;
-                (at + way + late, Some(None))
+    /// Answers a list request that has arrived at discovery, which handles one request after another.
+    pub(super) fn answer_list_request(&mut self, node: usize, incarnation: u64) {
+        let service_time = micros(1.0 / self.plan.hosts.list_requests_per_second);
+        let done_at = self.traffic.discovery_idle_at.max(self.now) + service_time;
+        let link_delay = self.draw_link_delay(Party::Discovery, Party::Node(node));
+        let faults = &self.traffic.nodes[node].discovery_faults;
+        let (refused, fault_delay) = (faults.refuses || done_at > self.now + LIST_TIMEOUT, faults.delay);
+        let (at, list) = match link_delay {
+            Some(link_delay) if refused => (self.now + link_delay, None),
+            Some(link_delay) => {
+                self.traffic.discovery_idle_at = done_at;
+                (done_at + link_delay + fault_delay, Some(None))
             }
-            None => (self.now + LIST_WAIT, None),
+            None => (self.now + LIST_TIMEOUT, None),
         };
-        self.step(at, Step::Lists { node, life, of });
+        self.schedule_traffic(at, TrafficEvent::ListResponse { node, incarnation, list });
     }
 
-    /// Discovery hears of a host a while later.
-    fn tell_of(&mut self, host: usize, state: EndpointState) {
-        let started = self.fleet.hosts[host].started;
-        let after = micros(self.plan.hosts.notify_delay_ms / 1e3);
-        self.step(self.now + after, Step::Heard { host, state, started });
+    /// Notifies discovery of a host's state, after the notification delay of the plan.
+    fn notify_discovery(&mut self, host: usize, state: EndpointState) {
+        let started = self.traffic.hosts[host].started;
+        let delay = micros(self.plan.hosts.notify_delay_ms / 1e3);
+        self.schedule_traffic(self.now + delay, TrafficEvent::HostNotification { host, state, started });
     }
 
-    pub(super) fn heard(&mut self, host: usize, state: EndpointState, started: Option<u64>) {
-        self.fleet.listed[host] = (state, started);
+    /// Updates a host in the endpoint list and sends the update to all nodes.
+    pub(super) fn update_listed_host(&mut self, host: usize, state: EndpointState, started: Option<u64>) {
+        self.traffic.listed_hosts[host] = (state, started);
         for node in 0..self.plan.nodes {
-            let side = &self.fleet.sides[node];
-            let (life, late) = (side.life, side.telling.late);
-            if side.chooser.is_none() {
+            let node_state = &self.traffic.nodes[node];
+            let (incarnation, fault_delay) = (node_state.incarnation, node_state.discovery_faults.delay);
+            if node_state.balancer.is_none() {
                 continue;
             }
-            let refuses = side.telling.refuses;
-            let (at, of) = match self.way(Party::Discovery, Party::Node(node)) {
-                Some(way) if !refuses => (self.now + way + late, Some(Some(host))),
-                // The watch has broken.
-                _ => (self.now + LIST_WAIT, None),
+            let refuses = node_state.discovery_faults.refuses;
+            let (at, list) = match self.draw_link_delay(Party::Discovery, Party::Node(node)) {
+                Some(link_delay) if !refuses => (self.now + link_delay + fault_delay, Some(Some(host))),
+                // The watch is interrupted, which the node notices after the timeout.
+                _ => (self.now + LIST_TIMEOUT, None),
             };
-            self.step(at, Step::Lists { node, life, of });
+            self.schedule_traffic(at, TrafficEvent::ListResponse { node, incarnation, list });
         }
     }
 
-    pub(super) fn lists(&mut self, node: usize, of: Option<Option<usize>>) {
-        let rate = self.nodes[node].rate;
-        let Some(which) = of else {
-            return self.decide(node, Event::EndpointList(EndpointListKind::Failed, Vec::new()));
+    /// Handles an endpoint list that has arrived at a node; see [`TrafficEvent::ListResponse`].
+    pub(super) fn receive_list(&mut self, node: usize, list: Option<Option<usize>>) {
+        let clock_rate = self.nodes[node].clock_rate;
+        let Some(updated_host) = list else {
+            return self
+                .handle_balancer_event(node, Event::EndpointList(EndpointListKind::Failed, Vec::new()));
         };
-        let all = which.map_or(0..self.fleet.hosts.len(), |host| host..host + 1);
+        let hosts = updated_host.map_or(0..self.traffic.hosts.len(), |host| host..host + 1);
         let entries: Vec<Endpoint> =
-            all.clone().filter_map(|host| self.fleet.entry(node, host, rate)).collect();
-        for host in all {
-            let named = entries.iter().find(|entry| entry.id == server_id(host));
-            let state = named.map_or(EndpointState::Removed, |entry| entry.state);
-            let told = std::mem::replace(&mut self.fleet.sides[node].told[host], state);
-            if told != state {
+            hosts.clone().filter_map(|host| self.traffic.endpoint(node, host, clock_rate)).collect();
+        for host in hosts {
+            let entry = entries.iter().find(|entry| entry.id == server_id(host));
+            let state = entry.map_or(EndpointState::Removed, |entry| entry.state);
+            let previous = std::mem::replace(&mut self.traffic.nodes[node].received_states[host], state);
+            if previous != state {
                 let health = match state {
                     EndpointState::Ready | EndpointState::Cordoned => "up",
                     EndpointState::Draining => "draining",
                     EndpointState::Removed => "removed",
                 };
-                self.write(Line::HostUpdate { node, host, health: health.to_owned() });
+                self.record_event(HistoryEvent::HostUpdate { node, host, health: health.to_owned() });
             }
         }
-        let kind = if which.is_some() { EndpointListKind::Delta } else { EndpointListKind::Full };
-        let entries = self.fleet.sides[node].choices.apply_list(kind, entries);
-        self.decide(node, Event::EndpointList(kind, entries));
-        if self.fleet.sides[node].choices.has_no_ready_host() {
-            self.shares(node);
+        let kind = if updated_host.is_some() { EndpointListKind::Delta } else { EndpointListKind::Full };
+        let entries = self.traffic.nodes[node].host_assignment.apply_list(kind, entries);
+        self.handle_balancer_event(node, Event::EndpointList(kind, entries));
+        if self.traffic.nodes[node].host_assignment.has_no_ready_host() {
+            self.refresh_subset(node);
         }
-        let side = &mut self.fleet.sides[node];
-        if !std::mem::replace(&mut side.ready, true) {
-            side.heard = Some(self.now);
-            self.write(Line::Process { node, change: ProcessChange::Ready, status: None });
+        let node_state = &mut self.traffic.nodes[node];
+        if !std::mem::replace(&mut node_state.ready, true) {
+            node_state.last_answer = Some(self.now);
+            self.record_event(HistoryEvent::Process { node, change: ProcessChange::Ready, status: None });
         }
     }
 
-    /// The same list once more, to all that a fault about lists has hit.
-    fn list_again(&mut self, node: usize) {
-        let life = self.fleet.sides[node].life;
-        if let Some(late) = self.way(Party::Discovery, Party::Node(node)) {
-            self.step(self.now + late, Step::Lists { node, life, of: Some(None) });
+    /// Sends a node the full list again, after a fault has changed what the node is sent.
+    fn resend_list(&mut self, node: usize) {
+        let incarnation = self.traffic.nodes[node].incarnation;
+        if let Some(delay) = self.draw_link_delay(Party::Discovery, Party::Node(node)) {
+            self.schedule_traffic(
+                self.now + delay,
+                TrafficEvent::ListResponse { node, incarnation, list: Some(None) },
+            );
         }
     }
 
-    /// A fault about lists begins or ends.
-    pub(super) fn list_fault(&mut self, number: usize, begins: bool) {
+    /// Begins or ends a fault of endpoint lists.
+    pub(super) fn set_discovery_fault(&mut self, index: usize, begins: bool) {
         let plan = self.plan;
-        let fault = &plan.faults[number];
-        let hosts =
-            fault.hosts.iter().filter_map(|actor| if let Party::Host(h) = actor { Some(*h) } else { None });
+        let fault = &plan.faults[index];
+        let hosts = fault
+            .hosts
+            .iter()
+            .filter_map(|party| if let Party::Host(host) = party { Some(*host) } else { None });
         let hosts: BTreeSet<usize> = if begins { hosts.collect() } else { BTreeSet::new() };
-        for node in Self::named(fault) {
-            let telling = &mut self.fleet.sides[node].telling;
+        for node in Self::affected_nodes(fault) {
+            let faults = &mut self.traffic.nodes[node].discovery_faults;
             match fault.kind {
-                FaultKind::ListLate => telling.late = if begins { micros(fault.ms / 1e3) } else { 0 },
-                FaultKind::ListRefuses => telling.refuses = begins,
-                FaultKind::ListLeavesOut => telling.leaves_out = hosts.clone(),
-                _ => telling.lies = hosts.clone(),
+                FaultKind::ListLate => faults.delay = if begins { micros(fault.ms / 1e3) } else { 0 },
+                FaultKind::ListRefuses => faults.refuses = begins,
+                FaultKind::ListLeavesOut => faults.omitted_hosts = hosts.clone(),
+                _ => faults.misreported_hosts = hosts.clone(),
             }
             if matches!(fault.kind, FaultKind::ListLeavesOut | FaultKind::ListLies) {
-                self.list_again(node);
+                self.resend_list(node);
             }
         }
     }
 
-    /// A fault of hosts begins or ends.
-    pub(super) fn host_fault(&mut self, number: usize, begins: bool) {
+    /// Begins or ends a fault of hosts.
+    pub(super) fn set_host_fault(&mut self, index: usize, begins: bool) {
         let plan = self.plan;
-        let fault = &plan.faults[number];
-        for actor in &fault.on {
-            let Party::Host(host) = *actor else { continue };
-            let it = &mut self.fleet.hosts[host];
+        let fault = &plan.faults[index];
+        for party in &fault.on {
+            let Party::Host(host) = *party else { continue };
+            let state = &mut self.traffic.hosts[host];
             match (fault.kind, begins) {
-                (FaultKind::HostSlow, _) => it.slow = if begins { micros(fault.ms / 1e3) } else { 0 },
-                (FaultKind::HostSilent, _) => it.silent = begins,
-                (FaultKind::HostRefuse, _) => it.refuses = begins,
+                (FaultKind::HostSlow, _) => {
+                    state.added_delay = if begins { micros(fault.ms / 1e3) } else { 0 }
+                }
+                (FaultKind::HostSilent, _) => state.silent = begins,
+                (FaultKind::HostRefuse, _) => state.refusing = begins,
                 (FaultKind::HostDrain, true) => {
-                    it.drains = true;
-                    self.tell_of(host, EndpointState::Draining);
+                    state.draining = true;
+                    self.notify_discovery(host, EndpointState::Draining);
                 }
                 (FaultKind::HostDrain, false) => {
-                    self.host_down(host);
-                    let life = self.fleet.hosts[host].life;
-                    self.step(self.now + 1_000_000, Step::HostUp { host, life });
+                    self.stop_host(host);
+                    let incarnation = self.traffic.hosts[host].incarnation;
+                    self.schedule_traffic(
+                        self.now + 1_000_000,
+                        TrafficEvent::HostStart { host, incarnation },
+                    );
                 }
-                (_, true) => self.host_down(host),
-                (_, false) => self.host_up(host, self.fleet.hosts[host].life),
+                (_, true) => self.stop_host(host),
+                (_, false) => self.start_host(host, self.traffic.hosts[host].incarnation),
             }
         }
     }
 
-    pub(super) fn host_down(&mut self, host: usize) {
-        for ((client, serial), (node, _)) in self.fleet.hosts[host].goes_down() {
-            if let Some(late) = self.way(Party::Host(host), Party::Node(node)) {
-                self.step(self.now + late, of(client, serial, Part::Broke));
+    /// Ends a host's process; its nodes and discovery learn of it later.
+    pub(super) fn stop_host(&mut self, host: usize) {
+        for ((client, serial), (node, _)) in self.traffic.hosts[host].stop() {
+            if let Some(delay) = self.draw_link_delay(Party::Host(host), Party::Node(node)) {
+                self.schedule_traffic(
+                    self.now + delay,
+                    request_event(client, serial, RequestEvent::HostEnded),
+                );
             }
         }
-        self.tell_of(host, EndpointState::Removed);
+        self.notify_discovery(host, EndpointState::Removed);
     }
 
-    pub(super) fn host_up(&mut self, host: usize, life: u64) {
-        let it = &mut self.fleet.hosts[host];
-        if it.life == life && !it.up {
-            it.comes_up(self.now);
-            self.write(Line::HostState { host, failed: false });
-            self.tell_of(host, EndpointState::Ready);
+    /// Starts a host's process unless it is up, or was stopped again since the start was scheduled.
+    pub(super) fn start_host(&mut self, host: usize, incarnation: u64) {
+        let state = &mut self.traffic.hosts[host];
+        if state.incarnation == incarnation && !state.up {
+            state.start(self.now);
+            self.record_event(HistoryEvent::HostState { host, failed: false });
+            self.notify_discovery(host, EndpointState::Ready);
         }
     }
 
-    pub(super) fn tick_hosts(&mut self) {
-        self.step(self.now + TICK, Step::Tick);
-        let second = (self.now / TICK).is_multiple_of(1_000_000 / TICK);
-        for host in 0..self.fleet.hosts.len() {
-            let it = &mut self.fleet.hosts[host];
-            if let Some(over) = it.tick(self.now) {
-                let traffic = &mut self.fleet.traffic;
-                traffic.cold_load_peak = traffic.cold_load_peak.max(over);
-                traffic.cold_load = (traffic.cold_load.0 + over, traffic.cold_load.1 + 1.0);
-                if over > 1.0 {
-                    traffic.cold_overloads += 1;
-                    self.write(Line::HostState { host, failed: true });
-                    self.host_down(host);
-                    let (life, after) = (self.fleet.hosts[host].life, micros(self.plan.hosts.restart_s));
-                    self.step(self.now + after, Step::HostUp { host, life });
+    /// Samples the load of all hosts: stops overloaded cold hosts, and once per second sends delay reports to
+    /// the nodes.
+    pub(super) fn sample_hosts(&mut self) {
+        self.schedule_traffic(self.now + SAMPLE_INTERVAL, TrafficEvent::HostSample);
+        let full_second = (self.now / SAMPLE_INTERVAL).is_multiple_of(1_000_000 / SAMPLE_INTERVAL);
+        for host in 0..self.traffic.hosts.len() {
+            let state = &mut self.traffic.hosts[host];
+            if let Some(load) = state.sample_cold_load(self.now) {
+                let metrics = &mut self.traffic.metrics;
+                metrics.cold_load_peak = metrics.cold_load_peak.max(load);
+                metrics.cold_load = (metrics.cold_load.0 + load, metrics.cold_load.1 + 1.0);
+                if load > 1.0 {
+                    metrics.cold_overloads += 1;
+                    self.record_event(HistoryEvent::HostState { host, failed: true });
+                    self.stop_host(host);
+                    let (incarnation, delay) =
+                        (self.traffic.hosts[host].incarnation, micros(self.plan.hosts.restart_s));
+                    self.schedule_traffic(self.now + delay, TrafficEvent::HostStart { host, incarnation });
                     continue;
                 }
             }
-            let it = &mut self.fleet.hosts[host];
-            let late = it.delay(self.now);
-            if second && it.up && !it.silent && late >= self.fleet.late_at {
+            let state = &mut self.traffic.hosts[host];
+            let delay = state.delay(self.now);
+            if full_second && state.up && !state.silent && delay >= self.traffic.delay_report_threshold {
                 for node in 0..self.plan.nodes {
-                    if self.fleet.hosts[host].by_node[node] > 0
-                        && let Some(way) = self.way(Party::Host(host), Party::Node(node))
+                    if self.traffic.hosts[host].connections_by_node[node] > 0
+                        && let Some(link_delay) = self.draw_link_delay(Party::Host(host), Party::Node(node))
                     {
-                        self.step(self.now + way, Step::Note { node, host, late });
+                        self.schedule_traffic(
+                            self.now + link_delay,
+                            TrafficEvent::DelayReport { node, host, delay },
+                        );
                     }
                 }
             }
--- a/crates/alderstile-lab/src/emulated/hosts.rs
+++ b/crates/alderstile-lab/src/emulated/hosts.rs
@@ -1,174 +1,183 @@
-//! An emulated host: cores, a queue, a cap, a cold start and what pushes it over. No I/O, no clock.
+//! An emulated host: cores, a work queue, a connection limit, a cold start and failure from overload. No I/O,
+//! no clock.
 //!
-//! A fluid model. All work that is asked, by set-ups at once and by open connections as it goes, joins one queue in order of
-//! coming, and the cores work it off; what waits delays every set-up and every message alike (the workload process of a
-//! single-server queue: Kleinrock, *Queueing Systems* I, 1975). A process that has just started does only a part of what it
-//! will, growing evenly (warm-up of virtual machines: Barrett et al., OOPSLA 2017). One that is asked too much while cold goes
-//! down, as retries and new connections keep it there (Bronson et al., "Metastable failures", HotOS 2021). Left out: garbage
-//! collection, memory beside the cap, neighbours on the same machine, and cores that wait while others are busy.
+//! The host is a fluid model. All work, from connection setups at once and from open connections
+//! continuously, joins one queue in order of arrival, and the cores process it; the backlog delays every
+//! setup and every message alike (the workload process of a single-server queue: Kleinrock, *Queueing
+//! Systems* I, 1975). A process that has just started has only a fraction of its full capacity, which grows
+//! linearly (warm-up of virtual machines: Barrett et al., OOPSLA 2017). A host that is overloaded while cold
+//! fails, as retries and new connections would keep it overloaded (Bronson et al., "Metastable failures",
+//! HotOS 2021). The model leaves out garbage collection, memory other than the connection limit, other load
+//! on the same machine, and cores that are idle while others are busy.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::schedule::Hosts;
 
-/// How finely what is asked of a cold host is added up, microseconds.
-pub const TICK: u64 = 250_000;
+/// Interval between samples of a host's load, microseconds: the resolution of the overload check.
+pub const SAMPLE_INTERVAL: u64 = 250_000;
 
-/// A connection at a host: the client, and which of its requests.
-pub type Held = (usize, u32);
+/// Identifies a connection at a host: the client and the serial number of its request.
+pub type ConnectionKey = (usize, u32);
 
-/// One host.
+/// An emulated host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Its size beside others.
+    /// Capacity relative to other hosts.
     pub weight: f64,
-    /// Its process runs.
+    /// Whether the process is running.
     pub up: bool,
-    /// Counts its processes.
-    pub life: u64,
-    /// When the process started, microseconds; none if long before the run.
+    /// Number of times that a process has ended.
+    pub incarnation: u64,
+    /// When the process started, microseconds; `None` if it started long before the run.
     pub started: Option<u64>,
-    /// It takes so much longer for everything, microseconds.
-    pub slow: u64,
-    /// It says nothing.
+    /// Delay that a fault adds to everything the host does, microseconds.
+    pub added_delay: u64,
+    /// Whether the host answers nothing.
     pub silent: bool,
-    /// It turns new connections away.
-    pub refuses: bool,
-    /// It is listed as draining.
-    pub drains: bool,
-    /// Connections and their load, in microseconds of work a second, and the node that each came by.
-    pub held: BTreeMap<Held, (usize, f64)>,
-    /// Connections by node.
-    pub by_node: Vec<u32>,
-    set: Hosts,
+    /// Whether the host rejects new connections.
+    pub refusing: bool,
+    /// Whether discovery lists the host as draining.
+    pub draining: bool,
+    /// Open connections: the node of each and its load, in microseconds of work per second.
+    pub connections: BTreeMap<ConnectionKey, (usize, f64)>,
+    /// Number of open connections of each node.
+    pub connections_by_node: Vec<u32>,
+    config: Hosts,
+    /// Load of all open connections, microseconds of work per second.
     load: f64,
-    /// Work that waits, microseconds of one core.
-    waits: f64,
-    at: u64,
-    /// Set-up work asked since the last tick.
-    asked: f64,
-    /// Work asked and work allowed in the last ticks, while cold.
-    window: VecDeque<(f64, f64)>,
+    /// Queued work, microseconds of one core.
+    backlog: f64,
+    /// When the backlog was last updated, microseconds.
+    updated_at: u64,
+    /// Setup work that arrived since the last sample, microseconds of one core.
+    offered_work: f64,
+    /// Offered work and the work at which the host fails, for each recent sample while cold.
+    overload_window: VecDeque<(f64, f64)>,
 }
 
 impl Host {
-    /// A host that runs and is warm.
-    pub fn new(set: &Hosts, weight: f64, nodes: usize) -> Self {
+    /// Creates a host that is running and warm.
+    pub fn new(config: &Hosts, weight: f64, nodes: usize) -> Self {
         Host {
             weight,
             up: true,
-            life: 0,
+            incarnation: 0,
             started: None,
-            slow: 0,
+            added_delay: 0,
             silent: false,
-            refuses: false,
-            drains: false,
-            held: BTreeMap::new(),
-            by_node: vec![0; nodes],
-            set: set.clone(),
+            refusing: false,
+            draining: false,
+            connections: BTreeMap::new(),
+            connections_by_node: vec![0; nodes],
+            config: config.clone(),
             load: 0.0,
-            waits: 0.0,
-            at: 0,
-            asked: 0.0,
-            window: VecDeque::new(),
+            backlog: 0.0,
+            updated_at: 0,
+            offered_work: 0.0,
+            overload_window: VecDeque::new(),
         }
     }
 
-    /// The share of its capacity that it has now.
-    pub fn warmth(&self, now: u64) -> f64 {
+    /// Returns the fraction of its full capacity that the host has at `now`.
+    pub fn warm_fraction(&self, now: u64) -> f64 {
         let Some(started) = self.started else { return 1.0 };
-        let share = (now.saturating_sub(started) as f64 / (self.set.warm_up_s * 1e6)).min(1.0);
-        self.set.warm_up_initial + (1.0 - self.set.warm_up_initial) * share
+        let share = (now.saturating_sub(started) as f64 / (self.config.warm_up_s * 1e6)).min(1.0);
+        self.config.warm_up_initial + (1.0 - self.config.warm_up_initial) * share
     }
 
-    /// Work that it can do, in microseconds a second.
+    /// Returns the host's capacity at `now`, in microseconds of work per second.
     pub fn capacity(&self, now: u64) -> f64 {
-        self.set.cores * self.weight * 1e6 * self.warmth(now)
+        self.config.cores * self.weight * 1e6 * self.warm_fraction(now)
     }
 
-    /// Brings the queue up to date.
+    /// Updates the backlog to `now`.
     fn advance(&mut self, now: u64) {
-        let span = now.saturating_sub(self.at) as f64 / 1e6;
-        // The capacity in the middle of the span: it grows evenly.
-        let able = self.capacity(self.at + (now.saturating_sub(self.at)) / 2);
-        self.waits = (self.waits + (self.load - able) * span).max(0.0);
-        self.at = now;
+        let span = now.saturating_sub(self.updated_at) as f64 / 1e6;
+        // The capacity at the middle of the span is its mean, as it grows linearly.
+        let capacity = self.capacity(self.updated_at + (now.saturating_sub(self.updated_at)) / 2);
+        self.backlog = (self.backlog + (self.load - capacity) * span).max(0.0);
+        self.updated_at = now;
     }
 
-    /// How long what comes now waits, microseconds.
+    /// Returns how long work that arrives at `now` waits, microseconds.
     pub fn delay(&mut self, now: u64) -> u64 {
         self.advance(now);
-        (self.waits / self.capacity(now) * 1e6) as u64 + self.slow
+        (self.backlog / self.capacity(now) * 1e6) as u64 + self.added_delay
     }
 
-    /// What it is asked over what it can do; what waits counts as asked for a second. Without bound where it is down.
-    pub fn ratio(&self, now: u64) -> f64 {
-        if !self.up || self.silent || self.refuses || self.drains {
+    /// Returns the host's load relative to its capacity; the backlog counts as load of one second.
+    ///
+    /// Infinite if the host does not accept connections.
+    pub fn load_ratio(&self, now: u64) -> f64 {
+        if !self.up || self.silent || self.refusing || self.draining {
             return f64::INFINITY;
         }
-        (self.load + self.waits) / self.capacity(now)
+        (self.load + self.backlog) / self.capacity(now)
     }
 
-    /// A set-up comes: how long it takes, microseconds; none where it is turned away.
-    pub fn takes(&mut self, now: u64, held: Held, node: usize, load: f64) -> Option<u64> {
-        let waits = self.delay(now);
-        let full = self.held.len() as f64 >= self.set.max_connections * self.weight;
-        if self.refuses || full || waits as f64 > self.set.max_queue_ms * 1e3 {
+    /// Sets a connection up and returns how long that takes, microseconds; `None` if the host rejects it.
+    pub fn accept(&mut self, now: u64, connection: ConnectionKey, node: usize, load: f64) -> Option<u64> {
+        let delay = self.delay(now);
+        let full = self.connections.len() as f64 >= self.config.max_connections * self.weight;
+        if self.refusing || full || delay as f64 > self.config.max_queue_ms * 1e3 {
             return None;
         }
-        let work = self.set.setup_ms * 1e3;
-        self.waits += work;
-        self.asked += work;
+        let work = self.config.setup_ms * 1e3;
+        self.backlog += work;
+        self.offered_work += work;
         self.load += load;
-        self.held.insert(held, (node, load));
-        self.by_node[node] += 1;
-        // One core does it.
-        Some(waits + (work / self.warmth(now)) as u64)
+        self.connections.insert(connection, (node, load));
+        self.connections_by_node[node] += 1;
+        // One core does all the work of a setup.
+        Some(delay + (work / self.warm_fraction(now)) as u64)
     }
 
-    /// A connection has ended.
-    pub fn ends(&mut self, now: u64, held: Held) {
+    /// Removes a connection that has ended.
+    pub fn close(&mut self, now: u64, connection: ConnectionKey) {
         self.advance(now);
-        if let Some((node, load)) = self.held.remove(&held) {
-            self.by_node[node] -= 1;
-            self.load = if self.held.is_empty() { 0.0 } else { (self.load - load).max(0.0) };
+        if let Some((node, load)) = self.connections.remove(&connection) {
+            self.connections_by_node[node] -= 1;
+            self.load = if self.connections.is_empty() { 0.0 } else { (self.load - load).max(0.0) };
         }
     }
 
-    /// Adds up what was asked since the last tick: what was asked of a cold host over what it bears, in the last stated span.
-    /// It falls where that is above one.
-    pub fn tick(&mut self, now: u64) -> Option<f64> {
+    /// Samples the load offered since the last call.
+    ///
+    /// Returns the load over the overload window relative to the load at which a cold host fails: above 1 the
+    /// host must be stopped. Returns `None` if the host is down or warm, or the window is not full yet.
+    pub fn sample_cold_load(&mut self, now: u64) -> Option<f64> {
         self.advance(now);
-        let span = TICK as f64 / 1e6;
-        let asked = std::mem::take(&mut self.asked) + self.load * span;
-        if !self.up || self.warmth(now) >= 1.0 {
-            self.window.clear();
+        let span = SAMPLE_INTERVAL as f64 / 1e6;
+        let offered = std::mem::take(&mut self.offered_work) + self.load * span;
+        if !self.up || self.warm_fraction(now) >= 1.0 {
+            self.overload_window.clear();
             return None;
         }
-        self.window.push_back((asked, self.set.overload_multiple * self.capacity(now) * span));
-        let whole = (self.set.overload_window_s * 1e6 / TICK as f64).ceil().max(1.0) as usize;
-        if self.window.len() < whole {
+        self.overload_window.push_back((offered, self.config.overload_multiple * self.capacity(now) * span));
+        let samples = (self.config.overload_window_s * 1e6 / SAMPLE_INTERVAL as f64).ceil().max(1.0) as usize;
+        if self.overload_window.len() < samples {
             return None;
         }
-        if self.window.len() > whole {
-            self.window.pop_front();
+        if self.overload_window.len() > samples {
+            self.overload_window.pop_front();
         }
-        let (asked, bears) =
-            self.window.iter().fold((0.0, 0.0), |sum, part| (sum.0 + part.0, sum.1 + part.1));
-        Some(asked / bears)
+        let (offered, limit) =
+            self.overload_window.iter().fold((0.0, 0.0), |sum, sample| (sum.0 + sample.0, sum.1 + sample.1));
+        Some(offered / limit)
     }
 
-    /// Its process ends; its connections are gone.
-    pub fn goes_down(&mut self) -> BTreeMap<Held, (usize, f64)> {
-        (self.up, self.drains, self.load, self.waits, self.asked) = (false, false, 0.0, 0.0, 0.0);
-        self.life += 1;
-        self.window.clear();
-        self.by_node.fill(0);
-        std::mem::take(&mut self.held)
+    /// Ends the process and returns the connections that were open.
+    pub fn stop(&mut self) -> BTreeMap<ConnectionKey, (usize, f64)> {
+        (self.up, self.draining, self.load, self.backlog, self.offered_work) = (false, false, 0.0, 0.0, 0.0);
+        self.incarnation += 1;
+        self.overload_window.clear();
+        self.connections_by_node.fill(0);
+        std::mem::take(&mut self.connections)
     }
 
-    /// Its process starts, cold.
-    pub fn comes_up(&mut self, now: u64) {
-        (self.up, self.started, self.at) = (true, Some(now), now);
+    /// Starts a process, which is cold.
+    pub fn start(&mut self, now: u64) {
+        (self.up, self.started, self.updated_at) = (true, Some(now), now);
     }
 }
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -1,8 +1,10 @@
-//! Runs in simulated time: members and decisions of many nodes, their hosts, clients and list over an emulated network, one
-//! seed, one order of events.
+//! Discrete-event simulator: membership and decisions of many nodes, with their hosts, clients and discovery,
+//! over an emulated network in simulated time.
 //!
-//! The same inputs give the same history, byte for byte, on any machine: nothing here reads a clock or a hash's order. What a
-//! schedule does not name is not there: without hosts and clients members run alone, without `[members]` nobody knows of anybody.
+//! The same plan and strategy give the same history, byte for byte, on any machine: all randomness derives
+//! from the plan's seed, all events are in one order, and no result depends on the machine's clock or the
+//! iteration order of a hash map. A schedule emulates only what it names: without hosts and clients the
+//! membership protocol runs alone, and without `[members]` it does not run.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
@@ -29,18 +31,18 @@
 mod strategies;
 mod traffic;
 
-pub use hosts::{Host, TICK};
+pub use hosts::{Host, SAMPLE_INTERVAL};
 pub use strategies::{Strategy, StrategySpec};
 pub use traffic::TrafficMetrics;
-use traffic::{Fleet, Step};
+use traffic::{TrafficEvent, TrafficModel};
 
-/// The seeds of all members: the first so many nodes.
-const SEEDS: usize = 3;
-/// A datagram that is overtaken comes this much later, and three times its way's delay.
-const OVERTAKEN_S: f64 = 0.01;
+/// Number of seeds of each member: the first nodes of the plan.
+const SEED_NODES: usize = 3;
+/// Delay of a reordered datagram, seconds, in addition to three times its link's delay.
+const REORDER_DELAY_S: f64 = 0.01;
 
-/// A line of progress comes this often.
-const PROGRESS: Duration = Duration::from_secs(5);
+/// Interval between progress messages, in real time.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Why a schedule can't be emulated.
 #[derive(Debug, Error)]
@@ -73,98 +75,100 @@
     pub traffic: Option<TrafficMetrics>,
 }
 
-/// Something that comes, in microseconds from the start. Events of one moment come in the order in which they were made.
-struct Due {
+/// An event in the queue. Events of one time are handled in the order in which they were scheduled.
+struct ScheduledEvent {
+    /// Microseconds since the start of the run.
     at: u64,
-    made: u64,
-    what: What,
+    sequence: u64,
+    event: SimEvent,
 }
 
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.made).cmp(&(other.at, other.made))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         self.cmp(other) == Ordering::Equal
     }
 }
-impl Eq for Due {}
-
-enum What {
-    /// A datagram reaches a node.
-    Comes {
-        to: usize,
-        from: usize,
-        bytes: Vec<u8>,
-    },
-    /// A node has something to do; stale where its number is not the node's latest.
-    Tick {
-        node: usize,
-        number: u64,
-    },
-    Begins(usize),
-    Ends(usize),
-    /// Something of clients, hosts or the list.
-    Fleet(Step),
+impl Eq for ScheduledEvent {}
+
+enum SimEvent {
+    /// A membership datagram arrives at a node.
+    DatagramArrival { to: usize, from: usize, bytes: Vec<u8> },
+    /// A node's membership timer expires; ignored if `generation` is not the node's latest.
+    MembershipTimer { node: usize, generation: u64 },
+    /// The fault with this index in the plan begins.
+    FaultStart(usize),
+    /// The fault with this index in the plan ends.
+    FaultEnd(usize),
+    /// An event of clients, hosts or discovery.
+    Traffic(TrafficEvent),
 }
 
-struct Node {
-    members: Option<Membership>,
-    /// How fast its clock runs.
-    rate: f64,
+/// A node's membership and clock.
+struct SimNode {
+    membership: Option<Membership>,
+    /// Rate of the node's clock relative to simulated time.
+    clock_rate: f64,
     paused: bool,
-    /// What came while it stood still.
-    waiting: Vec<(usize, Vec<u8>)>,
-    /// Number of its latest timer.
-    timer: u64,
-    /// How it sees each other node, as written last.
-    seen: Vec<Option<MemberState>>,
-    since_s: f64,
+    /// Datagrams, with their senders, that arrived while the process was paused.
+    queued_datagrams: Vec<(usize, Vec<u8>)>,
+    /// Generation of the latest membership timer: earlier timers are ignored.
+    timer_generation: u64,
+    /// The node's view of each node as last written to the history.
+    recorded_views: Vec<Option<MemberState>>,
+    /// When the membership of the current process started, seconds.
+    started_at_s: f64,
 }
 
-/// A run.
-struct World<'a> {
+/// The state of an emulated run.
+struct Simulation<'a> {
     plan: &'a Plan,
-    set: MembershipConfig,
+    membership_config: MembershipConfig,
     history: &'a History,
+    /// Simulated time, microseconds since the start of the run.
     now: u64,
-    queue: BinaryHeap<Reverse<Due>>,
-    made: u64,
-    nodes: Vec<Node>,
-    faults: LinkFaults,
+    event_queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    /// Number of events scheduled so far.
+    sequence: u64,
+    nodes: Vec<SimNode>,
+    link_faults: LinkFaults,
     rng: Pcg64Mcg,
-    sessions: BTreeMap<InstanceId, usize>,
-    /// All processes that a node has had.
-    processes: Vec<Vec<InstanceId>>,
-    fleet: Fleet,
-    sums: RunMetrics,
+    nodes_by_instance: BTreeMap<InstanceId, usize>,
+    /// Instances of all processes that each node has had.
+    instances_by_node: Vec<Vec<InstanceId>>,
+    traffic: TrafficModel,
+    metrics: RunMetrics,
 }
 
-/// The address of a node: a label, nothing is bound there.
-fn address(node: usize) -> SocketAddr {
+/// Returns the membership address of a node. It is an identifier only: no socket is bound to it.
+fn node_address(node: usize) -> SocketAddr {
     let [_, b, c, d] = (node as u32 + 1).to_be_bytes();
     (Ipv4Addr::new(127, b, c, d), 7_946).into()
 }
 
+/// Converts seconds to microseconds.
 fn micros(seconds: f64) -> u64 {
     (seconds * 1e6).round() as u64
 }
 
-/// Plays a plan by one way of choosing; its history gets all that happened.
+/// Runs a plan with one load-balancing strategy, writes what happens to `history` and returns the metrics.
 ///
 /// # Errors
 ///
-/// When the plan has nothing to emulate, or a fault of something that is not emulated in it.
-pub fn run(plan: &Plan, choice: &StrategySpec, history: &History) -> Result<RunMetrics, EmulationError> {
-    let fleet = Fleet::new(plan, choice);
-    if plan.members.is_none() && !fleet.on() {
+/// Returns an error if the plan has nothing to emulate, or has a fault that the simulator does not support or
+/// that needs hosts and clients where the plan has none.
+pub fn run(plan: &Plan, strategy: &StrategySpec, history: &History) -> Result<RunMetrics, EmulationError> {
+    let traffic = TrafficModel::new(plan, strategy);
+    if plan.members.is_none() && !traffic.is_enabled() {
         return Err(EmulationError::NothingToEmulate);
     }
     for fault in &plan.faults {
@@ -172,106 +176,119 @@
             FaultTarget::Process if matches!(fault.kind, FaultKind::Replace | FaultKind::Reload) => {
                 return Err(EmulationError::UnsupportedFault(fault.kind));
             }
-            FaultTarget::DiscoveryList | FaultTarget::Host if !fleet.on() => {
+            FaultTarget::DiscoveryList | FaultTarget::Host if !traffic.is_enabled() => {
                 return Err(EmulationError::MissingHosts(fault.kind));
             }
             _ => {}
         }
     }
-    let members = plan.members.clone().unwrap_or_default();
-    let set = MembershipConfig {
-        suspicion_multiplier: members.suspicion,
-        local_health: members.local_health,
-        ..MembershipConfig::with_period(Micros::from_millis(members.period_ms))
+    let member_settings = plan.members.clone().unwrap_or_default();
+    let membership_config = MembershipConfig {
+        suspicion_multiplier: member_settings.suspicion,
+        local_health: member_settings.local_health,
+        ..MembershipConfig::with_period(Micros::from_millis(member_settings.period_ms))
     };
     let period_s = plan.members.as_ref().map_or(0.0, |members| members.period_ms as f64 / 1e3);
-    history.add_at(0.0, fleet.head(plan, period_s));
+    history.add_at(0.0, traffic.run_event(plan, period_s));
     let mut rng = Pcg64Mcg::seed_from_u64(plan.seed);
     let mut nodes = Vec::new();
     for _ in 0..plan.nodes {
-        let rate = 1.0 + members.clock_rate * (2.0 * rng.random::<f64>() - 1.0);
-        let seen = vec![None; plan.nodes];
-        let (members, waiting) = (None, Vec::new());
-        nodes.push(Node { members, rate, paused: false, waiting, timer: 0, seen, since_s: 0.0 });
+        let clock_rate = 1.0 + member_settings.clock_rate * (2.0 * rng.random::<f64>() - 1.0);
+        let recorded_views = vec![None; plan.nodes];
+        let (membership, queued_datagrams) = (None, Vec::new());
+        nodes.push(SimNode {
+            membership,
+            clock_rate,
+            paused: false,
+            queued_datagrams,
+            timer_generation: 0,
+            recorded_views,
+            started_at_s: 0.0,
+        });
     }
-    let mut world = World {
+    let mut simulation = Simulation {
         plan,
-        set,
+        membership_config,
         history,
         now: 0,
-        queue: BinaryHeap::new(),
-        made: 0,
+        event_queue: BinaryHeap::new(),
+        sequence: 0,
         nodes,
-        faults: LinkFaults::new(plan.links.clone()),
+        link_faults: LinkFaults::new(plan.links.clone()),
         rng,
-        sessions: BTreeMap::new(),
-        processes: vec![Vec::new(); plan.nodes],
-        fleet,
-        sums: RunMetrics::default(),
+        nodes_by_instance: BTreeMap::new(),
+        instances_by_node: vec![Vec::new(); plan.nodes],
+        traffic,
+        metrics: RunMetrics::default(),
     };
-    world.play(members.know_all);
-    if world.fleet.on() {
-        world.sums.traffic = Some(world.fleet.traffic);
+    simulation.run(member_settings.know_all);
+    if simulation.traffic.is_enabled() {
+        simulation.metrics.traffic = Some(simulation.traffic.metrics);
     }
-    Ok(world.sums)
+    Ok(simulation.metrics)
 }
 
-impl World<'_> {
-    fn play(&mut self, know_all: bool) {
-        let records: Vec<MemberRecord> = (0..self.plan.nodes).map(|node| self.record(node)).collect();
+impl Simulation<'_> {
+    /// Handles all events until the end of the plan.
+    fn run(&mut self, know_all: bool) {
+        let records: Vec<MemberRecord> =
+            (0..self.plan.nodes).map(|node| self.new_member_record(node)).collect();
         for (node, record) in records.iter().enumerate() {
-            self.start(node, record.clone(), if know_all { &records } else { &[] }, true);
+            self.start_node(node, record.clone(), if know_all { &records } else { &[] }, true);
         }
-        self.open_day();
-        for (number, fault) in self.plan.faults.iter().enumerate() {
-            self.add(micros(fault.at_s), What::Begins(number));
+        self.start_traffic();
+        for (index, fault) in self.plan.faults.iter().enumerate() {
+            self.schedule(micros(fault.at_s), SimEvent::FaultStart(index));
             if let Some(for_s) = fault.for_s {
-                self.add(micros(fault.at_s + for_s), What::Ends(number));
+                self.schedule(micros(fault.at_s + for_s), SimEvent::FaultEnd(index));
             }
         }
         let end = micros(self.plan.length_s);
-        // For the person who waits alone: what happens does not hang on it.
-        let (mut told, mut events) = (Instant::now(), 0u64);
-        while let Some(Reverse(Due { at, what, .. })) = self.queue.pop() {
+        // Real time decides only when progress is logged; it does not influence the run.
+        let (mut last_progress, mut events) = (Instant::now(), 0u64);
+        while let Some(Reverse(ScheduledEvent { at, event, .. })) = self.event_queue.pop() {
             if at > end {
                 break;
             }
             self.now = at;
             events += 1;
-            if events.is_multiple_of(1 << 16) && told.elapsed() > PROGRESS {
-                told = Instant::now();
-                info!("{:.0} s of {:.0}", self.seconds(), self.plan.length_s);
+            if events.is_multiple_of(1 << 16) && last_progress.elapsed() > PROGRESS_INTERVAL {
+                last_progress = Instant::now();
+                info!("emulated {:.0} of {:.0} s", self.now_s(), self.plan.length_s);
             }
-            match what {
-                What::Comes { to, from, bytes } => self.comes(to, from, bytes),
-                What::Tick { node, number } => self.tick(node, number),
-                What::Begins(number) => self.begins(number),
-                What::Ends(number) => self.ends(number),
-                What::Fleet(step) => self.happens(step),
+            match event {
+                SimEvent::DatagramArrival { to, from, bytes } => self.receive_datagram(to, from, bytes),
+                SimEvent::MembershipTimer { node, generation } => self.membership_timer(node, generation),
+                SimEvent::FaultStart(index) => self.start_fault(index),
+                SimEvent::FaultEnd(index) => self.end_fault(index),
+                SimEvent::Traffic(event) => self.handle_traffic_event(event),
             }
         }
         self.now = end;
-        (0..self.nodes.len()).for_each(|node| self.count(node));
+        (0..self.nodes.len()).for_each(|node| self.collect_membership_metrics(node));
         self.history.add_at(self.plan.length_s, Event::End {});
     }
 
-    fn seconds(&self) -> f64 {
+    /// Returns the simulated time in seconds.
+    fn now_s(&self) -> f64 {
         self.now as f64 / 1e6
     }
 
-    fn write(&self, what: Event) {
-        self.history.add_at(self.seconds(), what);
+    /// Writes an event to the history at the current time.
+    fn record_event(&self, event: Event) {
+        self.history.add_at(self.now_s(), event);
     }
 
-    fn add(&mut self, at: u64, what: What) {
-        self.made += 1;
-        self.queue.push(Reverse(Due { at, made: self.made, what }));
+    fn schedule(&mut self, at: u64, event: SimEvent) {
+        self.sequence += 1;
+        self.event_queue.push(Reverse(ScheduledEvent { at, sequence: self.sequence, event }));
     }
 
-    fn record(&mut self, node: usize) -> MemberRecord {
+    /// Returns the member record of a new process of a node.
+    fn new_member_record(&mut self, node: usize) -> MemberRecord {
         let instance = InstanceId(self.rng.random::<u64>().max(1));
-        self.sessions.insert(instance, node);
-        self.processes[node].push(instance);
+        self.nodes_by_instance.insert(instance, node);
+        self.instances_by_node[node].push(instance);
         let zone = self.plan.zones[node % self.plan.zones.len()].as_str().into();
         let name = format!("n{node}").into();
         MemberRecord {
@@ -279,113 +296,119 @@
             incarnation: 1,
             name,
             zone,
-            address: address(node),
+            address: node_address(node),
             config_digest: 0,
             metadata: [].into(),
         }
     }
 
-    /// The time on a node's own clock.
-    fn local(&self, node: usize) -> Micros {
-        Micros((self.now as f64 * self.nodes[node].rate) as u64)
+    /// Returns the time on a node's own clock.
+    fn local_time(&self, node: usize) -> Micros {
+        Micros((self.now as f64 * self.nodes[node].clock_rate) as u64)
     }
 
-    fn start(&mut self, node: usize, record: MemberRecord, known: &[MemberRecord], first: bool) {
-        self.write(Event::Process { node, change: ProcessChange::Started, status: None });
+    /// Starts a process of a node. `first` is true at the start of the run.
+    fn start_node(&mut self, node: usize, record: MemberRecord, known: &[MemberRecord], first: bool) {
+        self.record_event(Event::Process { node, change: ProcessChange::Started, status: None });
         if self.plan.members.is_some() {
-            self.joins(node, record, known);
+            self.start_membership(node, record, known);
         }
-        self.side_starts(node, first);
+        self.start_traffic_node(node, first);
     }
 
-    fn joins(&mut self, node: usize, record: MemberRecord, known: &[MemberRecord]) {
-        let seeds = (0..SEEDS.min(self.plan.nodes)).map(address).collect();
-        // The lab's own key: what it protects is a run.
+    fn start_membership(&mut self, node: usize, record: MemberRecord, known: &[MemberRecord]) {
+        let seeds = (0..SEED_NODES.min(self.plan.nodes)).map(node_address).collect();
+        // A fixed key, the same in all runs: an emulated cluster has nothing to protect.
         let Ok(codec) = DatagramCodec::new("lab", &[b"a key of the lab, and no secret".to_vec()]) else {
             return;
         };
         let seed = self.rng.random();
-        let members = Membership::new(self.set, codec, record, seeds, seed, self.local(node));
-        let members = members.with_known_members(known.iter().cloned());
-        let now_s = self.seconds();
-        let sim = &mut self.nodes[node];
-        (sim.members, sim.since_s) = (Some(members), now_s);
-        sim.seen.fill(if known.is_empty() { None } else { Some(MemberState::Alive) });
+        let membership =
+            Membership::new(self.membership_config, codec, record, seeds, seed, self.local_time(node));
+        let membership = membership.with_known_members(known.iter().cloned());
+        let now_s = self.now_s();
+        let state = &mut self.nodes[node];
+        (state.membership, state.started_at_s) = (Some(membership), now_s);
+        state.recorded_views.fill(if known.is_empty() { None } else { Some(MemberState::Alive) });
         if known.is_empty() {
-            sim.seen[node] = Some(MemberState::Alive);
+            state.recorded_views[node] = Some(MemberState::Alive);
         }
-        self.schedule(node);
+        self.schedule_membership_timer(node);
     }
 
-    /// Adds up what a process has done, at its end.
-    fn count(&mut self, node: usize) {
-        let now_s = self.seconds();
-        let sim = &mut self.nodes[node];
-        if let Some(members) = sim.members.take() {
-            let counters = members.counters();
-            self.sums.datagrams_sent += counters.sent;
-            self.sums.bytes_sent += counters.sent_bytes;
-            self.sums.suspicions += counters.suspicions_started;
-            self.sums.refutations += counters.refutations;
-            self.sums.member_seconds += now_s - sim.since_s;
+    /// Adds the membership counters of a node's process to the metrics when the process or the run ends.
+    fn collect_membership_metrics(&mut self, node: usize) {
+        let now_s = self.now_s();
+        let state = &mut self.nodes[node];
+        if let Some(membership) = state.membership.take() {
+            let counters = membership.counters();
+            self.metrics.datagrams_sent += counters.sent;
+            self.metrics.bytes_sent += counters.sent_bytes;
+            self.metrics.suspicions += counters.suspicions_started;
+            self.metrics.refutations += counters.refutations;
+            self.metrics.member_seconds += now_s - state.started_at_s;
         }
     }
 
-    fn schedule(&mut self, node: usize) {
-        let sim = &mut self.nodes[node];
-        let Some(members) = &sim.members else { return };
-        sim.timer += 1;
-        let (number, rate) = (sim.timer, sim.rate);
-        let at = ((members.next_timeout().0 as f64 / rate).ceil() as u64).max(self.now + 1);
-        self.add(at, What::Tick { node, number });
+    /// Schedules the next timer of a node's membership and invalidates earlier ones.
+    fn schedule_membership_timer(&mut self, node: usize) {
+        let state = &mut self.nodes[node];
+        let Some(membership) = &state.membership else { return };
+        state.timer_generation += 1;
+        let (generation, clock_rate) = (state.timer_generation, state.clock_rate);
+        let at = ((membership.next_timeout().0 as f64 / clock_rate).ceil() as u64).max(self.now + 1);
+        self.schedule(at, SimEvent::MembershipTimer { node, generation });
     }
 
-    fn tick(&mut self, node: usize, number: u64) {
-        if self.nodes[node].timer != number || self.nodes[node].paused {
+    fn membership_timer(&mut self, node: usize, generation: u64) {
+        if self.nodes[node].timer_generation != generation || self.nodes[node].paused {
             return;
         }
-        let now = self.local(node);
-        if let Some(members) = &mut self.nodes[node].members {
-            let out = members.handle_timeout(now);
-            self.act(node, out);
+        let now = self.local_time(node);
+        if let Some(membership) = &mut self.nodes[node].membership {
+            let effects = membership.handle_timeout(now);
+            self.apply_membership_effects(node, effects);
         }
-        self.schedule(node);
+        self.schedule_membership_timer(node);
     }
 
-    fn comes(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
+    fn receive_datagram(&mut self, to: usize, from: usize, bytes: Vec<u8>) {
         if self.nodes[to].paused {
-            // What a process's socket holds while it stands still; a system keeps some hundreds of datagrams.
-            if self.nodes[to].waiting.len() < 500 {
-                self.nodes[to].waiting.push((from, bytes));
+            // The socket of a paused process buffers datagrams; an operating system keeps a few hundred of
+            // them.
+            if self.nodes[to].queued_datagrams.len() < 500 {
+                self.nodes[to].queued_datagrams.push((from, bytes));
             }
             return;
         }
-        let now = self.local(to);
-        if let Some(members) = &mut self.nodes[to].members {
-            let before = members.next_timeout();
-            let out = members.handle_datagram(now, address(from), &bytes);
-            let moved = members.next_timeout() != before;
-            self.act(to, out);
-            if moved {
-                self.schedule(to);
+        let now = self.local_time(to);
+        if let Some(membership) = &mut self.nodes[to].membership {
+            let before = membership.next_timeout();
+            let effects = membership.handle_datagram(now, node_address(from), &bytes);
+            let timeout_changed = membership.next_timeout() != before;
+            self.apply_membership_effects(to, effects);
+            if timeout_changed {
+                self.schedule_membership_timer(to);
             }
         }
     }
 
-    fn act(&mut self, node: usize, out: Vec<MembershipEffect>) {
-        for out in out {
-            match out {
-                MembershipEffect::Send { to, datagram } => self.send(node, to, datagram),
-                MembershipEffect::Changed(change) => self.told(node, &change),
+    fn apply_membership_effects(&mut self, node: usize, effects: Vec<MembershipEffect>) {
+        for effect in effects {
+            match effect {
+                MembershipEffect::Send { to, datagram } => self.send_datagram(node, to, datagram),
+                MembershipEffect::Changed(change) => self.record_member_view(node, &change),
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
+    /// Sends a datagram over its link, with the loss, damage, duplication, delay and reordering that the link
+    /// has now.
+    fn send_datagram(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         let SocketAddr::V4(to) = to else { return };
         let to = (u32::from_be_bytes(to.ip().octets()) & 0x00ff_ffff) as usize;
         let Some(to) = to.checked_sub(1).filter(|to| *to < self.nodes.len()) else { return };
-        let link = self.faults.link(Party::Node(from), Party::Node(to));
+        let link = self.link_faults.link(Party::Node(from), Party::Node(to));
         if link.cut || (link.loss > 0.0 && self.rng.random::<f64>() < link.loss) {
             return;
         }
@@ -396,116 +419,124 @@
         }
         let copies = 1 + usize::from(link.duplicate > 0.0 && self.rng.random::<f64>() < link.duplicate);
         for _ in 0..copies {
-            let mut late = link.delay_s + link.jitter_s * self.rng.random::<f64>();
+            let mut delay_s = link.delay_s + link.jitter_s * self.rng.random::<f64>();
             if link.reorder > 0.0 && self.rng.random::<f64>() < link.reorder {
-                late += 3.0 * link.delay_s + OVERTAKEN_S;
+                delay_s += 3.0 * link.delay_s + REORDER_DELAY_S;
             }
-            self.add(self.now + micros(late).max(1), What::Comes { to, from, bytes: bytes.clone() });
+            self.schedule(
+                self.now + micros(delay_s).max(1),
+                SimEvent::DatagramArrival { to, from, bytes: bytes.clone() },
+            );
         }
     }
 
-    /// Writes how a node sees another where that has changed: the best of what it holds of the other's processes.
-    fn told(&mut self, node: usize, change: &MembershipChange) {
-        let session = match change {
-            MembershipChange::Joined(s)
-            | MembershipChange::Suspected(s)
-            | MembershipChange::Recovered(s)
-            | MembershipChange::Died(s)
-            | MembershipChange::Left(s) => s,
+    /// Records a node's view of another if it has changed: the best state among the processes of the other
+    /// node.
+    fn record_member_view(&mut self, node: usize, change: &MembershipChange) {
+        let instance = match change {
+            MembershipChange::Joined(instance)
+            | MembershipChange::Suspected(instance)
+            | MembershipChange::Recovered(instance)
+            | MembershipChange::Died(instance)
+            | MembershipChange::Left(instance) => instance,
             MembershipChange::Replaced(_)
             | MembershipChange::NameConflict(_)
             | MembershipChange::NameConflictResolved(_)
             | MembershipChange::Refuted => return,
             MembershipChange::Stalled(_) => return,
         };
-        let Some(of) = self.sessions.get(session).copied() else { return };
-        let Some(members) = &self.nodes[node].members else { return };
-        let processes = self.processes[of].iter();
-        let seen = processes.filter_map(|session| members.peer(*session)).map(|member| member.state).min();
-        if self.nodes[node].seen[of] != seen {
-            self.nodes[node].seen[of] = seen;
-            let state = seen.map_or("unknown".to_owned(), |state| state.to_string());
-            self.write(Event::MemberView { node, of, state });
+        let Some(subject) = self.nodes_by_instance.get(instance).copied() else { return };
+        let Some(membership) = &self.nodes[node].membership else { return };
+        let instances = self.instances_by_node[subject].iter();
+        let view = instances.filter_map(|instance| membership.peer(*instance)).map(|peer| peer.state).min();
+        if self.nodes[node].recorded_views[subject] != view {
+            self.nodes[node].recorded_views[subject] = view;
+            let state = view.map_or("unknown".to_owned(), |state| state.to_string());
+            self.record_event(Event::MemberView { node, of: subject, state });
         }
     }
 
-    pub(super) fn named(fault: &PlannedFault) -> impl Iterator<Item = usize> {
-        fault.on.iter().filter_map(|actor| if let Party::Node(node) = actor { Some(*node) } else { None })
+    /// Returns the nodes that a fault acts on.
+    pub(super) fn affected_nodes(fault: &PlannedFault) -> impl Iterator<Item = usize> {
+        fault.on.iter().filter_map(|party| if let Party::Node(node) = party { Some(*node) } else { None })
     }
 
-    fn begins(&mut self, number: usize) {
-        let fault = &self.plan.faults[number];
-        self.write(Event::fault(fault, true));
+    fn start_fault(&mut self, index: usize) {
+        let fault = &self.plan.faults[index];
+        self.record_event(Event::fault(fault, true));
         match fault.kind.target() {
-            FaultTarget::Link => return self.faults.begin(number, fault),
-            FaultTarget::Host => return self.host_fault(number, true),
-            FaultTarget::DiscoveryList => return self.list_fault(number, true),
+            FaultTarget::Link => return self.link_faults.begin(index, fault),
+            FaultTarget::Host => return self.set_host_fault(index, true),
+            FaultTarget::DiscoveryList => return self.set_discovery_fault(index, true),
             FaultTarget::Process => {}
         }
-        for node in Self::named(fault) {
+        for node in Self::affected_nodes(fault) {
             match fault.kind {
                 FaultKind::Kill => {
-                    self.write(Event::Process { node, change: ProcessChange::Killed, status: None });
-                    self.write(Event::Process {
+                    self.record_event(Event::Process { node, change: ProcessChange::Killed, status: None });
+                    self.record_event(Event::Process {
                         node,
                         change: ProcessChange::Ended,
                         status: Some("killed".to_owned()),
                     });
-                    self.down(node, false);
+                    self.end_node(node, false);
                 }
                 FaultKind::Stop => {
-                    self.write(Event::Process { node, change: ProcessChange::Stopping, status: None });
-                    let now = self.local(node);
-                    let out = self.nodes[node].members.as_mut().map(|members| members.leave(now));
-                    self.act(node, out.unwrap_or_default());
-                    self.down(node, true);
-                    self.write(Event::Process {
+                    self.record_event(Event::Process { node, change: ProcessChange::Stopping, status: None });
+                    let now = self.local_time(node);
+                    let effects =
+                        self.nodes[node].membership.as_mut().map(|membership| membership.leave(now));
+                    self.apply_membership_effects(node, effects.unwrap_or_default());
+                    self.end_node(node, true);
+                    self.record_event(Event::Process {
                         node,
                         change: ProcessChange::Ended,
                         status: Some("left".to_owned()),
                     });
                 }
                 _ => {
-                    self.write(Event::Process { node, change: ProcessChange::Paused, status: None });
+                    self.record_event(Event::Process { node, change: ProcessChange::Paused, status: None });
                     self.nodes[node].paused = true;
                 }
             }
         }
     }
 
-    fn down(&mut self, node: usize, stopped: bool) {
-        self.side_ends(node, stopped);
-        self.count(node);
-        self.nodes[node].timer += 1;
-        self.nodes[node].waiting.clear();
+    /// Ends a node's process; `graceful` is false if it was killed.
+    fn end_node(&mut self, node: usize, graceful: bool) {
+        self.end_traffic_node(node, graceful);
+        self.collect_membership_metrics(node);
+        self.nodes[node].timer_generation += 1;
+        self.nodes[node].queued_datagrams.clear();
     }
 
-    fn ends(&mut self, number: usize) {
-        let fault = &self.plan.faults[number];
-        self.write(Event::fault(fault, false));
+    fn end_fault(&mut self, index: usize) {
+        let fault = &self.plan.faults[index];
+        self.record_event(Event::fault(fault, false));
         match fault.kind.target() {
-            FaultTarget::Link => return self.faults.end(number),
-            FaultTarget::Host => return self.host_fault(number, false),
-            FaultTarget::DiscoveryList => return self.list_fault(number, false),
+            FaultTarget::Link => return self.link_faults.end(index),
+            FaultTarget::Host => return self.set_host_fault(index, false),
+            FaultTarget::DiscoveryList => return self.set_discovery_fault(index, false),
             FaultTarget::Process => {}
         }
-        for node in Self::named(fault) {
+        for node in Self::affected_nodes(fault) {
             if fault.kind != FaultKind::Pause {
-                let record = self.record(node);
-                self.start(node, record, &[], false);
+                let record = self.new_member_record(node);
+                self.start_node(node, record, &[], false);
                 continue;
             }
-            self.write(Event::Process { node, change: ProcessChange::Resumed, status: None });
+            self.record_event(Event::Process { node, change: ProcessChange::Resumed, status: None });
             self.nodes[node].paused = false;
-            // A process that goes on finds its timer due and its socket full.
-            let now = self.local(node);
-            let out = self.nodes[node].members.as_mut().map(|members| members.handle_timeout(now));
-            self.act(node, out.unwrap_or_default());
-            for (from, bytes) in std::mem::take(&mut self.nodes[node].waiting) {
-                self.comes(node, from, bytes);
+            // A resumed process handles its expired timer first, then the datagrams in its socket's buffer.
+            let now = self.local_time(node);
+            let effects =
+                self.nodes[node].membership.as_mut().map(|membership| membership.handle_timeout(now));
+            self.apply_membership_effects(node, effects.unwrap_or_default());
+            for (from, bytes) in std::mem::take(&mut self.nodes[node].queued_datagrams) {
+                self.receive_datagram(node, from, bytes);
             }
-            self.side_resumes(node);
-            self.schedule(node);
+            self.resume_traffic_node(node);
+            self.schedule_membership_timer(node);
         }
     }
 }
--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -1,303 +1,371 @@
-//! Clients and their requests, from the front to a host and back.
+//! Clients and their requests in an emulated run: from the front end to a host and back.
 
 use alderstile::types::{Event, Micros, Outcome, Request, RequestId};
 use rand::RngExt;
 
 use super::hosts::Host;
-use super::traffic::{Fleet, Part, SERIAL_BITS, Stage, Step, of, request_id, server_id};
-use super::{World, micros};
-use crate::history::Event as Line;
+use super::traffic::{
+    RequestEvent, RequestState, SERIAL_BITS, TrafficEvent, TrafficModel, request_event, request_id, server_id,
+};
+use super::{Simulation, micros};
+use crate::history::Event as HistoryEvent;
 use crate::schedule::Party;
 
-/// The front asks each node this often, and clients are asked this often whether they are served.
-const BEAT: u64 = 500_000;
-/// A node that has not answered for this long is dealt no more clients.
-const NOTICED: u64 = 2_000_000;
-/// What a client still waits for its answer after the time that it told the node.
-const LATER: u64 = 1_500_000;
-/// A line has to be answered within this.
-const LINE: u64 = 1_000_000;
-/// A host that brings nothing back for so many beats is left by the node, whose clients are told to move.
-const SILENT: u32 = 9;
-/// A node that brings nothing back for so many beats is left by the client.
-const DEAF: u32 = 16;
-/// What comes after an answer that is still on its way is looked at again after this.
-const AFTER_ANSWER: u64 = 2_000;
-/// The longest that a client rests after it was turned away.
-const LONGEST_REST: u64 = 2_000_000;
-/// The spread of connections over hosts is looked at from this second on: clients have to come first.
-const SETTLED: u64 = 5_000_000;
+/// Interval at which the front end checks each node, and the service of each client is sampled, microseconds.
+const SERVICE_SAMPLE_INTERVAL: u64 = 500_000;
+/// Time after which a node that does not answer the front end receives no new clients, microseconds.
+const NODE_CHECK_TIMEOUT: u64 = 2_000_000;
+/// Time that a client waits for its answer beyond the deadline that it gave the node, microseconds.
+const CLIENT_TIMEOUT_MARGIN: u64 = 1_500_000;
+/// Time within which a message must be answered for a client to count as served, microseconds.
+const MESSAGE_TIMEOUT: u64 = 1_000_000;
+/// Samples without anything from the host after which the node closes the connection and tells its client to
+/// migrate.
+const MAX_SILENT_HOST_SAMPLES: u32 = 9;
+/// Samples without anything from the node after which the client closes the connection.
+const MAX_SILENT_NODE_SAMPLES: u32 = 16;
+/// Delay of an event that must not overtake an answer in flight, until it is tried again, microseconds.
+const ANSWER_IN_FLIGHT_DELAY: u64 = 2_000;
+/// Longest delay before a rejected client reconnects, microseconds.
+const MAX_RECONNECT_DELAY: u64 = 2_000_000;
+/// Time from which on the imbalance of connections over hosts is sampled, microseconds: clients have to
+/// arrive first.
+const IMBALANCE_SAMPLES_START: u64 = 5_000_000;
 
-impl World<'_> {
-    /// The front and all clients look round.
-    pub(super) fn beat(&mut self) {
-        self.step(self.now + BEAT, Step::Beat);
-        let (mut front, mut sum) = (Vec::new(), 0.0);
+impl Simulation<'_> {
+    /// Checks all nodes for the front end, and samples which clients are served.
+    pub(super) fn sample_service(&mut self) {
+        self.schedule_traffic(self.now + SERVICE_SAMPLE_INTERVAL, TrafficEvent::ServiceSample);
+        let (mut available_nodes, mut weight_sum) = (Vec::new(), 0.0);
         for node in 0..self.plan.nodes {
-            let cut = self.faults.link(Party::Clients, Party::Node(node)).cut;
-            let side = &mut self.fleet.sides[node];
-            if side.ready && !self.nodes[node].paused && !cut {
-                side.heard = Some(self.now);
+            let cut = self.link_faults.link(Party::Clients, Party::Node(node)).cut;
+            let state = &mut self.traffic.nodes[node];
+            if state.ready && !self.nodes[node].paused && !cut {
+                state.last_answer = Some(self.now);
             }
-            if side.heard.is_some_and(|at| at + NOTICED > self.now) {
-                sum += self.plan.traffic[node % self.plan.traffic.len()];
-                front.push((node, sum));
+            if state.last_answer.is_some_and(|at| at + NODE_CHECK_TIMEOUT > self.now) {
+                weight_sum += self.plan.traffic[node % self.plan.traffic.len()];
+                available_nodes.push((node, weight_sum));
             }
         }
-        self.fleet.front = front;
-        let late: Vec<bool> = self.fleet.hosts.iter_mut().map(|host| host.delay(self.now) >= LINE).collect();
-        let (mut wanted, mut served) = (0, 0);
-        let mut deaf = Vec::new();
-        for client in 0..self.fleet.clients.len() {
-            let who = &mut self.fleet.clients[client];
-            if !who.wants || !std::mem::replace(&mut who.wanted, who.wants) {
+        self.traffic.available_nodes = available_nodes;
+        let overloaded: Vec<bool> =
+            self.traffic.hosts.iter_mut().map(|host| host.delay(self.now) >= MESSAGE_TIMEOUT).collect();
+        let (mut in_session, mut served) = (0, 0);
+        let mut silence_timeouts = Vec::new();
+        for client in 0..self.traffic.clients.len() {
+            let state = &mut self.traffic.clients[client];
+            if !state.in_session || !std::mem::replace(&mut state.in_session_at_sample, state.in_session) {
                 continue;
             }
-            wanted += 1;
-            if let (Stage::Up(host), true) = (who.stage, who.told) {
-                let (c, n, h) = (Party::Clients, Party::Node(who.node), Party::Host(host));
-                let cut =
-                    |a, b| self.faults.any() && (self.faults.link(a, b).cut || self.faults.link(b, a).cut);
-                let node_silent = self.nodes[who.node].paused || cut(c, n);
-                let silent = node_silent || self.fleet.hosts[host].silent || cut(n, h);
-                who.deaf = if silent { who.deaf + 1 } else { 0 };
-                if !silent && !late[host] {
-                    who.served = self.now;
+            in_session += 1;
+            if let (RequestState::Established(host), true) = (state.state, state.up_received) {
+                let (clients, node_party, host_party) =
+                    (Party::Clients, Party::Node(state.node), Party::Host(host));
+                let cut = |a, b| {
+                    self.link_faults.any()
+                        && (self.link_faults.link(a, b).cut || self.link_faults.link(b, a).cut)
+                };
+                let node_silent = self.nodes[state.node].paused || cut(clients, node_party);
+                let silent = node_silent || self.traffic.hosts[host].silent || cut(node_party, host_party);
+                state.silent_samples = if silent { state.silent_samples + 1 } else { 0 };
+                if !silent && !overloaded[host] {
+                    state.last_served = self.now;
                 }
-                if who.deaf > if node_silent { DEAF } else { SILENT } {
-                    deaf.push((client, who.serial, node_silent));
+                if state.silent_samples
+                    > if node_silent { MAX_SILENT_NODE_SAMPLES } else { MAX_SILENT_HOST_SAMPLES }
+                {
+                    silence_timeouts.push((client, state.serial, node_silent));
                 }
             }
-            served += u64::from(who.served + LINE > self.now);
+            served += u64::from(state.last_served + MESSAGE_TIMEOUT > self.now);
         }
-        let traffic = &mut self.fleet.traffic;
-        (traffic.demand_samples, traffic.served_samples) =
-            (traffic.demand_samples + wanted, traffic.served_samples + served);
-        if wanted > 0 {
-            self.write(Line::ServedTotal { served: served as usize, wanting: wanted as usize });
+        let metrics = &mut self.traffic.metrics;
+        (metrics.demand_samples, metrics.served_samples) =
+            (metrics.demand_samples + in_session, metrics.served_samples + served);
+        if in_session > 0 {
+            self.record_event(HistoryEvent::ServedTotal {
+                served: served as usize,
+                wanting: in_session as usize,
+            });
         }
-        for (client, serial, by_client) in deaf {
-            self.of_request(client, serial, Part::Silent { by_client });
+        for (client, serial, by_client) in silence_timeouts {
+            self.handle_request_event(client, serial, RequestEvent::SilenceTimeout { by_client });
         }
-        if self.now.is_multiple_of(2 * BEAT) && self.now >= SETTLED {
-            self.spread();
+        if self.now.is_multiple_of(2 * SERVICE_SAMPLE_INTERVAL) && self.now >= IMBALANCE_SAMPLES_START {
+            self.sample_imbalance();
         }
     }
 
-    /// How connections are spread over hosts now.
-    fn spread(&mut self) {
-        let Fleet { hosts, traffic, .. } = &mut self.fleet;
-        let serves = |host: &&Host| host.up && !host.silent && !host.refuses && !host.drains;
-        let able: f64 = hosts.iter().filter(serves).map(|host| host.capacity(self.now)).sum();
-        let held: usize = hosts.iter().map(|host| host.held.len()).sum();
-        let over =
-            |host: &Host| host.held.len() as f64 * able / (host.capacity(self.now) * held.max(1) as f64);
-        traffic.last_imbalance = hosts.iter().filter(serves).map(over).fold(0.0, f64::max);
-        traffic.imbalance = (traffic.imbalance.0 + traffic.last_imbalance, traffic.imbalance.1 + 1);
-        traffic.open_connections = held as u64;
-        traffic.peak_open_connections = traffic.peak_open_connections.max(held as u64);
-        let used = hosts.iter().map(|host| host.by_node.iter().filter(|n| **n > 0).count()).sum::<usize>();
-        traffic.hosts_used =
-            (traffic.hosts_used.0 + used as f64, traffic.hosts_used.1 + self.plan.nodes as u64);
+    /// Samples how connections are distributed over the hosts.
+    fn sample_imbalance(&mut self) {
+        let TrafficModel { hosts, metrics, .. } = &mut self.traffic;
+        let accepts = |host: &&Host| host.up && !host.silent && !host.refusing && !host.draining;
+        let capacity: f64 = hosts.iter().filter(accepts).map(|host| host.capacity(self.now)).sum();
+        let connections: usize = hosts.iter().map(|host| host.connections.len()).sum();
+        let relative_to_fair_share = |host: &Host| {
+            host.connections.len() as f64 * capacity / (host.capacity(self.now) * connections.max(1) as f64)
+        };
+        metrics.last_imbalance = hosts.iter().filter(accepts).map(relative_to_fair_share).fold(0.0, f64::max);
+        metrics.imbalance = (metrics.imbalance.0 + metrics.last_imbalance, metrics.imbalance.1 + 1);
+        metrics.open_connections = connections as u64;
+        metrics.peak_open_connections = metrics.peak_open_connections.max(connections as u64);
+        let used = hosts
+            .iter()
+            .map(|host| host.connections_by_node.iter().filter(|n| **n > 0).count())
+            .sum::<usize>();
+        metrics.hosts_used =
+            (metrics.hosts_used.0 + used as f64, metrics.hosts_used.1 + self.plan.nodes as u64);
     }
 
-    pub(super) fn client_comes(&mut self, client: usize, fresh: bool) {
-        if self.now >= micros(self.plan.length_s) || self.fleet.clients[client].stage != Stage::Idle {
+    /// Connects a client to a node and sends its request. A client whose session has ended rests instead.
+    pub(super) fn client_arrival(&mut self, client: usize, new_session: bool) {
+        if self.now >= micros(self.plan.length_s) || self.traffic.clients[client].state != RequestState::Idle
+        {
             return;
         }
-        let kind = &self.plan.clients[self.fleet.clients[client].class];
-        if fresh {
-            let hold = self.drawn(kind.hold_s);
-            let load = kind.load_us * (0.5 + self.rng.random::<f64>());
-            let who = &mut self.fleet.clients[client];
-            (who.till, who.wants, who.wanted, who.load) = (self.now + hold, true, false, load);
-        } else if self.now >= self.fleet.clients[client].till {
-            return self.rests(client);
+        let class = &self.plan.clients[self.traffic.clients[client].class];
+        if new_session {
+            let hold = self.draw_exponential(class.hold_s);
+            let load = class.load_us * (0.5 + self.rng.random::<f64>());
+            let state = &mut self.traffic.clients[client];
+            (state.session_end, state.in_session, state.in_session_at_sample, state.load) =
+                (self.now + hold, true, false, load);
+        } else if self.now >= self.traffic.clients[client].session_end {
+            return self.end_session(client);
         }
-        let sum = self.fleet.front.last().map_or(0.0, |(_, sum)| *sum);
-        let draw = self.rng.random::<f64>() * sum;
-        let at = self.fleet.front.partition_point(|(_, until)| *until <= draw);
-        let any = self.rng.random_range(0..self.plan.nodes);
-        let node = self.fleet.front.get(at).map_or(any, |(node, _)| *node);
-        let wait = kind.wait_ms * 1_000;
-        let soon = self.soon();
-        let way = self.way(Party::Clients, Party::Node(node));
-        let Some(late) = way.filter(|_| self.fleet.sides[node].ready) else {
-            self.write(Line::ConnectFailed { client, node });
-            let after = if way.is_none() { wait } else { soon };
-            return self.step(self.now + after, Step::Comes { client, fresh: false });
+        let weight_sum = self.traffic.available_nodes.last().map_or(0.0, |(_, sum)| *sum);
+        let draw = self.rng.random::<f64>() * weight_sum;
+        let index = self.traffic.available_nodes.partition_point(|(_, sum)| *sum <= draw);
+        let any_node = self.rng.random_range(0..self.plan.nodes);
+        let node = self.traffic.available_nodes.get(index).map_or(any_node, |(node, _)| *node);
+        let timeout = class.wait_ms * 1_000;
+        let reconnect_delay = self.draw_reconnect_delay();
+        let link_delay = self.draw_link_delay(Party::Clients, Party::Node(node));
+        let Some(delay) = link_delay.filter(|_| self.traffic.nodes[node].ready) else {
+            self.record_event(HistoryEvent::ConnectFailed { client, node });
+            let after = if link_delay.is_none() { timeout } else { reconnect_delay };
+            return self.schedule_traffic(
+                self.now + after,
+                TrafficEvent::ClientArrival { client, new_session: false },
+            );
         };
-        let life = self.fleet.sides[node].life;
-        let who = &mut self.fleet.clients[client];
-        who.serial = (who.serial + 1) & ((1 << SERIAL_BITS) - 1);
-        (who.stage, who.node, who.life, who.attempt, who.told) = (Stage::Asking, node, life, 0, false);
-        (who.deaf, who.opened) = (0, self.now);
-        let (serial, class) = (who.serial, kind.class.clone());
-        self.write(Line::Open { id: name(client, serial), client, class, node, wait_s: wait as f64 / 1e6 });
-        self.step(self.now + late, of(client, serial, Part::Asks));
-        self.step(self.now + late + wait, of(client, serial, Part::Deadline));
-        self.step(self.now + wait + LATER, of(client, serial, Part::GivesUp));
+        let node_incarnation = self.traffic.nodes[node].incarnation;
+        let state = &mut self.traffic.clients[client];
+        state.serial = (state.serial + 1) & ((1 << SERIAL_BITS) - 1);
+        (state.state, state.node, state.node_incarnation, state.attempts, state.up_received) =
+            (RequestState::AtNode, node, node_incarnation, 0, false);
+        (state.silent_samples, state.sent_at) = (0, self.now);
+        let (serial, class_name) = (state.serial, class.class.clone());
+        self.record_event(HistoryEvent::Open {
+            id: request_name(client, serial),
+            client,
+            class: class_name,
+            node,
+            wait_s: timeout as f64 / 1e6,
+        });
+        self.schedule_traffic(self.now + delay, request_event(client, serial, RequestEvent::NodeArrival));
+        self.schedule_traffic(
+            self.now + delay + timeout,
+            request_event(client, serial, RequestEvent::Deadline),
+        );
+        self.schedule_traffic(
+            self.now + timeout + CLIENT_TIMEOUT_MARGIN,
+            request_event(client, serial, RequestEvent::ClientTimeout),
+        );
     }
 
-    fn rests(&mut self, client: usize) {
-        let class = self.fleet.clients[client].class;
-        self.fleet.clients[client].wants = false;
-        let rest = self.drawn(self.plan.clients[class].rest_s);
-        self.step(self.now + rest, Step::Comes { client, fresh: true });
+    /// Ends a client's session; the client rests before its next one.
+    fn end_session(&mut self, client: usize) {
+        let class = self.traffic.clients[client].class;
+        self.traffic.clients[client].in_session = false;
+        let rest = self.draw_exponential(self.plan.clients[class].rest_s);
+        self.schedule_traffic(self.now + rest, TrafficEvent::ClientArrival { client, new_session: true });
     }
 
-    pub(super) fn closed(&mut self, client: usize, how: &str) {
-        let id = name(client, self.fleet.clients[client].serial);
-        self.write(Line::Closed { id, how: how.to_owned() });
+    pub(super) fn record_closed(&mut self, client: usize, reason: &str) {
+        let id = request_name(client, self.traffic.clients[client].serial);
+        self.record_event(HistoryEvent::Closed { id, how: reason.to_owned() });
     }
 
-    pub(super) fn answered(&mut self, client: usize, what: &str, receipt: Option<String>) {
-        let id = name(client, self.fleet.clients[client].serial);
-        self.write(Line::Answer { id, what: what.to_owned(), receipt });
+    pub(super) fn record_answer(&mut self, client: usize, answer: &str, receipt: Option<String>) {
+        let id = request_name(client, self.traffic.clients[client].serial);
+        self.record_event(HistoryEvent::Answer { id, what: answer.to_owned(), receipt });
     }
 
-    pub(super) fn off_host(&mut self, client: usize, serial: u32) {
-        if let Stage::Trying(host) | Stage::Up(host) = self.fleet.clients[client].stage {
-            self.fleet.hosts[host].ends(self.now, (client, serial));
+    /// Closes the connection or the attempt of a request at its host.
+    pub(super) fn close_host_connection(&mut self, client: usize, serial: u32) {
+        if let RequestState::Attempting(host) | RequestState::Established(host) =
+            self.traffic.clients[client].state
+        {
+            self.traffic.hosts[host].close(self.now, (client, serial));
         }
     }
 
-    /// A request is over at all parties.
-    pub(super) fn release(&mut self, client: usize, serial: u32) {
-        self.off_host(client, serial);
-        let who = &mut self.fleet.clients[client];
-        who.stage = Stage::Idle;
-        let node = who.node;
-        self.fleet.sides[node].clients.remove(&client);
+    /// Ends a request at all parties.
+    pub(super) fn release_request(&mut self, client: usize, serial: u32) {
+        self.close_host_connection(client, serial);
+        let state = &mut self.traffic.clients[client];
+        state.state = RequestState::Idle;
+        let node = state.node;
+        self.traffic.nodes[node].clients.remove(&client);
     }
 
-    /// The same, and the node is told; the client comes again.
-    fn over(&mut self, client: usize, serial: u32, event: Option<Event>, after: Option<u64>) {
-        let node = self.fleet.clients[client].node;
-        let there = self.fleet.sides[node].clients.contains(&client);
-        self.release(client, serial);
-        if let Some(event) = event.filter(|_| there) {
-            self.decide(node, event);
+    /// Ends a request at all parties and passes `event` to its node's balancer if the request is at the node.
+    ///
+    /// The client reconnects after `reconnect_delay`, or ends its session if that is `None`.
+    fn finish_request(
+        &mut self,
+        client: usize,
+        serial: u32,
+        event: Option<Event>,
+        reconnect_delay: Option<u64>,
+    ) {
+        let node = self.traffic.clients[client].node;
+        let at_node = self.traffic.nodes[node].clients.contains(&client);
+        self.release_request(client, serial);
+        if let Some(event) = event.filter(|_| at_node) {
+            self.handle_balancer_event(node, event);
         }
-        match after {
-            Some(after) => self.step(self.now + after, Step::Comes { client, fresh: false }),
-            None => self.rests(client),
+        match reconnect_delay {
+            Some(delay) => self.schedule_traffic(
+                self.now + delay,
+                TrafficEvent::ClientArrival { client, new_session: false },
+            ),
+            None => self.end_session(client),
         }
     }
 
-    /// What happens to a client's request; ignored where that request is over.
-    pub(super) fn of_request(&mut self, client: usize, serial: u32, what: Part) {
-        // Drawn whatever happens: the order of random draws is part of a run's history.
-        let soon = self.soon();
-        let who = &self.fleet.clients[client];
-        if who.serial != serial || who.stage == Stage::Idle {
+    /// Handles an event of a client's request; ignored if the request has ended.
+    pub(super) fn handle_request_event(&mut self, client: usize, serial: u32, event: RequestEvent) {
+        // Drawn for every event, even if it is not used: the order of random draws determines a run's
+        // history.
+        let reconnect_delay = self.draw_reconnect_delay();
+        let state = &self.traffic.clients[client];
+        if state.serial != serial || state.state == RequestState::Idle {
             return;
         }
-        let request = OpenRequest { client, serial, node: who.node, soon };
-        match what {
-            Part::Asks => self.reaches_node(request),
-            Part::Deadline => self.deadline_passes(request),
-            Part::GivesUp => self.client_gives_up(request),
-            Part::Reaches { attempt, host } => self.attempt_reaches_host(request, attempt, host),
-            Part::Result { attempt, outcome, receipt } => {
+        let request = OpenRequest { client, serial, node: state.node, reconnect_delay };
+        match event {
+            RequestEvent::NodeArrival => self.node_arrival(request),
+            RequestEvent::Deadline => self.deadline_expired(request),
+            RequestEvent::ClientTimeout => self.client_timeout(request),
+            RequestEvent::HostArrival { attempt, host } => self.host_arrival(request, attempt, host),
+            RequestEvent::AttemptResult { attempt, outcome, receipt } => {
                 self.attempt_result(request, attempt, outcome, receipt);
             }
-            Part::Final { up, word, wait } => self.final_answer(request, up, word, wait),
-            // On one way nothing overtakes the answer.
-            Part::Broke | Part::Moved if self.answer_is_on_its_way(request) => {
-                self.step(self.now + AFTER_ANSWER, of(client, serial, what));
+            RequestEvent::FinalAnswer { receipt, status, retry_after } => {
+                self.final_answer(request, receipt, status, retry_after)
             }
-            Part::Broke => self.host_broke(request),
-            Part::Silent { by_client } => self.falls_silent(request, by_client),
-            Part::Moved => self.client_migrates(request),
-            Part::Leaves => {
-                self.closed(client, "left");
-                self.over(client, serial, Some(Event::ClientDisconnected(request.id())), None);
+            // A link delivers in order: these events must not overtake the answer.
+            RequestEvent::HostEnded | RequestEvent::Migration if self.answer_in_flight(request) => {
+                self.schedule_traffic(
+                    self.now + ANSWER_IN_FLIGHT_DELAY,
+                    request_event(client, serial, event),
+                );
+            }
+            RequestEvent::HostEnded => self.host_ended(request),
+            RequestEvent::SilenceTimeout { by_client } => self.silence_timeout(request, by_client),
+            RequestEvent::Migration => self.client_migration(request),
+            RequestEvent::ClientDeparture => {
+                self.record_closed(client, "left");
+                self.finish_request(client, serial, Some(Event::ClientDisconnected(request.id())), None);
             }
         }
     }
 
-    fn answer_is_on_its_way(&self, request: OpenRequest) -> bool {
-        let who = &self.fleet.clients[request.client];
-        matches!(who.stage, Stage::Up(_)) && !who.told
+    fn answer_in_flight(&self, request: OpenRequest) -> bool {
+        let state = &self.traffic.clients[request.client];
+        matches!(state.state, RequestState::Established(_)) && !state.up_received
     }
 
-    fn reaches_node(&mut self, request: OpenRequest) {
-        let OpenRequest { client, serial, node, soon } = request;
-        let who = &self.fleet.clients[client];
-        let side = &mut self.fleet.sides[node];
-        if side.life != who.life {
-            // It went down in between; one that was told to stop still answers what knocks.
-            if side.stopped {
-                self.answered(client, "busy", None);
+    fn node_arrival(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, node, reconnect_delay } = request;
+        let state = &self.traffic.clients[client];
+        let node_state = &mut self.traffic.nodes[node];
+        if node_state.incarnation != state.node_incarnation {
+            // The process ended while the request was in flight. One that stops gracefully still answers new
+            // requests.
+            if node_state.stopped_gracefully {
+                self.record_answer(client, "busy", None);
             } else {
-                self.closed(client, "reset");
+                self.record_closed(client, "reset");
             }
-            return self.over(client, serial, None, Some(soon));
+            return self.finish_request(client, serial, None, Some(reconnect_delay));
         }
-        side.clients.insert(client);
-        let kind = &self.plan.clients[who.class];
+        node_state.clients.insert(client);
+        let class = &self.plan.clients[state.class];
         let event = Event::Request(Request {
             id: request.id(),
-            class: who.class as u16,
+            class: state.class as u16,
             group: None,
             expected_load: None,
-            time_remaining: Micros(kind.wait_ms * 1_000),
+            time_remaining: Micros(class.wait_ms * 1_000),
             key: None,
             mid_flow: false,
         });
-        self.decide(node, event);
+        self.handle_balancer_event(node, event);
     }
 
-    fn deadline_passes(&mut self, request: OpenRequest) {
+    fn deadline_expired(&mut self, request: OpenRequest) {
         let OpenRequest { client, serial, node, .. } = request;
-        let at_node = self.fleet.sides[node].clients.contains(&client);
-        if let Stage::Trying(host) = self.fleet.clients[client].stage
+        let at_node = self.traffic.nodes[node].clients.contains(&client);
+        if let RequestState::Attempting(host) = self.traffic.clients[client].state
             && at_node
         {
-            self.off_host(client, serial);
-            self.fleet.clients[client].stage = Stage::Asking;
-            self.decide(node, request.ended(host, Outcome::Timeout, false));
+            self.close_host_connection(client, serial);
+            self.traffic.clients[client].state = RequestState::AtNode;
+            self.handle_balancer_event(node, request.ended(host, Outcome::Timeout, false));
         }
     }
 
-    fn client_gives_up(&mut self, request: OpenRequest) {
-        let OpenRequest { client, serial, soon, .. } = request;
-        if !self.fleet.clients[client].told {
-            self.write(Line::GaveUp { id: name(client, serial) });
-            self.over(client, serial, Some(Event::ClientDisconnected(request.id())), Some(soon));
+    fn client_timeout(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, reconnect_delay, .. } = request;
+        if !self.traffic.clients[client].up_received {
+            self.record_event(HistoryEvent::GaveUp { id: request_name(client, serial) });
+            self.finish_request(
+                client,
+                serial,
+                Some(Event::ClientDisconnected(request.id())),
+                Some(reconnect_delay),
+            );
         }
     }
 
-    fn attempt_reaches_host(&mut self, request: OpenRequest, attempt: u32, host: usize) {
+    fn host_arrival(&mut self, request: OpenRequest, attempt: u32, host: usize) {
         let OpenRequest { client, serial, node, .. } = request;
-        let who = &self.fleet.clients[client];
-        if who.stage != Stage::Trying(host) || who.attempt != attempt {
+        let state = &self.traffic.clients[client];
+        if state.state != RequestState::Attempting(host) || state.attempts != attempt {
             return;
         }
-        let (load, it) = (who.load, &mut self.fleet.hosts[host]);
-        if it.up && it.silent {
+        let (load, host_state) = (state.load, &mut self.traffic.hosts[host]);
+        if host_state.up && host_state.silent {
             return;
         }
-        let set_up = if it.up { it.takes(self.now, (client, serial), node, load) } else { None };
-        let outcome = match set_up {
+        let setup_time =
+            if host_state.up { host_state.accept(self.now, (client, serial), node, load) } else { None };
+        let outcome = match setup_time {
             Some(_) => Outcome::Ok,
-            None if it.up => Outcome::Rejected,
+            None if host_state.up => Outcome::Rejected,
             None => Outcome::ConnectFailed,
         };
-        let receipt = set_up.map(|_| self.next_receipt(host));
+        let receipt = setup_time.map(|_| self.next_receipt(host));
         if let Some(receipt) = receipt.clone() {
-            self.write(Line::Executed { host, id: name(client, serial), receipt });
+            self.record_event(HistoryEvent::Executed { host, id: request_name(client, serial), receipt });
         }
-        if let Some(way) = self.way(Party::Host(host), Party::Node(node)) {
-            let part = Part::Result { attempt, outcome, receipt };
-            self.step(self.now + set_up.unwrap_or(0) + way, of(client, serial, part));
+        if let Some(delay) = self.draw_link_delay(Party::Host(host), Party::Node(node)) {
+            let event = RequestEvent::AttemptResult { attempt, outcome, receipt };
+            self.schedule_traffic(
+                self.now + setup_time.unwrap_or(0) + delay,
+                request_event(client, serial, event),
+            );
         }
     }
 
+    /// Returns a receipt that is unique in the run.
     fn next_receipt(&mut self, host: usize) -> String {
-        self.fleet.receipts += 1;
-        format!("{host:02x}{:010x}", self.fleet.receipts)
+        self.traffic.receipts += 1;
+        format!("{host:02x}{:010x}", self.traffic.receipts)
     }
 
     fn attempt_result(
@@ -308,87 +376,95 @@
         receipt: Option<String>,
     ) {
         let OpenRequest { client, serial, node, .. } = request;
-        let who = &self.fleet.clients[client];
-        let Stage::Trying(host) = who.stage else { return };
-        if who.attempt != attempt || !self.fleet.sides[node].clients.contains(&client) {
+        let state = &self.traffic.clients[client];
+        let RequestState::Attempting(host) = state.state else { return };
+        if state.attempts != attempt || !self.traffic.nodes[node].clients.contains(&client) {
             return;
         }
         if outcome != Outcome::Ok {
-            self.fleet.clients[client].stage = Stage::Asking;
-            return self.decide(node, request.ended(host, outcome, false));
+            self.traffic.clients[client].state = RequestState::AtNode;
+            return self.handle_balancer_event(node, request.ended(host, outcome, false));
         }
-        let (load, latency) = (who.load, Micros(self.now - who.opened));
-        self.fleet.clients[client].stage = Stage::Up(host);
-        self.decide(node, Event::Established { id: request.id(), latency });
+        let (load, latency) = (state.load, Micros(self.now - state.sent_at));
+        self.traffic.clients[client].state = RequestState::Established(host);
+        self.handle_balancer_event(node, Event::Established { id: request.id(), latency });
         if load > 0.0 {
-            self.decide(node, Event::LoadReported(request.id(), load));
+            self.handle_balancer_event(node, Event::LoadReported(request.id(), load));
         }
-        if let Some(way) = self.way(Party::Node(node), Party::Clients) {
-            let part = Part::Final { up: receipt, word: "up", wait: 0 };
-            self.step(self.now + way, of(client, serial, part));
+        if let Some(delay) = self.draw_link_delay(Party::Node(node), Party::Clients) {
+            let event = RequestEvent::FinalAnswer { receipt, status: "up", retry_after: 0 };
+            self.schedule_traffic(self.now + delay, request_event(client, serial, event));
         }
     }
 
-    fn final_answer(&mut self, request: OpenRequest, up: Option<String>, word: &'static str, wait: u64) {
-        let OpenRequest { client, serial, soon, .. } = request;
-        self.answered(client, word, up.clone());
-        if up.is_none() {
-            let after = wait.max(soon).min(LONGEST_REST);
-            return self.over(client, serial, None, Some(after));
+    /// Delivers a final answer to the client; without a receipt the request was rejected or has failed.
+    fn final_answer(
+        &mut self,
+        request: OpenRequest,
+        receipt: Option<String>,
+        status: &'static str,
+        retry_after: u64,
+    ) {
+        let OpenRequest { client, serial, reconnect_delay, .. } = request;
+        self.record_answer(client, status, receipt.clone());
+        if receipt.is_none() {
+            let delay = retry_after.max(reconnect_delay).min(MAX_RECONNECT_DELAY);
+            return self.finish_request(client, serial, None, Some(delay));
         }
-        let who = &mut self.fleet.clients[client];
-        (who.told, who.served) = (true, self.now);
-        let (till, took) = (who.till.max(self.now + 1), (self.now - who.opened) as f32 / 1e6);
-        self.fleet.traffic.setup_latencies_s.push(took);
-        self.step(till, of(client, serial, Part::Leaves));
+        let state = &mut self.traffic.clients[client];
+        (state.up_received, state.last_served) = (true, self.now);
+        let (departure, latency_s) =
+            (state.session_end.max(self.now + 1), (self.now - state.sent_at) as f32 / 1e6);
+        self.traffic.metrics.setup_latencies_s.push(latency_s);
+        self.schedule_traffic(departure, request_event(client, serial, RequestEvent::ClientDeparture));
     }
 
-    fn host_broke(&mut self, request: OpenRequest) {
-        let OpenRequest { client, serial, node, soon } = request;
-        let who = &self.fleet.clients[client];
-        match who.stage {
-            Stage::Trying(host) if !who.told => {
-                self.off_host(client, serial);
-                self.fleet.clients[client].stage = Stage::Asking;
-                self.decide(node, request.ended(host, Outcome::Reset, false));
+    fn host_ended(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, node, reconnect_delay } = request;
+        let state = &self.traffic.clients[client];
+        match state.state {
+            RequestState::Attempting(host) if !state.up_received => {
+                self.close_host_connection(client, serial);
+                self.traffic.clients[client].state = RequestState::AtNode;
+                self.handle_balancer_event(node, request.ended(host, Outcome::Reset, false));
             }
-            Stage::Up(host) => {
-                self.closed(client, "end");
+            RequestState::Established(host) => {
+                self.record_closed(client, "end");
                 let event = request.ended(host, Outcome::Reset, true);
-                self.over(client, serial, Some(event), Some(soon));
+                self.finish_request(client, serial, Some(event), Some(reconnect_delay));
             }
             _ => {}
         }
     }
 
-    fn falls_silent(&mut self, request: OpenRequest, by_client: bool) {
-        let OpenRequest { client, serial, soon, .. } = request;
-        if let Stage::Up(host) = self.fleet.clients[client].stage {
-            self.closed(client, if by_client { "silent" } else { "move" });
-            let left = Event::ClientDisconnected(request.id());
-            let event = if by_client { left } else { request.ended(host, Outcome::Reset, true) };
-            self.over(client, serial, Some(event), Some(soon));
+    fn silence_timeout(&mut self, request: OpenRequest, by_client: bool) {
+        let OpenRequest { client, serial, reconnect_delay, .. } = request;
+        if let RequestState::Established(host) = self.traffic.clients[client].state {
+            self.record_closed(client, if by_client { "silent" } else { "move" });
+            let disconnected = Event::ClientDisconnected(request.id());
+            let event = if by_client { disconnected } else { request.ended(host, Outcome::Reset, true) };
+            self.finish_request(client, serial, Some(event), Some(reconnect_delay));
         }
     }
 
-    fn client_migrates(&mut self, request: OpenRequest) {
-        let OpenRequest { client, serial, soon, .. } = request;
-        if let Stage::Up(host) = self.fleet.clients[client].stage {
-            self.closed(client, "move");
+    fn client_migration(&mut self, request: OpenRequest) {
+        let OpenRequest { client, serial, reconnect_delay, .. } = request;
+        if let RequestState::Established(host) = self.traffic.clients[client].state {
+            self.record_closed(client, "move");
             let event = request.ended(host, Outcome::Cancelled, true);
-            self.over(client, serial, Some(event), Some(soon));
+            self.finish_request(client, serial, Some(event), Some(reconnect_delay));
         }
     }
 }
 
-/// A request that is not over.
+/// A request that has not ended, while one of its events is handled.
 #[derive(Clone, Copy)]
 struct OpenRequest {
     client: usize,
     serial: u32,
     node: usize,
-    /// After how long its client would come again, microseconds.
-    soon: u64,
+    /// Delay after which the client reconnects if the event ends the request, microseconds.
+    reconnect_delay: u64,
 }
 
 impl OpenRequest {
@@ -401,7 +477,7 @@
     }
 }
 
-/// A request's name in the history.
-fn name(client: usize, serial: u32) -> String {
+/// Returns a request's ID in the history.
+fn request_name(client: usize, serial: u32) -> String {
     format!("{:08x}{serial:08x}", client + 1)
 }
--- a/crates/alderstile-lab/src/emulated/strategies.rs
+++ b/crates/alderstile-lab/src/emulated/strategies.rs
@@ -1,4 +1,4 @@
-//! What an emulated node chooses by: the module, or a plain way beside it that shows what the module earns.
+//! Load-balancing strategies of emulated nodes: the balancer's own policy, and baselines to compare it with.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,31 +16,32 @@
 
 use crate::schedule::Feature;
 
-/// Attempts that a plain way makes for a request.
-const ATTEMPTS: usize = 3;
-/// Hosts of a rendezvous subset.
-const SUBSET: usize = 20;
-/// A request that is turned away comes again after this at most.
-const AGAIN: Micros = Micros::from_millis(1_000);
+/// Maximum number of attempts that a baseline makes for a request.
+const MAX_ATTEMPTS: usize = 3;
+/// Number of hosts in a rendezvous subset.
+const SUBSET_SIZE: usize = 20;
+/// Longest delay after which a rejected client is told to retry.
+const MAX_RETRY_AFTER: Micros = Micros::from_millis(1_000);
 
-/// By what a node chooses.
+/// A load-balancing strategy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 pub enum Strategy {
-    /// The decisions themselves
+    /// The balancer's own policy
     #[value(name = "module")]
     Alderstile,
-    /// Any ready host
+    /// A random ready host
     Random,
-    /// The ready host that holds the fewest of the node's own connections for its weight
+    /// The ready host with the fewest of the node's own connections relative to its weight
     #[value(name = "least")]
     LeastConnections,
-    /// The better of two drawn hosts (Mitzenmacher 2001)
+    /// The less loaded of two random hosts (Mitzenmacher 2001)
     #[value(name = "two")]
     TwoChoices,
-    /// The least of the twenty hosts that the node draws highest (rendezvous: Thaler and Ravishankar 1998)
+    /// The least loaded of the node's twenty highest-ranked hosts (rendezvous hashing: Thaler and Ravishankar
+    /// 1998)
     #[value(name = "subset")]
     RendezvousSubset,
-    /// The host that truly has the most room: no real node can know it
+    /// The host with the most free capacity: a bound for comparison, as no real node knows the hosts' load
     Oracle,
 }
 
@@ -50,126 +51,129 @@
     }
 }
 
-/// A way, and parts beside those that the schedule has on: `module+subsets`.
+/// A strategy and the features it uses in addition to those of the schedule, written as `module+subsets`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StrategySpec {
-    /// The way.
+    /// The strategy.
     pub strategy: Strategy,
-    /// Further parts.
+    /// Additional features.
     pub features: Vec<Feature>,
 }
 
 impl FromStr for StrategySpec {
     type Err = String;
     fn from_str(text: &str) -> Result<Self, String> {
-        let mut words = text.split('+');
-        let way = Strategy::from_str(words.next().unwrap_or_default(), false)?;
-        let parts =
-            words.map(|word| Feature::from_str(word, false)).collect::<Result<Vec<Feature>, String>>()?;
-        if way != Strategy::Alderstile && !parts.is_empty() {
-            return Err("parts are for module".to_owned());
+        let mut names = text.split('+');
+        let strategy = Strategy::from_str(names.next().unwrap_or_default(), false)?;
+        let features =
+            names.map(|name| Feature::from_str(name, false)).collect::<Result<Vec<Feature>, String>>()?;
+        if strategy != Strategy::Alderstile && !features.is_empty() {
+            return Err("features are supported by the strategy `module` only".to_owned());
         }
-        Ok(StrategySpec { strategy: way, features: parts })
+        Ok(StrategySpec { strategy, features })
     }
 }
 
 impl From<Strategy> for StrategySpec {
-    fn from(way: Strategy) -> Self {
-        StrategySpec { strategy: way, features: Vec::new() }
+    fn from(strategy: Strategy) -> Self {
+        StrategySpec { strategy, features: Vec::new() }
     }
 }
 
 impl fmt::Display for StrategySpec {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.strategy)?;
-        let mut names = self.features.iter().filter_map(|part| part.to_possible_value());
-        names.try_for_each(|part| write!(f, "+{}", part.get_name()))
+        let mut names = self.features.iter().filter_map(|feature| feature.to_possible_value());
+        names.try_for_each(|feature| write!(f, "+{}", feature.get_name()))
     }
 }
 
-/// What a host is asked over what it can do: known to an oracle alone.
-pub type Truth<'a> = &'a dyn Fn(ServerId) -> f64;
+/// Returns the true load of a host relative to its capacity. Only the oracle uses it.
+pub type TrueLoad<'a> = &'a dyn Fn(ServerId) -> f64;
 
-/// One node's choices.
-pub enum Chooser {
-    /// The decisions.
-    Module(Box<Policy>),
-    /// A plain way.
-    Plain(Plain),
+/// The load balancer of one node.
+pub enum NodeBalancer {
+    /// The balancer's own policy.
+    Policy(Box<Policy>),
+    /// A baseline strategy.
+    Baseline(Baseline),
 }
 
-impl Chooser {
-    /// A node that has just started; what it begins with is added to `out`.
+impl NodeBalancer {
+    /// Creates the balancer of a node that has just started, and adds its first actions to `actions`.
     pub fn new(
-        way: Strategy,
+        strategy: Strategy,
         settings: &BalancerSettings,
         seed: u64,
         now: Micros,
-        out: &mut Vec<Action>,
+        actions: &mut Vec<Action>,
     ) -> Self {
-        if way == Strategy::Alderstile {
+        if strategy == Strategy::Alderstile {
             let mut policy = Policy::new(settings.clone(), seed, now);
-            policy.start(out);
-            return Chooser::Module(Box::new(policy));
+            policy.start(actions);
+            return NodeBalancer::Policy(Box::new(policy));
         }
-        out.push(Action::WatchEndpoints);
-        Chooser::Plain(Plain {
-            way,
+        actions.push(Action::WatchEndpoints);
+        NodeBalancer::Baseline(Baseline {
+            strategy,
             classes: settings.classes.clone(),
             rng: Pcg64Mcg::seed_from_u64(seed),
-            name: seed,
+            subset_seed: seed,
             hosts: BTreeMap::new(),
-            out: BTreeMap::new(),
+            requests: BTreeMap::new(),
         })
     }
 
-    /// Hosts that the node can't reach now.
-    pub fn unreached(&self) -> BTreeSet<ServerId> {
+    /// Returns the hosts that the node considers unreachable. Baselines do not track this.
+    pub fn unreachable_hosts(&self) -> BTreeSet<ServerId> {
         match self {
-            Chooser::Module(policy) => policy.unreachable_servers(),
-            Chooser::Plain(_) => BTreeSet::new(),
+            NodeBalancer::Policy(policy) => policy.unreachable_servers(),
+            NodeBalancer::Baseline(_) => BTreeSet::new(),
         }
     }
 
-    /// Takes an event in.
-    pub fn handle(&mut self, now: Micros, event: Event, truth: Truth, out: &mut Vec<Action>) {
+    /// Handles an event and adds the resulting actions to `actions`.
+    pub fn handle(&mut self, now: Micros, event: Event, true_load: TrueLoad, actions: &mut Vec<Action>) {
         match self {
-            Chooser::Module(policy) => policy.handle(now, event, out),
-            Chooser::Plain(plain) => plain.handle(event, truth, out),
+            NodeBalancer::Policy(policy) => policy.handle(now, event, actions),
+            NodeBalancer::Baseline(baseline) => baseline.handle(event, true_load, actions),
         }
     }
 }
 
-/// A request that a plain way has sent.
-struct Sent {
+/// A request that a baseline has forwarded to a host.
+struct ForwardedRequest {
     class: u16,
-    to: ServerId,
+    host: ServerId,
     tried: Vec<ServerId>,
-    ran: bool,
+    /// Whether an attempt may have been executed.
+    may_have_executed: bool,
 }
 
-/// A host as a plain way knows it.
+/// A baseline's view of a host.
 #[derive(Default)]
-struct Known {
+struct HostView {
     ready: bool,
     weight: f64,
-    held: u32,
+    /// The node's own connections and attempts at the host.
+    connections: u32,
 }
 
-/// A plain way: a ready host, another one where that failed, nothing ever moves.
-pub struct Plain {
-    way: Strategy,
+/// A baseline strategy: it selects a ready host, retries on another host after a failure, and never migrates
+/// a client.
+pub struct Baseline {
+    strategy: Strategy,
     classes: Vec<ClassSettings>,
     rng: Pcg64Mcg,
-    name: u64,
-    hosts: BTreeMap<ServerId, Known>,
-    out: BTreeMap<RequestId, Sent>,
+    subset_seed: u64,
+    hosts: BTreeMap<ServerId, HostView>,
+    requests: BTreeMap<RequestId, ForwardedRequest>,
 }
 
-impl Plain {
-    fn handle(&mut self, event: Event, truth: Truth, out: &mut Vec<Action>) {
+impl Baseline {
+    fn handle(&mut self, event: Event, true_load: TrueLoad, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList(EndpointListKind::Failed, _) => out.push(Action::WatchEndpoints),
+            Event::EndpointList(EndpointListKind::Failed, _) => actions.push(Action::WatchEndpoints),
             Event::EndpointList(kind, entries) => {
                 if kind != EndpointListKind::Delta {
                     self.hosts.values_mut().for_each(|host| host.ready = false);
@@ -179,81 +183,92 @@
                     (host.ready, host.weight) = (entry.ready(), entry.weight);
                 }
             }
-            Event::Request(request) => self.send(request.id, request.class, Vec::new(), false, truth, out),
+            Event::Request(request) => {
+                self.forward(request.id, request.class, Vec::new(), false, true_load, actions)
+            }
             Event::Ended { id, outcome, closed, .. } => {
-                let Some(sent) = self.forget(id) else { return };
-                let ran = sent.ran || outcome.may_have_executed();
-                let again = self.classes.get(usize::from(sent.class));
-                let again = again.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
+                let Some(request) = self.remove_request(id) else { return };
+                let may_have_executed = request.may_have_executed || outcome.may_have_executed();
+                let idempotent = self.classes.get(usize::from(request.class));
+                let idempotent = idempotent.is_some_and(|class| class.idempotency == Idempotency::Idempotent);
                 if closed {
-                } else if outcome == Outcome::Timeout || (ran && !again) {
-                    out.push(Action::Fail(id));
+                } else if outcome == Outcome::Timeout || (may_have_executed && !idempotent) {
+                    actions.push(Action::Fail(id));
                 } else {
-                    self.send(id, sent.class, sent.tried, ran, truth, out);
+                    self.forward(id, request.class, request.tried, may_have_executed, true_load, actions);
                 }
             }
-            Event::ClientDisconnected(id) => drop(self.forget(id)),
+            Event::ClientDisconnected(id) => drop(self.remove_request(id)),
             _ => {}
         }
     }
 
-    fn forget(&mut self, id: RequestId) -> Option<Sent> {
-        let sent = self.out.remove(&id)?;
-        if let Some(host) = self.hosts.get_mut(&sent.to) {
-            host.held = host.held.saturating_sub(1);
+    fn remove_request(&mut self, id: RequestId) -> Option<ForwardedRequest> {
+        let request = self.requests.remove(&id)?;
+        if let Some(host) = self.hosts.get_mut(&request.host) {
+            host.connections = host.connections.saturating_sub(1);
         }
-        Some(sent)
+        Some(request)
     }
 
-    fn send(
+    /// Forwards a request to a host that has not been tried, or rejects it.
+    fn forward(
         &mut self,
         id: RequestId,
         class: u16,
         mut tried: Vec<ServerId>,
-        ran: bool,
-        truth: Truth,
-        out: &mut Vec<Action>,
+        may_have_executed: bool,
+        true_load: TrueLoad,
+        actions: &mut Vec<Action>,
     ) {
-        let to = if tried.len() < ATTEMPTS { self.choose(&tried, truth) } else { None };
-        let Some(to) = to else {
-            let wait = AGAIN.scale(0.5 + 0.5 * self.rng.random::<f64>());
-            return out.push(Action::Reject(id, Some(wait)));
+        let host = if tried.len() < MAX_ATTEMPTS { self.select(&tried, true_load) } else { None };
+        let Some(host) = host else {
+            let retry_after = MAX_RETRY_AFTER.scale(0.5 + 0.5 * self.rng.random::<f64>());
+            return actions.push(Action::Reject(id, Some(retry_after)));
         };
-        tried.push(to);
-        if let Some(host) = self.hosts.get_mut(&to) {
-            host.held += 1;
+        tried.push(host);
+        if let Some(view) = self.hosts.get_mut(&host) {
+            view.connections += 1;
         }
-        self.out.insert(id, Sent { class, to, tried, ran });
-        out.push(Action::Forward(id, to, None));
+        self.requests.insert(id, ForwardedRequest { class, host, tried, may_have_executed });
+        actions.push(Action::Forward(id, host, None));
     }
 
-    fn choose(&mut self, tried: &[ServerId], truth: Truth) -> Option<ServerId> {
-        let ready = self.hosts.iter().filter(|(id, host)| host.ready && !tried.contains(id));
-        let mut ready: Vec<(ServerId, f64)> = ready
-            .map(|(id, host)| (*id, f64::from(host.held) / host.weight.max(f64::MIN_POSITIVE)))
+    /// Selects a ready host that has not been tried.
+    fn select(&mut self, tried: &[ServerId], true_load: TrueLoad) -> Option<ServerId> {
+        let candidates = self.hosts.iter().filter(|(id, host)| host.ready && !tried.contains(id));
+        let mut candidates: Vec<(ServerId, f64)> = candidates
+            .map(|(id, host)| (*id, f64::from(host.connections) / host.weight.max(f64::MIN_POSITIVE)))
             .collect();
-        if ready.is_empty() {
+        if candidates.is_empty() {
             return None;
         }
         let rng = &mut self.rng;
-        match self.way {
+        match self.strategy {
             Strategy::Random | Strategy::Alderstile => {
-                return Some(ready[rng.random_range(0..ready.len())].0);
+                return Some(candidates[rng.random_range(0..candidates.len())].0);
+            }
+            Strategy::TwoChoices => {
+                candidates = [0, 0].map(|_| candidates[rng.random_range(0..candidates.len())]).to_vec()
             }
-            Strategy::TwoChoices => ready = [0, 0].map(|_| ready[rng.random_range(0..ready.len())]).to_vec(),
             Strategy::RendezvousSubset => {
-                let drawn =
-                    |id: ServerId| Pcg64Mcg::seed_from_u64(self.name ^ id.0.rotate_left(32)).random::<u64>();
-                ready.sort_by_cached_key(|(id, _)| Reverse(drawn(*id)));
-                ready.truncate(SUBSET);
+                let rank = |id: ServerId| {
+                    Pcg64Mcg::seed_from_u64(self.subset_seed ^ id.0.rotate_left(32)).random::<u64>()
+                };
+                candidates.sort_by_cached_key(|(id, _)| Reverse(rank(*id)));
+                candidates.truncate(SUBSET_SIZE);
             }
-            Strategy::Oracle => ready.iter_mut().for_each(|host| host.1 = truth(host.0)),
+            Strategy::Oracle => candidates.iter_mut().for_each(|host| host.1 = true_load(host.0)),
             Strategy::LeastConnections => {}
         }
-        let least = ready.iter().map(|(_, held)| *held).fold(f64::INFINITY, f64::min);
-        // An oracle that sees none that serves sends nothing.
-        let ties: Vec<ServerId> =
-            ready.iter().filter(|(_, held)| *held == least && held.is_finite()).map(|(id, _)| *id).collect();
+        let least = candidates.iter().map(|(_, load)| *load).fold(f64::INFINITY, f64::min);
+        // The load of a host that does not accept connections is infinite: if the oracle finds no other, it
+        // rejects.
+        let ties: Vec<ServerId> = candidates
+            .iter()
+            .filter(|(_, load)| *load == least && load.is_finite())
+            .map(|(id, _)| *id)
+            .collect();
         (!ties.is_empty()).then(|| ties[rng.random_range(0..ties.len())])
     }
 }
--- a/crates/alderstile-lab/src/emulated/traffic.rs
+++ b/crates/alderstile-lab/src/emulated/traffic.rs
@@ -1,7 +1,10 @@
-//! Clients, the front, nodes that choose, hosts and discovery of an emulated run.
+//! The traffic model of an emulated run: clients, the front end that distributes them, the nodes' load
+//! balancers, hosts and discovery.
 //!
-//! A client's request goes to a node, from there to a host, and back, each way with its delay and its faults. What ends at one
-//! party ends at all of them, the host first; only what is on its way is late. Stated in `docs/lab.md` with what is left out.
+//! A client's request travels to a node, from there to a host, and the answer back, each over its link with
+//! that link's delay and faults. A connection that ends at one party ends at all parties at the same time, at
+//! the host first; only messages that are already in flight arrive later. `docs/lab.md` describes the model
+//! and what it leaves out.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,23 +19,24 @@
 use alderstile_cluster::subsetting::{SubsetHost, SubsetNode, SubsettingParams, TrafficShares, share_table};
 use rand::RngExt;
 
-use super::hosts::{Host, TICK};
-use super::strategies::{Chooser, Strategy, StrategySpec};
-use super::{What, World, micros};
-use crate::history::{Event as Line, ProcessChange};
-use crate::schedule::{Feature as On, Idempotency as Repeats, Party, Plan};
-
-/// A connection to a host that never comes up has failed after this: what a node waits where nothing else is set.
-const CONNECT: u64 = 250_000;
-/// How long after a notice something new may still reach a draining host, seconds.
-const GRACE_S: f64 = 0.5;
-/// A node brings its part of the hosts up to date this often.
-const SHARES_EVERY: u64 = 1_000_000;
-/// The time within which messages are wanted: the lab's own.
-const MESSAGE_AIM: Micros = Micros::from_millis(300);
-/// The time within which a set-up has its full worth: the lab's own.
-const SETUP_AIM: Micros = Micros::from_millis(500);
-/// Bits of a request's number that tell which of its client's it is.
+use super::hosts::{Host, SAMPLE_INTERVAL};
+use super::strategies::{NodeBalancer, Strategy, StrategySpec};
+use super::{SimEvent, Simulation, micros};
+use crate::history::{Event as HistoryEvent, ProcessChange};
+use crate::schedule::{Feature, Idempotency as ScheduleIdempotency, Party, Plan};
+
+/// Time after which a connection to a host that is not established has failed, microseconds: the default of a
+/// real node.
+const CONNECT_TIMEOUT: u64 = 250_000;
+/// Time after the notification during which a draining host may still receive new connections, seconds.
+const DRAIN_GRACE_S: f64 = 0.5;
+/// Interval at which a node refreshes its subset of the hosts, microseconds.
+const SUBSET_REFRESH_INTERVAL: u64 = 1_000_000;
+/// Latency objective of messages; specific to the simulator.
+const MESSAGE_LATENCY_OBJECTIVE: Micros = Micros::from_millis(300);
+/// Latency objective of connection setups; specific to the simulator.
+const SETUP_LATENCY_OBJECTIVE: Micros = Micros::from_millis(500);
+/// Bits of a request ID that hold the request's serial number at its client.
 pub(super) const SERIAL_BITS: u32 = 24;
 
 /// Traffic metrics of an emulated run: what a load-balancing strategy achieved, besides the history.
@@ -56,8 +60,8 @@
     pub cold_load_peak: f64,
     /// Sum of the same ratio over all samples of cold hosts, and the number of samples.
     pub cold_load: (f64, f64),
-    /// Sum over samples (one per second) of the connections on the busiest host relative to its fair share, and the
-    /// number of samples.
+    /// Sum over samples (one per second) of the connections on the busiest host relative to its fair share,
+    /// and the number of samples.
     pub imbalance: (f64, u64),
     /// The same ratio in the last sample.
     pub last_imbalance: f64,
@@ -65,7 +69,8 @@
     pub open_connections: u64,
     /// Highest number of connections open in one sample.
     pub peak_open_connections: u64,
-    /// Hosts on which a node has connections, summed over nodes and samples, and the number of nodes times samples.
+    /// Hosts on which a node has connections, summed over nodes and samples, and the number of nodes times
+    /// samples.
     pub hosts_used: (f64, u64),
 }
 
@@ -89,133 +94,156 @@
     }
 }
 
-/// Something that happens to clients, nodes, hosts or the list.
+/// An event of clients, nodes, hosts or discovery.
 #[derive(Clone, Debug)]
-pub(super) enum Step {
-    /// A client comes, for something new or again.
-    Comes { client: usize, fresh: bool },
-    /// What concerns a client's request.
-    Of { client: usize, serial: u32, what: Part },
-    /// A node's timer.
-    Timer { node: usize, life: u64, token: TimerToken },
-    /// A node hears how long messages take at a host.
-    Note { node: usize, host: usize, late: u64 },
-    /// A node hears from another.
-    Peer { node: usize, from: usize, data: Vec<u8> },
-    /// A node calls for the list.
-    Calls { node: usize, life: u64 },
-    /// A list reaches a node; a whole one where no host is named. None: the call failed.
-    Lists { node: usize, life: u64, of: Option<Option<usize>> },
-    /// Discovery hears of a host.
-    Heard { host: usize, state: EndpointState, started: Option<u64> },
+pub(super) enum TrafficEvent {
+    /// A client connects, for a new session or again in the same one.
+    ClientArrival { client: usize, new_session: bool },
+    /// An event of a client's request.
+    Request { client: usize, serial: u32, event: RequestEvent },
+    /// A timer of a node's balancer expires.
+    BalancerTimer { node: usize, incarnation: u64, token: TimerToken },
+    /// A host's report of its message delay arrives at a node, microseconds.
+    DelayReport { node: usize, host: usize, delay: u64 },
+    /// A message from another node's balancer arrives.
+    PeerMessage { node: usize, from: usize, data: Vec<u8> },
+    /// A node's request for the endpoint list arrives at discovery.
+    ListRequest { node: usize, incarnation: u64 },
+    /// An endpoint list arrives at a node: an update of one host, or a full list if no host is named. `None`
+    /// if the request failed.
+    ListResponse { node: usize, incarnation: u64, list: Option<Option<usize>> },
+    /// Discovery is notified of a host's state.
+    HostNotification { host: usize, state: EndpointState, started: Option<u64> },
     /// A host's process starts.
-    HostUp { host: usize, life: u64 },
-    /// A node brings its part of the hosts up to date.
-    Shares { node: usize, life: u64 },
-    /// Hosts add up what was asked.
-    Tick,
-    /// Clients and the front look round.
-    Beat,
+    HostStart { host: usize, incarnation: u64 },
+    /// A node refreshes its subset of the hosts.
+    SubsetRefresh { node: usize, incarnation: u64 },
+    /// The load of all hosts is sampled.
+    HostSample,
+    /// The front end checks the nodes, and the service of all clients is sampled.
+    ServiceSample,
 }
 
-/// What happens to a request.
+/// An event of a request.
 #[derive(Clone, Debug)]
-pub(super) enum Part {
-    /// It reaches its node.
-    Asks,
-    /// Its client's time is over, at the node.
+pub(super) enum RequestEvent {
+    /// The request arrives at its node.
+    NodeArrival,
+    /// The request's deadline expires at the node.
     Deadline,
-    /// Its client waits no longer.
-    GivesUp,
-    /// An attempt reaches a host.
-    Reaches { attempt: u32, host: usize },
-    /// What became of an attempt reaches the node.
-    Result { attempt: u32, outcome: Outcome, receipt: Option<String> },
-    /// The final answer reaches the client; when to come again.
-    Final { up: Option<String>, word: &'static str, wait: u64 },
-    /// Its host's process has ended.
-    Broke,
-    /// Nothing comes any more: the client leaves, or the node tells it to move.
-    Silent { by_client: bool },
-    /// The client was told to move.
-    Moved,
-    /// The client has had what it wanted.
-    Leaves,
+    /// The client stops waiting for its answer.
+    ClientTimeout,
+    /// An attempt arrives at a host.
+    HostArrival { attempt: u32, host: usize },
+    /// The result of an attempt arrives at the node.
+    AttemptResult { attempt: u32, outcome: Outcome, receipt: Option<String> },
+    /// The final answer arrives at the client; `retry_after` is in microseconds.
+    FinalAnswer { receipt: Option<String>, status: &'static str, retry_after: u64 },
+    /// The node learns that the process of the request's host has ended.
+    HostEnded,
+    /// A party gives up a connection on which nothing arrives: the client leaves, or the node tells the
+    /// client to migrate.
+    SilenceTimeout { by_client: bool },
+    /// The client is told to migrate.
+    Migration,
+    /// The client ends its session.
+    ClientDeparture,
 }
 
+/// The stage of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(super) enum Stage {
+pub(super) enum RequestState {
+    /// There is no request.
     Idle,
-    /// At its node, or on the way there.
-    Asking,
-    /// An attempt is out.
-    Trying(usize),
-    Up(usize),
+    /// The request is at its node, or in flight to it, or its answer is in flight to the client.
+    AtNode,
+    /// An attempt at this host is under way.
+    Attempting(usize),
+    /// A connection through to this host is established.
+    Established(usize),
 }
 
 pub(super) struct Client {
     pub(super) class: usize,
+    /// Serial number of the current or last request.
     pub(super) serial: u32,
-    pub(super) stage: Stage,
+    pub(super) state: RequestState,
     pub(super) node: usize,
-    pub(super) life: u64,
-    pub(super) attempt: u32,
+    /// The node's incarnation when the request was sent.
+    pub(super) node_incarnation: u64,
+    /// Number of attempts of the request.
+    pub(super) attempts: u32,
+    /// Load of the client's connection, microseconds of work per second.
     pub(super) load: f64,
-    /// It wants to be served until then.
-    pub(super) till: u64,
-    pub(super) wants: bool,
-    /// It wanted that at the last beat already.
-    pub(super) wanted: bool,
-    /// Its `UP` has come.
-    pub(super) told: bool,
-    pub(super) deaf: u32,
-    /// When it was last served.
-    pub(super) served: u64,
-    pub(super) opened: u64,
+    /// When the client's session ends.
+    pub(super) session_end: u64,
+    /// Whether the client wants to be served.
+    pub(super) in_session: bool,
+    /// Whether the client wanted to be served at the last sample.
+    pub(super) in_session_at_sample: bool,
+    /// Whether the client has received `UP`.
+    pub(super) up_received: bool,
+    /// Consecutive samples in which nothing could arrive at the client.
+    pub(super) silent_samples: u32,
+    /// When the client was last served.
+    pub(super) last_served: u64,
+    /// When the request was sent.
+    pub(super) sent_at: u64,
 }
 
-/// What a fault does to a node's list.
+/// The effect of faults on the endpoint lists that a node receives.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Telling {
-    pub(super) late: u64,
-    pub(super) leaves_out: BTreeSet<usize>,
-    pub(super) lies: BTreeSet<usize>,
+pub(super) struct DiscoveryFaults {
+    /// Added delay, microseconds.
+    pub(super) delay: u64,
+    /// Hosts that are missing from the lists.
+    pub(super) omitted_hosts: BTreeSet<usize>,
+    /// Ready hosts that are listed as draining.
+    pub(super) misreported_hosts: BTreeSet<usize>,
+    /// Whether requests are refused.
     pub(super) refuses: bool,
 }
 
-/// A node as clients and hosts see it.
-pub(super) struct Side {
-    pub(super) chooser: Option<Chooser>,
-    pub(super) choices: HostAssignment,
-    pub(super) life: u64,
+/// The traffic side of a node: its balancer, its clients and its view of discovery.
+pub(super) struct TrafficNode {
+    pub(super) balancer: Option<NodeBalancer>,
+    pub(super) host_assignment: HostAssignment,
+    /// Incremented at each start and end of the process.
+    pub(super) incarnation: u64,
     pub(super) ready: bool,
-    /// The last process was told to stop.
-    pub(super) stopped: bool,
-    /// Clients with a request there.
+    /// Whether the last process was stopped gracefully.
+    pub(super) stopped_gracefully: bool,
+    /// Clients with a request at the node.
     pub(super) clients: BTreeSet<usize>,
-    /// What came while it stood still.
-    pub(super) late: Vec<Step>,
-    pub(super) heard: Option<u64>,
-    pub(super) telling: Telling,
-    pub(super) told: Vec<EndpointState>,
+    /// Events that arrived while the process was paused.
+    pub(super) deferred_events: Vec<TrafficEvent>,
+    /// When the front end last got an answer from the node.
+    pub(super) last_answer: Option<u64>,
+    pub(super) discovery_faults: DiscoveryFaults,
+    /// State of each host as last received from discovery.
+    pub(super) received_states: Vec<EndpointState>,
 }
 
-/// All of them.
-pub(super) struct Fleet {
-    parts: HostAssignmentConfig,
-    tables: Tables,
-    pub(super) way: Strategy,
-    pub(super) settings: BalancerSettings,
-    pub(super) late_at: u64,
+/// The state of clients, nodes, hosts and discovery.
+pub(super) struct TrafficModel {
+    assignment_config: HostAssignmentConfig,
+    share_tables: ShareTableCache,
+    pub(super) strategy: Strategy,
+    pub(super) balancer_settings: BalancerSettings,
+    /// Message delay from which on hosts report it, microseconds.
+    pub(super) delay_report_threshold: u64,
     pub(super) hosts: Vec<Host>,
-    pub(super) listed: Vec<(EndpointState, Option<u64>)>,
+    /// State and start time of each host as discovery lists it.
+    pub(super) listed_hosts: Vec<(EndpointState, Option<u64>)>,
     pub(super) clients: Vec<Client>,
-    pub(super) sides: Vec<Side>,
-    /// Nodes that clients are dealt to, with their shares summed.
-    pub(super) front: Vec<(usize, f64)>,
-    pub(super) list_free: u64,
+    pub(super) nodes: Vec<TrafficNode>,
+    /// Nodes to which the front end sends clients, with the running sum of their weights.
+    pub(super) available_nodes: Vec<(usize, f64)>,
+    /// When discovery has answered all list requests so far.
+    pub(super) discovery_idle_at: u64,
+    /// Number of receipts that hosts have given.
     pub(super) receipts: u64,
-    pub(super) traffic: TrafficMetrics,
+    pub(super) metrics: TrafficMetrics,
 }
 
 pub(super) fn request_id(client: usize, serial: u32) -> RequestId {
@@ -226,173 +254,178 @@
     ServerId(host as u64 + 1)
 }
 
-pub(super) fn of(client: usize, serial: u32, what: Part) -> Step {
-    Step::Of { client, serial, what }
+pub(super) fn request_event(client: usize, serial: u32, event: RequestEvent) -> TrafficEvent {
+    TrafficEvent::Request { client, serial, event }
 }
 
-impl Fleet {
-    /// The parties of a plan; none where it has no hosts or no clients.
-    pub(super) fn new(plan: &Plan, choice: &StrategySpec) -> Self {
-        let has = |part| choice.features.contains(&part) || plan.subsetting.enabled.contains(&part);
-        let rule = SubsettingParams {
+impl TrafficModel {
+    /// Creates the parties of a plan: no hosts and no clients if the plan lacks either.
+    pub(super) fn new(plan: &Plan, spec: &StrategySpec) -> Self {
+        let has = |feature| spec.features.contains(&feature) || plan.subsetting.enabled.contains(&feature);
+        let subsetting = SubsettingParams {
             hosts_per_node: plan.subsetting.hosts_per_node,
             nodes_per_host: plan.subsetting.nodes_per_host,
             prefer_own_zone: plan.subsetting.prefer_own_zone,
         };
-        let subsets = (choice.strategy == Strategy::Alderstile && has(On::Subsets)).then_some(rule);
-        let parts = HostAssignmentConfig {
-            subsetting: subsets,
+        let subsetting =
+            (spec.strategy == Strategy::Alderstile && has(Feature::Subsets)).then_some(subsetting);
+        let assignment_config = HostAssignmentConfig {
+            subsetting,
             added_host_retention: Micros(micros(plan.subsetting.added_host_retention_s)),
             warm_up: Micros(micros(plan.hosts.warm_up_s)),
         };
-        let on = plan.hosts.count > 0 && !plan.clients.is_empty();
-        let settings = settings(plan);
-        let count = if on { plan.hosts.count } else { 0 };
+        let enabled = plan.hosts.count > 0 && !plan.clients.is_empty();
+        let balancer_settings = balancer_settings(plan);
+        let host_count = if enabled { plan.hosts.count } else { 0 };
         let weights = plan.hosts.weights.iter().cycle();
-        let hosts = weights.take(count).map(|weight| Host::new(&plan.hosts, *weight, plan.nodes)).collect();
-        let classes = plan.clients.iter().enumerate().filter(|_| on);
-        let clients = classes.flat_map(|(class, kind)| std::iter::repeat_n(class, kind.count));
+        let hosts =
+            weights.take(host_count).map(|weight| Host::new(&plan.hosts, *weight, plan.nodes)).collect();
+        let classes = plan.clients.iter().enumerate().filter(|_| enabled);
+        let client_classes = classes.flat_map(|(class, settings)| std::iter::repeat_n(class, settings.count));
         let client = |class| Client {
             class,
             serial: 0,
-            stage: Stage::Idle,
+            state: RequestState::Idle,
             node: 0,
-            life: 0,
-            attempt: 0,
+            node_incarnation: 0,
+            attempts: 0,
             load: 0.0,
-            till: 0,
-            wants: false,
-            wanted: false,
-            told: false,
-            deaf: 0,
-            served: 0,
-            opened: 0,
+            session_end: 0,
+            in_session: false,
+            in_session_at_sample: false,
+            up_received: false,
+            silent_samples: 0,
+            last_served: 0,
+            sent_at: 0,
         };
-        let side = |node| Side {
-            chooser: None,
-            choices: HostAssignment::new(parts, peer(plan, node), true),
-            life: 0,
+        let traffic_node = |node| TrafficNode {
+            balancer: None,
+            host_assignment: HostAssignment::new(assignment_config, subset_node(plan, node), true),
+            incarnation: 0,
             ready: false,
-            stopped: false,
+            stopped_gracefully: false,
             clients: BTreeSet::new(),
-            late: Vec::new(),
-            heard: None,
-            telling: Telling::default(),
-            told: vec![EndpointState::Ready; count],
+            deferred_events: Vec::new(),
+            last_answer: None,
+            discovery_faults: DiscoveryFaults::default(),
+            received_states: vec![EndpointState::Ready; host_count],
         };
-        Fleet {
-            parts,
-            tables: Tables::default(),
-            way: choice.strategy,
-            late_at: MESSAGE_AIM.0 / 3,
-            settings,
+        TrafficModel {
+            assignment_config,
+            share_tables: ShareTableCache::default(),
+            strategy: spec.strategy,
+            delay_report_threshold: MESSAGE_LATENCY_OBJECTIVE.0 / 3,
+            balancer_settings,
             hosts,
-            listed: vec![(EndpointState::Ready, None); count],
-            clients: clients.map(client).collect(),
-            sides: (0..plan.nodes).map(side).collect(),
-            front: Vec::new(),
-            list_free: 0,
+            listed_hosts: vec![(EndpointState::Ready, None); host_count],
+            clients: client_classes.map(client).collect(),
+            nodes: (0..plan.nodes).map(traffic_node).collect(),
+            available_nodes: Vec::new(),
+            discovery_idle_at: 0,
             receipts: 0,
-            traffic: TrafficMetrics::default(),
+            metrics: TrafficMetrics::default(),
         }
     }
 
-    /// Whether there is any traffic.
-    pub(super) fn on(&self) -> bool {
+    /// Returns whether the plan has hosts and clients.
+    pub(super) fn is_enabled(&self) -> bool {
         !self.hosts.is_empty()
     }
 
-    /// The first line of the history.
-    pub(super) fn head(&self, plan: &Plan, period_s: f64) -> Line {
-        let classes = plan.clients.iter().map(|kind| (kind.class.clone(), kind.idempotency));
-        Line::Run {
+    /// Returns the first event of the history.
+    pub(super) fn run_event(&self, plan: &Plan, period_s: f64) -> HistoryEvent {
+        let classes = plan.clients.iter().map(|class| (class.class.clone(), class.idempotency));
+        HistoryEvent::Run {
             title: plan.title.clone(),
             seed: plan.seed,
             on: "emulated".to_owned(),
             length_s: plan.length_s,
             nodes: plan.nodes,
             hosts: self.hosts.len(),
-            classes: if self.on() { classes.collect() } else { BTreeMap::new() },
-            grace_s: if self.on() { GRACE_S } else { 0.0 },
+            classes: if self.is_enabled() { classes.collect() } else { BTreeMap::new() },
+            grace_s: if self.is_enabled() { DRAIN_GRACE_S } else { 0.0 },
             period_s,
         }
     }
 
-    pub(super) fn entry(&self, node: usize, host: usize, rate: f64) -> Option<Endpoint> {
-        let telling = &self.sides[node].telling;
-        let (mut state, started) = self.listed[host];
-        if state == EndpointState::Ready && telling.lies.contains(&host) {
+    /// Returns the entry of a host in the endpoint list of a node whose clock runs at `clock_rate`; `None` if
+    /// a fault omits the host.
+    pub(super) fn endpoint(&self, node: usize, host: usize, clock_rate: f64) -> Option<Endpoint> {
+        let faults = &self.nodes[node].discovery_faults;
+        let (mut state, started) = self.listed_hosts[host];
+        if state == EndpointState::Ready && faults.misreported_hosts.contains(&host) {
             state = EndpointState::Draining;
         }
-        let zones = usize::from(self.settings.zone).max(1);
-        let started = started.map(|at| Micros((at as f64 * rate) as u64));
+        let zones = usize::from(self.balancer_settings.zone).max(1);
+        let started = started.map(|at| Micros((at as f64 * clock_rate) as u64));
         let (zone, weight) = ((host % zones) as u16, self.hosts[host].weight);
-        let entry = Endpoint { id: server_id(host), zone, cell: 0, state, weight, started, joined: None };
-        (!telling.leaves_out.contains(&host)).then_some(entry)
+        let endpoint = Endpoint { id: server_id(host), zone, cell: 0, state, weight, started, joined: None };
+        (!faults.omitted_hosts.contains(&host)).then_some(endpoint)
     }
 }
 
-/// A node as others know it.
-fn peer(plan: &Plan, node: usize) -> SubsetNode {
+/// Returns a node as other nodes know it for subsetting.
+fn subset_node(plan: &Plan, node: usize) -> SubsetNode {
     let zone = (node % plan.zones.len()) as u16;
     SubsetNode { name: format!("n{node}").into(), zone, traffic: 0.0 }
 }
 
-/// Tables of shares that were worked out of late: emulated nodes with the same view share them.
+/// Share tables that were computed recently, so that emulated nodes with the same view compute them once.
 #[derive(Default)]
-struct Tables(VecDeque<Table>);
+struct ShareTableCache(VecDeque<CachedShareTable>);
 
-/// For whom a table is, and each node's row of it.
-struct Table {
+/// A share table: the view it was computed from, and the row of each node.
+struct CachedShareTable {
     nodes: Vec<SubsetNode>,
     hosts: Vec<SubsetHost>,
     rows: BTreeMap<Box<str>, TrafficShares>,
 }
 
-impl Tables {
-    /// So many different views at a time are remembered.
-    const KEPT: usize = 12;
+impl ShareTableCache {
+    /// Maximum number of tables kept.
+    const CAPACITY: usize = 12;
 
+    /// Returns the row of the node `own`, from the cache if it has a table of the same view.
     fn row(
         &mut self,
-        rule: SubsettingParams,
-        me: &SubsetNode,
+        params: SubsettingParams,
+        own: &SubsetNode,
         others: &[SubsetNode],
         hosts: &[SubsetHost],
     ) -> TrafficShares {
         let mut nodes = others.to_vec();
-        nodes.push(me.clone());
+        nodes.push(own.clone());
         nodes.sort_by(|a, b| a.name.cmp(&b.name));
-        if let Some(known) = self.0.iter().find(|table| table.nodes == nodes && table.hosts == hosts) {
-            return known.rows.get(&me.name).cloned().unwrap_or_default();
+        if let Some(cached) = self.0.iter().find(|table| table.nodes == nodes && table.hosts == hosts) {
+            return cached.rows.get(&own.name).cloned().unwrap_or_default();
         }
-        let rows = share_table(rule, &nodes, hosts);
+        let rows = share_table(params, &nodes, hosts);
         let rows: BTreeMap<Box<str>, TrafficShares> =
             nodes.iter().map(|node| node.name.clone()).zip(rows).collect();
-        let row = rows.get(&me.name).cloned().unwrap_or_default();
-        self.0.push_front(Table { nodes, hosts: hosts.to_vec(), rows });
-        self.0.truncate(Self::KEPT);
+        let row = rows.get(&own.name).cloned().unwrap_or_default();
+        self.0.push_front(CachedShareTable { nodes, hosts: hosts.to_vec(), rows });
+        self.0.truncate(Self::CAPACITY);
         row
     }
 }
 
-/// What every node is told: the lab's own figures and the plan's.
-fn settings(plan: &Plan) -> BalancerSettings {
+/// Returns the settings of every node's balancer: those of the plan, and fixed ones of the simulator.
+fn balancer_settings(plan: &Plan) -> BalancerSettings {
     let (hosts, micros) = (&plan.hosts, |s: f64| Micros(micros(s)));
-    let class = |kind: &crate::schedule::ClientClass| ClassSettings {
-        latency_objective: SETUP_AIM,
+    let class = |class: &crate::schedule::ClientClass| ClassSettings {
+        latency_objective: SETUP_LATENCY_OBJECTIVE,
         priority_weight: 1.0,
-        idempotency: match kind.idempotency {
-            Repeats::Idempotent => Idempotency::Idempotent,
-            Repeats::NotIdempotent => Idempotency::NotIdempotent,
+        idempotency: match class.idempotency {
+            ScheduleIdempotency::Idempotent => Idempotency::Idempotent,
+            ScheduleIdempotency::NotIdempotent => Idempotency::NotIdempotent,
         },
         dedup_window: Micros(0),
-        message_latency_objective: Some(MESSAGE_AIM),
+        message_latency_objective: Some(MESSAGE_LATENCY_OBJECTIVE),
     };
     BalancerSettings {
         node_count: plan.nodes as u32,
         node_index: None,
-        // The number of zones; each node gets its own in its place.
+        // The number of zones: `start_traffic_node` replaces it with the zone of the node.
         zone: plan.zones.len() as u16,
         classes: plan.clients.iter().map(class).collect(),
         must_subscribe: true,
@@ -423,253 +456,324 @@
     }
 }
 
-impl World<'_> {
-    pub(super) fn step(&mut self, at: u64, what: Step) {
-        if self.fleet.on() {
-            self.add(at, What::Fleet(what));
+impl Simulation<'_> {
+    pub(super) fn schedule_traffic(&mut self, at: u64, event: TrafficEvent) {
+        if self.traffic.is_enabled() {
+            self.schedule(at, SimEvent::Traffic(event));
         }
     }
 
-    /// Clients come, hosts and the front begin to look round.
-    pub(super) fn open_day(&mut self) {
-        for client in 0..self.fleet.clients.len() {
-            let rest = self.plan.clients[self.fleet.clients[client].class].rest_s;
-            let first = self.drawn(rest);
-            self.step(first, Step::Comes { client, fresh: true });
+    /// Schedules the first arrival of each client and the first samples.
+    pub(super) fn start_traffic(&mut self) {
+        for client in 0..self.traffic.clients.len() {
+            let rest_s = self.plan.clients[self.traffic.clients[client].class].rest_s;
+            let first = self.draw_exponential(rest_s);
+            self.schedule_traffic(first, TrafficEvent::ClientArrival { client, new_session: true });
         }
-        self.step(TICK, Step::Tick);
-        self.step(0, Step::Beat);
+        self.schedule_traffic(SAMPLE_INTERVAL, TrafficEvent::HostSample);
+        self.schedule_traffic(0, TrafficEvent::ServiceSample);
     }
 
-    /// Exponential, cut off at five times the mean, as the clients of runs on processes are.
-    pub(super) fn drawn(&mut self, mean_s: f64) -> u64 {
+    /// Draws a duration from an exponential distribution that is cut off at five times the mean,
+    /// microseconds.
+    ///
+    /// The clients of runs on processes use the same distribution.
+    pub(super) fn draw_exponential(&mut self, mean_s: f64) -> u64 {
         micros(mean_s * (-(1.0 - self.rng.random::<f64>()).ln()).min(5.0))
     }
 
-    pub(super) fn soon(&mut self) -> u64 {
+    /// Draws the delay before a client reconnects, 50 to 200 ms, in microseconds.
+    pub(super) fn draw_reconnect_delay(&mut self) -> u64 {
         50_000 + self.rng.random_range(0..150_000)
     }
 
-    /// The way from one to the other now: how long it takes, or none where nothing passes.
-    pub(super) fn way(&mut self, from: Party, to: Party) -> Option<u64> {
-        let link = self.faults.link(from, to);
-        let mut late = link.delay_s + link.jitter_s * self.rng.random::<f64>();
-        // A piece of a stream that is lost comes 200 ms later.
+    /// Draws the current delay of a link, microseconds; `None` if the link is cut.
+    pub(super) fn draw_link_delay(&mut self, from: Party, to: Party) -> Option<u64> {
+        let link = self.link_faults.link(from, to);
+        let mut delay_s = link.delay_s + link.jitter_s * self.rng.random::<f64>();
+        // A lost segment of a stream is retransmitted and arrives 200 ms later.
         if link.loss > 0.0 && self.rng.random::<f64>() < link.loss {
-            late += 0.2;
+            delay_s += 0.2;
         }
-        (!link.cut).then(|| micros(late).max(1))
+        (!link.cut).then(|| micros(delay_s).max(1))
     }
 
     // ---- nodes ----
 
-    /// A node's process starts. At the start of a run it knows the list.
-    pub(super) fn side_starts(&mut self, node: usize, knows: bool) {
-        if !self.fleet.on() {
-            self.write(Line::Process { node, change: ProcessChange::Ready, status: None });
+    /// Starts the balancer of a node. With `knows_list` (at the start of a run) the node has the endpoint
+    /// list at once.
+    pub(super) fn start_traffic_node(&mut self, node: usize, knows_list: bool) {
+        if !self.traffic.is_enabled() {
+            self.record_event(HistoryEvent::Process { node, change: ProcessChange::Ready, status: None });
             return;
         }
-        let (seed, now) = (self.rng.random(), self.local(node));
+        let (seed, now) = (self.rng.random(), self.local_time(node));
         let zones = self.plan.zones.len();
-        let (index, zone) = (Some(node as u32), (node % zones) as u16);
-        let settings = BalancerSettings { node_index: index, zone, ..self.fleet.settings.clone() };
-        let mut out = Vec::new();
-        let chooser = Chooser::new(self.fleet.way, &settings, seed, now, &mut out);
-        let choices = HostAssignment::new(self.fleet.parts, peer(self.plan, node), true);
-        let side = &mut self.fleet.sides[node];
-        side.life += 1;
-        (side.chooser, side.ready, side.stopped) = (Some(chooser), false, false);
-        side.choices = choices;
-        side.told.fill(EndpointState::Ready);
-        let life = side.life;
-        out.into_iter().for_each(|action| self.carry_out(node, action));
-        if self.fleet.sides[node].choices.is_enabled() {
-            let first = self.rng.random_range(0..SHARES_EVERY);
-            self.step(self.now + first, Step::Shares { node, life });
+        let (node_index, zone) = (Some(node as u32), (node % zones) as u16);
+        let settings = BalancerSettings { node_index, zone, ..self.traffic.balancer_settings.clone() };
+        let mut actions = Vec::new();
+        let balancer = NodeBalancer::new(self.traffic.strategy, &settings, seed, now, &mut actions);
+        let host_assignment =
+            HostAssignment::new(self.traffic.assignment_config, subset_node(self.plan, node), true);
+        let state = &mut self.traffic.nodes[node];
+        state.incarnation += 1;
+        (state.balancer, state.ready, state.stopped_gracefully) = (Some(balancer), false, false);
+        state.host_assignment = host_assignment;
+        state.received_states.fill(EndpointState::Ready);
+        let incarnation = state.incarnation;
+        actions.into_iter().for_each(|action| self.execute_action(node, action));
+        if self.traffic.nodes[node].host_assignment.is_enabled() {
+            let first = self.rng.random_range(0..SUBSET_REFRESH_INTERVAL);
+            self.schedule_traffic(self.now + first, TrafficEvent::SubsetRefresh { node, incarnation });
         }
-        if knows {
-            self.lists(node, Some(None));
+        if knows_list {
+            self.receive_list(node, Some(None));
         } else {
-            self.calls(node, life);
+            self.send_list_request(node, incarnation);
         }
     }
 
-    /// A node's process ends: all at it are cut off, or told to come again where it was told to stop.
-    pub(super) fn side_ends(&mut self, node: usize, stopped: bool) {
-        let side = &mut self.fleet.sides[node];
-        (side.chooser, side.ready, side.stopped) = (None, false, stopped);
-        side.life += 1;
-        side.late.clear();
-        for client in std::mem::take(&mut side.clients) {
-            let (serial, stage) = (self.fleet.clients[client].serial, self.fleet.clients[client].stage);
-            let told = self.fleet.clients[client].told;
-            match stage {
-                Stage::Up(_) if stopped && told => self.closed(client, "move"),
-                // What was asked and not answered is answered now, as far as a process can.
-                _ if stopped && !told => self.answered(client, "busy", None),
-                _ => self.closed(client, "reset"),
+    /// Ends the balancer of a node. Its clients' connections are closed; with `graceful`, clients are told to
+    /// come again.
+    pub(super) fn end_traffic_node(&mut self, node: usize, graceful: bool) {
+        let state = &mut self.traffic.nodes[node];
+        (state.balancer, state.ready, state.stopped_gracefully) = (None, false, graceful);
+        state.incarnation += 1;
+        state.deferred_events.clear();
+        for client in std::mem::take(&mut state.clients) {
+            let (serial, request_state) =
+                (self.traffic.clients[client].serial, self.traffic.clients[client].state);
+            let up_received = self.traffic.clients[client].up_received;
+            match request_state {
+                RequestState::Established(_) if graceful && up_received => self.record_closed(client, "move"),
+                // A process that stops gracefully rejects the requests that it has not answered.
+                _ if graceful && !up_received => self.record_answer(client, "busy", None),
+                _ => self.record_closed(client, "reset"),
             }
-            self.release(client, serial);
-            let soon = self.soon();
-            self.step(self.now + soon, Step::Comes { client, fresh: false });
+            self.release_request(client, serial);
+            let delay = self.draw_reconnect_delay();
+            self.schedule_traffic(
+                self.now + delay,
+                TrafficEvent::ClientArrival { client, new_session: false },
+            );
         }
     }
 
-    /// A node that stood still goes on.
-    pub(super) fn side_resumes(&mut self, node: usize) {
-        for step in std::mem::take(&mut self.fleet.sides[node].late) {
-            self.happens(step);
+    /// Handles the events that arrived at a node while its process was paused.
+    pub(super) fn resume_traffic_node(&mut self, node: usize) {
+        for event in std::mem::take(&mut self.traffic.nodes[node].deferred_events) {
+            self.handle_traffic_event(event);
         }
     }
 
-    /// A node's part of the hosts follows its members and what it avoids.
-    pub(super) fn shares(&mut self, node: usize) {
-        let others = self.others(node);
-        let now = self.local(node);
-        let held = self.fleet.sides[node].clients.len();
-        if let Some(members) = &mut self.nodes[node].members
-            && let Some(level) = self.fleet.sides[node].choices.traffic_report(now, held)
+    /// Updates a node's subset of the hosts from its membership and the hosts that it can't reach.
+    pub(super) fn refresh_subset(&mut self, node: usize) {
+        let others = self.other_nodes(node);
+        let now = self.local_time(node);
+        let client_count = self.traffic.nodes[node].clients.len();
+        if let Some(membership) = &mut self.nodes[node].membership
+            && let Some(report) = self.traffic.nodes[node].host_assignment.traffic_report(now, client_count)
         {
-            // A byte always fits.
-            let _ = members.set_metadata(TRAFFIC_METADATA_TAG, &level);
+            // The report is one byte, which always fits into the metadata.
+            let _ = membership.set_metadata(TRAFFIC_METADATA_TAG, &report);
         }
-        let Fleet { sides, tables, .. } = &mut self.fleet;
-        let Side { chooser: Some(chooser), choices, .. } = &mut sides[node] else { return };
-        choices.set_nodes(others);
-        let changed = choices.refresh_with(now, &chooser.unreached(), |rule, me, others, hosts| {
-            tables.row(rule, me, others, hosts)
-        });
+        let TrafficModel { nodes, share_tables, .. } = &mut self.traffic;
+        let TrafficNode { balancer: Some(balancer), host_assignment, .. } = &mut nodes[node] else { return };
+        host_assignment.set_nodes(others);
+        let changed =
+            host_assignment.refresh_with(now, &balancer.unreachable_hosts(), |params, own, others, hosts| {
+                share_tables.row(params, own, others, hosts)
+            });
         if !changed.is_empty() {
-            self.decide(node, Event::EndpointList(EndpointListKind::Delta, changed));
+            self.handle_balancer_event(node, Event::EndpointList(EndpointListKind::Delta, changed));
         }
     }
 
-    /// The other nodes as this one sees them: all that there are, where nobody tells.
-    fn others(&self, node: usize) -> Vec<SubsetNode> {
-        let Some(members) = &self.nodes[node].members else {
+    /// Returns the other nodes in a node's view: its live members, or all nodes if no membership protocol
+    /// runs.
+    fn other_nodes(&self, node: usize) -> Vec<SubsetNode> {
+        let Some(membership) = &self.nodes[node].membership else {
             return (0..self.plan.nodes)
                 .filter(|other| *other != node)
-                .map(|other| peer(self.plan, other))
+                .map(|other| subset_node(self.plan, other))
                 .collect();
         };
-        let lives = members.peers().filter(|member| member.state.is_live());
-        let zone = |name: &str| self.plan.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
-        let node = |member: &Peer| SubsetNode {
-            name: member.record.name.clone(),
-            zone: zone(&member.record.zone),
-            traffic: traffic_from_metadata(member.record.metadata_value(TRAFFIC_METADATA_TAG)),
+        let live_peers = membership.peers().filter(|peer| peer.state.is_live());
+        let zone_index =
+            |name: &str| self.plan.zones.iter().position(|zone| zone == name).unwrap_or(0) as u16;
+        let subset_node = |peer: &Peer| SubsetNode {
+            name: peer.record.name.clone(),
+            zone: zone_index(&peer.record.zone),
+            traffic: traffic_from_metadata(peer.record.metadata_value(TRAFFIC_METADATA_TAG)),
         };
-        lives.map(node).collect()
+        live_peers.map(subset_node).collect()
     }
 
-    pub(super) fn decide(&mut self, node: usize, event: Event) {
-        let (now, at) = (self.local(node), self.now);
-        let Fleet { hosts, sides, .. } = &mut self.fleet;
-        let truth = |id: ServerId| hosts.get(id.0 as usize - 1).map_or(f64::INFINITY, |host| host.ratio(at));
-        let mut out = Vec::new();
-        if let Some(chooser) = &mut sides[node].chooser {
-            chooser.handle(now, event, &truth, &mut out);
+    /// Passes an event to a node's balancer and executes the resulting actions.
+    pub(super) fn handle_balancer_event(&mut self, node: usize, event: Event) {
+        let (now, at) = (self.local_time(node), self.now);
+        let TrafficModel { hosts, nodes, .. } = &mut self.traffic;
+        let true_load =
+            |id: ServerId| hosts.get(id.0 as usize - 1).map_or(f64::INFINITY, |host| host.load_ratio(at));
+        let mut actions = Vec::new();
+        if let Some(balancer) = &mut nodes[node].balancer {
+            balancer.handle(now, event, &true_load, &mut actions);
         }
-        out.into_iter().for_each(|action| self.carry_out(node, action));
+        actions.into_iter().for_each(|action| self.execute_action(node, action));
     }
 
-    fn carry_out(&mut self, node: usize, action: Action) {
-        let life = self.fleet.sides[node].life;
+    fn execute_action(&mut self, node: usize, action: Action) {
+        let incarnation = self.traffic.nodes[node].incarnation;
         let split = |id: RequestId| ((id.0 >> SERIAL_BITS) as usize, id.0 as u32 & ((1 << SERIAL_BITS) - 1));
         match action {
             Action::Forward(id, server, _) => {
                 let ((client, serial), host) = (split(id), server.0 as usize - 1);
-                let who = &mut self.fleet.clients[client];
-                who.attempt += 1;
-                who.stage = Stage::Trying(host);
-                let attempt = who.attempt;
-                self.fleet.traffic.retries += u64::from(attempt > 1);
-                let (forth, back) = (Party::Node(node), Party::Host(host));
-                let part = match (self.way(forth, back), self.faults.link(back, forth).cut) {
-                    (Some(late), false) => (late, Part::Reaches { attempt, host }),
-                    _ => (CONNECT, Part::Result { attempt, outcome: Outcome::ConnectFailed, receipt: None }),
+                let state = &mut self.traffic.clients[client];
+                state.attempts += 1;
+                state.state = RequestState::Attempting(host);
+                let attempt = state.attempts;
+                self.traffic.metrics.retries += u64::from(attempt > 1);
+                let (node_party, host_party) = (Party::Node(node), Party::Host(host));
+                let next = match (
+                    self.draw_link_delay(node_party, host_party),
+                    self.link_faults.link(host_party, node_party).cut,
+                ) {
+                    (Some(delay), false) => (delay, RequestEvent::HostArrival { attempt, host }),
+                    _ => (
+                        CONNECT_TIMEOUT,
+                        RequestEvent::AttemptResult {
+                            attempt,
+                            outcome: Outcome::ConnectFailed,
+                            receipt: None,
+                        },
+                    ),
                 };
-                self.step(self.now + part.0, of(client, serial, part.1));
+                self.schedule_traffic(self.now + next.0, request_event(client, serial, next.1));
             }
-            Action::Reject(id, wait) => self.decline(node, split(id), "busy", wait.map_or(0, |wait| wait.0)),
-            Action::Fail(id) => self.decline(node, split(id), "failed", 0),
+            Action::Reject(id, retry_after) => {
+                self.send_negative_answer(node, split(id), "busy", retry_after.map_or(0, |after| after.0))
+            }
+            Action::Fail(id) => self.send_negative_answer(node, split(id), "failed", 0),
             Action::Migrate(id) => {
                 let (client, serial) = split(id);
-                self.fleet.traffic.migrations += 1;
-                if let Some(late) = self.way(Party::Node(node), Party::Clients) {
-                    self.step(self.now + late, of(client, serial, Part::Moved));
+                self.traffic.metrics.migrations += 1;
+                if let Some(delay) = self.draw_link_delay(Party::Node(node), Party::Clients) {
+                    self.schedule_traffic(
+                        self.now + delay,
+                        request_event(client, serial, RequestEvent::Migration),
+                    );
                 }
             }
             Action::SetTimer(after, token) => {
-                let after = (after.0 as f64 / self.nodes[node].rate).ceil() as u64;
-                self.step(self.now + after.max(1), Step::Timer { node, life, token });
+                let after = (after.0 as f64 / self.nodes[node].clock_rate).ceil() as u64;
+                self.schedule_traffic(
+                    self.now + after.max(1),
+                    TrafficEvent::BalancerTimer { node, incarnation, token },
+                );
             }
-            Action::WatchEndpoints => self.calls(node, life),
+            Action::WatchEndpoints => self.send_list_request(node, incarnation),
             Action::Broadcast(data) => {
                 for other in (0..self.plan.nodes).filter(|other| *other != node) {
-                    if let Some(late) = self.way(Party::Node(node), Party::Node(other)) {
-                        let step = Step::Peer { node: other, from: node, data: data.clone() };
-                        self.step(self.now + late, step);
+                    if let Some(delay) = self.draw_link_delay(Party::Node(node), Party::Node(other)) {
+                        let event = TrafficEvent::PeerMessage { node: other, from: node, data: data.clone() };
+                        self.schedule_traffic(self.now + delay, event);
                     }
                 }
             }
-            // The program round the module looks at no host, and nobody reads an emulated node's lines.
+            // Probes are disabled in the balancer's settings, and logs of emulated nodes are not written.
             Action::Probe(_) | Action::Log(..) => {}
         }
     }
 
-    fn decline(&mut self, node: usize, (client, serial): (usize, u32), word: &'static str, wait: u64) {
-        self.fleet.traffic.unserved_requests += 1;
-        self.fleet.sides[node].clients.remove(&client);
-        self.off_host(client, serial);
-        self.fleet.clients[client].stage = Stage::Asking;
-        if let Some(late) = self.way(Party::Node(node), Party::Clients) {
-            self.step(self.now + late, of(client, serial, Part::Final { up: None, word, wait }));
+    /// Rejects or fails a request: sends the client its final answer.
+    fn send_negative_answer(
+        &mut self,
+        node: usize,
+        (client, serial): (usize, u32),
+        status: &'static str,
+        retry_after: u64,
+    ) {
+        self.traffic.metrics.unserved_requests += 1;
+        self.traffic.nodes[node].clients.remove(&client);
+        self.close_host_connection(client, serial);
+        self.traffic.clients[client].state = RequestState::AtNode;
+        if let Some(delay) = self.draw_link_delay(Party::Node(node), Party::Clients) {
+            self.schedule_traffic(
+                self.now + delay,
+                request_event(
+                    client,
+                    serial,
+                    RequestEvent::FinalAnswer { receipt: None, status, retry_after },
+                ),
+            );
         }
     }
 
-    /// The node that a step is for.
-    fn at_node(&self, step: &Step) -> Option<usize> {
-        match step {
-            Step::Shares { node, .. } => Some(*node),
-            Step::Timer { node, .. } | Step::Note { node, .. } | Step::Peer { node, .. } => Some(*node),
-            Step::Lists { node, .. } => Some(*node),
-            Step::Of {
+    /// Returns the node whose process handles an event; `None` if no node does.
+    fn handling_node(&self, event: &TrafficEvent) -> Option<usize> {
+        match event {
+            TrafficEvent::SubsetRefresh { node, .. } => Some(*node),
+            TrafficEvent::BalancerTimer { node, .. }
+            | TrafficEvent::DelayReport { node, .. }
+            | TrafficEvent::PeerMessage { node, .. } => Some(*node),
+            TrafficEvent::ListResponse { node, .. } => Some(*node),
+            TrafficEvent::Request {
                 client,
-                what: Part::Asks | Part::Deadline | Part::Result { .. } | Part::Broke,
+                event:
+                    RequestEvent::NodeArrival
+                    | RequestEvent::Deadline
+                    | RequestEvent::AttemptResult { .. }
+                    | RequestEvent::HostEnded,
                 ..
-            } => Some(self.fleet.clients[*client].node),
+            } => Some(self.traffic.clients[*client].node),
             _ => None,
         }
     }
 
-    pub(super) fn happens(&mut self, step: Step) {
-        if let Some(node) = self.at_node(&step).filter(|node| self.nodes[*node].paused) {
-            self.fleet.sides[node].late.push(step);
+    pub(super) fn handle_traffic_event(&mut self, event: TrafficEvent) {
+        if let Some(node) = self.handling_node(&event).filter(|node| self.nodes[*node].paused) {
+            self.traffic.nodes[node].deferred_events.push(event);
             return;
         }
-        let runs = |world: &Self, node: usize, life| world.fleet.sides[node].life == life;
-        match step {
-            Step::Comes { client, fresh } => self.client_comes(client, fresh),
-            Step::Of { client, serial, what } => self.of_request(client, serial, what),
-            Step::Timer { node, life, token } if runs(self, node, life) => {
-                self.decide(node, Event::Timer(token));
+        let is_current = |simulation: &Self, node: usize, incarnation| {
+            simulation.traffic.nodes[node].incarnation == incarnation
+        };
+        match event {
+            TrafficEvent::ClientArrival { client, new_session } => self.client_arrival(client, new_session),
+            TrafficEvent::Request { client, serial, event } => {
+                self.handle_request_event(client, serial, event)
+            }
+            TrafficEvent::BalancerTimer { node, incarnation, token }
+                if is_current(self, node, incarnation) =>
+            {
+                self.handle_balancer_event(node, Event::Timer(token));
+            }
+            TrafficEvent::DelayReport { node, host, delay } => {
+                self.handle_balancer_event(node, Event::DelayReported(server_id(host), delay as f64 / 1e3));
+            }
+            TrafficEvent::PeerMessage { node, from, data } => {
+                self.handle_balancer_event(node, Event::PeerMessage(from as u32, data))
+            }
+            TrafficEvent::ListRequest { node, incarnation } => self.answer_list_request(node, incarnation),
+            TrafficEvent::ListResponse { node, incarnation, list } if is_current(self, node, incarnation) => {
+                self.receive_list(node, list)
             }
-            Step::Note { node, host, late } => {
-                self.decide(node, Event::DelayReported(server_id(host), late as f64 / 1e3));
+            TrafficEvent::SubsetRefresh { node, incarnation } if is_current(self, node, incarnation) => {
+                self.schedule_traffic(
+                    self.now + SUBSET_REFRESH_INTERVAL,
+                    TrafficEvent::SubsetRefresh { node, incarnation },
+                );
+                self.refresh_subset(node);
             }
-            Step::Peer { node, from, data } => self.decide(node, Event::PeerMessage(from as u32, data)),
-            Step::Calls { node, life } => self.called(node, life),
-            Step::Lists { node, life, of } if runs(self, node, life) => self.lists(node, of),
-            Step::Shares { node, life } if runs(self, node, life) => {
-                self.step(self.now + SHARES_EVERY, Step::Shares { node, life });
-                self.shares(node);
+            TrafficEvent::HostNotification { host, state, started } => {
+                self.update_listed_host(host, state, started)
             }
-            Step::Heard { host, state, started } => self.heard(host, state, started),
-            Step::HostUp { host, life } => self.host_up(host, life),
-            Step::Tick => self.tick_hosts(),
-            Step::Beat => self.beat(),
-            Step::Timer { .. } | Step::Lists { .. } | Step::Shares { .. } => {}
+            TrafficEvent::HostStart { host, incarnation } => self.start_host(host, incarnation),
+            TrafficEvent::HostSample => self.sample_hosts(),
+            TrafficEvent::ServiceSample => self.sample_service(),
+            TrafficEvent::BalancerTimer { .. }
+            | TrafficEvent::ListResponse { .. }
+            | TrafficEvent::SubsetRefresh { .. } => {}
         }
     }
 }
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -1,24 +1,27 @@
-//! Hollow nodes: the protocol cores of a node on real UDP sockets at loopback addresses, without clients, hosts or a
-//! separate process.
+//! Hollow nodes: the protocol cores of a node on real UDP sockets at loopback addresses, without clients,
+//! hosts or a separate process.
 //!
-//! The term is that of Kubernetes' kubemark, which measures a control plane with nodes that run no workload. Hundreds of
-//! hollow nodes share one process and run in one cluster with real `alderstile` processes. Both send the same datagrams
-//! under the same keys, so a node cannot tell whether a peer is hollow or real.
+//! The term is that of Kubernetes' kubemark, which measures a control plane with nodes that run no workload.
+//! Hundreds of hollow nodes share one process and run in one cluster with real `alderstile` processes. Both
+//! send the same datagrams under the same keys, so a node cannot tell whether a peer is hollow or real.
 //!
 //! [`HollowNodes`] distributes the nodes over a few threads. Each node runs [`Membership`] and optionally an
-//! [`ExtraCore`] on a separate socket, so that another protocol core can be measured at any number of nodes through an
-//! adapter of a few calls.
+//! [`ExtraCore`] on a separate socket, so that another protocol core can be measured at any number of nodes
+//! through an adapter of a few calls.
 //!
 //! ```text
 //! let extra_cores: ExtraCoreFactory = Arc::new(|spec| Some(Box::new(MyCore::new(spec))));
 //! let hollows = HollowNodes::new(4, &HollowConfig { extra_cores, ..config })?;
-//! hollows.start(spec);                                    // a node; hollows.kill(number) ends it without a leave message
-//! let samples = hollows.sample_and_reset_peaks().await;   // counters of each node, processor time of each thread
-//! let observations = hollows.take_observations().await;   // what each node has learned since the last call, and when
+//! hollows.start(spec); // hollows.kill(number) ends a node without a leave message
+//! // Counters of each node, processor time of each thread.
+//! let samples = hollows.sample_and_reset_peaks().await;
+//! // What each node has learned since the last call, and when.
+//! let observations = hollows.take_observations().await;
 //! ```
 //!
-//! A network partition takes effect at the hollow nodes: they ignore datagrams from addresses of another region and send
-//! none there. Traffic between two real processes cannot be blocked, so all real processes must be in one region.
+//! A network partition takes effect at the hollow nodes: they ignore datagrams from addresses of another
+//! region and send none there. Traffic between two real processes cannot be blocked, so all real processes
+//! must be in one region.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -135,8 +138,8 @@
     pub seed: u64,
     /// Creates each node's extra core.
     pub extra_cores: ExtraCoreFactory,
-    /// Nodes that each node knows at its first start, with no updates about them left to disseminate. Empty if nodes know
-    /// their seeds alone.
+    /// Nodes that each node knows at its first start, with no updates about them left to disseminate. Empty
+    /// if nodes know their seeds alone.
     pub known_nodes: Arc<Vec<NodeSpec>>,
 }
 
@@ -481,7 +484,8 @@
             };
             for out in outgoing {
                 match out {
-                    // A datagram for which the send buffer has no room is dropped, as the network may drop any.
+                    // A datagram for which the send buffer has no room is dropped, as the network may drop
+                    // any.
                     MembershipEffect::Send { to, datagram: bytes }
                         if network.delivers(&node.address, &to) =>
                     {
--- a/crates/alderstile-lab/tests/subsetting.rs
+++ b/crates/alderstile-lab/tests/subsetting.rs
@@ -1,4 +1,4 @@
-//! What nodes share out among themselves, as processes and in simulated time.
+//! Subsetting: nodes that each use a subset of the hosts, as processes and in simulated time.
 
 mod support;
 
@@ -38,47 +38,51 @@
 to = ["nodes"]
 "#;
 
-fn schedule(on: &str) -> String {
+fn schedule(features: &str) -> String {
     format!(
         "title = \"choices\"\nlength_s = 13.0\nnodes = {{ count = 6, zones = [\"a\", \"b\"] }}\n\
          hosts = {{ count = 6 }}\nmembers = {{ period_ms = 200, suspicion = 2.0 }}\n\
-         choices = {{ on = [{on}], size = 2, users = 2, hold_s = 2.0 }}\n\
+         choices = {{ on = [{features}], size = 2, users = 2, hold_s = 2.0 }}\n\
          [[clients]]\nclass = \"chat\"\nsemantics = \"retryable\"\ncount = 60\n\
          [[clients]]\nclass = \"order\"\nsemantics = \"fragile\"\ncount = 10\nhold_s = 1.0\n{FAULTS}"
     )
 }
 
 #[test]
-fn processes_that_use_a_part_of_the_hosts_keep_the_rules() {
-    let report = play(&schedule("\"subsets\""), node(), &[]).expect("a run");
+fn node_processes_with_host_subsets_pass_the_checks() {
+    let report = play(&schedule("\"subsets\""), node(), &[]).expect("run succeeds");
     assert_eq!(report.violations, [], "{report:?}");
     assert!(report.served.is_some_and(|share| share > 0.85), "{report:?}");
 }
 
 #[test]
-fn emulated_nodes_use_a_part_of_the_hosts_and_serve_as_many() {
-    let used = |on: &str, choice: &str| {
-        let plan = Plan::parse("test", &schedule(on), None).expect("a fine schedule");
-        let choice: StrategySpec = choice.parse().expect("a choice");
-        let sums = run(&plan, &choice, &History::unread()).expect("a run");
-        let traffic = sums.traffic.expect("clients");
+fn emulated_nodes_with_host_subsets_use_fewer_hosts_and_serve_as_many_clients() {
+    let measure = |features: &str, strategy: &str| {
+        let plan = Plan::parse("test", &schedule(features), None).expect("valid schedule");
+        let strategy: StrategySpec = strategy.parse().expect("valid strategy");
+        let metrics = run(&plan, &strategy, &History::unread()).expect("run succeeds");
+        let traffic = metrics.traffic.expect("traffic metrics");
         (traffic.hosts_used.0 / traffic.hosts_used.1 as f64, traffic.served_share())
     };
-    let (all, with_all) = used("", "module");
-    let (part, with_part) = used("\"subsets\"", "module");
-    assert!(all > 4.0 && part < 3.0, "{all} {part}");
-    assert!(with_part > with_all - 0.05, "{with_all} {with_part}");
-    assert_eq!(used("", "module+subsets"), (part, with_part), "named in the file or beside it");
+    let (all_hosts_used, all_hosts_served) = measure("", "module");
+    let (subset_used, subset_served) = measure("\"subsets\"", "module");
+    assert!(all_hosts_used > 4.0 && subset_used < 3.0, "{all_hosts_used} {subset_used}");
+    assert!(subset_served > all_hosts_served - 0.05, "{all_hosts_served} {subset_served}");
+    assert_eq!(
+        measure("", "module+subsets"),
+        (subset_used, subset_served),
+        "a feature of the schedule or of the strategy"
+    );
 }
 
 #[test]
-fn faulty_choices_are_named() {
-    let bad = |to: &str| {
+fn errors_in_subsetting_settings_name_the_key() {
+    let error = |to: &str| {
         let text = schedule("").replace("size = 2", to);
-        Plan::parse("f", &text, None).expect_err("a fault").to_string()
+        Plan::parse("f", &text, None).expect_err("invalid schedule").to_string()
     };
-    assert!(bad("size = 0").contains("choices.size"));
-    assert!(bad("size = 2, sizes = 3").contains("sizes"));
+    assert!(error("size = 0").contains("choices.size"));
+    assert!(error("size = 2, sizes = 3").contains("sizes"));
     assert!(Plan::parse("f", &schedule("\"nothing\""), None).is_err());
     assert!(
         "random+subsets".parse::<StrategySpec>().is_err()
--- a/crates/alderstile-lab/tests/traffic.rs
+++ b/crates/alderstile-lab/tests/traffic.rs
@@ -1,4 +1,4 @@
-//! Hosts, clients and decisions in simulated time.
+//! Emulated runs with hosts and clients: the rules of the checkers, and the strategies compared.
 
 use alderstile_lab::emulated::Strategy;
 use alderstile_lab::schedule::Plan;
@@ -17,7 +17,7 @@
     )
 }
 
-const ALL: &str = r#"
+const ALL_FAULTS: &str = r#"
 [[faults]]
 at_s = 4.0
 for_s = 2.0
@@ -74,21 +74,21 @@
 "#;
 
 #[test]
-fn the_decisions_keep_the_rules_under_all_faults_and_a_run_is_the_same_each_time() {
-    let text = schedule(30, 1_000, 5.0, ALL);
-    let (first, report, sums) = emulate(&text, Strategy::Alderstile, 3);
+fn policy_passes_the_checks_under_all_faults_and_runs_are_reproducible() {
+    let text = schedule(30, 1_000, 5.0, ALL_FAULTS);
+    let (first, report, metrics) = emulate(&text, Strategy::Alderstile, 3);
     assert_eq!(report.violations, [], "{report:?}");
-    let share = report.served.expect("clients");
-    assert!((0.9..1.0).contains(&share), "faults cost something, and not much: {share}");
-    let traffic = sums.traffic.expect("clients");
+    let share = report.served.expect("served share");
+    assert!((0.9..1.0).contains(&share), "share of clients served under faults: {share}");
+    let traffic = metrics.traffic.expect("traffic metrics");
     assert!(traffic.mean_imbalance() < 1.6 && traffic.retries > 0 && traffic.migrations > 0, "{traffic:?}");
     let (second, ..) = emulate(&text, Strategy::Alderstile, 3);
-    assert!(first == second, "the same inputs give the same history");
+    assert!(first == second, "the same schedule and seed give the same history");
     let (other, ..) = emulate(&text, Strategy::Alderstile, 4);
     assert!(first != other);
 }
 
-const RESTARTS: &str = r#"
+const NODE_RESTARTS: &str = r#"
 [[faults]]
 at_s = 8.0
 for_s = 3.0
@@ -97,15 +97,17 @@
 "#;
 
 #[test]
-fn a_fleet_whose_nodes_restart_is_served_again() {
-    // Found with 300 nodes: moves off late hosts came back as set-ups, which kept all hosts late for good (0.62 of what was wanted here).
-    let (_, report, sums) = emulate(&schedule(60, 6_000, 30.0, RESTARTS), Strategy::Alderstile, 1);
+fn clients_are_served_again_after_most_nodes_restart() {
+    // Guards against a metastable overload: clients that migrate away from slow hosts reconnect, and their
+    // connection setups keep all hosts slow for good. It was found with 300 nodes; here it lowers the served
+    // share to 0.62.
+    let (_, report, metrics) = emulate(&schedule(60, 6_000, 30.0, NODE_RESTARTS), Strategy::Alderstile, 1);
     assert_eq!(report.violations, []);
-    let share = sums.traffic.expect("clients").served_share();
+    let share = metrics.traffic.expect("traffic metrics").served_share();
     assert!(share > 0.88, "{share}");
 }
 
-const HOSTS_DIE: &str = r#"
+const HOST_CRASHES: &str = r#"
 [[faults]]
 at_s = 8.0
 for_s = 4.0
@@ -114,35 +116,38 @@
 "#;
 
 #[test]
-fn a_way_that_knows_no_cold_budget_pushes_hosts_over_and_the_decisions_do_not() {
-    let text = schedule(60, 6_000, 30.0, HOSTS_DIE);
-    let (_, report, sums) = emulate(&text, Strategy::LeastConnections, 1);
-    assert!(report.violations.iter().any(|breach| breach.rule == "cold hosts"), "{report:?}");
-    assert!(sums.traffic.expect("clients").cold_load_peak > 1.0);
-    let (_, report, sums) = emulate(&text, Strategy::Alderstile, 1);
+fn least_connections_overloads_cold_hosts_and_the_policy_does_not() {
+    let text = schedule(60, 6_000, 30.0, HOST_CRASHES);
+    let (_, report, metrics) = emulate(&text, Strategy::LeastConnections, 1);
+    assert!(report.violations.iter().any(|violation| violation.rule == "cold hosts"), "{report:?}");
+    assert!(metrics.traffic.expect("traffic metrics").cold_load_peak > 1.0);
+    let (_, report, metrics) = emulate(&text, Strategy::Alderstile, 1);
     assert_eq!(report.violations, []);
-    let traffic = sums.traffic.expect("clients");
+    let traffic = metrics.traffic.expect("traffic metrics");
     assert!(traffic.cold_load_peak < 1.0 && traffic.cold_overloads == 0, "{traffic:?}");
 }
 
 #[test]
-fn ways_that_know_more_spread_better() {
-    let busiest = |way| {
-        let (_, _, sums) = emulate(&schedule(30, 3_000, 5.0, ""), way, 1);
-        sums.traffic.expect("clients").mean_imbalance()
+fn strategies_with_more_information_balance_better() {
+    let imbalance = |strategy| {
+        let (_, _, metrics) = emulate(&schedule(30, 3_000, 5.0, ""), strategy, 1);
+        metrics.traffic.expect("traffic metrics").mean_imbalance()
     };
     let (least, two, random) =
-        (busiest(Strategy::LeastConnections), busiest(Strategy::TwoChoices), busiest(Strategy::Random));
+        (imbalance(Strategy::LeastConnections), imbalance(Strategy::TwoChoices), imbalance(Strategy::Random));
     assert!(least < two && two < random, "{least} {two} {random}");
-    assert!(busiest(Strategy::RendezvousSubset) > least, "a node that uses a part of the hosts knows less");
+    assert!(
+        imbalance(Strategy::RendezvousSubset) > least,
+        "a node that uses a subset of the hosts balances worse"
+    );
 }
 
 #[test]
-fn faulty_hosts_and_traffic_are_named() {
-    let bad = |from: &str, to: &str| {
+fn errors_in_host_and_client_settings_name_the_key() {
+    let error = |from: &str, to: &str| {
         let text = schedule(30, 10, 5.0, "").replace(from, to);
         assert!(text.contains(to));
-        Plan::parse("f", &text, None).expect_err("a fault").to_string()
+        Plan::parse("f", &text, None).expect_err("invalid schedule").to_string()
     };
     for (to, key) in [
         ("cold_from = 0.0", "hosts.cold_from"),
@@ -152,9 +157,9 @@
         ("cap = inf, cold_from = 0.1", "hosts.cap"),
         ("list_calls_a_second = 0.0, cold_from = 0.1", "hosts.list_calls_a_second"),
     ] {
-        let error = bad("cold_from = 0.1", to);
+        let error = error("cold_from = 0.1", to);
         assert!(error.contains(key) && error.starts_with("f:4:"), "{error}");
     }
-    assert!(bad("load_us = 8000.0", "load_us = -1.0").contains("clients[0].load_us"));
-    assert!(bad("zones = [\"a\"", "traffic = [0.0], zones = [\"a\"").contains("nodes.traffic"));
+    assert!(error("load_us = 8000.0", "load_us = -1.0").contains("clients[0].load_us"));
+    assert!(error("zones = [\"a\"", "traffic = [0.0], zones = [\"a\"").contains("nodes.traffic"));
 }
