--- a/crates/alderstile-cluster/src/subsetting/mod.rs
+++ b/crates/alderstile-cluster/src/subsetting/mod.rs
@@ -7,7 +7,7 @@
 //! 1. **Selection** ([`preference_order`]): each node uses the hosts that it prefers, and each host is also
 //!    used by the few nodes that prefer it most, so that no host is without a node. Adding or removing a node
 //!    or a host does not change the other preferences.
-//! 2. **Shares** ([`share_table`]): the table of selected nodes by hosts is scaled until its rows match the
+//! 2. **Shares** ([`share_table()`]): the table of selected nodes by hosts is scaled until its rows match the
 //!    nodes' traffic and its columns match the hosts' target loads.
 //!
 //! [`NodeSubset`] holds one node's row of the table, with hosts added while the node cannot reach its own.
--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -16,7 +16,7 @@
 pub(super) struct ObservedCapacity {
     /// Assumed reduction in speed relative to the other servers, from 0 to 0.9.
     pub(super) slowness: f64,
-    /// Recorded load from which on the server receives no new connections.
+    /// Recorded load at which the server receives no new connections any more.
     pub(super) load_limit: Option<f64>,
 }
 
@@ -29,9 +29,9 @@
 }
 
 impl Policy {
-    /// Limits a server to the load of this node that it can handle, and sets its slowness to the
-    /// relative shortfall of that load from the server's share of the mean load. Otherwise the
-    /// server would be filled to the same load again at once.
+    /// Limits a server to the load of this node that it can handle. Sets its slowness to the share
+    /// by which that load is below the server's share of the mean load. Without the limit, the
+    /// server would immediately be filled to the same load again.
     pub(super) fn limit_to_capacity(&mut self, index: ServerIndex, manageable_load: f64, mean_load: f64) {
         // One connection always fits; otherwise no recovery of the server could ever be observed.
         let lowest_limit = self.typical_load();
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -20,7 +20,7 @@
 const REACTIVE_MIGRATION_SHARE: f64 = 0.5;
 /// Added before the number of migrations is rounded down, so that it is rounded up instead.
 const ROUND_UP_OFFSET: f64 = 0.99;
-/// Share of the warm servers with a high delay from which on the whole fleet is considered
+/// Minimum share of the warm servers with a high delay at which the whole fleet is considered
 /// overloaded, so that migrated connections would find no capacity.
 const FLEET_HIGH_DELAY_SHARE: f64 = 0.9;
 
