--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -17,7 +17,7 @@
 /// Timer of the next poll of the endpoint list.
 pub(super) const POLL_TIMER: TimerToken = TimerToken(1);
 
-/// Backoff before the next poll after a first failure.
+/// Backoff before the next poll after the first failure.
 const POLL_BACKOFF: Micros = Micros::from_millis(500);
 /// Maximum number of times that the backoff doubles with further failures.
 const MAX_POLL_BACKOFF_DOUBLINGS: u32 = 2;
@@ -126,8 +126,8 @@
         let next = self.servers.len();
         let index = *self.index_by_id.entry(endpoint.id).or_insert(next);
         if index == next {
-            // A random time within the interval. Otherwise nearly all servers would be due for a
-            // setup when there are many nodes.
+            // The last attempt is dated at random within the interval. With many nodes, nearly all
+            // servers would otherwise be due for a setup.
             let last_attempt_at = now - self.setup_interval().scale(self.rng.random::<f64>());
             let endpoint = Endpoint { started: None, ..endpoint };
             self.servers.push(Server { endpoint, last_attempt_at, ..Server::default() });
@@ -139,9 +139,9 @@
     fn reset_history(&mut self, now: Micros, index: ServerIndex, endpoint: Endpoint) {
         let nodes = u64::from(self.settings.node_count);
         let node = self.settings.node_index.map_or_else(|| self.rng.random(), u64::from);
-        let turn = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
+        let fraction = (node.wrapping_add(endpoint.id.0) % nodes) as f64 / nodes as f64;
         let server = &mut self.servers[index];
-        server.slow_start = SlowStartTokens::starting_at(turn);
+        server.slow_start = SlowStartTokens::with_fraction(fraction);
         // Clocks differ, but a listed server has started by now.
         let latest_start = |started: Micros| (started + self.settings.start_time_tolerance).min(now);
         server.started = endpoint.started.map(latest_start);
