--- a/crates/alderstile-cluster/src/replicated_config/subscription.rs
+++ b/crates/alderstile-cluster/src/replicated_config/subscription.rs
@@ -14,7 +14,8 @@
 use super::message::{Announcement, Message};
 use super::raft::Role;
 
-/// Time without news, in heartbeats, after which a node switches upstreams. Tolerates one lost announcement.
+/// Time without a newer announcement, in heartbeats, after which a node switches upstreams. Tolerates one lost
+/// announcement.
 const UPSTREAM_TIMEOUT_HEARTBEATS: f64 = 2.5;
 /// Interval between renewals of a subscription, in heartbeats.
 const RENEWAL_HEARTBEATS: f64 = 2.0;
@@ -51,7 +52,7 @@
     /// Number of upstream changes since the upstream in the tree was first chosen.
     attempt: u32,
     attempt_at: Micros,
-    /// When the current upstream last sent news.
+    /// When the current upstream last sent a newer announcement.
     last_update_at: Micros,
     subscribe_at: Micros,
 }
@@ -198,8 +199,8 @@
         let latest_at_us = self.committed.latest_at.map_or(0, |latest_at| {
             subscriber.clock_us.saturating_add(latest_at.0).saturating_sub(subscriber.received_at.0)
         });
-        let committed_for_us = self.committed_for().unwrap_or_default().0;
-        Announcement { header: self.committed.header, committed_for_us, latest_at_us }
+        let commit_age_us = self.commit_age().unwrap_or_default().0;
+        Announcement { header: self.committed.header, commit_age_us, latest_at_us }
     }
 
     pub(super) fn handle_announcement(
