--- a/crates/alderstile-node/src/config/reload.rs
+++ b/crates/alderstile-node/src/config/reload.rs
@@ -20,7 +20,7 @@
     "settings.my_zone",
     "seed",
 ];
-/// Keys of a class that depend on its semantics; a new class may omit them.
+/// Keys of a class that only some values of its key `semantics` require; a new class may omit them.
 const KEYS_BY_SEMANTICS: [&str; 2] = ["window", "group"];
 
 /// A configuration that replaces the one of a running node.
@@ -82,19 +82,19 @@
     }
 }
 
-/// Returns the settings with their classes in the order of `numbered`; a class that is not in `names` keeps
-/// its old settings.
+/// Returns the settings with their classes, named `names`, reordered to `names_by_number`. A class that is
+/// not in `names` keeps its old settings.
 fn with_classes_numbered(
     settings: BalancerSettings,
     names: &[String],
-    numbered: &[String],
+    names_by_number: &[String],
     old: &BalancerSettings,
 ) -> BalancerSettings {
     let class_settings = |(number, class): (usize, &String)| {
         let index = names.iter().position(|name| name == class);
         index.map_or_else(|| &old.classes[number], |index| &settings.classes[index]).clone()
     };
-    let classes = numbered.iter().enumerate().map(class_settings).collect();
+    let classes = names_by_number.iter().enumerate().map(class_settings).collect();
     BalancerSettings { classes, ..settings }
 }
 
@@ -125,8 +125,8 @@
     }
 }
 
-/// Returns the first key that all old classes have but a new class lacks, except for keys that depend on its
-/// semantics.
+/// Returns the first key that all old classes have but a new class lacks, except for
+/// [`KEYS_BY_SEMANTICS`].
 fn first_missing_common_key(old: &[Value], new: &Value) -> Option<String> {
     let has = |item: &Value, key: &str| item.get(key).is_some_and(|value| !value.is_null());
     let keys = old.first().and_then(Value::as_object).into_iter().flat_map(Map::keys);
--- a/crates/alderstile-node/src/config/successor.rs
+++ b/crates/alderstile-node/src/config/successor.rs
@@ -10,9 +10,9 @@
 use crate::lifecycle::upgrade_state::UpgradeState;
 
 impl Config {
-    /// Returns the configuration of a successor: its own file, unless the predecessor would reject it at a
-    /// reload. The endpoint list, and unless the file changes it the address of discovery, are the
-    /// predecessor's.
+    /// Returns the configuration of a successor: that of its own file, or the predecessor's if the
+    /// predecessor would reject the file at a reload. The endpoint list is the predecessor's, and so is the
+    /// address of discovery unless the file changes it.
     ///
     /// # Errors
     ///
@@ -22,18 +22,18 @@
         path: Option<&Path>,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        let in_force = Self::from_file_value(predecessor.config.clone(), &env)?;
+        let predecessor_config = Self::from_file_value(predecessor.config.clone(), &env)?;
         let own_config = Self::read(path, &env).and_then(|file| {
-            in_force.reloaded(file.clone())?;
+            predecessor_config.reloaded(file.clone())?;
             Self::from_file_value(file, &env)
         });
         let mut config = own_config.unwrap_or_else(|error| {
-            warn!(%error, "configuration file rejected, configuration of predecessor kept");
-            in_force.clone()
+            warn!(%error, "configuration file rejected; the predecessor's configuration remains in use");
+            predecessor_config.clone()
         });
-        // An address that is new in the file applies. Otherwise the predecessor's is more recent than the
-        // environment's, which dates from the start.
-        config.discovery = match (discovery_of(&in_force.source), discovery_of(&config.source)) {
+        // The file's address applies if it differs from that in the predecessor's file. Otherwise the
+        // predecessor's current address applies: a reload may have changed it since the environment was set.
+        config.discovery = match (discovery_of(&predecessor_config.source), discovery_of(&config.source)) {
             (old, Some(new)) if old != Some(new) => new,
             _ => predecessor.discovery.unwrap_or(config.discovery),
         };
--- a/crates/alderstile-node/src/control/replicated_config/apply.rs
+++ b/crates/alderstile-node/src/control/replicated_config/apply.rs
@@ -12,7 +12,7 @@
 use crate::config::Config;
 use crate::control::configured_node::ConfiguredNode;
 
-/// The part of the replicated configuration that the node has applied.
+/// Applies versions of the replicated configuration to a node, and tracks what has been applied.
 pub(super) struct AppliedConfig {
     node: Weak<dyn ConfiguredNode>,
     /// The applied version; 0 while the node uses its own file.
@@ -50,8 +50,9 @@
         self.node.upgrade().filter(|_| version > self.version.get())
     }
 
-    /// Prepares for a version that is committed but not active yet. Until activation the stricter of the two
-    /// versions applies, whichever version another node uses.
+    /// Prepares for a version that is committed but not active yet, and that other nodes may activate
+    /// earlier. Until activation the hosts of both versions are out of service, and the lower of the two
+    /// attempt limits applies.
     pub fn prepare(&self, version: u64, document: &[u8], activates_in: Micros) {
         let Some(node) = self.node_if_newer(version) else { return };
         let Ok(document) = ConfigDocument::parse(document) else { return };
@@ -62,8 +63,8 @@
         }
     }
 
-    /// Applies or rejects a version that has become active, as a whole, with the checks that a file passes at
-    /// SIGHUP.
+    /// Applies a version that has become active. A version that fails the checks of a file read at SIGHUP is
+    /// rejected completely.
     pub fn activate(&self, version: u64, document: &[u8]) {
         let Some(node) = self.node_if_newer(version) else { return };
         let parsed = ConfigDocument::parse(document).and_then(|document| {
@@ -100,13 +101,13 @@
         }
     }
 
-    /// Returns the hosts that are not in `still_out` to service, except those that an operator took out at
-    /// this node.
+    /// Resumes the service of the hosts that are not in `still_out`. The node keeps a host out of service if
+    /// an operator took it out at this node.
     fn return_hosts_to_service(&self, node: &dyn ConfiguredNode, still_out: &BTreeSet<String>) {
         let returned: Vec<String> = self.hosts_out.borrow().difference(still_out).cloned().collect();
         for host in returned {
             self.hosts_out.borrow_mut().remove(&host);
-            info!(host = %host, "host returned to service by the replicated configuration");
+            info!(host = %host, "host no longer out of service in the replicated configuration");
             node.return_host_to_service(&host);
         }
     }
--- a/crates/alderstile-node/src/lifecycle/upgrade_state.rs
+++ b/crates/alderstile-node/src/lifecycle/upgrade_state.rs
@@ -28,7 +28,7 @@
     /// The maintenance states that operators have set, by host.
     #[serde(rename = "hosts")]
     pub host_maintenance: BTreeMap<String, MaintenanceState>,
-    /// Ids of requests that are open or ended recently.
+    /// Ids of requests that are open or have ended recently.
     #[serde(rename = "ids")]
     pub request_ids: Vec<String>,
     /// The number of descriptors that the predecessor has open.
--- a/crates/alderstile-node/src/proxy/clients.rs
+++ b/crates/alderstile-node/src/proxy/clients.rs
@@ -58,8 +58,8 @@
     }
 
     /// Claims the id of a request; returns `None` if the id is known, since each connection must have a new
-    /// one. This also rejects a client that repeats a request which is open at another node: the hosts that
-    /// reject the duplicate would count as failing.
+    /// one. This also rejects a client that repeatedly sends this node a request which is open at another
+    /// node, from its second try on: the hosts that reject the duplicates would count as failing.
     pub fn claim_request_id(&self, id: &[u8]) -> Option<OpenId> {
         let claimed = self.ids.claim(id)?;
         self.process.other_process().iter().for_each(|channel| channel.send_request_id(id));
@@ -76,7 +76,7 @@
         self.ids.claim_handed_over(id)
     }
 
-    /// Returns the ids of requests that are open or ended recently.
+    /// Returns the ids of requests that are open or have ended recently.
     pub fn known_request_ids(&self) -> Vec<String> {
         self.ids.known()
     }
--- a/crates/alderstile-node/src/proxy/migration.rs
+++ b/crates/alderstile-node/src/proxy/migration.rs
@@ -1,4 +1,5 @@
-//! Requests to the relays of established clients to migrate their client or to hand it over.
+//! Signals to the relays of established clients: each tells a relay to migrate its client or to hand over its
+//! connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,7 +14,7 @@
 #[derive(Default)]
 pub struct MigrationSignal {
     requested: Notify,
-    /// The reason, `None` if the policy requested the migration.
+    /// The reason; `None` if the policy requested the migration, or while none is requested.
     reason: Cell<Option<TerminationReason>>,
 }
 
@@ -38,7 +39,7 @@
 #[derive(Default)]
 pub struct EstablishedClients {
     signals: RefCell<BTreeMap<RequestId, Rc<MigrationSignal>>>,
-    /// The reason for which all clients migrate, `None` unless that was requested.
+    /// The reason why all clients migrate; `None` until [`EstablishedClients::migrate_all`] is called.
     all_reason: Cell<Option<TerminationReason>>,
 }
 
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Requests the migration of up to `count` clients that have no request with a reason yet.
+    /// Requests the migration of up to `count` clients, not counting those already signalled with a reason. A
+    /// client whose migration the policy requested gets this reason instead.
     pub fn migrate_some(&self, count: usize, reason: TerminationReason) {
         let signals = self.signals.borrow();
         let not_requested = signals.values().filter(|signal| signal.reason.get().is_none());
--- a/crates/alderstile-node/src/proxy/request_ids.rs
+++ b/crates/alderstile-node/src/proxy/request_ids.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// The number of ended requests whose ids are remembered. A repeated id arrives shortly after the first use.
-/// The ids take at most 4 MB, as a line has at most 4 KiB.
+/// The number of ended requests whose ids are remembered: enough, since a repeated id arrives shortly after
+/// its first use. The ids take at most 4 MB, as a line has at most 4 KiB.
 const MAX_ENDED: usize = 1024;
 
 /// The known ids of requests.
@@ -20,7 +20,8 @@
 }
 
 impl Ids {
-    fn end(&mut self, id: Rc<[u8]>) {
+    /// Records that a request has ended, and forgets the oldest id above [`MAX_ENDED`].
+    fn record_ended(&mut self, id: Rc<[u8]>) {
         self.ended.push_back(id);
         if self.ended.len() > MAX_ENDED
             && let Some(oldest) = self.ended.pop_front()
@@ -45,12 +46,13 @@
         OpenId { ids: self.clone(), id }
     }
 
-    /// Remembers an id that the other process of the node has claimed.
+    /// Remembers an id that the other process of the node has claimed. Since the end of that request is not
+    /// reported to this process, the id is treated as that of an ended one.
     pub fn remember(&self, id: &[u8]) {
         let id: Rc<[u8]> = id.into();
         let mut ids = self.0.borrow_mut();
         if ids.known.insert(id.clone()) {
-            ids.end(id);
+            ids.record_ended(id);
         }
     }
 
@@ -68,6 +70,6 @@
 
 impl Drop for OpenId {
     fn drop(&mut self) {
-        self.ids.0.borrow_mut().end(self.id.clone());
+        self.ids.0.borrow_mut().record_ended(self.id.clone());
     }
 }
--- a/crates/alderstile-node/src/proxy/session/placement.rs
+++ b/crates/alderstile-node/src/proxy/session/placement.rs
@@ -15,7 +15,7 @@
 use crate::proxy::line_stream::{LineStream, ReadError};
 use crate::proxy::termination_reason::TerminationReason;
 
-/// The retry interval for a connection that was open before this node's start, while its host cannot be
+/// The retry interval for resuming a connection at the host that the client names, while that host cannot be
 /// reached.
 const RESUME_RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
@@ -69,9 +69,9 @@
     /// Places the request on a host that the policy chooses.
     pub(super) async fn place(&mut self, client: &mut LineStream, deadline: Instant) -> Placement {
         let node = self.node.clone();
-        // The connection to the host needs a descriptor, too. Clients that stay must not take the last ones:
-        // with only one left for new connections, a crowd of clients that send nothing would occupy it in
-        // turn.
+        // The connection to the host needs a descriptor, too. It must leave one for each slot of a pending
+        // client: with a single descriptor for all new connections, clients that send nothing would use it
+        // one after another, and no other client would be accepted.
         let Some(descriptor) = node.clients.acquire_descriptor(node.clients.pending.capacity()) else {
             return Placement::at_capacity();
         };
@@ -135,8 +135,8 @@
         debug!(id = %self.id(), %host, ?outcome, ms, "attempt failed");
     }
 
-    /// Resumes a connection at the host to which it was open before this node's start, whatever the current
-    /// state of that host in the list.
+    /// Resumes a connection that was open before this node's start, at the host that the client names,
+    /// whatever state the endpoint list gives for that host.
     pub(super) async fn resume_at(
         &mut self,
         client: &mut LineStream,
--- a/crates/alderstile-node/src/proxy/termination_reason.rs
+++ b/crates/alderstile-node/src/proxy/termination_reason.rs
@@ -1,6 +1,6 @@
 //! The reasons for which connections end, and their codes in the log.
 //!
-//! Alerts of operators match the codes, which therefore never change.
+//! The codes never change, since operators' alerts match them.
 
 use std::fmt;
 
@@ -27,7 +27,7 @@
 }
 
 reasons! {
-    /// The host sent `BYE`: the connection was completed.
+    /// The host sent `BYE` and closed its connection: the request was served to its end.
     Completed = "served",
     /// The client closed its connection.
     ClientClosed = "client-left",
@@ -41,7 +41,7 @@
     ClientMalformed = "client-malformed",
     /// The client named a class that the settings do not contain.
     ClientUnknownClass = "client-unknown-class",
-    /// The client used the id of a request that is open or ended recently.
+    /// The client used the id of a request that is open or has ended recently.
     ClientDuplicateId = "client-duplicate-id",
     /// The client had sent no complete first line when its slot was needed for another client.
     ClientEvicted = "client-shown-out",
@@ -67,7 +67,7 @@
     NodeAtCapacity = "node-full",
     /// The request failed; it may have run.
     Failed = "failed",
-    /// The connection carried only health checks of the front.
+    /// The connection carried only health checks, which the load balancer in front of the node sends.
     HealthChecked = "pinged",
     /// The connection was handed over to the successor, which continues it.
     HandedOver = "handed-over",
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -17,7 +17,7 @@
 use tokio::task::spawn_local;
 
 mod support;
-use support::replicated_config::{document, folder, single_voter_node, wait_until_active};
+use support::replicated_config::{create_test_directory, document, single_voter_node, wait_until_active};
 use support::{LineConnection, StubHost, run};
 
 fn fixture(name: &str) -> PathBuf {
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_store_of_the_previous_version_is_read_and_written_as_the_same_bytes() {
-    let dir = folder("store-fixture");
+    let dir = create_test_directory("store-fixture");
     let path = VoterStore::path(&dir, "n/1");
     assert_eq!(path.file_name().and_then(|name| name.to_str()), Some("alderstile-n%2F1.voter"));
     std::fs::copy(fixture("voter_store.bin"), &path).expect("copied");
--- a/crates/alderstile-node/tests/replicated_config_fleet.rs
+++ b/crates/alderstile-node/tests/replicated_config_fleet.rs
@@ -8,7 +8,7 @@
 
 mod support;
 use support::fleet::{Fleet, KillOnDrop};
-use support::replicated_config::{KEY, document, with_attempts};
+use support::replicated_config::{CLUSTER_KEY, document, with_attempts};
 
 /// Authentication key of the partitioned side.
 const OTHER_KEY: &str = "ffeeddccbbaa99887766554433221100";
@@ -103,7 +103,7 @@
         fleet.status(*n).is_some_and(|status| (status.active_version, status.committed_version) == (1, 1))
     }));
     for n in [4, 5, 7] {
-        fleet.write_cluster_file(n, KEY);
+        fleet.write_cluster_file(n, CLUSTER_KEY);
         fleet.signal(n, "-HUP");
     }
     fleet.wait_active(&[1, 2, 3, 4, 5, 6, 7], 2);
--- a/crates/alderstile-node/tests/replicated_config_store.rs
+++ b/crates/alderstile-node/tests/replicated_config_store.rs
@@ -12,7 +12,7 @@
 
 mod support;
 use support::node_config;
-use support::replicated_config::folder;
+use support::replicated_config::create_test_directory;
 
 fn state(version: u64, document: &[u8]) -> PersistedState {
     let position = LogPosition { term: 4, version };
@@ -39,7 +39,7 @@
 
 #[test]
 fn a_state_is_read_as_saved_by_one_process_at_a_time_with_the_same_voter_list() {
-    let dir = folder("store");
+    let dir = create_test_directory("store");
     let path = VoterStore::path(&dir, "n/1");
     assert_eq!(open(&path), None);
     let (store, _) = VoterStore::open(&path, 7).expect("opened");
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_store_that_is_truncated_or_corrupted_at_any_byte_is_renamed() {
-    let dir = folder("damage");
+    let dir = create_test_directory("damage");
     let path = VoterStore::path(&dir, "n1");
     let document = b"a document";
     let (store, _) = VoterStore::open(&path, 7).expect("opened");
@@ -83,7 +83,7 @@
 
 #[test]
 fn a_failed_write_is_an_error_and_keeps_the_previous_state() {
-    let dir = folder("full");
+    let dir = create_test_directory("full");
     let path = VoterStore::path(&dir, "n1");
     let (store, _) = VoterStore::open(&path, 7).expect("opened");
     store.save(&state(1, b"one")).expect("saved");
--- a/crates/alderstile-node/tests/replicated_config_table.rs
+++ b/crates/alderstile-node/tests/replicated_config_table.rs
@@ -3,13 +3,13 @@
 use alderstile_node::config::ClusterConfig;
 
 mod support;
-use support::replicated_config::KEY;
+use support::replicated_config::CLUSTER_KEY;
 
 #[test]
 fn an_invalid_table_is_rejected_and_the_error_names_the_key() {
     let valid = format!(
-        "name = \"edge\"\nlisten = \"127.0.0.1:7946\"\nkeys = [\"{KEY}\"]\n[control]\nlisten = \"127.0.0.1:7950\"\n\
-         voters = [\"127.0.0.2:7950\", \"127.0.0.3:7950\"]\n"
+        "name = \"edge\"\nlisten = \"127.0.0.1:7946\"\nkeys = [\"{CLUSTER_KEY}\"]\n[control]\n\
+         listen = \"127.0.0.1:7950\"\nvoters = [\"127.0.0.2:7950\", \"127.0.0.3:7950\"]\n"
     );
     let config = ClusterConfig::parse("c.toml", &valid)
         .expect("valid cluster file")
--- a/crates/alderstile-node/tests/support/fleet.rs
+++ b/crates/alderstile-node/tests/support/fleet.rs
@@ -10,25 +10,26 @@
 use serde_json::Value;
 
 use super::node_config;
-use super::replicated_config::{KEY, folder};
+use super::replicated_config::{CLUSTER_KEY, create_test_directory};
 
 /// The processes of several nodes, numbered from 1; the first `voters` of them are voters.
 pub struct Fleet {
     pub dir: PathBuf,
-    pub net: u8,
+    /// The nodes' addresses are 127.0.`subnet`.n, where n is the number of a node.
+    pub subnet: u8,
     pub voters: u8,
     pub running: Vec<Option<Child>>,
 }
 
 impl Fleet {
-    pub fn new(net: u8, count: u8, voters: u8) -> Self {
-        let dir = folder(&format!("fleet-{net}"));
-        let mut fleet = Fleet { dir, net, voters, running: (0..count).map(|_| None).collect() };
+    pub fn new(subnet: u8, count: u8, voters: u8) -> Self {
+        let dir = create_test_directory(&format!("fleet-{subnet}"));
+        let mut fleet = Fleet { dir, subnet, voters, running: (0..count).map(|_| None).collect() };
         for n in 1..=count {
             let mut file = node_config(&fleet.address(n, 19_000), "127.0.0.1:1");
             (file["name"], file["admin_addr"]) = (format!("n{n}").into(), fleet.address(n, 19_001).into());
             std::fs::write(fleet.file(n, "json"), file.to_string()).expect("written");
-            fleet.write_cluster_file(n, KEY);
+            fleet.write_cluster_file(n, CLUSTER_KEY);
             if n <= voters {
                 let out = fleet.command(n, &["settings", "init"]);
                 assert!(out.status.success(), "{out:?}");
@@ -41,7 +42,7 @@
     }
 
     pub fn address(&self, n: u8, port: u16) -> String {
-        format!("127.0.{}.{n}:{port}", self.net)
+        format!("127.0.{}.{n}:{port}", self.subnet)
     }
 
     pub fn file(&self, n: u8, kind: &str) -> PathBuf {
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -14,9 +14,10 @@
 
 use super::{LineConnection, Setup, StubHost, node_config, start_ready_node};
 
-pub const KEY: &str = "00112233445566778899aabbccddeeff";
+/// The key that authenticates the members of a cluster to each other.
+pub const CLUSTER_KEY: &str = "00112233445566778899aabbccddeeff";
 
-pub fn folder(name: &str) -> PathBuf {
+pub fn create_test_directory(name: &str) -> PathBuf {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("replicated-config-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&dir).expect("created directory");
@@ -32,16 +33,16 @@
     document
 }
 
-/// Starts a node in this process that is the only voter.
+/// Starts a node in this process that is the only voter, at the address 127.0.`subnet`.1.
 pub async fn single_voter_node(
-    net: u8,
+    subnet: u8,
     hosts: &[&StubHost],
 ) -> (Setup, LineConnection, Rc<ConfigReplica>, PathBuf) {
     let (setup, watch) = start_ready_node(hosts).await;
-    let dir = folder(&format!("alone-{net}"));
+    let dir = create_test_directory(&format!("alone-{subnet}"));
     let text = format!(
-        "name = \"edge\"\nlisten = \"127.0.{net}.1:19002\"\nkeys = [\"{KEY}\"]\n[control]\n\
-         listen = \"127.0.{net}.1:19003\"\nvoters = [\"127.0.{net}.1:19003\"]\nstate_dir = \"{}\"\n\
+        "name = \"edge\"\nlisten = \"127.0.{subnet}.1:19002\"\nkeys = [\"{CLUSTER_KEY}\"]\n[control]\n\
+         listen = \"127.0.{subnet}.1:19003\"\nvoters = [\"127.0.{subnet}.1:19003\"]\nstate_dir = \"{}\"\n\
          heartbeat_ms = 50\n",
         dir.display()
     );
--- a/crates/alderstile-sim-adapter/src/main.rs
+++ b/crates/alderstile-sim-adapter/src/main.rs
@@ -22,8 +22,8 @@
     let mut instances = Instances::default();
     let mut body = Vec::new();
     let mut batches = 0u64;
-    while let Some(head) = read_header(&mut input)? {
-        let header = Header::parse(&head)?;
+    while let Some(header_bytes) = read_header(&mut input)? {
+        let header = Header::parse(&header_bytes)?;
         body.clear();
         // Reads in pieces instead of allocating the stated length, which may be wrong.
         let bytes_read = input.by_ref().take(header.body_len()).read_to_end(&mut body)?;
@@ -43,11 +43,11 @@
 
 /// Reads the next header; returns `None` at the end of the input.
 fn read_header(input: &mut impl Read) -> Result<Option<[u8; wire::HEADER_LEN]>, AdapterError> {
-    let mut head = Vec::with_capacity(wire::HEADER_LEN);
-    input.by_ref().take(wire::HEADER_LEN as u64).read_to_end(&mut head)?;
-    match <[u8; wire::HEADER_LEN]>::try_from(head.as_slice()) {
-        Ok(head) => Ok(Some(head)),
-        Err(_) if head.is_empty() => Ok(None),
-        Err(_) => Err(AdapterError::TruncatedHeader { bytes_read: head.len() }),
+    let mut header_bytes = Vec::with_capacity(wire::HEADER_LEN);
+    input.by_ref().take(wire::HEADER_LEN as u64).read_to_end(&mut header_bytes)?;
+    match <[u8; wire::HEADER_LEN]>::try_from(header_bytes.as_slice()) {
+        Ok(header_bytes) => Ok(Some(header_bytes)),
+        Err(_) if header_bytes.is_empty() => Ok(None),
+        Err(_) => Err(AdapterError::TruncatedHeader { bytes_read: header_bytes.len() }),
     }
 }
