--- a/crates/alderstile-node/src/admin/service.rs
+++ b/crates/alderstile-node/src/admin/service.rs
@@ -36,10 +36,9 @@
         clients: Rc<Clients>,
         process: Rc<Process>,
     ) -> Self {
-        let in_force = config.get();
-        let state_dir = in_force.state_dir.as_deref();
-        let maintenance =
-            state_dir.map(|dir| MaintenanceStore::load(dir, &in_force.name)).unwrap_or_default();
+        let initial = config.get();
+        let state_dir = initial.state_dir.as_deref();
+        let maintenance = state_dir.map(|dir| MaintenanceStore::load(dir, &initial.name)).unwrap_or_default();
         for (host, state) in maintenance.hosts() {
             decisions.with_balancer(|balancer, now| state.apply(balancer, now, server_id(host)));
         }
@@ -84,7 +83,7 @@
     }
 
     /// Returns the maintenance states that operators have set, by host.
-    pub fn maintained_hosts(&self) -> BTreeMap<String, MaintenanceState> {
+    pub fn maintenance_states(&self) -> BTreeMap<String, MaintenanceState> {
         self.maintenance.borrow().hosts().map(|(host, state)| (host.to_owned(), state)).collect()
     }
 
--- a/crates/alderstile-node/src/config/active.rs
+++ b/crates/alderstile-node/src/config/active.rs
@@ -9,7 +9,7 @@
 pub struct ActiveConfig(RefCell<Rc<Config>>);
 
 impl ActiveConfig {
-    /// Creates it with the configuration read at the start.
+    /// Holds the configuration read at the start.
     pub fn new(config: Config) -> Self {
         ActiveConfig(RefCell::new(Rc::new(config)))
     }
--- a/crates/alderstile-node/src/config/cluster.rs
+++ b/crates/alderstile-node/src/config/cluster.rs
@@ -12,10 +12,11 @@
 
 /// Maximum number of hosts in a node's subset, and of nodes that use a host.
 const MAX_SUBSET_SIZE: usize = 10_000;
-/// Minimum lease, in heartbeats: one heartbeat, the timeout of the upstream, and one lost message.
+/// Minimum lease, in heartbeats. It covers one heartbeat, the timeout after which a node changes its upstream
+/// (the node that sends it announcements), and one lost message.
 const MIN_LEASE_HEARTBEATS: f64 = 5.0;
 /// Maximum retention of an added host and maximum lease, in seconds.
-const MAX_RETENTION_S: f64 = 3_600.0;
+const MAX_DURATION_S: f64 = 3_600.0;
 /// Default period of the membership protocol, in milliseconds.
 const DEFAULT_PERIOD_MS: u64 = 1_000;
 /// Maximum number of authentication keys: two while one replaces the other.
@@ -289,8 +290,8 @@
             return Err(InvalidKey::new(key, format!("expected 1 to {MAX_SUBSET_SIZE}, found {value}")));
         }
     }
-    if !(1.0..=MAX_RETENTION_S).contains(&table.hold_s) {
-        let message = format!("expected 1 to {MAX_RETENTION_S} seconds, found {}", table.hold_s);
+    if !(1.0..=MAX_DURATION_S).contains(&table.hold_s) {
+        let message = format!("expected 1 to {MAX_DURATION_S} seconds, found {}", table.hold_s);
         return Err(InvalidKey::new("subsets.hold_s", message));
     }
     Ok(SubsettingConfig {
@@ -376,9 +377,9 @@
 fn parse_lease(lease_s: Option<f64>, heartbeat: Micros) -> Result<Micros, InvalidKey> {
     let min_s = heartbeat.scale(MIN_LEASE_HEARTBEATS).as_secs_f64();
     let lease_s = lease_s.unwrap_or(min_s);
-    if !(min_s..=MAX_RETENTION_S).contains(&lease_s) {
+    if !(min_s..=MAX_DURATION_S).contains(&lease_s) {
         let message =
-            format!("expected {min_s} (five heartbeats) to {MAX_RETENTION_S} seconds, found {lease_s}");
+            format!("expected {min_s} (five heartbeats) to {MAX_DURATION_S} seconds, found {lease_s}");
         return Err(InvalidKey::new("control.lease_s", message));
     }
     Ok(Micros((lease_s * 1e6) as u64))
--- a/crates/alderstile-node/src/control/membership.rs
+++ b/crates/alderstile-node/src/control/membership.rs
@@ -25,7 +25,7 @@
 
 /// Interval of bind attempts while this node's other process has the address.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Pause after a failed receive, so that persistent errors do not occupy the core.
+/// Pause after a failed receive, so that persistent errors do not occupy the processor.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 /// Time limit for sending this member's leave message, which takes one turn of the runtime.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(100);
@@ -161,7 +161,7 @@
                         self.apply(&socket, effects);
                     }
                     // Reported after a member that is down refused a datagram. Persistent errors must not
-                    // occupy the core.
+                    // occupy the processor.
                     Err(error) => {
                         debug!(%error, "membership receive failed");
                         tokio::time::sleep(RECEIVE_RETRY_DELAY).await;
--- a/crates/alderstile-node/src/control/peer_gossip.rs
+++ b/crates/alderstile-node/src/control/peer_gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip between the nodes' decisions, in datagrams that may be lost or delayed.
+//! Gossip between the policies of the nodes, in datagrams that may be lost or delayed.
 
 use std::cell::RefCell;
 use std::io;
@@ -14,7 +14,7 @@
 /// Maximum length of a gossip message, bytes.
 pub const MAX_MESSAGE: usize = 256;
 
-/// Pause after a failed receive, so that persistent errors do not occupy the core.
+/// Pause after a failed receive, so that persistent errors do not occupy the processor.
 const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Interval of bind attempts while this node's other process has the address.
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Passes the messages of configured nodes to the decisions, for as long as it runs.
+    /// Passes the messages of configured nodes to the policy until the future is dropped.
     pub async fn receive(self: Rc<Self>, node: Rc<Node>) {
         let mut buffer = [0; MAX_MESSAGE + 1];
         loop {
--- a/crates/alderstile-node/src/control/replicated_config/document.rs
+++ b/crates/alderstile-node/src/control/replicated_config/document.rs
@@ -25,13 +25,13 @@
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// The document contains a setting that belongs to each node's own file.
-    #[error("the key settings.{0}: each node's own, stays in its file")]
+    #[error("invalid key settings.{0}: expected only in each node's own file")]
     NodeSetting(&'static str),
     /// The document takes too many hosts out of service.
-    #[error("the key hosts_out: at most {MAX_HOSTS} hosts are wanted")]
+    #[error("invalid value for key hosts_out: expected at most {MAX_HOSTS} hosts")]
     TooManyHosts,
     /// The name of a host is empty or too long.
-    #[error("the key hosts_out: {0:?}: names of 1 to {MAX_HOST_NAME} bytes are wanted")]
+    #[error("invalid value for key hosts_out: expected names of 1 to {MAX_HOST_NAME} bytes, found {0:?}")]
     HostName(String),
     /// The settings are invalid.
     #[error("{0}")]
@@ -104,8 +104,8 @@
         Ok(config.reloaded(self.overlay(&config.source))?.config)
     }
 
-    /// Returns a node's configuration until the document is active, or `None` if it does not change. Attempts
-    /// are limited by the lower of the two limits, whichever version the other nodes use.
+    /// Returns a node's configuration until the document is active, or `None` if it does not change. Other
+    /// nodes may activate the document earlier, so the lower of the two attempt limits applies.
     ///
     /// # Errors
     /// Returns an error if the settings are invalid in combination with the rest of the node's file.
--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -51,11 +51,11 @@
 /// Interval at which a voter retries to open a store that another process has. It participates without a vote
 /// in the meantime.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Minimum interval between log lines about voters with a different list, which send several messages per
-/// second.
+/// Minimum interval between log lines about voters with a different voter list, which send several messages
+/// per second.
 const MIN_MISMATCH_LOG_INTERVAL: Duration = Duration::from_secs(60);
-/// Number of leases after which a node whose version was superseded is ready again without having the new
-/// version.
+/// Number of leases for which a starting node that has applied no version, and knows that one is committed,
+/// waits for that version before it accepts clients.
 const MAX_SUPERSEDED_LEASES: f64 = 3.0;
 
 /// Reason why a node cannot participate in the replication.
@@ -339,8 +339,10 @@
         self.core.borrow_mut().set_codec(config.codec.clone());
     }
 
-    /// Returns whether this node may accept clients. It may not during its first lease until it knows the
-    /// active version, nor, if the cluster's file says so, while it is isolated.
+    /// Returns whether this node may accept clients. A starting node waits for the active version, but at
+    /// most for one lease, or for [`MAX_SUPERSEDED_LEASES`] if it knows that a version is committed. With
+    /// [`IsolationPolicy::StopAdmitting`] a node that has received no announcement, or is isolated, accepts
+    /// none at any time.
     pub fn is_ready(&self) -> bool {
         let (core, now) = (self.core.borrow(), self.now());
         let stops_admitting = self.config.when_isolated == IsolationPolicy::StopAdmitting;
@@ -380,12 +382,12 @@
 ) -> ReplicatedConfig {
     let node = node.clone();
     let validate = move |document: &[u8]| {
-        let node = node.upgrade().ok_or_else(|| InvalidDocument("the node ends".to_owned()))?;
+        let node = node.upgrade().ok_or_else(|| InvalidDocument("the node is shutting down".to_owned()))?;
         ConfigDocument::parse(document)
             .and_then(|document| document.validate(&node.config()))
             .map_err(|error| InvalidDocument(error.to_string()))
     };
     let settings = ReplicationSettings { local_voter, ..config.settings.clone() };
-    // Another seed at each start, so that echoes of an earlier process's clock are invalid for this one.
+    // Another seed at each start, so that replies that echo the clock of an earlier process are invalid.
     ReplicatedConfig::new(settings, config.codec.clone(), stored, Box::new(validate), random_seed(), now)
 }
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -1,5 +1,5 @@
-//! The policy of this node: passes it events and requests with the time of the node's clock, keeps it up to
-//! date with discovery, and performs the actions that it requests.
+//! Runs the policy of this node: passes it events and requests with the time of the node's clock, keeps it up
+//! to date with discovery, and performs the actions that it requests.
 //!
 //! A *server* of the policy is a *host* in the node's files, logs and admin interface.
 
@@ -282,8 +282,8 @@
         self.can_serve.get()
     }
 
-    /// Continues after a successor that had received the retry budget ended. How much it spent is unknown, so
-    /// no retries are made until the time window of the budget has passed.
+    /// Continues after the end of a successor that had received the retry budget. How much of it the
+    /// successor spent is unknown, so no retries are made until the time window of the budget has passed.
     pub fn continue_without_successor(&self) {
         self.with_balancer(|balancer, now| balancer.take_over_retry_budget(now, None, Micros(0)));
     }
--- a/crates/alderstile-node/src/discovery/endpoint_list.rs
+++ b/crates/alderstile-node/src/discovery/endpoint_list.rs
@@ -95,8 +95,8 @@
     }
 }
 
-/// Returns the numeric id of a host, a hash of its name. The id is the same at all nodes and after every
-/// restart, since the first host of a group is chosen by it.
+/// Returns the numeric id of a host, a hash of its name. The id must be the same at all nodes and after every
+/// restart, since the policy chooses the first host of a group by the ids.
 pub fn server_id(host: &str) -> ServerId {
     ServerId(alderstile_cluster::name_hash(host))
 }
--- a/crates/alderstile-node/src/discovery/json_framer.rs
+++ b/crates/alderstile-node/src/discovery/json_framer.rs
@@ -18,8 +18,8 @@
             self.track_nesting(*byte);
         }
         self.bytes.extend_from_slice(piece);
-        // A JSON string contains no line break. A value in which one does is malformed, and is returned so
-        // that the parser reports that.
+        // A JSON string contains no unescaped line break. A value with such a string is malformed, and is
+        // returned so that the parser reports the error.
         if !piece.ends_with(b"\n") || (self.depth > 0 && !self.in_string) {
             return None;
         }
--- a/crates/alderstile-node/src/discovery/lease.rs
+++ b/crates/alderstile-node/src/discovery/lease.rs
@@ -1,10 +1,10 @@
 //! The lease on the endpoint list: how long this node may act on the list that it has. Does no I/O.
 //!
-//! The platform considers a node notified of a change a fixed time after discovery had the change and was
-//! reachable, even if the change did not arrive. The node therefore holds a lease on its list, and renews it
-//! with each proof that no change was missed. After the lease has expired, hosts that may have changed
-//! receive no new requests. These are all hosts except those that accepted a request recently, since a
-//! draining host accepts none.
+//! The platform counts a node as notified of a change once a fixed time has passed since discovery had the
+//! change and was reachable, even if the change did not arrive. The node therefore holds a lease on its list,
+//! and renews it with each proof that no change was missed. After the lease has expired, hosts that may have
+//! changed receive no new requests. These are all hosts except those that accepted a request recently, since
+//! a draining host accepts none.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,7 +23,7 @@
     /// The end of the lease: no change that was missed counts as notified before this time.
     expires: Micros,
     /// Where lists are pushed to a local agent: how long a host may receive new requests after its drain was
-    /// notified. A change that the agent has counts as notified at once while no watch is open.
+    /// announced. While no watch is open, a change counts as notified as soon as the agent has it.
     push_grace: Option<Micros>,
     /// Whether discovery's address has changed and no answer has come from the new one.
     discovery_address_changed: bool,
--- a/crates/alderstile-node/src/discovery/watch.rs
+++ b/crates/alderstile-node/src/discovery/watch.rs
@@ -65,7 +65,7 @@
 impl WatchError {
     /// Distinguishes an unreachable discovery, which extends the lease, from any other connect error, which
     /// does not.
-    fn of_connect(error: io::Error) -> Self {
+    fn from_connect_error(error: io::Error) -> Self {
         use io::ErrorKind::{
             ConnectionRefused, ConnectionReset, HostUnreachable, NetworkUnreachable, TimedOut,
         };
@@ -179,8 +179,9 @@
 async fn connect(decisions: &Decisions, deadline: Instant) -> Result<TcpStream, WatchError> {
     let deadline = deadline.min(Instant::now() + CONNECT_TIMEOUT);
     let connected = timeout_at(deadline, TcpStream::connect(decisions.discovery_address())).await;
-    let stream =
-        connected.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())).map_err(WatchError::of_connect)?;
+    let stream = connected
+        .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+        .map_err(WatchError::from_connect_error)?;
     // The option fails only on a broken connection, which its first use reports.
     stream.set_nodelay(true).unwrap_or_default();
     Ok(stream)
@@ -196,8 +197,8 @@
     let mut framer = JsonFramer::default();
     let (mut first_line, mut last_line_at) = (true, Instant::now());
     loop {
-        // Only a complete line resets the timeout, so that a watch that trickles parts of a line is not kept
-        // for ever.
+        // Only a complete line resets the timeout, so that a watch that brings only parts of a line is not
+        // kept for ever.
         let frame = timeout_at(last_line_at + SILENCE_TIMEOUT, response.frame()).await;
         let Some(frame) = frame.map_err(|_| WatchError::Silent)? else { return Ok(()) };
         let Ok(data) = frame?.into_data() else { continue };
--- a/crates/alderstile-node/src/lifecycle/reload.rs
+++ b/crates/alderstile-node/src/lifecycle/reload.rs
@@ -1,7 +1,7 @@
 //! Configuration reload on SIGHUP.
 //!
 //! A file is applied completely or rejected completely. Keys that are fixed while the process runs
-//! (addresses, limits, zones and the name) take effect at the next start.
+//! (the name, the node's own addresses, limits, zones and the seed) take effect at the next start.
 
 use std::path::Path;
 
@@ -56,8 +56,10 @@
             if let (Some(replica), Some(config)) = (node.admin.replicated_config(), &config.replication) {
                 replica.set_keys(config);
             }
-            info!("cluster keys reloaded, all other keys of the cluster file deferred to the next start");
+            info!(
+                "authentication keys reloaded, other changes of the cluster file deferred to the next start"
+            );
         }
-        Err(error) => error!(%error, "cluster file rejected, active cluster keys kept"),
+        Err(error) => error!(%error, "cluster file rejected, active authentication keys kept"),
     }
 }
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -10,17 +10,18 @@
 use super::connection_handover;
 use crate::node::Node;
 
-/// Time reserved after the migrations for the last clients' lines and connection closes to be forwarded.
+/// Time reserved after the migrations, in which the lines of the last clients are forwarded and their
+/// connections are closed.
 const CLOSING_TIME: Duration = Duration::from_millis(600);
 /// Minimum time for which the listener stays open after the shutdown began. New connections still arrive for
 /// up to 0.4 s, even if the longest request deadline, and with it the shutdown, is short.
-const LATE_ARRIVALS: Duration = Duration::from_millis(450);
+const MIN_LISTENING_TIME: Duration = Duration::from_millis(450);
 /// How long before the shutdown's deadline clients that still wait for a host are answered, and those that
 /// have sent no first line are closed.
 ///
-/// The shutdown takes the longest request deadline plus 0.7 s, so a request that arrives up to 0.4 s after it
-/// began has had all of its time by then. The cutoff covers hosts that hang and requests whose deadline
-/// exceeds the shutdown's.
+/// The shutdown takes the longest request deadline plus 0.7 s, so the deadline of a request that arrives up
+/// to 0.4 s after the shutdown began has passed by then. The cutoff covers hosts that hang and requests whose
+/// deadline exceeds the shutdown's.
 const PENDING_CUTOFF_MARGIN: Duration = Duration::from_millis(250);
 /// How long before the shutdown's deadline the process ends, even if connections are still open.
 const END_MARGIN: Duration = Duration::from_millis(50);
@@ -35,7 +36,7 @@
     start: Instant,
     /// Clients are served as usual until then, and migrated afterwards.
     migrations_start: Instant,
-    /// All clients have been told to migrate by then.
+    /// By then the migration of all clients has been requested.
     migrations_end: Instant,
     pending_cutoff: Instant,
     end: Instant,
@@ -74,7 +75,7 @@
         sleep(STEP).await;
     }
     if node.process.other_process_serves() {
-        leave_to_other_process(&node, &accepting, schedule).await;
+        hand_over_to_other_process(&node, &accepting, schedule).await;
     }
     migrate_gradually(&node, schedule).await;
     // A connection that is established from now on is migrated, or handed over, by its own session.
@@ -82,7 +83,7 @@
         node.clients.migrate_all();
     }
     if !node.process.other_process_serves() {
-        sleep_until(schedule.start + LATE_ARRIVALS).await;
+        sleep_until(schedule.start + MIN_LISTENING_TIME).await;
     }
     // The accept task closes the listener only when its queue is empty: connections that the kernel has
     // already accepted belong to clients, which must be answered.
@@ -116,7 +117,7 @@
 
 /// Stops accepting, releases the sockets that only one process may have open, and hands connections over to a
 /// successor.
-async fn leave_to_other_process(node: &Node, accepting: &JoinHandle<()>, schedule: Schedule) {
+async fn hand_over_to_other_process(node: &Node, accepting: &JoinHandle<()>, schedule: Schedule) {
     info!("client address left to the other process");
     node.process.stop_accepting.notify_one();
     // The task does not finish in a successor that can't serve yet: it has not opened its listener.
@@ -128,7 +129,8 @@
     node.admin.membership().iter().for_each(|cluster| cluster.release_socket());
     let Some(other) = node.process.other_process() else { return };
     other.send_stopped_accepting();
-    // A successor that is stopped first migrates its clients: its predecessor accepts no connections back.
+    // A successor that is stopped before its predecessor migrates its clients: a predecessor takes no
+    // connections over.
     if other.is_successor {
         match connection_handover::connect(&node.config()) {
             Ok(socket) => node.clients.hand_over_all(socket),
--- a/crates/alderstile-node/src/node.rs
+++ b/crates/alderstile-node/src/node.rs
@@ -19,7 +19,7 @@
 /// The state that the tasks of one process share. Each task receives only the parts that it needs.
 pub struct Node {
     config: Rc<ActiveConfig>,
-    /// The decisions and the endpoint list.
+    /// The policy and the endpoint list.
     pub decisions: Rc<Decisions>,
     /// The clients of this process.
     pub clients: Rc<Clients>,
@@ -70,7 +70,7 @@
         self.admin.is_ready() || self.process.other_process_serves()
     }
 
-    /// Performs the actions that the decisions request, for as long as the node runs. `broadcast` sends a
+    /// Performs the actions that the policy requests, for as long as the node runs. `broadcast` sends a
     /// message to all other nodes.
     pub async fn run(self: Rc<Self>, broadcast: impl Fn(&[u8])) {
         let clients = self.clients.clone();
@@ -89,7 +89,7 @@
             discovery: Some(self.decisions.discovery_address()),
             endpoints: self.decisions.complete_list(),
             lease_remaining_us: Some(self.decisions.lease_remaining().0),
-            host_maintenance: self.admin.maintained_hosts(),
+            host_maintenance: self.admin.maintenance_states(),
             request_ids: self.clients.known_request_ids(),
             descriptors_in_use: self.clients.descriptors_in_use(),
             member: self.admin.membership().map(|membership| membership.handover_state()),
@@ -100,10 +100,10 @@
     /// Takes over the state of the predecessor. Requests the endpoint list at once, because the predecessor's
     /// watch ends with it.
     pub fn take_over(&self, state: &UpgradeState) {
-        let in_force = self.admin.maintained_hosts();
+        let loaded_states = self.admin.maintenance_states();
         for (host, maintenance) in &state.host_maintenance {
             // The maintenance file of this process has been applied already.
-            if in_force.get(host) != Some(maintenance) {
+            if loaded_states.get(host) != Some(maintenance) {
                 self.admin.apply_maintenance(host, *maintenance);
             }
         }
@@ -142,7 +142,7 @@
     }
 
     fn return_host_to_service(&self, host: &str) {
-        let maintenance = self.admin.maintained_hosts().get(host).copied();
+        let maintenance = self.admin.maintenance_states().get(host).copied();
         if maintenance != Some(MaintenanceState::OutOfService) {
             self.decisions.with_balancer(|balancer, now| balancer.end_maintenance(now, server_id(host), now));
         }
--- a/crates/alderstile-node/src/proxy/line_stream.rs
+++ b/crates/alderstile-node/src/proxy/line_stream.rs
@@ -15,7 +15,8 @@
 /// How long the node waits for the peer to close after it has shut down its own sending side. Closing a
 /// socket with unread bytes sends a reset, which can destroy data that the peer has not read.
 const LINGER: Duration = Duration::from_millis(500);
-/// The number of bytes read and discarded meanwhile, which bounds the cost of a peer that sends without end.
+/// The number of bytes read and discarded during [`LINGER`]. Bounds the cost of a peer that sends without
+/// end.
 const LINGER_MAX_BYTES: usize = 1 << 18;
 /// The number of bytes that a waiting peer may send beyond those buffered: eight lines of the maximum length.
 /// With many more the receive buffer of the system fills up, and the end of the connection can no longer be
--- a/crates/alderstile-node/src/proxy/listener.rs
+++ b/crates/alderstile-node/src/proxy/listener.rs
@@ -20,7 +20,7 @@
 const ACCEPT_QUEUE: u32 = 4096;
 /// The pause in accepting after an error or at a limit, neither of which an immediate retry would resolve.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// How long closing a listener may wait for descriptors. The queued clients wait as long.
+/// How long closing a listener may wait for descriptors. The queued clients wait for that long, too.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Listens on an address.
@@ -32,8 +32,8 @@
     listen(address, false)
 }
 
-/// Listens on the client address. If the configuration has a state folder, the node's successor may listen on
-/// the same address at the same time.
+/// Listens on the client address. If the configuration has a state directory, the node's successor may listen
+/// on the same address at the same time.
 ///
 /// # Errors
 ///
@@ -132,9 +132,9 @@
     Io(#[from] io::Error),
 }
 
-/// Accepts the queued clients, and closes the listener in the same step in which the queue is found empty. If
-/// the other process has a separate socket, a client that arrives between the two is reset. Afterwards only
-/// the other process listens on the address.
+/// Accepts the queued clients, and closes the listener in the same step in which the queue is found empty.
+/// Afterwards only the other process listens on the address. If that process has a separate socket, a client
+/// that arrives after the last accept and before the close is reset.
 async fn close(node: &Rc<Node>, listener: TcpListener) {
     let deadline = Instant::now() + CLOSE_TIMEOUT;
     let listener = match listener.into_std() {
--- a/crates/alderstile-node/src/proxy/pending_clients.rs
+++ b/crates/alderstile-node/src/proxy/pending_clients.rs
@@ -43,7 +43,7 @@
         self.capacity
     }
 
-    /// Evicts the oldest connection if no slot is free; returns whether one is free then.
+    /// Evicts the oldest connection if no slot is free; returns whether a slot is free afterwards.
     pub fn ensure_free_slot(&self) -> bool {
         if self.has_free_slot() {
             return true;
--- a/crates/alderstile-node/src/proxy/protocol.rs
+++ b/crates/alderstile-node/src/proxy/protocol.rs
@@ -28,15 +28,15 @@
 /// A client's request for a connection to a host: the line `OPEN id key name=value,...`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OpenRequest<'a> {
-    /// The id of the connection, which must be new for each one.
+    /// The id of the request; each connection must use a new one.
     pub id: &'a [u8],
-    /// The key of the flow.
+    /// The key of the flow, which only the host uses.
     pub flow_key: &'a [u8],
     /// The name of the request's class; `c` on the wire.
     pub class: &'a [u8],
     /// How long the client waits, in milliseconds; `d` on the wire.
     pub wait_ms: u64,
-    /// The client or its group; `g` on the wire.
+    /// The id of the client or of its group; `g` on the wire.
     pub group: Option<&'a [u8]>,
     /// The host to which the connection was open before this node's start; `at` on the wire.
     pub previous_host: Option<&'a [u8]>,
@@ -121,7 +121,7 @@
 pub enum HostLine {
     /// The connection is established.
     Up,
-    /// The connection was completed.
+    /// The request was served to its end.
     Bye,
     /// The client is to migrate.
     Move,
--- a/crates/alderstile-node/src/proxy/relay.rs
+++ b/crates/alderstile-node/src/proxy/relay.rs
@@ -17,8 +17,9 @@
 use crate::decisions::{Decisions, sleep_until};
 
 /// How long a client's lines may stay unanswered before the client is migrated. TCP keep-alive does not
-/// detect a silent host. The timeout also covers a host that stops right after an answer: this shows only
-/// with the client's next line, up to 2 s later, and 7 s after the last answer the client counts as lost.
+/// detect a silent host. The client counts as lost 7 s after the last answer. The timeout is short enough for
+/// a host that stops right after an answer, which shows only when the client's next line, sent up to 2 s
+/// later, is not answered.
 const HOST_SILENCE_TIMEOUT: Duration = Duration::from_millis(4_000);
 /// The timeout for writing the last lines to the client, which must be notified of the end within a second.
 const LAST_LINES_TIMEOUT: Duration = Duration::from_millis(500);
@@ -194,7 +195,7 @@
     host: &'a mut LineStream,
     migration: &'a MigrationSignal,
     monitor: Monitor<'a>,
-    /// Since when the client has read nothing while lines are buffered for it.
+    /// The time since which the client has read nothing, although lines are buffered for it.
     client_stalled_since: Option<Instant>,
 }
 
@@ -242,8 +243,8 @@
             if to_client.is_err() {
                 return RelayEnd::reset(TerminationReason::ClientReset);
             }
-            // Also waits after bytes were read: this yields to other tasks, so that one flood does not occupy
-            // the core.
+            // Also waits after bytes were read: this yields to other tasks, so that one side that sends
+            // without pause does not occupy the processor.
             if let Some(end) = self.wait().await {
                 return end;
             }
@@ -280,7 +281,8 @@
         }
     }
 
-    /// Waits until a side is ready; returns the end of the relay if it is to migrate or a timeout expires.
+    /// Waits until a side is ready; returns the end of the relay if the client is to migrate or a timeout
+    /// expires.
     async fn wait(&mut self) -> Option<RelayEnd> {
         let lines_for_client = !self.host.buffer.complete_lines().is_empty();
         let lines_for_host = !self.client.buffer.complete_lines().is_empty();
--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -19,14 +19,14 @@
     Established(LineStream, Rc<str>),
     /// The attempt failed.
     Failed(Outcome),
-    /// The client's connection ended, or sent a line that is too long.
+    /// The client disconnected, or sent a line that is too long.
     ClientEnded(ReadError),
 }
 
 /// Why a step of an attempt is aborted.
 #[derive(Debug, Error)]
 pub(super) enum AbortCause {
-    /// The client's connection ended, or sent a line that is too long.
+    /// The client disconnected, or sent a line that is too long.
     #[error("client connection ended: {0}")]
     Client(#[from] ReadError),
     /// The shutdown timeout is about to expire, and clients that still wait are answered.
@@ -138,9 +138,10 @@
         let mut written = 0;
         while written == 0 || written < line.len() {
             if written == 0 {
-                // While the connection was established the client's wait may have expired, or a list or an
-                // operator may have closed the host to new requests. Sending must be allowed at the first
-                // byte; the client itself was polled in this step.
+                // While the connection was being established, the client's wait may have expired, or an
+                // endpoint list or an operator may have closed the host to new requests. Both are checked
+                // again directly before the first byte; that the client is still connected was checked in
+                // this step already.
                 let left_ms = until.saturating_duration_since(Instant::now()).as_millis();
                 if left_ms == 0 || !may_send() {
                     return Err(AttemptError::Failed(Outcome::NotForwarded));
--- a/crates/alderstile-node/src/proxy/session/handover.rs
+++ b/crates/alderstile-node/src/proxy/session/handover.rs
@@ -1,5 +1,5 @@
-//! Connection handover: hands an established connection over to the successor, and resumes one of the
-//! predecessor.
+//! Connection handover: hands an established connection over to the successor, and resumes a connection that
+//! the predecessor has handed over.
 
 use std::io;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     /// # Errors
     ///
     /// Fails if the connection cannot be sent to the successor, or if the successor ends before it
-    /// acknowledges it.
+    /// acknowledges the connection.
     pub(super) async fn hand_over(
         &self,
         client: &LineStream,
@@ -53,7 +53,7 @@
         };
         connection_handover::send(&to, connection, [&client.socket, &host.socket]).await?;
         // A successor may end before it has read the message, so both sockets stay open here until it
-        // acknowledges them. A successor of an older version sends no acknowledgement.
+        // acknowledges the connection. A successor of an older version sends no acknowledgement.
         let Some(mut ack) = ack else { return Ok(()) };
         match timeout(MESSAGE_TIMEOUT, ack.acknowledged()).await {
             Ok(Err(closed)) => Err(io::Error::new(io::ErrorKind::ConnectionAborted, closed)),
--- a/crates/alderstile-node/src/proxy/session/mod.rs
+++ b/crates/alderstile-node/src/proxy/session/mod.rs
@@ -130,8 +130,8 @@
     /// Converts the request to that of the policy. `remaining` is the time for which the client still waits.
     fn connection_request(&self, remaining: Duration) -> ConnectionRequest {
         let group = self.request.group.map(group_number);
-        // Both are passed: whether groups are used depends on the settings, and those of a shadow instance
-        // may differ.
+        // The group is passed as the key, too. The settings decide which of the two is used, and those of a
+        // shadow instance may differ from the active ones.
         ConnectionRequest {
             class: self.class,
             group: group.map(GroupId),
@@ -203,7 +203,8 @@
     }
 }
 
-/// Returns the numeric id of a client or group: ids are 16 hexadecimal digits, and any other text is hashed.
+/// Returns the numeric id of a client or group: the value of a hexadecimal number of 64 bits at most, or a
+/// hash of any other text.
 fn group_number(group: &[u8]) -> u64 {
     let text = String::from_utf8_lossy(group);
     u64::from_str_radix(&text, 16).unwrap_or_else(|_| server_id(&text).0)
--- a/crates/alderstile-sim-adapter/src/wire/decode.rs
+++ b/crates/alderstile-sim-adapter/src/wire/decode.rs
@@ -13,7 +13,7 @@
 
 /// Request flag: the request states its expected load.
 const FLAG_HAS_EXPECTED_LOAD: u16 = 1;
-/// Request flag: the packet belongs to a connection that a server already has.
+/// Request flag: the request consists of packets of a connection that a server already holds.
 const FLAG_MID_FLOW: u16 = 8;
 
 /// One record of a batch.
@@ -21,7 +21,7 @@
 pub struct Record {
     /// The number of the instance that the record is for.
     pub instance: u16,
-    /// What the record tells the instance.
+    /// The content of the record.
     pub body: RecordBody,
 }
 
