--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -28,8 +28,7 @@
 const ANSWER_IN_FLIGHT_DELAY: u64 = 2_000;
 /// Longest delay before a rejected client reconnects, microseconds.
 const MAX_RECONNECT_DELAY: u64 = 2_000_000;
-/// Time from which on the imbalance of connections over hosts is sampled, microseconds: clients have to
-/// arrive first.
+/// Time at which sampling of the imbalance over hosts begins, microseconds: clients have to arrive first.
 const IMBALANCE_SAMPLES_START: u64 = 5_000_000;
 
 impl Simulation<'_> {
--- a/crates/alderstile-lab/src/emulated/traffic.rs
+++ b/crates/alderstile-lab/src/emulated/traffic.rs
@@ -230,7 +230,7 @@
     share_tables: ShareTableCache,
     pub(super) strategy: Strategy,
     pub(super) balancer_settings: BalancerSettings,
-    /// Message delay from which on hosts report it, microseconds.
+    /// Message delay at or above which a host reports it, microseconds.
     pub(super) delay_report_threshold: u64,
     pub(super) hosts: Vec<Host>,
     /// State and start time of each host as discovery lists it.
@@ -498,8 +498,6 @@
         (!link.cut).then(|| micros(delay_s).max(1))
     }
 
-    // ---- nodes ----
-
     /// Starts the balancer of a node. With `knows_list` (at the start of a run) the node has the endpoint
     /// list at once.
     pub(super) fn start_traffic_node(&mut self, node: usize, knows_list: bool) {
