--- a/crates/alderstile-lab/examples/foca.rs
+++ b/crates/alderstile-lab/examples/foca.rs
@@ -1,5 +1,6 @@
-//! `foca` 2.0 under the conditions of `examples/lab/emulated/lossy.toml`, to weigh it (`docs/cluster.md`): thirty members, 10% of
-//! datagrams lost, two at a time paused for 2 s. Not used by the program.
+//! Simulation of the membership library `foca` 2.0 under the conditions of `examples/lab/emulated/lossy.toml`, for the
+//! comparison in `docs/cluster.md`: thirty members, 10% of datagrams lost, two members at a time paused for 2 s. Not used by
+//! the program.
 //!
 //!     cargo run --release -p alderstile-lab --example foca
 
@@ -17,10 +18,10 @@
 use serde::{Deserialize, Serialize};
 
 const MEMBERS: usize = 30;
-const SECONDS: u64 = 30_000;
-const PERIOD: Duration = Duration::from_secs(1);
-/// As the core of our own: three periods for each power of ten.
-const SUSPICION: Duration = Duration::from_millis(4_431);
+const SIMULATED_SECONDS: u64 = 30_000;
+const PROBE_PERIOD: Duration = Duration::from_secs(1);
+/// Suspicion timeout of alderstile's own membership: three periods per power of ten of the number of members.
+const SUSPICION_TIMEOUT: Duration = Duration::from_millis(4_431);
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct Id {
@@ -44,63 +45,64 @@
     }
 }
 
-enum What {
-    Comes(usize, Vec<u8>),
-    Due(usize, Timer<Id>),
+enum Event {
+    Datagram(usize, Vec<u8>),
+    Timer(usize, Timer<Id>),
     Pause,
     Resume(Vec<usize>),
 }
 
 type Member = Foca<Id, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>;
 
-struct World {
+struct Simulation {
     now: u64,
-    made: u64,
+    events_created: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
-    whats: std::collections::BTreeMap<u64, What>,
+    events: std::collections::BTreeMap<u64, Event>,
     rng: Pcg64Mcg,
     paused: [bool; MEMBERS],
-    waiting: Vec<Vec<What>>,
-    /// Since when a member holds another down, and whether both were well then.
+    deferred: Vec<Vec<Event>>,
+    /// By observer and subject: since when the observer considers the subject down, in microseconds, and whether both were
+    /// running then.
     down: Vec<Vec<Option<(u64, bool)>>>,
-    falsely: usize,
-    longest: u64,
+    false_positives: usize,
+    longest_us: u64,
     sent: u64,
 }
 
-impl World {
-    fn add(&mut self, after: u64, what: What) {
-        self.made += 1;
-        self.queue.push(Reverse((self.now + after, self.made)));
-        self.whats.insert(self.made, what);
+impl Simulation {
+    fn schedule(&mut self, delay_us: u64, event: Event) {
+        self.events_created += 1;
+        self.queue.push(Reverse((self.now + delay_us, self.events_created)));
+        self.events.insert(self.events_created, event);
     }
 
-    fn well(&self, node: usize) -> bool {
+    fn is_running(&self, node: usize) -> bool {
         !self.paused[node]
     }
 
-    fn drain(&mut self, node: usize, runtime: &mut AccumulatingRuntime<Id>) {
+    fn process_output(&mut self, node: usize, runtime: &mut AccumulatingRuntime<Id>) {
         while let Some((to, data)) = runtime.to_send() {
             self.sent += data.len() as u64;
             if self.rng.random::<f64>() >= 0.1 {
-                let late = 500 + (self.rng.random::<f64>() * 1_000.0) as u64;
-                self.add(late, What::Comes(usize::from(to.node), data.to_vec()));
+                let delay_us = 500 + (self.rng.random::<f64>() * 1_000.0) as u64;
+                self.schedule(delay_us, Event::Datagram(usize::from(to.node), data.to_vec()));
             }
         }
         while let Some((after, timer)) = runtime.to_schedule() {
-            self.add(after.as_micros() as u64, What::Due(node, timer));
+            self.schedule(after.as_micros() as u64, Event::Timer(node, timer));
         }
-        while let Some(told) = runtime.to_notify() {
-            match told {
-                OwnedNotification::MemberDown(of) => {
-                    let of = usize::from(of.node);
-                    let well = self.well(of) && self.well(node);
-                    self.down[node][of] = Some((self.now, well));
+        while let Some(notification) = runtime.to_notify() {
+            match notification {
+                OwnedNotification::MemberDown(subject) => {
+                    let subject = usize::from(subject.node);
+                    let both_running = self.is_running(subject) && self.is_running(node);
+                    self.down[node][subject] = Some((self.now, both_running));
                 }
-                OwnedNotification::MemberUp(of) => {
-                    if let Some((since, true)) = self.down[node][usize::from(of.node)].take() {
-                        self.falsely += 1;
-                        self.longest = self.longest.max(self.now - since);
+                OwnedNotification::MemberUp(subject) => {
+                    if let Some((since, true)) = self.down[node][usize::from(subject.node)].take() {
+                        self.false_positives += 1;
+                        self.longest_us = self.longest_us.max(self.now - since);
                     }
                 }
                 _ => {}
@@ -110,41 +112,41 @@
 }
 
 fn main() {
-    for (name, gossip, announced) in [
-        ("probes alone", false, 0),
-        ("its settings for a local network", true, 30),
-        ("the same, announced each second", true, 1),
+    for (name, gossip, announce_periods) in [
+        ("probes only", false, 0),
+        ("local-network settings", true, 30),
+        ("local-network settings, announced every second", true, 1),
     ] {
         let mut config = Config::simple();
-        config.probe_period = PERIOD;
+        config.probe_period = PROBE_PERIOD;
         config.probe_rtt = Duration::from_millis(250);
         config.num_indirect_probes = NonZeroUsize::new(3).expect("three");
-        config.max_transmissions = NonZeroU8::new(15).expect("as many as 3 log2(30)");
-        config.suspect_to_down_after = SUSPICION;
-        config.max_packet_size = NonZeroUsize::new(1_200).expect("as ours");
+        config.max_transmissions = NonZeroU8::new(15).expect("about 3 log2(30), as alderstile");
+        config.suspect_to_down_after = SUSPICION_TIMEOUT;
+        config.max_packet_size = NonZeroUsize::new(1_200).expect("the limit of alderstile");
         config.notify_down_members = true;
         if gossip {
-            // Its own settings for a local network, but for the times.
-            let often = Duration::from_millis(200);
-            let each = |frequency, n| {
-                let num_members = NonZeroUsize::new(n).expect("some");
+            // The settings that foca provides for a local network, except for the intervals.
+            let gossip_interval = Duration::from_millis(200);
+            let periodic = |frequency, count| {
+                let num_members = NonZeroUsize::new(count).expect("at least one");
                 PeriodicParams { frequency, num_members }
             };
-            config.periodic_gossip = Some(each(often, 3));
-            config.periodic_announce = Some(each(announced * PERIOD, 1));
-            config.periodic_announce_to_down_members = Some(each(2 * announced * PERIOD, 2));
+            config.periodic_gossip = Some(periodic(gossip_interval, 3));
+            config.periodic_announce = Some(periodic(announce_periods * PROBE_PERIOD, 1));
+            config.periodic_announce_to_down_members = Some(periodic(2 * announce_periods * PROBE_PERIOD, 2));
         }
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 0,
-            made: 0,
+            events_created: 0,
             queue: BinaryHeap::new(),
-            whats: Default::default(),
+            events: Default::default(),
             rng: Pcg64Mcg::seed_from_u64(1),
             paused: [false; MEMBERS],
-            waiting: (0..MEMBERS).map(|_| Vec::new()).collect(),
+            deferred: (0..MEMBERS).map(|_| Vec::new()).collect(),
             down: vec![vec![None; MEMBERS]; MEMBERS],
-            falsely: 0,
-            longest: 0,
+            false_positives: 0,
+            longest_us: 0,
             sent: 0,
         };
         let id = |node: usize| Id { node: node as u16, generation: 0 };
@@ -156,58 +158,58 @@
         for (node, member) in members.iter_mut().enumerate().skip(1) {
             let mut runtime = AccumulatingRuntime::new();
             member.announce(id(0), &mut runtime).expect("announced");
-            world.drain(node, &mut runtime);
+            simulation.process_output(node, &mut runtime);
         }
-        world.add(30_000_000, What::Pause);
-        while let Some(Reverse((at, number))) = world.queue.pop() {
-            if at > SECONDS * 1_000_000 {
+        simulation.schedule(30_000_000, Event::Pause);
+        while let Some(Reverse((at, number))) = simulation.queue.pop() {
+            if at > SIMULATED_SECONDS * 1_000_000 {
                 break;
             }
-            world.now = at;
-            let Some(what) = world.whats.remove(&number) else { continue };
-            match what {
-                What::Pause => {
-                    let mut still = Vec::new();
-                    while still.len() < 2 {
-                        let node = world.rng.random_range(0..MEMBERS);
-                        if !still.contains(&node) {
-                            still.push(node);
-                            world.paused[node] = true;
+            simulation.now = at;
+            let Some(event) = simulation.events.remove(&number) else { continue };
+            match event {
+                Event::Pause => {
+                    let mut paused_nodes = Vec::new();
+                    while paused_nodes.len() < 2 {
+                        let node = simulation.rng.random_range(0..MEMBERS);
+                        if !paused_nodes.contains(&node) {
+                            paused_nodes.push(node);
+                            simulation.paused[node] = true;
                         }
                     }
-                    world.add(2_000_000, What::Resume(still));
-                    world.add(2_500_000, What::Pause);
+                    simulation.schedule(2_000_000, Event::Resume(paused_nodes));
+                    simulation.schedule(2_500_000, Event::Pause);
                 }
-                What::Resume(nodes) => {
+                Event::Resume(nodes) => {
                     for node in nodes {
-                        world.paused[node] = false;
-                        for what in std::mem::take(&mut world.waiting[node]) {
-                            world.add(1, what);
+                        simulation.paused[node] = false;
+                        for event in std::mem::take(&mut simulation.deferred[node]) {
+                            simulation.schedule(1, event);
                         }
                     }
                 }
-                What::Comes(node, _) | What::Due(node, _) if world.paused[node] => {
-                    world.waiting[node].push(what)
+                Event::Datagram(node, _) | Event::Timer(node, _) if simulation.paused[node] => {
+                    simulation.deferred[node].push(event)
                 }
-                What::Comes(node, data) => {
+                Event::Datagram(node, data) => {
                     let mut runtime = AccumulatingRuntime::new();
-                    // What it turns down changes nothing.
+                    // A rejected datagram changes nothing.
                     let _ = members[node].handle_data(&data, &mut runtime);
-                    world.drain(node, &mut runtime);
+                    simulation.process_output(node, &mut runtime);
                 }
-                What::Due(node, timer) => {
+                Event::Timer(node, timer) => {
                     let mut runtime = AccumulatingRuntime::new();
                     let _ = members[node].handle_timer(timer, &mut runtime);
-                    world.drain(node, &mut runtime);
+                    simulation.process_output(node, &mut runtime);
                 }
             }
         }
-        let bytes = world.sent as f64 / (SECONDS as f64 * MEMBERS as f64);
+        let bytes = simulation.sent as f64 / (SIMULATED_SECONDS as f64 * MEMBERS as f64);
         println!(
-            "{name}: {} pairs held down though well in {:.0} member-hours, the longest for {:.1} s; {bytes:.0} bytes a second a member",
-            world.falsely,
-            (SECONDS * MEMBERS as u64) as f64 / 3_600.0,
-            world.longest as f64 / 1e6,
+            "{name}: {} false positives (pairs) in {:.0} member-hours, the longest {:.1} s; {bytes:.0} bytes per second and member",
+            simulation.false_positives,
+            (SIMULATED_SECONDS * MEMBERS as u64) as f64 / 3_600.0,
+            simulation.longest_us as f64 / 1e6,
         );
     }
 }
--- a/examples/client.py
+++ b/examples/client.py
@@ -1,43 +1,43 @@
-"""A client: asks to be served, says a line every 2 s, and comes again when it is told to move.
+"""An example client: sends a request, sends a line every 2 s, and reconnects when it is asked to migrate (MOVE).
 
-An argument is its group, 16 hexadecimal digits."""
+The optional argument is the group of the client, 16 hexadecimal digits."""
 
 import random
 import socket
 import sys
 import time
 
-GROUP = f",g={sys.argv[1]}" if len(sys.argv) > 1 else ""
+GROUP_PARAMETER = f",g={sys.argv[1]}" if len(sys.argv) > 1 else ""
 
 
-def once(lines):
-    """Serves itself of one connection; true if it was told to move."""
+def run_connection(lines):
+    """Runs one connection until it ends; returns whether it ended with MOVE."""
     with socket.create_connection(("127.0.0.1", 9000), timeout=5) as connection:
-        said = connection.makefile("rwb")
+        stream = connection.makefile("rwb")
 
-        def say(line):
+        def send(line):
             print(">", line, flush=True)
-            said.write(f"{line}\r\n".encode())
-            said.flush()
-
-        say(f"OPEN {random.getrandbits(64):016x} 00000000000000aa c=chat,d=2000{GROUP}")
-        for line in said:
-            word = line.decode().strip()
-            print("<", word, flush=True)
-            if word == "MOVE":
+            stream.write(f"{line}\r\n".encode())
+            stream.flush()
+
+        send(f"OPEN {random.getrandbits(64):016x} 00000000000000aa c=chat,d=2000{GROUP_PARAMETER}")
+        for line in stream:
+            reply = line.decode().strip()
+            print("<", reply, flush=True)
+            if reply == "MOVE":
                 return True
-            if word.startswith("UP") or word.startswith("M "):
+            if reply.startswith("UP") or reply.startswith("M "):
                 if not lines:
                     return False
-                if not word.startswith("UP"):
+                if not reply.startswith("UP"):
                     time.sleep(2)
-                say(f"M {lines.pop(0)}")
+                send(f"M {lines.pop(0)}")
     return False
 
 
 lines = list(range(1, 6))
 try:
-    while once(lines):
+    while run_connection(lines):
         time.sleep(0.5)
 except OSError as error:
-    print(f"no node: {error}")
+    print(f"connection to the node failed: {error}")
