--- a/crates/alderstile-lab/examples/broken_node.rs
+++ b/crates/alderstile-lab/examples/broken_node.rs
@@ -1,5 +1,5 @@
-//! A stub node that deliberately violates one rule, to test that the checkers detect it: `broken_node serve --config FILE
-//! --break WHAT`. Only tests use it.
+//! A stub node that deliberately violates one rule, to test that the checkers detect it: `broken_node serve
+//! --config FILE --break WHAT`. Only tests use it.
 
 use std::io;
 use std::net::SocketAddr;
--- a/crates/alderstile-lab/examples/foca.rs
+++ b/crates/alderstile-lab/examples/foca.rs
@@ -1,6 +1,6 @@
-//! Simulation of the membership library `foca` 2.0 under the conditions of `examples/lab/emulated/lossy.toml`, for the
-//! comparison in `docs/cluster.md`: thirty members, 10% of datagrams lost, two members at a time paused for 2 s. Not used by
-//! the program.
+//! Simulation of the membership library `foca` 2.0 under the conditions of
+//! `examples/lab/emulated/lossy.toml`, for the comparison in `docs/cluster.md`: thirty members, 10% of
+//! datagrams lost, two members at a time paused for 2 s. Not used by the program.
 //!
 //!     cargo run --release -p alderstile-lab --example foca
 
@@ -62,8 +62,8 @@
     rng: Pcg64Mcg,
     paused: [bool; MEMBERS],
     deferred: Vec<Vec<Event>>,
-    /// By observer and subject: since when the observer considers the subject down, in microseconds, and whether both were
-    /// running then.
+    /// By observer and subject: since when the observer considers the subject down, in microseconds, and
+    /// whether both were running then.
     down: Vec<Vec<Option<(u64, bool)>>>,
     false_positives: usize,
     longest_us: u64,
--- a/crates/alderstile-lab/src/charts.rs
+++ b/crates/alderstile-lab/src/charts.rs
@@ -51,7 +51,8 @@
     pub y: &'a str,
 }
 
-/// Draws the points of each series, the line fitted to them where there is one, and `limit` as a horizontal line.
+/// Draws the points of each series, the line fitted to them where there is one, and `limit` as a horizontal
+/// line.
 ///
 /// # Errors
 ///
--- a/crates/alderstile-lab/src/compare.rs
+++ b/crates/alderstile-lab/src/compare.rs
@@ -1,4 +1,5 @@
-//! Comparison of load-balancing strategies: each plays the same emulated schedule at the same seeds, on all cores.
+//! Comparison of load-balancing strategies: each plays the same emulated schedule at the same seeds, on all
+//! cores.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -11,8 +12,8 @@
 use crate::history::History;
 use crate::schedule::{Plan, ScheduleError};
 
-/// Quantiles of Student's t distribution for a two-sided 95% interval, from one degree of freedom on. Beyond the table
-/// the quantile of the normal distribution is close enough.
+/// Quantiles of Student's t distribution for a two-sided 95% interval, from one degree of freedom on. Beyond
+/// the table the quantile of the normal distribution is close enough.
 const STUDENT_T_95: [f64; 20] = [
     12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131,
     2.120, 2.110, 2.101, 2.093, 2.086,
@@ -98,7 +99,8 @@
     let worker = || {
         while let Some(&(plan, strategy)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
             let metrics = emulated::run(&plans[plan], strategy, &History::unread());
-            // A poisoned lock is harmless: a panic of one worker fails the whole comparison when the scope joins it.
+            // A poisoned lock is harmless: a panic of one worker fails the whole comparison when the scope
+            // joins it.
             finished.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((strategy, plan, metrics));
         }
     };
--- a/crates/alderstile-lab/src/fit.rs
+++ b/crates/alderstile-lab/src/fit.rs
@@ -11,8 +11,8 @@
     pub slope_error: Option<f64>,
     /// Standard deviation of the residuals; `None` with two points.
     pub residual_deviation: Option<f64>,
-    /// Coefficient of determination: the share of the variance of y that the line explains; `None` if all y are
-    /// equal.
+    /// Coefficient of determination: the share of the variance of y that the line explains; `None` if all y
+    /// are equal.
     pub r_squared: Option<f64>,
     /// Number of points.
     pub points: usize,
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -57,8 +57,8 @@
         /// Seed, overrides that of the file
         #[arg(long)]
         seed: Option<u64>,
-        /// Load-balancing strategy of emulated nodes: module, random, least, two, subset, oracle; module+subsets also
-        /// enables a feature
+        /// Load-balancing strategy of emulated nodes: module, random, least, two, subset, oracle;
+        /// module+subsets also enables a feature
         #[arg(long = "choose", value_name = "CHOOSE", default_value = "module")]
         strategy: StrategySpec,
         /// Directory for the history and the logs of the nodes
@@ -109,8 +109,8 @@
         #[arg(long)]
         program: Option<PathBuf>,
     },
-    /// Measure one real node at several sizes: idle connections, lines, placements, endpoint lists, reconnects of all
-    /// clients
+    /// Measure one real node at several sizes: idle connections, lines, placements, endpoint lists,
+    /// reconnects of all clients
     ///
     /// Exits with 0, or 2 if a measurement failed; the results before it are kept.
     Measure {
--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -1,6 +1,6 @@
-//! Measures the cost of one real node at several sizes: a node process with stub hosts, stub clients and a stub for
-//! discovery. Processor time is that of the process, so that other load on the machine does not distort it; wall-clock
-//! times depend on the machine and its load.
+//! Measures the cost of one real node at several sizes: a node process with stub hosts, stub clients and a
+//! stub for discovery. Processor time is that of the process, so that other load on the machine does not
+//! distort it; wall-clock times depend on the machine and its load.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -30,8 +30,8 @@
 use crate::schedule::ScheduleError;
 use crate::tables::Row;
 
-/// Largest socket limit configured for the node. It is lower where the system's descriptor limit less 100 is lower, as a
-/// node needs some descriptors for other purposes.
+/// Largest socket limit configured for the node. It is lower where the system's descriptor limit less 100 is
+/// lower, as a node needs some descriptors for other purposes.
 const MAX_SOCKETS: u64 = 19_900;
 /// Maximum number of concurrent connection setups while clients are connected before a measurement.
 const MAX_CONCURRENT_SETUPS: usize = 100;
@@ -279,7 +279,8 @@
         read_counters(admin).await?.get(name).copied()
     }
 
-    /// Connects this number of clients, at most [`MAX_CONCURRENT_SETUPS`] at once, and waits until all are established.
+    /// Connects this number of clients, at most [`MAX_CONCURRENT_SETUPS`] at once, and waits until all are
+    /// established.
     async fn connect_clients(&self, clients: usize) -> Result<(), MeasureError> {
         self.clients.start_clients(clients, MAX_CONCURRENT_SETUPS);
         wait_until("connecting the clients", || self.clients.established.get() == clients).await
@@ -412,7 +413,8 @@
     Ok(rows)
 }
 
-/// Kills the node process, which disconnects all clients, and starts it again; all clients reconnect at the same time.
+/// Kills the node process, which disconnects all clients, and starts it again; all clients reconnect at the
+/// same time.
 async fn measure_reconnects(bed: &TestBed, clients: usize) -> Result<Vec<Row>, MeasureError> {
     bed.connect_clients(clients).await?;
     bed.clients.setup_permits.add_permits(clients);
@@ -521,7 +523,8 @@
     /// Runs one connection from its setup until it ends.
     async fn run_connection(&self) -> io::Result<()> {
         let mut stream = {
-            // The permit is held during the setup only. Acquiring it never fails: the semaphore lives as long as its clients.
+            // The permit is held during the setup only. Acquiring it never fails: the semaphore lives as long
+            // as its clients.
             let _permit = self.setup_permits.acquire().await.map_err(io::Error::other)?;
             self.open().await?
         };
@@ -583,7 +586,8 @@
                 let _ = ready.send(bind_result);
                 while let Some(HostCommand::BroadcastLine(done)) = received_commands.recv().await {
                     for stream in connections.borrow().values() {
-                        // A line of 100 bytes fits into the socket buffer if the client has read the previous one.
+                        // A line of 100 bytes fits into the socket buffer if the client has read the previous
+                        // one.
                         let _ = stream.try_write(BROADCAST_LINE.as_bytes());
                     }
                     let _ = done.send(());
--- a/crates/alderstile-lab/src/real.rs
+++ b/crates/alderstile-lab/src/real.rs
@@ -1,5 +1,5 @@
-//! Readings of one real node: processor time, memory and descriptors from `/proc`, and the counters that the node itself
-//! reports.
+//! Readings of one real node: processor time, memory and descriptors from `/proc`, and the counters that the
+//! node itself reports.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -24,8 +24,8 @@
     pub descriptors: usize,
 }
 
-/// Reads the resource usage of a process from `/proc`. Processor time comes from `schedstat`, which counts nanoseconds;
-/// `stat` counts ticks of 10 ms.
+/// Reads the resource usage of a process from `/proc`. Processor time comes from `schedstat`, which counts
+/// nanoseconds; `stat` counts ticks of 10 ms.
 ///
 /// # Errors
 ///
@@ -48,7 +48,8 @@
     text.split_whitespace().next().and_then(|word| word.parse().ok()).unwrap_or_default()
 }
 
-/// Reads the counters of a node from its admin address, by their names without the first component (`router.`).
+/// Reads the counters of a node from its admin address, by their names without the first component
+/// (`router.`).
 ///
 /// Returns `None` if the call fails or exceeds its timeout.
 pub async fn read_counters(admin: SocketAddr) -> Option<BTreeMap<String, u64>> {
@@ -57,7 +58,8 @@
     Some(parse_counters(&text))
 }
 
-/// Parses counters in the statsd line format, such as `router.members_alive:30|g`. Malformed lines are skipped.
+/// Parses counters in the statsd line format, such as `router.members_alive:30|g`. Malformed lines are
+/// skipped.
 pub fn parse_counters(text: &str) -> BTreeMap<String, u64> {
     let parse_line = |line: &str| {
         let (name, rest) = line.split_once(':')?;
--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -1,5 +1,5 @@
-//! Scale runs: clusters of hollow nodes ([`crate::hollow`]) and some real ones, at several sizes. Each run measures the cost
-//! of membership and how long its changes take to propagate.
+//! Scale runs: clusters of hollow nodes ([`crate::hollow`]) and some real ones, at several sizes. Each run
+//! measures the cost of membership and how long its changes take to propagate.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -36,7 +36,8 @@
 
 /// UDP port of membership.
 const MEMBERSHIP_PORT: u16 = 7_946;
-/// Interval at which the nodes are polled for what they know; the resolution of the delays measured at real nodes.
+/// Interval at which the nodes are polled for what they know; the resolution of the delays measured at real
+/// nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time over which the starts of the hollow nodes are spread.
 const START_SPREAD: Duration = Duration::from_secs(1);
@@ -93,8 +94,8 @@
 ///
 /// # Errors
 ///
-/// If a size can't be set up, a real node does not start, or a signal interrupts the run. A size that exceeds its time
-/// limit is logged, and the next one is run.
+/// If a size can't be set up, a real node does not start, or a signal interrupts the run. A size that exceeds
+/// its time limit is logged, and the next one is run.
 pub fn run(
     plan: &ScalePlan,
     program: &Path,
@@ -323,8 +324,8 @@
         Duration::from_secs_f64(periods * self.plan.period_s()).max(MIN_LEARN_TIMEOUT)
     }
 
-    /// Returns the time after which gossip about a change that all nodes know has ended: each node sends each change
-    /// 3 log2(N) times, about twice per period.
+    /// Returns the time after which gossip about a change that all nodes know has ended: each node sends each
+    /// change 3 log2(N) times, about twice per period.
     fn settle_time(&self) -> Duration {
         let periods = 3.0 * (self.size.members as f64).log2();
         Duration::from_secs_f64(periods * self.plan.period_s())
@@ -431,7 +432,8 @@
         Ok(())
     }
 
-    /// Starts all members within [`START_SPREAD`], with three of them as seeds, and waits until all see each other.
+    /// Starts all members within [`START_SPREAD`], with three of them as seeds, and waits until all see each
+    /// other.
     async fn start_all(&mut self) -> io::Result<()> {
         let phase = "start of all";
         info!(members = self.size.members, real = self.size.real, "scale run started");
@@ -531,8 +533,8 @@
         self.record_values(phase, "memory a real node (KB)", &real);
     }
 
-    /// Waits until the nodes send little more than in the quiet phase: gossip about earlier changes has ended. Stops after
-    /// [`MAX_GOSSIP_PERIODS`].
+    /// Waits until the nodes send little more than in the quiet phase: gossip about earlier changes has
+    /// ended. Stops after [`MAX_GOSSIP_PERIODS`].
     async fn wait_for_gossip_end(&mut self, phase: &str) {
         let start = self.network.now();
         let deadline = Duration::from_secs_f64(MAX_GOSSIP_PERIODS * self.plan.period_s());
@@ -569,7 +571,8 @@
 
     /// Waits until each observer has learned each change, by subject, and returns the observations.
     ///
-    /// With `real` it also waits until each real node counts this number of members, and returns when they did.
+    /// With `real` it also waits until each real node counts this number of members, and returns when they
+    /// did.
     async fn wait_until_learned(
         &mut self,
         phase: &str,
@@ -609,7 +612,8 @@
         }
     }
 
-    /// Records how long each change took to reach half of the nodes and all of them, and each death to be suspected first.
+    /// Records how long each change took to reach half of the nodes and all of them, and each death to be
+    /// suspected first.
     fn record_propagation(
         &mut self,
         phase: &str,
@@ -642,7 +646,8 @@
         self.record_values(phase, "all know after (periods)", &periods);
     }
 
-    /// Returns up to `count` running hollow nodes that are neither control nodes nor in the zone that is lost.
+    /// Returns up to `count` running hollow nodes that are neither control nodes nor in the zone that is
+    /// lost.
     fn ordinary_hollow_nodes(&self, count: usize) -> Vec<usize> {
         let candidates =
             self.hollow_alive.iter().rev().copied().filter(|number| self.plan.is_ordinary(*number));
--- a/crates/alderstile-lab/src/scale/phases.rs
+++ b/crates/alderstile-lab/src/scale/phases.rs
@@ -1,5 +1,5 @@
-//! The disturbances of a scale run, one after the other: configuration changes, deaths, the loss of a zone, and a partition
-//! between the regions.
+//! The disturbances of a scale run, one after the other: configuration changes, deaths, the loss of a zone,
+//! and a partition between the regions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use crate::hollow::ObservedChange;
 
 impl TestCluster<'_> {
-    /// Changes the configuration digest of some members, as happens when a node loads a changed file, and measures how
-    /// long the changes take to reach all nodes.
+    /// Changes the configuration digest of some members, as happens when a node loads a changed file, and
+    /// measures how long the changes take to reach all nodes.
     pub(super) async fn run_config_changes(&mut self) {
         let phase = "news";
         info!(
@@ -71,7 +71,8 @@
         self.record_loss_and_return("zone lost", "zone back", changes, from).await;
     }
 
-    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes see them.
+    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes see
+    /// them.
     ///
     /// `lost` and `back` are the names of the two phases; `from` is the snapshot before the first death.
     async fn record_loss_and_return(
--- a/crates/alderstile-lab/src/scale/plan.rs
+++ b/crates/alderstile-lab/src/scale/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of scale runs: its TOML schema, the valid ranges, and the assignment of members to zones and regions.
+//! The plan of scale runs: its TOML schema, the valid ranges, and the assignment of members to zones and
+//! regions.
 
 use std::io;
 use std::path::{Path, PathBuf};
@@ -31,12 +32,14 @@
     pub seed: u64,
     /// Sizes, one run each, in this order.
     pub sizes: Vec<Size>,
-    /// Number of members reserved as control nodes, spread over all zones. At present they act like all other members.
+    /// Number of members reserved as control nodes, spread over all zones. At present they act like all other
+    /// members.
     #[serde(rename = "control")]
     pub control_nodes: usize,
     /// Number of zones; members are assigned to them in turn.
     pub zones: usize,
-    /// Number of zones that form the first region, which contains all real nodes; the other zones form the second region.
+    /// Number of zones that form the first region, which contains all real nodes; the other zones form the
+    /// second region.
     pub zones_of_first_region: usize,
     /// Protocol period of membership, in milliseconds.
     pub period_ms: u64,
@@ -44,7 +47,8 @@
     pub suspicion: f64,
     /// Number of threads that run the hollow nodes.
     pub threads: usize,
-    /// Whether hollow nodes know all other hollow nodes when they start; otherwise every node starts with three seeds.
+    /// Whether hollow nodes know all other hollow nodes when they start; otherwise every node starts with
+    /// three seeds.
     #[serde(rename = "know_all", default)]
     pub start_joined: bool,
     /// Duration of the phase without changes in which the baseline costs are measured, in seconds.
@@ -142,8 +146,8 @@
                     ),
                 );
             }
-            // Members that are killed or change their configuration are hollow, are not control nodes, and are outside the
-            // zone that is lost.
+            // Members that are killed or change their configuration are hollow, are not control nodes, and
+            // are outside the zone that is lost.
             let ordinary_hollow =
                 (0..size.members).filter(|&number| plan.is_ordinary(number)).count() - size.real;
             let max = ordinary_hollow.min(size.members / 3);
--- a/crates/alderstile-lab/src/slopes.rs
+++ b/crates/alderstile-lab/src/slopes.rs
@@ -1,4 +1,5 @@
-//! Linear regressions over the tables of [`crate::scale`] and [`crate::measure`], as a table of slopes and as charts.
+//! Linear regressions over the tables of [`crate::scale`] and [`crate::measure`], as a table of slopes and as
+//! charts.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -32,7 +33,8 @@
     x_scale: XScale,
     x: &'static str,
     y: &'static str,
-    /// Series as (name, phase, figure); a name that ends with [`WORST_SUFFIX`] selects the largest value of a row.
+    /// Series as (name, phase, figure); a name that ends with [`WORST_SUFFIX`] selects the largest value of a
+    /// row.
     lines: &'static [(&'static str, &'static str, &'static str)],
     limit: Option<f64>,
 }
--- a/crates/alderstile-lab/src/tables.rs
+++ b/crates/alderstile-lab/src/tables.rs
@@ -55,7 +55,8 @@
 /// Header line of a CSV file.
 const HEADER: &str = "size,phase,figure,mean,worst,of";
 
-/// Formats the rows as CSV. A comma in a text becomes a semicolon, so that every row has as many columns as the header.
+/// Formats the rows as CSV. A comma in a text becomes a semicolon, so that every row has as many columns as
+/// the header.
 pub fn csv(rows: &[Row]) -> String {
     let mut text = format!("{HEADER}\n");
     for row in rows {
@@ -133,8 +134,8 @@
     lines.enumerate().map(|(i, line)| parse_row(line).ok_or(i + 2)).collect()
 }
 
-/// Formats the rows as a Markdown table: one line per figure, one column per size, with the mean, the largest value and
-/// the number of samples in each cell.
+/// Formats the rows as a Markdown table: one line per figure, one column per size, with the mean, the largest
+/// value and the number of samples in each cell.
 pub fn markdown(rows: &[Row]) -> String {
     let mut sizes: Vec<f64> = rows.iter().map(|row| row.size).collect();
     sizes.sort_by(f64::total_cmp);
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -1,4 +1,5 @@
-//! Scale runs with hollow and real nodes, measurements of one node, and the tables, fits and charts of their results.
+//! Scale runs with hollow and real nodes, measurements of one node, and the tables, fits and charts of their
+//! results.
 
 mod support;
 
@@ -244,7 +245,8 @@
 fn interrupt_ends_the_run_keeps_measured_rows_and_leaves_no_processes() {
     let out = Folder::new();
     let file = out.0.join("two.toml");
-    // Each of the two sizes runs far longer than the test. The first has recorded rows when its configuration changes start.
+    // Each of the two sizes runs far longer than the test. The first has recorded rows when its configuration
+    // changes start.
     let sizes = "sizes = [{ members = 18, real = 1 }, { members = 19, real = 1 }]";
     let text = SMALL_PLAN
         .replace("sizes = [{ members = 16, real = 2 }]", sizes)
