--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -292,7 +292,7 @@
     println!("  {:<28} {}", "requests", report.requests);
     println!("  {:<28} {}", "answers", answers.join(", "));
     println!("  {:<28} {}", "unanswered in time", report.unanswered);
-    println!("  {:<28} {}", "served, of all requests", percent(report.served));
+    println!("  {:<28} {}", "served share of demand", percent(report.served));
     println!("  {:<28} {}", "in the worst second", percent(report.worst_second));
     let recovery = report
         .unserved_until_s
@@ -319,9 +319,9 @@
     print_delays("death known to all after", &views.detection_delays_s);
     println!(
         "  {:<28} {}, longest {:.3} s",
-        "live, but declared dead", views.false_positives, views.longest_false_positive_s
+        "false positives", views.false_positives, views.longest_false_positive_s
     );
-    println!("  {:<28} maximum {:.3} s", "dead after a disturbance", views.longest_recovery_s);
+    println!("  {:<28} maximum {:.3} s", "recovery after a disturbance", views.longest_recovery_s);
 }
 
 fn print_comparison(rows: &[StrategyResults]) {
@@ -384,7 +384,7 @@
         "clients", traffic.unserved_requests, traffic.retries, traffic.migrations
     );
     println!(
-        "  {:<28} maximum {:.2}, mean {:.2} of their capacity, {} overloaded",
+        "  {:<28} maximum {:.2}, mean {:.2} of the load limit, {} failed",
         "load of cold hosts",
         traffic.cold_load_peak,
         traffic.cold_load.0 / traffic.cold_load.1.max(1.0),
--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -160,7 +160,7 @@
     at: Micros,
     /// One per thread of hollow nodes.
     samples: Vec<ThreadSample>,
-    /// One per real node; `None` if it did not answer.
+    /// One per real node; `None` if it was not running or did not answer.
     real: Vec<Option<(Usage, BTreeMap<String, u64>)>>,
 }
 
@@ -181,13 +181,13 @@
 /// Returns the bytes sent per second between two snapshots, as the mean of the hollow nodes.
 fn mean_bytes_sent_per_s(from: &Snapshot, to: &Snapshot) -> f64 {
     let before = from.nodes();
-    let spans: Vec<f64> = (to.nodes().iter())
+    let bytes_sent: Vec<f64> = (to.nodes().iter())
         .filter_map(|(number, now)| {
             let then = before.get(number)?;
             Some(now.stats.counters.sent_bytes.saturating_sub(then.stats.counters.sent_bytes) as f64)
         })
         .collect();
-    spans.iter().sum::<f64>() / spans.len().max(1) as f64 / (to.at - from.at).as_secs_f64()
+    bytes_sent.iter().sum::<f64>() / bytes_sent.len().max(1) as f64 / (to.at - from.at).as_secs_f64()
 }
 
 impl<'a> TestCluster<'a> {
@@ -331,6 +331,7 @@
         Duration::from_secs_f64(periods * self.plan.period_s())
     }
 
+    /// Reads all members, and resets the peaks of the hollow ones.
     async fn snapshot(&self) -> Snapshot {
         let mut real = Vec::new();
         for node in &self.real {
@@ -355,10 +356,10 @@
             .filter_map(|(number, now)| Some((*before.get(number)?, *now)))
             .filter(|(then, now)| now.stats.counters.sent >= then.stats.counters.sent)
             .collect();
-        let per_second = |of: &dyn Fn(&NodeSample) -> u64| -> Vec<f64> {
+        let per_second = |counter: &dyn Fn(&NodeSample) -> u64| -> Vec<f64> {
             pairs_of_samples
                 .iter()
-                .map(|(then, now)| of(now).saturating_sub(of(then)) as f64 / span)
+                .map(|(then, now)| counter(now).saturating_sub(counter(then)) as f64 / span)
                 .collect()
         };
         let bytes_out = per_second(&|sample| sample.stats.counters.sent_bytes + sample.extra_core[1]);
@@ -374,8 +375,8 @@
         self.record_values(phase, "datagrams out a node and second", &sent);
         self.record_values(phase, "datagrams in a node and second", &received);
         self.record_values(phase, "datagrams held back a node", &rate_limited);
-        let peaks = |of: fn(&NodeSample) -> u64| -> Vec<f64> {
-            after.values().map(|sample| of(sample) as f64).collect()
+        let peaks = |peak: fn(&NodeSample) -> u64| -> Vec<f64> {
+            after.values().map(|sample| peak(sample) as f64).collect()
         };
         self.record_values(phase, "bytes out in the busiest second", &peaks(|sample| sample.peak.0));
         self.record_values(phase, "bytes in in the busiest second", &peaks(|sample| sample.peak.1));
@@ -390,15 +391,17 @@
         let bytes: Vec<f64> = pairs
             .iter()
             .map(|(then, now)| {
-                let of =
-                    |all: &BTreeMap<String, u64>| all.get("members_sent_bytes").copied().unwrap_or_default();
-                of(&now.1).saturating_sub(of(&then.1)) as f64 / span
+                let bytes_sent = |counters: &BTreeMap<String, u64>| {
+                    counters.get("members_sent_bytes").copied().unwrap_or_default()
+                };
+                bytes_sent(&now.1).saturating_sub(bytes_sent(&then.1)) as f64 / span
             })
             .collect();
         self.record_values(phase, "processor time a real node (us/s)", &cpu);
         self.record_values(phase, "bytes out a real node and second", &bytes);
     }
 
+    /// Runs all phases of the plan and records their rows.
     async fn run_phases(&mut self) -> io::Result<()> {
         self.start_all().await?;
         let phase = "quiet";
@@ -432,8 +435,8 @@
         Ok(())
     }
 
-    /// Starts all members within [`START_SPREAD`], with three of them as seeds, and waits until all see each
-    /// other.
+    /// Starts the hollow members within [`START_SPREAD`] and the real ones at the same time, with three members as
+    /// seeds, and waits until all see each other.
     async fn start_all(&mut self) -> io::Result<()> {
         let phase = "start of all";
         info!(members = self.size.members, real = self.size.real, "scale run started");
@@ -510,8 +513,8 @@
         for (node, known) in self.real.iter().zip(known).filter(|(_, known)| known.is_none()) {
             let Some(admin) = node.process.borrow().as_ref().map(|process| process.admin) else { continue };
             let Some(figures) = read_counters(admin).await else { continue };
-            let of = |name: &str| figures.get(name).copied().unwrap_or_default();
-            if of("members_alive") + of("members_suspect") == members as u64 {
+            let counter = |name: &str| figures.get(name).copied().unwrap_or_default();
+            if counter("members_alive") + counter("members_suspect") == members as u64 {
                 *known = Some(self.network.now());
             }
         }
--- a/crates/alderstile-lab/src/scale/phases.rs
+++ b/crates/alderstile-lab/src/scale/phases.rs
@@ -126,16 +126,16 @@
         let members_in_region =
             |region| (0..self.size.members).filter(|n| self.plan.region_of(*n) == region).count();
         let pairs = alive_in_region(0) * members_in_region(1) + alive_in_region(1) * members_in_region(0);
-        let spans: Vec<f64> = death_delays.values().copied().collect();
+        let delays: Vec<f64> = death_delays.values().copied().collect();
         let false_deaths = seen.iter().filter(|seen| seen.change == ObservedChange::Died);
         let false_deaths = false_deaths
             .filter(|s| self.plan.region_of(s.observer) == self.plan.region_of(s.subject))
             .count();
-        self.record_values(phase, "one of the other side is held dead after (s)", &spans);
+        self.record_values(phase, "one of the other side is held dead after (s)", &delays);
         self.record(
             phase,
             "pairs that still held each other alive",
-            pairs.saturating_sub(spans.len()) as f64,
+            pairs.saturating_sub(delays.len()) as f64,
         );
         self.record(phase, "held dead though well on the same side (pairs)", false_deaths as f64);
         let to = self.snapshot().await;
