--- a/crates/alderstile-lab/src/scale/phases.rs
+++ b/crates/alderstile-lab/src/scale/phases.rs
@@ -1,5 +1,5 @@
-//! The disturbances of a scale run, one after the other: configuration changes, deaths, the loss of a zone, and a partition
-//! between the regions.
+//! The disturbances of a scale run, one after the other: configuration changes, deaths, the loss of a zone,
+//! and a partition between the regions.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 use crate::hollow::ObservedChange;
 
 impl TestCluster<'_> {
-    /// Changes the configuration digest of some members, as happens when a node loads a changed file, and measures how
-    /// long the changes take to reach all nodes.
+    /// Changes the configuration digest of some members, as happens when a node loads a changed file, and
+    /// measures how long the changes take to reach all nodes.
     pub(super) async fn run_config_changes(&mut self) {
         let phase = "news";
         info!(
@@ -71,7 +71,8 @@
         self.record_loss_and_return("zone lost", "zone back", changes, from).await;
     }
 
-    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes see them.
+    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes see
+    /// them.
     ///
     /// `lost` and `back` are the names of the two phases; `from` is the snapshot before the first death.
     async fn record_loss_and_return(
@@ -125,16 +126,16 @@
         let members_in_region =
             |region| (0..self.size.members).filter(|n| self.plan.region_of(*n) == region).count();
         let pairs = alive_in_region(0) * members_in_region(1) + alive_in_region(1) * members_in_region(0);
-        let spans: Vec<f64> = death_delays.values().copied().collect();
+        let delays: Vec<f64> = death_delays.values().copied().collect();
         let false_deaths = seen.iter().filter(|seen| seen.change == ObservedChange::Died);
         let false_deaths = false_deaths
             .filter(|s| self.plan.region_of(s.observer) == self.plan.region_of(s.subject))
             .count();
-        self.record_values(phase, "one of the other side is held dead after (s)", &spans);
+        self.record_values(phase, "one of the other side is held dead after (s)", &delays);
         self.record(
             phase,
             "pairs that still held each other alive",
-            pairs.saturating_sub(spans.len()) as f64,
+            pairs.saturating_sub(delays.len()) as f64,
         );
         self.record(phase, "held dead though well on the same side (pairs)", false_deaths as f64);
         let to = self.snapshot().await;
