--- a/crates/alderstile-node/src/admin/client.rs
+++ b/crates/alderstile-node/src/admin/client.rs
@@ -17,8 +17,9 @@
     /// The node can't be reached, or its response is not HTTP.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The node does not have the path: only members of a cluster have the paths that are read here.
-    #[error("the node is not a member of a cluster (started without --cluster)")]
+    /// The node does not have the path: only members of a cluster have `/members`, and only those with a
+    /// replicated configuration have `/settings`.
+    #[error("the node was started without --cluster, or without the table [control] that `settings` needs")]
     NotFound,
     /// The node responded with another status.
     #[error("unexpected HTTP status {0}")]
--- a/crates/alderstile-node/src/config/parse.rs
+++ b/crates/alderstile-node/src/config/parse.rs
@@ -25,8 +25,9 @@
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 /// Default interval at which the endpoint list must be polled.
 const POLL_INTERVAL: Micros = Micros::from_millis(10_000);
-/// The same interval for pushed lists. What the machine's local agent knows counts as received by the node
-/// even while no watch is open, so a broken watch is reopened at once; the requests reach that agent only.
+/// The same interval for pushed lists. A change that the machine's local agent has counts as received by the
+/// node even while no watch is open, so a broken watch must be reopened quickly. Calls at this rate put load
+/// on the local agent only.
 const POLL_INTERVAL_PUSHED: Micros = Micros::from_millis(200);
 
 /// Default time for which a host may still receive new requests after its drain was announced.
--- a/crates/alderstile-node/src/control/replicated_config/status.rs
+++ b/crates/alderstile-node/src/control/replicated_config/status.rs
@@ -1,5 +1,5 @@
 //! Status and metrics of the replicated configuration for operators. The names are part of the admin
-//! interface and stay, although the code uses other terms.
+//! interface, so they do not change, although the code uses other terms.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
--- a/crates/alderstile-node/src/decisions.rs
+++ b/crates/alderstile-node/src/decisions.rs
@@ -240,7 +240,7 @@
     }
 
     /// Withholds new requests from hosts whose state is uncertain since the lease expired. Their connections
-    /// stay.
+    /// remain open.
     fn withhold_expired(&self) {
         let endpoints = self.endpoints.borrow();
         let expired = self.lease.borrow_mut().withhold_expired(self.clock.now(), endpoints.hosts_up());
--- a/crates/alderstile-node/src/lifecycle/shutdown.rs
+++ b/crates/alderstile-node/src/lifecycle/shutdown.rs
@@ -141,9 +141,9 @@
 
 async fn migrate_gradually(node: &Node, schedule: Schedule) {
     while node.clients.established_count() > 0 && Instant::now() < schedule.migrations_end {
-        let steps_left = (schedule.migrations_end - Instant::now()).as_millis() / STEP.as_millis() + 1;
-        let steps_left = usize::try_from(steps_left).unwrap_or(usize::MAX);
-        node.clients.migrate_some(node.clients.established_count().div_ceil(steps_left));
+        let remaining_steps = (schedule.migrations_end - Instant::now()).as_millis() / STEP.as_millis() + 1;
+        let remaining_steps = usize::try_from(remaining_steps).unwrap_or(usize::MAX);
+        node.clients.migrate_some(node.clients.established_count().div_ceil(remaining_steps));
         sleep(STEP).await;
     }
 }
--- a/crates/alderstile-node/src/proxy/session/attempt.rs
+++ b/crates/alderstile-node/src/proxy/session/attempt.rs
@@ -142,11 +142,12 @@
                 // endpoint list or an operator may have closed the host to new requests. Both are checked
                 // again directly before the first byte; that the client is still connected was checked in
                 // this step already.
-                let left_ms = until.saturating_duration_since(Instant::now()).as_millis();
-                if left_ms == 0 || !may_send() {
+                let remaining_ms = until.saturating_duration_since(Instant::now()).as_millis();
+                if remaining_ms == 0 || !may_send() {
                     return Err(AttemptError::Failed(Outcome::NotForwarded));
                 }
-                line = self.request.forwarded_line(self.line, u64::try_from(left_ms).unwrap_or(u64::MAX));
+                line =
+                    self.request.forwarded_line(self.line, u64::try_from(remaining_ms).unwrap_or(u64::MAX));
             }
             match host.socket.try_write(&line[written..]) {
                 Ok(count) => written += count,
