--- a/crates/alderstile-node/src/control/replicated_config/mod.rs
+++ b/crates/alderstile-node/src/control/replicated_config/mod.rs
@@ -340,7 +340,7 @@
     }
 
     /// Returns whether this node may accept clients. A starting node waits for the active version, but at
-    /// most for one lease, or for [`MAX_SUPERSEDED_LEASES`] if it knows that a version is committed. With
+    /// most for one lease, or for three leases if it knows that a version is committed. With
     /// [`IsolationPolicy::StopAdmitting`] a node that has received no announcement, or is isolated, accepts
     /// none at any time.
     pub fn is_ready(&self) -> bool {
