--- a/crates/alderstile-node/tests/admin.rs
+++ b/crates/alderstile-node/tests/admin.rs
@@ -20,28 +20,28 @@
 
 /// A node with a running admin server.
 struct NodeWithAdmin {
-    setup: Setup,
+    test_node: TestNode,
     admin: SocketAddr,
-    _watch: LineConnection,
+    watch: LineConnection,
 }
 
 async fn start_with_admin(
     hosts: &[&StubHost],
     edit_config: impl FnOnce(&mut serde_json::Value),
 ) -> NodeWithAdmin {
-    let (setup, watch) = start_ready_node_with(hosts, |value| {
+    let (test_node, watch) = start_ready_node_with(hosts, |value| {
         value["admin_addr"] = "127.0.0.1:0".into();
         edit_config(value);
     })
     .await;
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let admin = listener.local_addr().expect("bound");
-    spawn_local(server::run(setup.node.admin.clone(), listener));
-    NodeWithAdmin { setup, admin, _watch: watch }
+    spawn_local(server::run(test_node.node.admin.clone(), listener));
+    NodeWithAdmin { test_node, admin, watch }
 }
 
 impl NodeWithAdmin {
-    /// Sends bytes to the admin server and returns the response's status and full text.
+    /// Sends bytes to the admin server. Returns the response's status and full text.
     async fn send(&self, bytes: &[u8]) -> (u16, String) {
         let mut stream = TcpStream::connect(self.admin).await.expect("connected");
         stream.write_all(bytes).await.expect("sent");
@@ -124,7 +124,7 @@
         );
         assert_eq!(node.send(request.as_bytes()).await.0, 413);
         assert!(
-            node.setup
+            node.test_node
                 .node
                 .decisions
                 .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1"))),
@@ -142,10 +142,10 @@
 #[test]
 fn node_that_is_not_ready_responds_503() {
     run(async {
-        let setup = start_node(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
+        let test_node = start_node(|value| value["admin_addr"] = "127.0.0.1:0".into()).await;
         let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let admin = listener.local_addr().expect("bound");
-        spawn_local(server::run(setup.node.admin.clone(), listener));
+        spawn_local(server::run(test_node.node.admin.clone(), listener));
         let mut connection = LineConnection::connect(admin).await;
         connection.send("GET /control/ready HTTP/1.1\r\n\r\n").await;
         assert_eq!(connection.read_line().await.as_deref(), Some("HTTP/1.1 503 Service Unavailable"));
@@ -163,14 +163,14 @@
             stream.write_all(&request[..cut]).await.expect("sent");
             drop(stream);
         }
-        let out = || {
-            node.setup
+        let is_in_maintenance = || {
+            node.test_node
                 .node
                 .decisions
                 .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
         assert_eq!(node.request("GET", "/control/ready").await.0, 200);
-        assert!(!out(), "an incomplete request changes nothing");
+        assert!(!is_in_maintenance(), "an incomplete request changes nothing");
         let mut stream = TcpStream::connect(node.admin).await.expect("connected");
         stream.set_nodelay(true).expect("set");
         for byte in request {
@@ -180,7 +180,7 @@
         let mut answer = String::new();
         stream.read_to_string(&mut answer).await.expect("an answer");
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer}");
-        assert!(out());
+        assert!(is_in_maintenance());
     });
 }
 
@@ -191,7 +191,7 @@
         let node = start_with_admin(&[&host], |value| value["limits"]["sockets"] = 60.into()).await;
         let mut clients = Vec::new();
         for _ in 0..100 {
-            clients.push(TcpStream::connect(node.setup.address).await.expect("connected"));
+            clients.push(TcpStream::connect(node.test_node.address).await.expect("connected"));
         }
         let mut silent = Vec::new();
         for _ in 0..3 * MAX_ADMIN_CONNECTIONS {
@@ -206,8 +206,8 @@
                 200
             );
         }
-        // The last of them is still open, and is closed after the request timeout.
-        let mut last = silent.pop().expect("one");
+        // The last silent connection has not been evicted; it is closed when its request timeout expires.
+        let mut last = silent.pop().expect("a silent connection");
         let mut rest = Vec::new();
         let ended = timeout(Duration::from_secs(4), last.read_to_end(&mut rest)).await.expect("closed");
         assert!(rest.is_empty(), "{ended:?}");
@@ -226,10 +226,10 @@
             node.metrics(&["hosts_listed", "hosts_down", "reconfig_ok", "reconfig_failed"]).await,
             [1, 0, 0, 0]
         );
-        let (client, server) = node.setup.establish(1, &host).await;
+        let (client, server) = node.test_node.establish(1, &host).await;
         assert_eq!(node.metrics(&names).await, [1, 0, 0, 1, 1]);
         // The id of an open request is rejected.
-        let mut duplicate = node.setup.send_request(1, "d=20000").await;
+        let mut duplicate = node.test_node.send_request(1, "d=20000").await;
         assert_eq!(duplicate.read_line().await.as_deref(), Some("ERR"));
         assert_eq!(node.metrics(&names).await, [1, 0, 1, 1, 1]);
         drop(client);
@@ -238,7 +238,7 @@
         }
         drop(server);
         // A request that its client abandons counts as an attempt, but has no outcome.
-        let client = node.setup.send_request(2, "d=20000").await;
+        let client = node.test_node.send_request(2, "d=20000").await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
         assert_eq!(node.metrics(&names).await, [1, 0, 1, 2, 1]);
@@ -249,14 +249,14 @@
         }
         // A malformed line and an unknown class are counted for no class.
         for line in ["HELO\r\n", "OPEN 5 5 c=other,d=100\r\n"] {
-            let mut client = node.setup.connect().await;
+            let mut client = node.test_node.connect().await;
             client.send(line).await;
             assert_eq!(client.read_line().await.as_deref(), Some("ERR"));
         }
         assert_eq!(node.metrics(&names).await, [1, 0, 1, 2, 0]);
         // The only host rejects the request: it ends as rejected within three attempts, and the host is
         // avoided.
-        let mut client = node.setup.send_request(3, "d=20000").await;
+        let mut client = node.test_node.send_request(3, "d=20000").await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
         server.send("BUSY\r\n").await;
@@ -272,18 +272,21 @@
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
         let mut open = Vec::new();
         let mut node = start_with_admin(&[&hosts[0], &hosts[1]], |_| {}).await;
-        assert!(node.setup.node.config().state_dir.is_none(), "nothing is stored without a state directory");
+        assert!(
+            node.test_node.node.config().state_dir.is_none(),
+            "nothing is stored without a state directory"
+        );
         for _ in 0..2 {
             assert_eq!(node.request("POST", "/control/hosts/s-1/offline").await.0, 200);
         }
         assert_eq!(node.metrics(&["hosts_listed", "hosts_down"]).await, [2, 1]);
         for (seq, health) in [(2, "removed"), (3, "up"), (4, "up")] {
-            send_chunk(&mut node._watch, &list_line(seq, false, &[hosts[0].list_entry(health)])).await;
+            send_chunk(&mut node.watch, &list_line(seq, false, &[hosts[0].list_entry(health)])).await;
             let listed = if health == "removed" { 1 } else { 2 };
             while node.metric("hosts_listed").await != listed {
                 sleep(Duration::from_millis(1)).await;
             }
-            open.push(node.setup.establish(seq, &hosts[1]).await);
+            open.push(node.test_node.establish(seq, &hosts[1]).await);
         }
         assert_eq!(node.request("POST", "/control/hosts/s-1/online").await.0, 200);
         assert_eq!(node.metric("hosts_down").await, 0);
@@ -308,22 +311,25 @@
     );
     assert_eq!(MaintenanceStore::load(&dir, "n1").hosts().count(), 0, "the file belongs to another node");
     let path = dir.join("alderstile-n%2F1.hosts.json");
-    let text = std::fs::read(&path).expect("there");
+    let text = std::fs::read(&path).expect("the saved file");
     for damaged in
         [&text[..text.len() / 2], b"", b"[]", b"{\"version\":9,\"hosts\":{\"s-1\":\"out\"}}", b"\xff\x00"]
     {
         std::fs::write(&path, damaged).expect("written");
         assert_eq!(MaintenanceStore::load(&dir, "n/1").hosts().count(), 0);
         assert!(!path.exists(), "renamed");
-        assert_eq!(std::fs::read(dir.join("alderstile-n%2F1.hosts.damaged")).expect("there"), damaged);
+        assert_eq!(
+            std::fs::read(dir.join("alderstile-n%2F1.hosts.damaged")).expect("the renamed file"),
+            damaged
+        );
     }
-    // A node applies the stored states at its start.
+    // A node applies the stored states when it starts.
     store.save(&dir, "n1").expect("saved");
     run(async {
         let mut value = node_config("127.0.0.1:0", "127.0.0.1:1");
         value["admin_addr"] = "127.0.0.1:0".into();
         value["known"] = serde_json::json!({"seq": 1, "whole": true, "hosts": [StubHost::new("s-1").await.list_entry("up")]});
-        let mut config = alderstile_node::config::Config::parse(value).expect("fine");
+        let mut config = alderstile_node::config::Config::parse(value).expect("a valid configuration");
         config.state_dir = Some(dir);
         let node = Rc::new(alderstile_node::node::Node::new(config));
         assert!(node.admin.metrics_text().contains("router.hosts_down:1|g"));
--- a/crates/alderstile-node/tests/admission.rs
+++ b/crates/alderstile-node/tests/admission.rs
@@ -16,30 +16,30 @@
 fn malformed_input_closes_only_its_own_connection() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, mut watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
+        let (test_node, mut watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
         for malformed in
             ["GET / HTTP/1.1\r\n", "\r\n", "OPEN\r\n", "OPEN a b c=chat,d=x\r\n", "\u{0}\u{7f}\r\n"]
         {
-            let mut bad = setup.connect().await;
+            let mut bad = test_node.connect().await;
             bad.send(malformed).await;
             assert_eq!(bad.read_line().await.as_deref(), Some("ERR"), "{malformed:?}");
         }
-        let mut long = setup.connect().await;
+        let mut long = test_node.connect().await;
         long.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
         assert_eq!(long.read_line().await.as_deref(), Some("ERR"));
         assert_eq!(long.read_line().await, None);
-        // Lines without an end, from the client of an established connection and then from the host of
+        // Lines that never end, from the client of an established connection and then from the host of
         // another.
-        let (mut up, _server) = setup.establish(2, &host).await;
-        up.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
-        assert_eq!(up.read_line().await, None);
-        let (mut up, mut faulty_server) = setup.establish(3, &host).await;
+        let (mut established, _server) = test_node.establish(2, &host).await;
+        established.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
+        assert_eq!(established.read_line().await, None);
+        let (mut established, mut faulty_server) = test_node.establish(3, &host).await;
         faulty_server.0.get_mut().write_all(&[b'x'; 5_000]).await.unwrap_or_default();
-        assert_eq!(up.read_line().await, None);
+        assert_eq!(established.read_line().await, None);
         send_chunk(&mut watch, "{\"seq\":\"none\"}\n").await;
         assert_eq!(watch.read_line().await, None, "the watch is closed");
-        let (_, _call) = setup.discovery.accept_call().await;
+        let (_, _call) = test_node.discovery.accept_call().await;
         client.send("M 1\r\n").await;
         assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
         server.send("M 1\r\n").await;
@@ -51,8 +51,8 @@
 fn request_that_every_host_would_reject_is_answered_without_an_attempt() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
         for bad in [
             "OPEN 000000000000000a 0a c=chats,d=20000",
             "OPEN 000000000000000a 0a c=,d=20000",
@@ -68,7 +68,7 @@
             // The id of an open request: two connections with one id are not two requests.
             "OPEN 0000000000000001 0a c=chat,d=20000",
         ] {
-            let mut client = setup.connect().await;
+            let mut client = test_node.connect().await;
             client.send(&format!("{bad}\r\n")).await;
             assert_eq!(client.read_line().await.as_deref(), Some("ERR"), "{bad}");
             assert_eq!(client.read_line().await, None);
@@ -89,9 +89,10 @@
 fn repeated_request_id_is_rejected_without_an_attempt() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-        // The request is open at another node: each host that is tried rejects it as a duplicate.
-        let mut client = setup.send_request(7, "d=20000").await;
+        let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+        // The request is open at another node, so each host that receives an attempt rejects it as a
+        // duplicate.
+        let mut client = test_node.send_request(7, "d=20000").await;
         let reject_attempts = async |host: &StubHost| loop {
             let mut server = host.accept().await;
             server.read_line().await.expect("the first line");
@@ -105,13 +106,13 @@
         assert!(answer.starts_with("BUSY"), "{answer}");
         assert_eq!(client.read_line().await, None);
         drop(client);
-        let mut again = setup.send_request(7, "d=20000").await;
+        let mut again = test_node.send_request(7, "d=20000").await;
         assert_eq!(again.read_line().await.as_deref(), Some("ERR"));
         // The number of remembered ids is bounded: the oldest are forgotten.
         for id in 0..2_000_u64 {
-            assert!(setup.node.clients.claim_request_id(&id.to_le_bytes()).is_some());
+            assert!(test_node.node.clients.claim_request_id(&id.to_le_bytes()).is_some());
         }
-        assert!(setup.node.clients.claim_request_id(b"0000000000000007").is_some());
+        assert!(test_node.node.clients.claim_request_id(b"0000000000000007").is_some());
     });
 }
 
@@ -119,15 +120,15 @@
 fn client_that_floods_its_first_line_receives_its_answer() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         for size in [4_097, 200_000] {
-            let mut flood = setup.connect().await;
+            let mut flood = test_node.connect().await;
             flood.0.get_mut().write_all(&vec![b'x'; size]).await.unwrap_or_default();
             assert_eq!(flood.read_line().await.as_deref(), Some("ERR"), "{size} bytes");
-            // Closing a socket with unread bytes would send a reset, which can destroy the answer.
+            // Closing a socket with unread bytes would send a reset, on which the client can lose the answer.
             assert!(!flood.is_reset().await, "{size} bytes");
         }
-        let mut endless = setup.connect().await;
+        let mut endless = test_node.connect().await;
         let flood = vec![b'x'; 1 << 16];
         while endless.0.get_mut().write_all(&flood).await.is_ok() {}
     });
@@ -137,12 +138,12 @@
 fn hundreds_of_silent_connections_do_not_block_new_clients() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         let (mut silent, mut open) = (Vec::new(), Vec::new());
         for id in 0..200 {
-            silent.push(setup.connect().await);
+            silent.push(test_node.connect().await);
             if id % 40 == 39 {
-                open.push(setup.establish(id, &host).await);
+                open.push(test_node.establish(id, &host).await);
             }
         }
         // The oldest was evicted; the last one is still within its timeout.
@@ -158,11 +159,11 @@
 fn silent_client_is_closed_before_the_host_silence_timeout() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let mut silent = setup.connect().await;
-        let mut partial = setup.connect().await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let mut silent = test_node.connect().await;
+        let mut partial = test_node.connect().await;
         partial.send("OPEN 00").await;
-        let (mut client, _server) = setup.establish(1, &host).await;
+        let (mut client, _server) = test_node.establish(1, &host).await;
         client.send("M 1\r\n").await;
         // Both timeouts run on the same clock, so that their order does not depend on the speed of the
         // machine.
@@ -179,11 +180,11 @@
 fn clients_are_rejected_at_once_at_the_descriptor_limit() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) =
+        let (test_node, _watch) =
             start_ready_node_with(&[&host], |value| value["limits"]["sockets"] = 40.into()).await;
         let mut open = Vec::new();
         let answer = loop {
-            let mut client = setup.send_request(open.len() as u64 + 1, "d=20000").await;
+            let mut client = test_node.send_request(open.len() as u64 + 1, "d=20000").await;
             tokio::select! {
                 answer = client.read_line() => break answer,
                 mut server = host.accept() => {
@@ -198,11 +199,11 @@
         assert!(open.len() >= 2);
         // A descriptor is available again after one client has left.
         open.pop();
-        // One descriptor is held for the next client.
-        while setup.node.clients.connection_descriptors() > 2 * open.len() + 1 {
+        // One descriptor stays reserved for the next client.
+        while test_node.node.clients.connection_descriptors() > 2 * open.len() + 1 {
             sleep(Duration::from_millis(5)).await;
         }
-        setup.establish(100, &host).await;
+        test_node.establish(100, &host).await;
     });
 }
 
@@ -210,12 +211,12 @@
 fn evicted_client_whose_line_has_arrived_is_served() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let mut client = std::net::TcpStream::connect(setup.address).expect("connected");
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let mut client = std::net::TcpStream::connect(test_node.address).expect("connected");
         sleep(Duration::from_millis(50)).await;
-        // The client is evicted when its line has arrived and the runtime has not polled for it yet.
+        // The client is evicted after its line has arrived, but before the node has read it.
         std::io::Write::write_all(&mut client, b"OPEN 7 7 c=chat,d=20000\r\n").expect("sent");
-        setup.node.clients.pending.evict_oldest();
+        test_node.node.clients.pending.evict_oldest();
         let mut server = timeout(Duration::from_secs(5), host.accept()).await.expect("served");
         assert!(server.read_line().await.is_some_and(|line| line.starts_with("OPEN 7 7 ")));
     });
--- a/crates/alderstile-node/tests/cluster.rs
+++ b/crates/alderstile-node/tests/cluster.rs
@@ -60,9 +60,9 @@
 #[test]
 fn without_a_cluster_the_node_has_no_membership_and_no_membership_metrics() {
     run(async {
-        let setup = start_node(|_| {}).await;
-        assert!(setup.node.admin.membership().is_none());
-        assert!(!setup.node.admin.metrics_text().contains("members"));
+        let test_node = start_node(|_| {}).await;
+        assert!(test_node.node.admin.membership().is_none());
+        assert!(!test_node.node.admin.metrics_text().contains("members"));
     });
 }
 
--- a/crates/alderstile-node/tests/compatibility.rs
+++ b/crates/alderstile-node/tests/compatibility.rs
@@ -36,6 +36,7 @@
 
 // ---- the configuration file ----
 
+/// Returns the recorded configuration file, which contains every key.
 fn every_key() -> Value {
     serde_json::from_str(&recorded("config.json")).expect("JSON")
 }
@@ -53,7 +54,7 @@
     }
 }
 
-/// A key that is no longer read under its name would be accepted with any value.
+/// Each key gets an invalid value in turn. A key that is no longer read would be accepted with it.
 #[test]
 fn each_configuration_key_is_read_under_its_name() {
     let mut pointers = Vec::new();
@@ -75,7 +76,7 @@
 
 #[test]
 fn configuration_with_every_key_has_its_values() {
-    let config = Config::from_file_value(every_key(), |_| None).expect("fine");
+    let config = Config::from_file_value(every_key(), |_| None).expect("a valid configuration");
     assert_eq!(config.name, "n/1");
     let address = |text: &str| text.parse::<SocketAddr>().expect("an address");
     assert_eq!(config.listen, address("127.0.0.1:9000"));
@@ -110,7 +111,7 @@
         "TMPDIR" => Some("/state".to_owned()),
         _ => None,
     };
-    let config = Config::load(None, env).expect("fine");
+    let config = Config::load(None, env).expect("a valid configuration");
     let ports = [Some(config.listen), Some(config.discovery), config.admin_addr];
     assert_eq!(config.name, "n2");
     assert_eq!(ports.map(|address| address.map(|address| address.port())), [Some(1), Some(2), Some(3)]);
@@ -121,7 +122,7 @@
 
 #[test]
 fn cluster_file_with_every_key_has_its_values() {
-    let config = ClusterConfig::load(&fixture("cluster.toml")).expect("fine");
+    let config = ClusterConfig::load(&fixture("cluster.toml")).expect("a valid configuration");
     assert_eq!((config.name.as_str(), config.listen.port(), config.advertise.port()), ("edge", 19946, 19947));
     assert_eq!(config.seeds.len(), 2);
     assert_eq!((config.settings.period.0, config.settings.suspicion_multiplier), (200_000, 3.5));
@@ -136,7 +137,10 @@
     assert_eq!((control.settings.drift, control.settings.fanout), (0.02, 5));
     assert_eq!(control.when_isolated, IsolationPolicy::StopAdmitting);
     let other = recorded("cluster.toml").replace("\"refuse\"", "\"go-on\"");
-    let other = ClusterConfig::parse("cluster.toml", &other).expect("fine").replication.expect("a table");
+    let other = ClusterConfig::parse("cluster.toml", &other)
+        .expect("a valid configuration")
+        .replication
+        .expect("a table");
     assert_eq!(other.when_isolated, IsolationPolicy::KeepServing);
 }
 
@@ -156,7 +160,7 @@
     assert!(since > 1_700_000_000_000_000, "microseconds of Unix time");
     std::fs::remove_file(&path).expect("removed");
     store.save(&dir, "n/1").expect("saved");
-    assert_eq!(std::fs::read_to_string(&path).expect("there"), recorded("hosts.json"));
+    assert_eq!(std::fs::read_to_string(&path).expect("the saved file"), recorded("hosts.json"));
     std::fs::remove_dir_all(&dir).expect("removed");
 }
 
@@ -323,7 +327,8 @@
         assert_recorded("admin.txt", &responses().await);
         assert_recorded("metric_names.txt", &metric_names(&request("GET", "/control/counters", "").await));
         assert_recorded("members.txt", &masked_members(&request("GET", "/members", "").await));
-        let written = std::fs::read_to_string(dir.join("alderstile-n%2F1.hosts.json")).expect("there");
+        let written =
+            std::fs::read_to_string(dir.join("alderstile-n%2F1.hosts.json")).expect("the saved file");
         assert_eq!(without_time(&written), without_time(&recorded("hosts.json")));
         commands.push_str(&masked_table(&print(&["members"])));
         commands.push_str(&masked_members(&print(&["members", "--json"])));
--- a/crates/alderstile-node/tests/config.rs
+++ b/crates/alderstile-node/tests/config.rs
@@ -8,6 +8,7 @@
 mod support;
 use support::node_config;
 
+/// Returns the error for an invalid configuration.
 fn error(value: Value) -> String {
     Config::parse(value).expect_err("an invalid configuration").to_string()
 }
@@ -24,7 +25,10 @@
     assert_eq!(config.zones, ["a", "b"]);
     assert_eq!(config.settings.classes.len(), 2);
     assert_eq!(config.shutdown_timeout.as_millis(), 1_900, "the longest deadline plus the platform's margin");
-    assert_eq!(config.settings.classes[1].message_latency_objective.map(|aim| aim.0), Some(150_000));
+    assert_eq!(
+        config.settings.classes[1].message_latency_objective.map(|objective| objective.0),
+        Some(150_000)
+    );
     let entry = config.cached_endpoints.entries(&config.zones)[0];
     assert_eq!((entry.zone, entry.cell, entry.started.map(|at| at.0)), (1, 3, Some(7_000)));
 }
@@ -68,8 +72,8 @@
         value.as_object_mut().and_then(|fields| fields.remove(key));
     }
     value["settings"]["obligations"].as_object_mut().and_then(|fields| fields.remove("must_ask_in"));
-    // On sockets a node must watch, and with a pause between polls. Pushed lists are polled often: the local
-    // agent is queried, and what it knows counts at once.
+    // Discovery over sockets is always subscribed to. With pushed lists (`automatic`) the interval is short,
+    // as a node counts as notified of a change as soon as the local agent has it.
     for (discovery, expected) in [("subscribe", 10_000_000), ("automatic", 200_000)] {
         value["settings"]["discovery"] = discovery.into();
         let config = Config::parse(value.clone()).expect("a valid configuration");
@@ -87,9 +91,9 @@
 
 #[test]
 fn missing_configuration_file_is_reported() {
-    let none = |_: &str| None;
-    assert!(matches!(Config::load(None, none), Err(ConfigError::NoFile)));
-    let missing = Config::load(Some(Path::new("/nowhere/config.json")), none);
+    let no_variables = |_: &str| None;
+    assert!(matches!(Config::load(None, no_variables), Err(ConfigError::NoFile)));
+    let missing = Config::load(Some(Path::new("/nowhere/config.json")), no_variables);
     assert!(missing.expect_err("no such file").to_string().contains("/nowhere/config.json"));
 }
 
@@ -197,7 +201,7 @@
 
 #[test]
 fn invalid_retry_budget_or_clock_tolerance_is_rejected_by_key() {
-    let with = |additional: Value| {
+    let with_obligations = |additional: Value| {
         let mut value = node_config("127.0.0.1:1", "127.0.0.1:2");
         let obligations = value.pointer_mut("/settings/obligations").and_then(Value::as_object_mut);
         obligations.expect("obligations").extend(additional.as_object().cloned().expect("an object"));
@@ -205,12 +209,15 @@
     };
     let complete = json!({"free_resends": 10.0, "resend_ratio": 0.15, "counted_over": 10_000_000, "deadline_drift": 3_200_000,
         "gone_is_advice": true, "stamp_doubt": 0});
-    let settings = Config::parse(with(complete)).expect("a valid configuration").settings;
+    let settings = Config::parse(with_obligations(complete)).expect("a valid configuration").settings;
     let budget = settings.retry_budget.expect("a budget");
     assert_eq!((budget.min_retries, budget.retry_ratio, budget.window.0), (10.0, 0.15, 10_000_000));
     assert_eq!((settings.deadline_tolerance.0, settings.removal_is_advisory), (3_200_000, true));
-    let none = Config::parse(with(json!({}))).expect("a valid configuration").settings;
-    assert_eq!((none.retry_budget, none.removal_is_advisory, none.start_time_tolerance.0), (None, false, 0));
+    let defaults = Config::parse(with_obligations(json!({}))).expect("a valid configuration").settings;
+    assert_eq!(
+        (defaults.retry_budget, defaults.removal_is_advisory, defaults.start_time_tolerance.0),
+        (None, false, 0)
+    );
     let budget = |key: &str, value: Value| {
         let mut budget = json!({"free_resends": 5, "resend_ratio": 0.03, "counted_over": 10_000_000});
         budget[key] = value;
@@ -234,7 +241,7 @@
         (json!({"gone_is_advice": 1}), "obligations.gone_is_advice", "true or false"),
     ];
     for (additional, key, expected) in faults {
-        let message = error(with(additional.clone()));
+        let message = error(with_obligations(additional.clone()));
         assert!(
             message.contains(&format!("settings.{key}")) && message.contains(expected),
             "{additional}: {message}"
--- a/crates/alderstile-node/tests/descriptors.rs
+++ b/crates/alderstile-node/tests/descriptors.rs
@@ -16,10 +16,11 @@
 /// How long a client waits for its answer.
 const CLIENT_WAIT: Duration = Duration::from_millis(1_000);
 
+/// Connects a client and sends its request, which it abandons after [`CLIENT_WAIT`].
 async fn send_request(address: SocketAddr, id: u64) -> LineConnection {
-    let mut send_request = LineConnection::connect(address).await;
-    send_request.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=1000\r\n")).await;
-    send_request
+    let mut client = LineConnection::connect(address).await;
+    client.send(&format!("OPEN {id:016x} {id:016x} c=chat,d=1000\r\n")).await;
+    client
 }
 
 /// Opens connections that are served and stay, until one is rejected. Returns both sides of each.
@@ -46,25 +47,25 @@
 }
 
 /// Opens connections that send nothing.
-async fn connect_idle(address: SocketAddr, number: usize) -> Vec<LineConnection> {
-    let mut connect_idle = Vec::new();
-    for _ in 0..number {
-        connect_idle.push(LineConnection::connect(address).await);
+async fn connect_idle(address: SocketAddr, count: usize) -> Vec<LineConnection> {
+    let mut idle_clients = Vec::new();
+    for _ in 0..count {
+        idle_clients.push(LineConnection::connect(address).await);
     }
-    connect_idle
+    idle_clients
 }
 
 #[test]
 fn new_client_is_answered_in_time_while_idle_clients_hold_all_descriptors() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) =
+        let (test_node, _watch) =
             start_ready_node_with(&[&host], |value| value["limits"]["sockets"] = 200.into()).await;
-        let open = fill_with_served_clients(setup.address, &host).await;
+        let open = fill_with_served_clients(test_node.address, &host).await;
         assert!(open.len() > 60, "{} are served", open.len());
         for round in 0..3 {
-            let _idle_clients = connect_idle(setup.address, 300).await;
-            let mut new_client = send_request(setup.address, 1_000 + round).await;
+            let _idle_clients = connect_idle(test_node.address, 300).await;
+            let mut new_client = send_request(test_node.address, 1_000 + round).await;
             let answer = timeout(CLIENT_WAIT, new_client.read_line()).await.expect("an answer in time");
             assert_eq!(answer.as_deref(), Some("BUSY"));
         }
@@ -80,7 +81,7 @@
         let address = TcpListener::bind("127.0.0.1:0").await.expect("a port").local_addr().expect("bound");
         let mut value = node_config(&address.to_string(), &discovery_address.to_string());
         value["settings"]["allowed"]["may_tell"] = false.into();
-        // Exceeds the limit of the system.
+        // Exceeds the limit that `ulimit` sets below.
         value["limits"]["sockets"] = json!(100_000);
         let path = std::env::temp_dir().join(format!("alderstile-few-{}.json", std::process::id()));
         std::fs::write(&path, value.to_string()).expect("written");
@@ -107,14 +108,15 @@
         // Discovery restarts while the idle clients stay.
         let restarted_discovery =
             StubDiscovery(TcpListener::bind(discovery_address).await.expect("the same port"));
-        let restarted = Instant::now();
+        let restarted_at = Instant::now();
         let change = list_line(2, false, &[host.list_entry("draining"), other.list_entry("up")]);
         let _watch = timeout(Duration::from_secs(6), restarted_discovery.accept_watch(&[&change]))
             .await
             .expect("a call in time");
-        assert!(restarted.elapsed() < Duration::from_secs(6), "{:?}", restarted.elapsed());
+        assert!(restarted_at.elapsed() < Duration::from_secs(6), "{:?}", restarted_at.elapsed());
         idle_clients.extend(connect_idle(address, 200).await);
-        // Some served clients leave, so that the next ones can be served, at the host that is up now.
+        // Some served clients leave, so that the next ones can be served by the host that is now listed as
+        // up.
         open.truncate(open.len() - 4);
         let mut id = 2_000;
         let mut server = loop {
--- a/crates/alderstile-node/tests/endpoint_watch.rs
+++ b/crates/alderstile-node/tests/endpoint_watch.rs
@@ -13,18 +13,18 @@
 fn node_is_ready_only_after_a_list_received_in_any_number_of_pieces() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let setup = start_node(|_| {}).await;
-        let (first, mut watch) = setup.discovery.accept_call().await;
-        assert_eq!(first, "GET /catalog/members?stream=1&index=0 HTTP/1.1");
-        assert_eq!(setup.ping().await, None, "no list yet");
+        let test_node = start_node(|_| {}).await;
+        let (request_line, mut watch) = test_node.discovery.accept_call().await;
+        assert_eq!(request_line, "GET /catalog/members?stream=1&index=0 HTTP/1.1");
+        assert_eq!(test_node.ping().await, None, "no list yet");
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         let line = list_line(3, true, &[host.list_entry("up")]);
         let (head, tail) = line.split_at(25);
         for piece in ["\n", head, tail, "\n"] {
             send_chunk(&mut watch, piece).await;
         }
-        setup.wait_until_ready().await;
-        setup.establish(1, &host).await;
+        test_node.wait_until_ready().await;
+        test_node.establish(1, &host).await;
     });
 }
 
@@ -33,14 +33,14 @@
     run(async {
         let host = StubHost::new("s-1").await;
         let known = serde_json::json!({"seq": 5, "whole": true, "hosts": [host.list_entry("up")]});
-        let setup = start_node(|value| value["known"] = known).await;
-        let (first, mut call) = setup.discovery.accept_call().await;
-        assert!(first.contains("index=5"), "{first}");
+        let test_node = start_node(|value| value["known"] = known).await;
+        let (request_line, mut call) = test_node.discovery.accept_call().await;
+        assert!(request_line.contains("index=5"), "{request_line}");
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
-        setup.wait_until_ready().await;
-        setup.establish(1, &host).await;
-        // The node calls again without a further request.
-        setup.discovery.accept_call().await;
+        test_node.wait_until_ready().await;
+        test_node.establish(1, &host).await;
+        // The node calls discovery again by itself, without another request of a client.
+        test_node.discovery.accept_call().await;
     });
 }
 
@@ -48,16 +48,16 @@
 fn watch_resumes_at_the_known_version_and_ignores_older_changes() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, mut watch) = start_ready_node(&[&hosts[0]]).await;
+        let (test_node, mut watch) = start_ready_node(&[&hosts[0]]).await;
         send_chunk(&mut watch, &list_line(7, false, &[hosts[1].list_entry("up")])).await;
         send_chunk(&mut watch, &list_line(3, false, &[hosts[1].list_entry("removed")])).await;
         send_chunk(&mut watch, &list_line(8, false, &[hosts[0].list_entry("removed")])).await;
-        while setup.node.decisions.host(server_id("s-1")).is_some() {
+        while test_node.node.decisions.host(server_id("s-1")).is_some() {
             sleep(Duration::from_millis(1)).await;
         }
-        setup.establish(1, &hosts[1]).await;
+        test_node.establish(1, &hosts[1]).await;
         drop(watch);
-        let (first, _call) = setup.discovery.accept_call().await;
-        assert!(first.contains("index=8"), "{first}");
+        let (request_line, _call) = test_node.discovery.accept_call().await;
+        assert!(request_line.contains("index=8"), "{request_line}");
     });
 }
--- a/crates/alderstile-node/tests/lease.rs
+++ b/crates/alderstile-node/tests/lease.rs
@@ -33,19 +33,19 @@
 }
 
 /// Asserts that a new client is served by the given host.
-async fn assert_served(setup: &Setup, id: u64, host: &StubHost) {
-    timeout(Duration::from_secs(5), setup.establish(id, host)).await.expect("served");
+async fn assert_served(test_node: &TestNode, id: u64, host: &StubHost) {
+    timeout(Duration::from_secs(5), test_node.establish(id, host)).await.expect("served");
 }
 
 /// Asserts that a new client is rejected at once, without an attempt at the given host.
-async fn assert_rejected(setup: &Setup, id: u64, host: &StubHost) {
-    let mut client = setup.send_request(id, "d=20000").await;
+async fn assert_rejected(test_node: &TestNode, id: u64, host: &StubHost) {
+    let mut client = test_node.send_request(id, "d=20000").await;
     let answer = timeout(Duration::from_secs(5), client.read_line()).await.expect("an answer at once");
     assert!(answer.is_some_and(|line| line.starts_with("BUSY")), "rejected");
     assert!(timeout(Duration::from_millis(50), host.accept()).await.is_err(), "attempt made nevertheless");
 }
 
-/// Answers each call with 503 after a delay, like an overloaded discovery.
+/// Answers each call with 503 after a delay, as discovery does when it is overloaded.
 async fn reject_calls(discovery: &StubDiscovery, after: Duration) {
     loop {
         let (_, mut call) = discovery.accept_call().await;
@@ -57,18 +57,18 @@
     }
 }
 
-/// Runs a test while the stub of discovery runs.
+/// Runs a test together with a stub of discovery, and returns the output of the test.
 async fn run_alongside<T>(discovery: impl Future<Output = ()>, test: impl Future<Output = T>) -> T {
     tokio::select! {
         () = discovery => panic!("the stub of discovery ended"),
-        done = test => done,
+        output = test => output,
     }
 }
 
 // ---- the time bounds of the lease ----
 
 #[test]
-fn only_a_renewal_extends_the_lease() {
+fn renewal_extends_the_lease_and_the_end_of_a_watch_does_not() {
     let mut lease = Lease::new(ms(0), None);
     assert!(lease.allows_new_work(ms(5_999), A) && !lease.allows_new_work(ms(6_000), A));
     lease.renew(ms(10_000));
@@ -100,7 +100,7 @@
     let mut lease = Lease::new(ms(0), None);
     lease.on_discovery_unreachable(ms(5_000));
     assert!(lease.allows_new_work(ms(10_999), A) && !lease.allows_new_work(ms(11_000), A));
-    // A call that started earlier and ends later does not shorten the lease.
+    // A call that started earlier and fails later does not shorten the lease.
     lease.on_discovery_unreachable(ms(1_000));
     assert!(lease.allows_new_work(ms(10_999), A));
 }
@@ -137,11 +137,11 @@
     let mut lease = Lease::new(ms(0), None);
     lease.renew(ms(1_000));
     assert_eq!(lease.remaining(ms(3_000)), ms(4_000));
-    let mut next = Lease::new(ms(3_000), None);
-    next.inherit(ms(3_000), ms(4_000));
-    assert!(next.allows_new_work(ms(6_999), A) && !next.allows_new_work(ms(7_000), A));
-    next.inherit(ms(3_000), ms(60_000));
-    assert!(!next.allows_new_work(ms(7_000), A));
+    let mut successor = Lease::new(ms(3_000), None);
+    successor.inherit(ms(3_000), ms(4_000));
+    assert!(successor.allows_new_work(ms(6_999), A) && !successor.allows_new_work(ms(7_000), A));
+    successor.inherit(ms(3_000), ms(60_000));
+    assert!(!successor.allows_new_work(ms(7_000), A));
 }
 
 // ---- a fleet at the capacity limit of discovery ----
@@ -161,7 +161,7 @@
 /// and answers 503 to a call that has waited for 2 s.
 ///
 /// Returns the sorted times until each node had its list, in milliseconds from the last line of the watches,
-/// or from the end of the outage where discovery was down.
+/// or from the end of the outage if discovery was down.
 fn simulate_watch_loss(nodes: u32, calls_per_second: u64, loss: WatchLoss) -> Vec<u64> {
     const CALL_QUEUE_TIMEOUT: u64 = 2_000;
     let mut value = node_config("127.0.0.1:1", "127.0.0.1:1");
@@ -169,7 +169,8 @@
     let config = Config::from_file_value(value, |_| None).expect("a valid configuration");
     let mut balancers: Vec<Balancer> =
         (0..nodes).map(|node| Balancer::new(config.settings.clone(), u64::from(node), ms(0))).collect();
-    // The first calls, which are spread over the start, are not simulated: each node has a watch by then.
+    // The first calls of the nodes, which are spread over time, are not simulated: each node has a watch when
+    // the simulation begins.
     let lost_at = 20_000;
     for node in &mut balancers {
         node.handle_timeout(ms(lost_at));
@@ -264,38 +265,42 @@
 fn hosts_receive_no_new_requests_after_the_lease_expires() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, watch) = start_ready_node(&[&hosts[0]]).await;
+        let (test_node, watch) = start_ready_node(&[&hosts[0]]).await;
         let last_line_at = Instant::now();
         drop(watch);
-        let _established = run_alongside(reject_calls(&setup.discovery, Duration::from_millis(700)), async {
-            sleep_until(last_line_at + Duration::from_millis(5_000)).await;
-            assert!(setup.node.decisions.lease_remaining() > Micros(0), "the lease expired too early");
-            sleep_until(last_line_at + Duration::from_millis(6_100)).await;
-            assert_rejected(&setup, 2, &hosts[0]).await;
-            // Established connections stay, and connections open before the start can be resumed.
-            let mut resumed = setup.send_request(3, "d=20000,at=s-1").await;
-            let mut server = hosts[0].accept().await;
-            server.read_line().await.expect("the first line");
-            server.send("UP 03\r\n").await;
-            assert_eq!(resumed.read_line().await.as_deref(), Some("UP 03"));
-            // Kept open: a host that closed all its connections would be paused when it is released.
-            (resumed, server)
-        })
-        .await;
+        let _established =
+            run_alongside(reject_calls(&test_node.discovery, Duration::from_millis(700)), async {
+                sleep_until(last_line_at + Duration::from_millis(5_000)).await;
+                assert!(
+                    test_node.node.decisions.lease_remaining() > Micros(0),
+                    "the lease expired too early"
+                );
+                sleep_until(last_line_at + Duration::from_millis(6_100)).await;
+                assert_rejected(&test_node, 2, &hosts[0]).await;
+                // Established connections stay, and connections open before the start can be resumed.
+                let mut resumed = test_node.send_request(3, "d=20000,at=s-1").await;
+                let mut server = hosts[0].accept().await;
+                server.read_line().await.expect("the first line");
+                server.send("UP 03\r\n").await;
+                assert_eq!(resumed.read_line().await.as_deref(), Some("UP 03"));
+                // Kept open: a host that closed all its connections would be ejected when it is used again.
+                (resumed, server)
+            })
+            .await;
         // The list arrives, and both hosts receive requests again, including the one that was withheld.
         let _watch =
-            setup.discovery.accept_watch(&[&list_line(2, false, &[hosts[1].list_entry("up")])]).await;
-        setup.wait_until_listed("s-2").await;
+            test_node.discovery.accept_watch(&[&list_line(2, false, &[hosts[1].list_entry("up")])]).await;
+        test_node.wait_until_listed("s-2").await;
         let mut open = Vec::new();
         let mut used = [false, false];
         for id in 10..18 {
-            let client = setup.send_request(id, "d=20000").await;
+            let client = test_node.send_request(id, "d=20000").await;
             let (mut server, other) = accept_attempt(&hosts).await;
             server.send("UP 01\r\n").await;
             used[1 - other] = true;
             open.push((client, server));
         }
-        assert_eq!(used, [true, true], "both are used");
+        assert_eq!(used, [true, true], "both hosts receive requests");
     });
 }
 
@@ -303,19 +308,19 @@
 fn host_that_accepted_recently_receives_requests_after_the_lease_expires() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, mut watch) = start_ready_node(&[&hosts[0]]).await;
+        let (test_node, mut watch) = start_ready_node(&[&hosts[0]]).await;
         send_chunk(&mut watch, "\n").await;
         let last_line_at = Instant::now();
-        run_alongside(reject_calls(&setup.discovery, Duration::from_millis(700)), async {
+        run_alongside(reject_calls(&test_node.discovery, Duration::from_millis(700)), async {
             // The watch is silent but stays open.
             sleep_until(last_line_at + Duration::from_millis(1_000)).await;
             let mut open = Vec::new();
-            open.push(setup.establish(1, &hosts[0]).await);
+            open.push(test_node.establish(1, &hosts[0]).await);
             send_chunk(&mut watch, &list_line(2, false, &[hosts[1].list_entry("up")])).await;
-            setup.wait_until_listed("s-2").await;
+            test_node.wait_until_listed("s-2").await;
             let last_line_at = Instant::now();
             sleep_until(last_line_at + Duration::from_millis(4_000)).await;
-            let mut client = setup.send_request(2, "d=20000").await;
+            let mut client = test_node.send_request(2, "d=20000").await;
             // The host without connections is chosen first.
             let mut server = hosts[1].accept().await;
             server.read_line().await.expect("the first line");
@@ -325,7 +330,7 @@
             sleep_until(last_line_at + Duration::from_millis(6_200)).await;
             for id in 3..9 {
                 // Without the lease, half of these would be placed on the first host by load.
-                open.push(setup.establish(id, &hosts[1]).await);
+                open.push(test_node.establish(id, &hosts[1]).await);
             }
             assert!(
                 timeout(Duration::from_millis(50), hosts[0].accept()).await.is_err(),
@@ -340,22 +345,25 @@
 fn lease_stays_valid_while_discovery_is_unreachable_and_no_longer() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, watch) = start_ready_node(&[&host]).await;
-        let Setup { node, address, listener_task, discovery } = setup;
+        let (test_node, watch) = start_ready_node(&[&host]).await;
+        let TestNode { node, address, listener_task, discovery } = test_node;
         let discovery_address = discovery.0.local_addr().expect("bound");
-        // The machine of discovery refuses connections.
+        // Discovery's machine refuses connections.
         drop((watch, discovery));
         let down_since = Instant::now();
         sleep_until(down_since + Duration::from_millis(8_000)).await;
         let restarted_discovery =
             StubDiscovery(tokio::net::TcpListener::bind(discovery_address).await.expect("the same port"));
-        let setup = Setup { node, address, listener_task, discovery: restarted_discovery };
-        assert_served(&setup, 1, &host).await;
-        assert!(setup.node.decisions.lease_remaining() > Micros(0), "no change can count as notified");
-        // Discovery is back: it accepts calls and never answers them.
+        let test_node = TestNode { node, address, listener_task, discovery: restarted_discovery };
+        assert_served(&test_node, 1, &host).await;
+        assert!(
+            test_node.node.decisions.lease_remaining() > Micros(0),
+            "no change counts as notified while discovery is down"
+        );
+        // Discovery accepts calls again, and never answers them.
         let restarted_at = Instant::now();
         sleep_until(restarted_at + Duration::from_millis(7_000)).await;
-        assert_rejected(&setup, 2, &host).await;
+        assert_rejected(&test_node, 2, &host).await;
     });
 }
 
@@ -363,18 +371,18 @@
 fn pushed_list_expires_after_the_drain_grace_without_a_watch() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, watch) = start_ready_node_with(&[&host], set_pushed_lists).await;
+        let (test_node, watch) = start_ready_node_with(&[&host], set_pushed_lists).await;
         drop(watch);
         // Discovery accepts the call and does not answer.
-        let (_, mut call) = setup.discovery.accept_call().await;
+        let (_, mut call) = test_node.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
-        assert_rejected(&setup, 1, &host).await;
+        assert_rejected(&test_node, 1, &host).await;
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         send_chunk(&mut call, "\n").await;
-        while setup.node.decisions.lease_remaining() == Micros(0) {
+        while test_node.node.decisions.lease_remaining() == Micros(0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_served(&setup, 2, &host).await;
+        assert_served(&test_node, 2, &host).await;
     });
 }
 
@@ -383,16 +391,16 @@
     run(async {
         let host = StubHost::new("s-1").await;
         let entry = host.list_entry("up");
-        let setup = start_node(|value| {
+        let test_node = start_node(|value| {
             set_pushed_lists(value);
             value["known"] = json!({"seq": 1, "whole": true, "hosts": [entry]});
         })
         .await;
         tokio::time::sleep(Duration::from_millis(450)).await;
-        assert_rejected(&setup, 1, &host).await;
-        let _watch = setup.discovery.accept_watch(&["\n"]).await;
-        setup.wait_until_ready().await;
-        assert_served(&setup, 2, &host).await;
+        assert_rejected(&test_node, 1, &host).await;
+        let _watch = test_node.discovery.accept_watch(&["\n"]).await;
+        test_node.wait_until_ready().await;
+        assert_served(&test_node, 2, &host).await;
     });
 }
 
@@ -400,15 +408,15 @@
 fn request_is_not_sent_if_the_lease_expires_during_the_connect() {
     run(async {
         let blocked_host = StubHost::with_full_queue("s-1").await;
-        let (setup, watch) = start_ready_node_with(&[&blocked_host], |value| {
+        let (test_node, watch) = start_ready_node_with(&[&blocked_host], |value| {
             set_pushed_lists(value);
             set_long_connect_timeout(value);
         })
         .await;
-        let mut client = setup.send_request(1, "d=20000").await;
-        setup.wait_until_in_flight().await;
+        let mut client = test_node.send_request(1, "d=20000").await;
+        test_node.wait_until_in_flight().await;
         drop(watch);
-        let (_, _call) = setup.discovery.accept_call().await;
+        let (_, _call) = test_node.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
         blocked_host.free_queue().await;
         let mut late_connection = blocked_host.accept().await;
@@ -421,10 +429,10 @@
 fn request_that_arrives_as_the_lease_expires_is_rejected() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, watch) = start_ready_node_with(&[&host], set_pushed_lists).await;
-        let mut client = setup.connect().await;
+        let (test_node, watch) = start_ready_node_with(&[&host], set_pushed_lists).await;
+        let mut client = test_node.connect().await;
         drop(watch);
-        let (_, _call) = setup.discovery.accept_call().await;
+        let (_, _call) = test_node.discovery.accept_call().await;
         // Blocking the thread keeps the node from running: the line has arrived, and the hosts are not
         // withheld yet.
         client.0.get_ref().try_write(b"OPEN 01 01 c=chat,d=20000\r\n").expect("sent");
@@ -441,19 +449,19 @@
 fn operators_can_change_host_maintenance_after_the_lease_expired() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, watch) = start_ready_node_with(&[&host], set_pushed_lists).await;
+        let (test_node, watch) = start_ready_node_with(&[&host], set_pushed_lists).await;
         drop(watch);
-        let (_, mut call) = setup.discovery.accept_call().await;
+        let (_, mut call) = test_node.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
-        assert_rejected(&setup, 1, &host).await;
-        let admin = &setup.node.admin;
+        assert_rejected(&test_node, 1, &host).await;
+        let admin = &test_node.node.admin;
         assert!(admin.set_host_online("s-1", false).await.expect("done"), "the host is listed");
         call.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         send_chunk(&mut call, "\n").await;
-        while setup.node.decisions.lease_remaining() == Micros(0) {
+        while test_node.node.decisions.lease_remaining() == Micros(0) {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        assert_rejected(&setup, 2, &host).await;
+        assert_rejected(&test_node, 2, &host).await;
         assert!(admin.set_host_online("s-1", true).await.expect("done"));
     });
 }
@@ -464,35 +472,35 @@
     // expired, such a host may be draining.
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, watch) = start_ready_node_with(&[&host], |value| {
+        let (test_node, watch) = start_ready_node_with(&[&host], |value| {
             set_pushed_lists(value);
             value["settings"]["obligations"]["gone_is_advice"] = json!(true);
         })
         .await;
-        let _open = setup.establish(1, &host).await;
+        let _open = test_node.establish(1, &host).await;
         drop(watch);
-        let (_, _call) = setup.discovery.accept_call().await;
+        let (_, _call) = test_node.discovery.accept_call().await;
         tokio::time::sleep(Duration::from_millis(450)).await;
-        assert_rejected(&setup, 2, &host).await;
+        assert_rejected(&test_node, 2, &host).await;
     });
 }
 
 #[test]
-fn list_expires_four_seconds_after_discoverys_address_changed() {
+fn list_expires_four_seconds_after_a_change_of_the_discovery_address() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         let other = StubDiscovery::new().await;
-        let mut new_config = setup.node.config().source.clone();
+        let mut new_config = test_node.node.config().source.clone();
         new_config["discovery"] = json!(other.0.local_addr().expect("bound").to_string());
         let changed_at = Instant::now();
-        setup
+        test_node
             .node
             .apply_config(Config::from_file_value(new_config, |_| None).expect("a valid configuration"));
         sleep_until(changed_at + Duration::from_millis(3_500)).await;
-        assert!(setup.node.decisions.lease_remaining() > Micros(0));
+        assert!(test_node.node.decisions.lease_remaining() > Micros(0));
         sleep_until(changed_at + Duration::from_millis(4_100)).await;
-        assert_rejected(&setup, 1, &host).await;
+        assert_rejected(&test_node, 1, &host).await;
     });
 }
 
@@ -500,12 +508,13 @@
 fn successor_process_inherits_the_lease() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let state = setup.node.hand_over_state(1);
-        let remaining = setup.node.decisions.lease_remaining();
+        let state = test_node.node.hand_over_state(1);
+        let remaining = test_node.node.decisions.lease_remaining();
         assert!(remaining < ms(5_750) && remaining > Micros(0), "{remaining:?}");
-        let config = Config::from_file_value(setup.node.config().source.clone(), |_| None).expect("fine");
+        let config = Config::from_file_value(test_node.node.config().source.clone(), |_| None)
+            .expect("a valid configuration");
         let successor = Node::new(config);
         successor.take_over(&state);
         assert!(successor.decisions.lease_remaining() <= Micros(state.lease_remaining_us.expect("a lease")));
--- a/crates/alderstile-node/tests/peers.rs
+++ b/crates/alderstile-node/tests/peers.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_node_with_gossip_disabled_binds_no_socket() {
+fn node_with_gossip_disabled_binds_no_socket() {
     run(async {
         let mut value = node_config("127.0.0.1:0", "127.0.0.1:2");
         value["peer_listen"] = "127.0.0.1:0".into();
--- a/crates/alderstile-node/tests/protocol.rs
+++ b/crates/alderstile-node/tests/protocol.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn first_line_is_parsed() {
-    let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not read") };
+    let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not parsed") };
     assert_eq!((open.id, open.flow_key), (&b"9b1f03aa5c7e2d41"[..], &b"7f3a9c21e0b4d655"[..]));
     assert_eq!((open.class, open.wait_ms), (&b"chat"[..], 2_000));
     assert_eq!(
@@ -20,14 +20,14 @@
 #[test]
 fn unknown_parameters_are_ignored() {
     let line = b"OPEN a b x=,h=12.5,again=1,r=1,d=7,at=s-5be2a07c,c=p";
-    let Some(ClientLine::Open(open)) = parse_client_line(line) else { panic!("not read") };
+    let Some(ClientLine::Open(open)) = parse_client_line(line) else { panic!("not parsed") };
     assert_eq!((open.class, open.wait_ms), (&b"p"[..], 7));
     assert_eq!((open.previous_host, open.expected_load), (Some(&b"s-5be2a07c"[..]), Some(12.5)));
 }
 
 #[test]
 fn forwarded_line_differs_only_in_the_wait() {
-    let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not read") };
+    let Some(ClientLine::Open(open)) = parse_client_line(OPEN) else { panic!("not parsed") };
     let sent = open.forwarded_line(OPEN, 987);
     let expected = b"OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=987,g=5c0f6e1a2b3d4c59\r\n";
     assert_eq!(sent, expected);
@@ -90,7 +90,7 @@
     #[test]
     fn valid_first_line_is_parsed_whatever_its_values(id in "[!-~]{1,20}", key in "[!-~]{1,20}", wait in 0..u64::from(u32::MAX)) {
         let line = format!("OPEN {id} {key} c=chat,d={wait}").into_bytes();
-        let read = parse_client_line(&line);
-        prop_assert!(matches!(&read, Some(ClientLine::Open(open)) if open.wait_ms == wait), "{:?}", read);
+        let parsed = parse_client_line(&line);
+        prop_assert!(matches!(&parsed, Some(ClientLine::Open(open)) if open.wait_ms == wait), "{:?}", parsed);
     }
 }
--- a/crates/alderstile-node/tests/race_conditions.rs
+++ b/crates/alderstile-node/tests/race_conditions.rs
@@ -48,15 +48,15 @@
 /// the other host instead.
 async fn assert_redirected_after(
     change: &str,
-    apply_change: impl AsyncFnOnce(&Setup, &mut LineConnection, &StubHost),
+    apply_change: impl AsyncFnOnce(&TestNode, &mut LineConnection, &StubHost),
 ) {
     let (blocked_host, other) = (StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await);
-    let (setup, mut watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
-    let mut client = setup.send_request(1, "d=20000").await;
-    setup.wait_until_in_flight().await;
+    let (test_node, mut watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
+    let mut client = test_node.send_request(1, "d=20000").await;
+    test_node.wait_until_in_flight().await;
     send_chunk(&mut watch, &list_line(2, false, &[other.list_entry("up")])).await;
-    setup.wait_until_listed("s-2").await;
-    apply_change(&setup, &mut watch, &blocked_host).await;
+    test_node.wait_until_listed("s-2").await;
+    apply_change(&test_node, &mut watch, &blocked_host).await;
     blocked_host.free_queue().await;
     let mut late_connection = blocked_host.accept().await;
     tokio::select! {
@@ -72,13 +72,13 @@
 }
 
 /// Sends a list entry on the watch, and waits until the node has applied it.
-async fn apply_entry(setup: &Setup, watch: &mut LineConnection, entry: Value) {
+async fn apply_entry(test_node: &TestNode, watch: &mut LineConnection, entry: Value) {
     send_chunk(
         watch,
         &list_line(3, false, &[entry, json!({"host": "s-3", "dial": "127.0.0.1:1", "health": "draining"})]),
     )
     .await;
-    setup.wait_until_listed("s-3").await;
+    test_node.wait_until_listed("s-3").await;
 }
 
 #[test]
@@ -87,23 +87,24 @@
     // drain grace of 150 ms, a connection that was established late received its request 0.23 s after the
     // host was listed as draining.
     run(run_concurrently(vec![
-        Box::pin(assert_redirected_after("draining", async |setup, watch, host| {
-            apply_entry(setup, watch, host.list_entry("draining")).await;
+        Box::pin(assert_redirected_after("draining", async |test_node, watch, host| {
+            apply_entry(test_node, watch, host.list_entry("draining")).await;
         })),
-        Box::pin(assert_redirected_after("removed", async |setup, watch, host| {
-            apply_entry(setup, watch, host.list_entry("removed")).await;
+        Box::pin(assert_redirected_after("removed", async |test_node, watch, host| {
+            apply_entry(test_node, watch, host.list_entry("removed")).await;
         })),
-        Box::pin(assert_redirected_after("restarted and cold", async |setup, watch, host| {
+        Box::pin(assert_redirected_after("restarted and cold", async |test_node, watch, host| {
             let now =
                 std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after the epoch");
-            let born = json!(u64::try_from(now.as_millis()).expect("a time"));
-            apply_entry(setup, watch, with_field(host.list_entry("up"), "born_ms", born)).await;
+            let started_ms = json!(u64::try_from(now.as_millis()).expect("a time"));
+            apply_entry(test_node, watch, with_field(host.list_entry("up"), "born_ms", started_ms)).await;
         })),
-        Box::pin(assert_redirected_after("address changed", async |setup, watch, host| {
-            apply_entry(setup, watch, with_field(host.list_entry("up"), "dial", json!("127.0.0.1:1"))).await;
+        Box::pin(assert_redirected_after("address changed", async |test_node, watch, host| {
+            apply_entry(test_node, watch, with_field(host.list_entry("up"), "dial", json!("127.0.0.1:1")))
+                .await;
         })),
-        Box::pin(assert_redirected_after("taken out of service", async |setup, _, host| {
-            assert!(setup.node.admin.set_host_online(&host.name, false).await.expect("done"));
+        Box::pin(assert_redirected_after("taken out of service", async |test_node, _, host| {
+            assert!(test_node.node.admin.set_host_online(&host.name, false).await.expect("done"));
         })),
     ]));
 }
@@ -112,10 +113,10 @@
 fn resumed_connection_is_sent_to_its_host_even_if_that_drains_during_the_connect() {
     run(async {
         let blocked_host = StubHost::with_full_queue("s-1").await;
-        let (setup, mut watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
-        let mut client = setup.send_request(1, "d=20000,at=s-1").await;
-        setup.wait_until_in_flight().await;
-        apply_entry(&setup, &mut watch, blocked_host.list_entry("draining")).await;
+        let (test_node, mut watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
+        let mut client = test_node.send_request(1, "d=20000,at=s-1").await;
+        test_node.wait_until_in_flight().await;
+        apply_entry(&test_node, &mut watch, blocked_host.list_entry("draining")).await;
         blocked_host.free_queue().await;
         let mut server = blocked_host.accept().await;
         server.read_line().await.expect("the first line");
@@ -128,11 +129,11 @@
 fn connection_established_after_the_clients_wait_is_not_used() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&host], set_long_connect_timeout).await;
-        let mut client = setup.send_request(1, "d=300").await;
+        let (test_node, _watch) = start_ready_node_with(&[&host], set_long_connect_timeout).await;
+        let mut client = test_node.send_request(1, "d=300").await;
         // The node has started to connect, and the system establishes the connection. Blocking the thread
         // keeps the node from running until the client's wait has expired.
-        setup.wait_until_in_flight().await;
+        test_node.wait_until_in_flight().await;
         std::thread::sleep(Duration::from_millis(400));
         let mut server = host.accept().await;
         assert_eq!(server.read_line().await, None, "sent after the client's wait");
@@ -143,24 +144,25 @@
 #[test]
 fn fragile_request_is_retried_if_its_connection_breaks_before_the_line_is_sent_but_not_after() {
     run(async {
-        for (answer, expected) in [(false, "UP 02"), (true, "FAILED")] {
+        for (line_sent, expected) in [(false, "UP 02"), (true, "FAILED")] {
             let hosts = [StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await];
-            let (setup, mut watch) = start_ready_node_with(&[&hosts[0]], |value| {
+            let (test_node, mut watch) = start_ready_node_with(&[&hosts[0]], |value| {
                 set_long_connect_timeout(value);
                 value["settings"]["classes"][0]["semantics"] = json!("fragile");
             })
             .await;
-            let mut client = setup.send_request(1, "d=20000").await;
-            setup.wait_until_in_flight().await;
+            let mut client = test_node.send_request(1, "d=20000").await;
+            test_node.wait_until_in_flight().await;
             send_chunk(&mut watch, &list_line(2, false, &[hosts[1].list_entry("up")])).await;
-            setup.wait_until_listed("s-2").await;
+            test_node.wait_until_listed("s-2").await;
             hosts[0].free_queue().await;
-            if answer {
+            if line_sent {
                 let mut server = hosts[0].accept().await;
                 server.read_line().await.expect("the first line");
                 server.reset();
             } else {
-                // Blocking the thread keeps the node from running: its first write then meets a reset.
+                // Blocking the thread keeps the node from running, so that its first write fails because of
+                // the reset.
                 let server = loop {
                     match rustix::net::accept(&hosts[0].listener) {
                         Ok(server) => break server,
@@ -232,11 +234,13 @@
             .map(|how| -> Pin<Box<dyn Future<Output = ()>>> {
                 Box::pin(async move {
                     let host = StubHost::with_full_queue("s-1").await;
-                    let (setup, _watch) = start_ready_node_with(&[&host], set_long_connect_timeout).await;
-                    let client = setup.send_request(1, "d=20000").await;
-                    setup.wait_until_in_flight().await;
+                    let (test_node, _watch) = start_ready_node_with(&[&host], set_long_connect_timeout).await;
+                    let client = test_node.send_request(1, "d=20000").await;
+                    test_node.wait_until_in_flight().await;
                     let _kept = disconnect(client, how).await;
-                    timeout(Duration::from_secs(5), setup.wait_until_idle()).await.expect("aborted at once");
+                    timeout(Duration::from_secs(5), test_node.wait_until_idle())
+                        .await
+                        .expect("aborted at once");
                     host.free_queue().await;
                     assert!(!host.receives_line_within(SYN_RETRY_WINDOW).await, "{how:?}");
                 })
@@ -250,8 +254,8 @@
     run(async {
         for (id, how) in (1..).zip(DISCONNECTS) {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-            let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-            let client = setup.send_request(id, "d=20000").await;
+            let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+            let client = test_node.send_request(id, "d=20000").await;
             let (mut server, other) = accept_attempt(&hosts).await;
             let _kept = disconnect(client, how).await;
             let ended = timeout(Duration::from_secs(5), server.read_line()).await;
@@ -265,16 +269,16 @@
 fn no_second_attempt_is_made_if_the_client_left_before_the_rejection() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+        let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
         // Repeated, because the order in which two simultaneous events are processed must not be left to
         // chance.
         for id in 0..20 {
-            let client = setup.send_request(id, "d=20000").await;
+            let client = test_node.send_request(id, "d=20000").await;
             let (server, other) = accept_attempt(&hosts).await;
             // The client's close and the host's response arrive at the same time, in this order.
             drop(client);
             server.0.get_ref().try_write(b"BUSY\r\n").expect("sent");
-            setup.wait_until_idle().await;
+            test_node.wait_until_idle().await;
             assert!(
                 timeout(Duration::from_millis(10), hosts[other].accept()).await.is_err(),
                 "a second attempt was made"
@@ -292,8 +296,8 @@
     run(async {
         for (id, how) in (1..).zip(DISCONNECTS) {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-            let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-            let client = setup.send_request(id, "d=20000").await;
+            let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+            let client = test_node.send_request(id, "d=20000").await;
             let (server, other) = accept_attempt(&hosts).await;
             let _kept = disconnect(client, how).await;
             sleep(DETECTION_WINDOW).await;
@@ -310,8 +314,8 @@
     run(async {
         for id in 1..6 {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-            let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-            let mut client = setup.send_request(id, "d=20000").await;
+            let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+            let mut client = test_node.send_request(id, "d=20000").await;
             let (server, other) = accept_attempt(&hosts).await;
             // The node buffers only a part of this, and has checked the number of unread bytes.
             client.send(&"M 1\r\n".repeat(2_000)).await;
@@ -337,8 +341,8 @@
         for round in 0..4 {
             for (id, how) in (1..).zip(DISCONNECTS) {
                 let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-                let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-                let client = setup.send_request(id, "d=20000").await;
+                let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+                let client = test_node.send_request(id, "d=20000").await;
                 let (server, other) = accept_attempt(&hosts).await;
                 let stream = client.0.get_ref();
                 let mut kept = None;
@@ -358,8 +362,8 @@
                 if round % 2 == 0 {
                     std::thread::sleep(Duration::from_millis(20));
                 }
-                let asked = timeout(Duration::from_millis(30), hosts[other].accept()).await;
-                assert!(asked.is_err(), "{how:?}");
+                let second_attempt = timeout(Duration::from_millis(30), hosts[other].accept()).await;
+                assert!(second_attempt.is_err(), "{how:?}");
                 drop(kept);
             }
         }
@@ -370,10 +374,10 @@
 fn request_is_not_sent_for_a_client_that_left_before_it_was_accepted() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         for (id, how) in (1..).zip(DISCONNECTS) {
             // The node does not run until the client has left, as both share this thread.
-            let mut client = std::net::TcpStream::connect(setup.address).expect("queued by the system");
+            let mut client = std::net::TcpStream::connect(test_node.address).expect("queued by the system");
             let many_lines =
                 matches!(how, Disconnect::SendsManyLinesAndCloses | Disconnect::SendsManyLinesAndResets)
                     .then(many_lines)
@@ -402,9 +406,9 @@
             }
             assert!(!host.receives_line_within(ABSENCE_WINDOW).await, "{how:?}");
             drop(kept);
-            setup.wait_until_idle().await;
+            test_node.wait_until_idle().await;
         }
-        setup.establish(100, &host).await;
+        test_node.establish(100, &host).await;
     });
 }
 
@@ -415,8 +419,8 @@
             .map(|_| -> Pin<Box<dyn Future<Output = ()>>> {
                 Box::pin(async {
                     let host = StubHost::new("s-1").await;
-                    let (setup, _watch) = start_ready_node(&[&host]).await;
-                    let client = setup.send_request(1, "d=20000,at=s-1").await;
+                    let (test_node, _watch) = start_ready_node(&[&host]).await;
+                    let client = test_node.send_request(1, "d=20000,at=s-1").await;
                     let mut server = host.accept().await;
                     server.read_line().await.expect("the first line");
                     server.send("BUSY\r\n").await;
@@ -434,8 +438,8 @@
 fn resumed_connection_is_retried_at_its_host() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let mut client = setup.send_request(1, "d=20000,at=s-1").await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let mut client = test_node.send_request(1, "d=20000,at=s-1").await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
         server.send("BUSY\r\n").await;
@@ -452,8 +456,8 @@
 fn lines_sent_while_waiting_are_all_forwarded() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let mut client = setup.send_request(1, "d=20000").await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let mut client = test_node.send_request(1, "d=20000").await;
         client.send(&many_lines()).await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
@@ -472,12 +476,12 @@
     // The end of the connection could not be detected behind a full receive buffer.
     run(async {
         let blocked_host = StubHost::with_full_queue("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
-        let mut client = setup.send_request(1, "d=20000").await;
-        setup.wait_until_in_flight().await;
+        let (test_node, _watch) = start_ready_node_with(&[&blocked_host], set_long_connect_timeout).await;
+        let mut client = test_node.send_request(1, "d=20000").await;
+        test_node.wait_until_in_flight().await;
         client.0.get_mut().write_all(many_lines().repeat(3).as_bytes()).await.expect("sent");
         assert_eq!(client.read_line().await.as_deref(), Some("ERR"));
-        setup.wait_until_idle().await;
+        test_node.wait_until_idle().await;
         blocked_host.free_queue().await;
         assert!(!blocked_host.receives_line_within(SYN_RETRY_WINDOW).await);
     });
@@ -488,8 +492,8 @@
     // The request was admitted: closing the connection without an answer would lose it.
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let mut client = setup.send_request(1, "d=20000").await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let mut client = test_node.send_request(1, "d=20000").await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
         client.send(&"x".repeat(5_000)).await;
@@ -504,10 +508,10 @@
     // The first line is handed over to a successor as text, so any other line must be rejected.
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         for bad in [&b"OPEN \xff\xfe 01 c=chat,d=20000\r\n"[..], b"OPEN 01 01 c=chat,d=20000,x=\xc3\x28\r\n"]
         {
-            let mut client = setup.connect().await;
+            let mut client = test_node.connect().await;
             client.0.get_mut().write_all(bad).await.expect("sent");
             assert_eq!(client.read_line().await.as_deref(), Some("ERR"), "{bad:?}");
         }
@@ -520,22 +524,23 @@
 #[test]
 fn watch_without_a_complete_line_is_replaced_in_time() {
     run(async {
-        for parts in [false, true] {
+        for sends_parts in [false, true] {
             let host = StubHost::new("s-1").await;
-            let (setup, mut watch) = start_ready_node(&[&host]).await;
+            let (test_node, mut watch) = start_ready_node(&[&host]).await;
             send_chunk(&mut watch, "\n").await;
-            let silent = Instant::now();
+            let silent_since = Instant::now();
             let trickle = spawn_local(async move {
-                // Parts of a list, one byte at a time, do not count as a sign of life.
-                while parts && watch.0.get_mut().write_all(b"1\r\n{\r\n").await.is_ok() {
+                // Parts of a list, one byte at a time, do not count as activity.
+                while sends_parts && watch.0.get_mut().write_all(b"1\r\n{\r\n").await.is_ok() {
                     sleep(Duration::from_millis(300)).await;
                 }
                 watch
             });
-            let (first, _call) = setup.discovery.accept_call().await;
-            assert!(first.contains("stream=1"), "{first}");
-            // A missed change counts as notified 6 s after the silence began, and the answer takes time, too.
-            assert!(silent.elapsed() < Duration::from_secs(5), "{:?}", silent.elapsed());
+            let (request_line, _call) = test_node.discovery.accept_call().await;
+            assert!(request_line.contains("stream=1"), "{request_line}");
+            // A node counts as notified of a missed change 6 s after the silence began, and the answer takes
+            // time, too.
+            assert!(silent_since.elapsed() < Duration::from_secs(5), "{:?}", silent_since.elapsed());
             trickle.abort();
         }
     });
@@ -545,10 +550,10 @@
 fn watch_with_a_line_every_two_seconds_stays_open() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, mut watch) = start_ready_node(&[&host]).await;
+        let (test_node, mut watch) = start_ready_node(&[&host]).await;
         for _ in 0..2 {
             assert!(
-                timeout(Duration::from_secs(2), setup.discovery.accept_call()).await.is_err(),
+                timeout(Duration::from_secs(2), test_node.discovery.accept_call()).await.is_err(),
                 "called again"
             );
             send_chunk(&mut watch, "\r\n").await;
@@ -561,13 +566,13 @@
     // Otherwise nodes that lose their watches together would all call again at once.
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, watch) = start_ready_node(&[&host]).await;
-        setup.node.decisions.list_requested.notify_one();
-        let ended = Instant::now();
+        let (test_node, watch) = start_ready_node(&[&host]).await;
+        test_node.node.decisions.list_requested.notify_one();
+        let ended_at = Instant::now();
         drop(watch);
-        setup.discovery.accept_call().await;
+        test_node.discovery.accept_call().await;
         // The wait is spread over 250 to 750 ms.
-        assert!(ended.elapsed() >= Duration::from_millis(250), "{:?}", ended.elapsed());
+        assert!(ended_at.elapsed() >= Duration::from_millis(250), "{:?}", ended_at.elapsed());
     });
 }
 
@@ -575,13 +580,13 @@
 fn indented_list_on_a_watch_is_read_completely() {
     run(async {
         let hosts = [StubHost::new("s-1{").await, StubHost::new("s-2\"]").await];
-        let setup = start_node(|_| {}).await;
-        let mut watch = setup.discovery.accept_watch(&[]).await;
+        let test_node = start_node(|_| {}).await;
+        let mut watch = test_node.discovery.accept_watch(&[]).await;
         let complete = json!({"seq": 1, "whole": true, "hosts": [hosts[0].list_entry("up")]});
         send_chunk(&mut watch, &format!("{}\n\r\n", serde_json::to_string_pretty(&complete).expect("JSON")))
             .await;
-        setup.wait_until_ready().await;
-        setup.establish(1, &hosts[0]).await;
+        test_node.wait_until_ready().await;
+        test_node.establish(1, &hosts[0]).await;
         let change = json!({
             "seq": 2, "whole": false, "hosts": [hosts[0].list_entry("draining"), hosts[1].list_entry("up")]
         });
@@ -589,8 +594,8 @@
             send_chunk(&mut watch, piece).await;
         }
         send_chunk(&mut watch, "\n").await;
-        setup.wait_until_listed("s-2\"]").await;
-        setup.establish(2, &hosts[1]).await;
+        test_node.wait_until_listed("s-2\"]").await;
+        test_node.establish(2, &hosts[1]).await;
     });
 }
 
@@ -598,40 +603,41 @@
 fn drain_received_after_a_broken_watch_applies_before_new_requests() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+        let (test_node, watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
         watch.reset();
         // Discovery rejects the first call and answers the second: the drain applies from that answer on.
-        let (_, mut call) = setup.discovery.accept_call().await;
+        let (_, mut call) = test_node.discovery.accept_call().await;
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
         let drains = list_line(2, false, &[hosts[0].list_entry("draining")]);
-        let _watch = setup.discovery.accept_watch(&[&drains]).await;
-        while setup.node.decisions.complete_list().version < 2 {
+        let _watch = test_node.discovery.accept_watch(&[&drains]).await;
+        while test_node.node.decisions.complete_list().version < 2 {
             sleep(Duration::from_millis(1)).await;
         }
         let mut open = Vec::new();
         for id in 1..8 {
-            open.push(setup.establish(id, &hosts[1]).await);
+            open.push(test_node.establish(id, &hosts[1]).await);
         }
     });
 }
 
 #[test]
 fn watch_of_pushed_lists_is_retried_at_once_however_often_it_fails() {
-    // A change that the agent has counts as notified whether or not a watch is open.
+    // A node counts as notified of a change as soon as the local agent has it, whether or not a watch is
+    // open.
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, watch) =
+        let (test_node, watch) =
             start_ready_node_with(&[&host], |value| value["settings"]["discovery"] = json!("automatic"))
                 .await;
         drop(watch);
-        let mut last = Instant::now();
+        let mut last_answer_at = Instant::now();
         for _ in 0..8 {
-            let (_, mut call) = setup.discovery.accept_call().await;
+            let (_, mut call) = test_node.discovery.accept_call().await;
             // The delay is at most 100 ms, plus that of a slow machine. With exponential backoff it would
             // grow to seconds.
-            assert!(last.elapsed() < Duration::from_secs(1), "{:?}", last.elapsed());
+            assert!(last_answer_at.elapsed() < Duration::from_secs(1), "{:?}", last_answer_at.elapsed());
             call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n").await;
-            last = Instant::now();
+            last_answer_at = Instant::now();
         }
     });
 }
@@ -640,14 +646,14 @@
 fn last_of_two_simultaneous_configurations_is_applied() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, mut watch) = start_ready_node(&[&host]).await;
+        let (test_node, mut watch) = start_ready_node(&[&host]).await;
         let (first, last) = (StubDiscovery::new().await, StubDiscovery::new().await);
         for discovery in [&first, &last] {
-            let mut new_config = setup.node.config().source.clone();
+            let mut new_config = test_node.node.config().source.clone();
             new_config["discovery"] = json!(discovery.0.local_addr().expect("bound").to_string());
             // The policy requests a watch at the same time.
-            setup.node.decisions.list_requested.notify_one();
-            setup
+            test_node.node.decisions.list_requested.notify_one();
+            test_node
                 .node
                 .apply_config(Config::from_file_value(new_config, |_| None).expect("a valid configuration"));
         }
@@ -677,23 +683,23 @@
     // Requests may wait longer than a shutdown takes, and hosts may hang meanwhile.
     run(async {
         let (blocked_host, hanging) = (StubHost::with_full_queue("s-1").await, StubHost::new("s-2").await);
-        let (setup, mut watch) = start_ready_node_with(&[&blocked_host], |value| {
+        let (test_node, mut watch) = start_ready_node_with(&[&blocked_host], |value| {
             set_short_shutdown(value);
             value["settings"]["classes"][1]["semantics"] = json!("fragile");
         })
         .await;
         // The connection to its host is not established: a request that has not run may be retried.
-        let mut connecting = setup.send_request(1, "d=20000").await;
-        setup.wait_until_in_flight().await;
+        let mut connecting = test_node.send_request(1, "d=20000").await;
+        test_node.wait_until_in_flight().await;
         send_chunk(
             &mut watch,
             &list_line(2, false, &[blocked_host.list_entry("draining"), hanging.list_entry("up")]),
         )
         .await;
-        setup.wait_until_listed("s-2").await;
+        test_node.wait_until_listed("s-2").await;
         // These requests have been sent, so they may have run.
-        let mut sent = setup.send_request(2, "d=20000").await;
-        let mut fragile = setup.connect().await;
+        let mut sent = test_node.send_request(2, "d=20000").await;
+        let mut fragile = test_node.connect().await;
         fragile.send("OPEN 0000000000000003 03 c=presence,d=20000\r\n").await;
         let mut servers = Vec::new();
         for _ in 0..2 {
@@ -702,23 +708,27 @@
             servers.push(server);
         }
         // A resumed connection that waits for a retry, and a client that has sent no complete first line.
-        let mut resumed = setup.send_request(4, "d=20000,at=s-9").await;
-        let mut partial = setup.connect().await;
+        let mut resumed = test_node.send_request(4, "d=20000,at=s-9").await;
+        let mut partial = test_node.connect().await;
         partial.send("OPEN 00").await;
-        while setup.node.clients.in_flight_count() < 4 {
+        while test_node.node.clients.in_flight_count() < 4 {
             sleep(Duration::from_millis(1)).await;
         }
-        let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
+        let (shutdown_timeout, started_at) = (test_node.node.config().shutdown_timeout, Instant::now());
+        let shutdown_task = spawn_local(shutdown::run(test_node.node.clone(), test_node.listener_task));
         assert!(connecting.read_line().await.expect("an answer").starts_with("BUSY"));
         assert!(sent.read_line().await.expect("an answer").starts_with("BUSY"));
         assert_eq!(fragile.read_line().await.as_deref(), Some("FAILED"));
         assert_eq!(resumed.read_line().await.as_deref(), Some("FAILED"));
         assert_eq!(partial.read_line().await, None);
         // The clients were not cut off early: the shutdown timeout is that of the longest request plus 0.7 s.
-        assert!(began.elapsed() > Duration::from_millis(600), "{:?}", began.elapsed());
+        assert!(started_at.elapsed() > Duration::from_millis(600), "{:?}", started_at.elapsed());
         shutdown_task.await.expect("shutdown completes");
-        assert!(began.elapsed() < shutdown_timeout, "{:?} of {shutdown_timeout:?}", began.elapsed());
+        assert!(
+            started_at.elapsed() < shutdown_timeout,
+            "{:?} of {shutdown_timeout:?}",
+            started_at.elapsed()
+        );
         assert!(!blocked_host.receives_line_within(ABSENCE_WINDOW).await);
     });
 }
@@ -727,13 +737,17 @@
 fn shutdown_completes_in_time_with_clients_that_stay_connected() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
-        let (mut client, _server) = setup.establish(1, &host).await;
-        let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
+        let (test_node, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
+        let (mut client, _server) = test_node.establish(1, &host).await;
+        let (shutdown_timeout, started_at) = (test_node.node.config().shutdown_timeout, Instant::now());
+        let shutdown_task = spawn_local(shutdown::run(test_node.node.clone(), test_node.listener_task));
         assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
         shutdown_task.await.expect("shutdown completes");
-        assert!(began.elapsed() < shutdown_timeout, "{:?} of {shutdown_timeout:?}", began.elapsed());
+        assert!(
+            started_at.elapsed() < shutdown_timeout,
+            "{:?} of {shutdown_timeout:?}",
+            started_at.elapsed()
+        );
     });
 }
 
@@ -741,11 +755,11 @@
 fn client_whose_first_line_arrives_in_pieces_during_shutdown_is_served() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
-        let mut client = setup.connect().await;
+        let (test_node, _watch) = start_ready_node_with(&[&host], set_short_shutdown).await;
+        let mut client = test_node.connect().await;
         client.send("OPEN 0000000000000001 01 c=ch").await;
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
-        while setup.node.admin.is_ready() {
+        let shutdown_task = spawn_local(shutdown::run(test_node.node.clone(), test_node.listener_task));
+        while test_node.node.admin.is_ready() {
             sleep(Duration::from_millis(1)).await;
         }
         client.send("at,d=300\r").await;
@@ -754,7 +768,7 @@
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
         // A migration requested between the host's `UP` and the client's `UP` must not be lost.
-        setup.node.clients.migrate_all();
+        test_node.node.clients.migrate_all();
         server.send("UP 01\r\n").await;
         assert_eq!(client.read_line().await.as_deref(), Some("UP 01"));
         assert_eq!(client.read_line().await.as_deref(), Some("MOVE"));
@@ -766,32 +780,36 @@
 fn clients_that_arrive_before_the_front_notices_a_shutdown_are_answered() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node_with(&[&host], |value| {
+        let (test_node, _watch) = start_ready_node_with(&[&host], |value| {
             for class in value["settings"]["classes"].as_array_mut().expect("classes") {
                 class["give_up"] = json!(30_000);
             }
         })
         .await;
-        let (shutdown_timeout, began) = (setup.node.config().shutdown_timeout, Instant::now());
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
+        let (shutdown_timeout, started_at) = (test_node.node.config().shutdown_timeout, Instant::now());
+        let shutdown_task = spawn_local(shutdown::run(test_node.node.clone(), test_node.listener_task));
         // The front sends clients for another 0.4 s. On a slow machine this loop ends early and checks less.
-        while began.elapsed() < Duration::from_millis(390) {
-            let mut client = LineConnection::connect(setup.address).await;
-            client.send(&format!("OPEN {0:x} {0:x} c=chat,d=30\r\n", began.elapsed().as_nanos())).await;
-            assert!(client.read_line().await.is_some(), "after {:?}", began.elapsed());
+        while started_at.elapsed() < Duration::from_millis(390) {
+            let mut client = LineConnection::connect(test_node.address).await;
+            client.send(&format!("OPEN {0:x} {0:x} c=chat,d=30\r\n", started_at.elapsed().as_nanos())).await;
+            assert!(client.read_line().await.is_some(), "after {:?}", started_at.elapsed());
             sleep(Duration::from_millis(20)).await;
         }
         shutdown_task.await.expect("shutdown completes");
-        assert!(began.elapsed() < shutdown_timeout, "{:?} of {shutdown_timeout:?}", began.elapsed());
+        assert!(
+            started_at.elapsed() < shutdown_timeout,
+            "{:?} of {shutdown_timeout:?}",
+            started_at.elapsed()
+        );
     });
 }
 
 #[test]
 fn shutdown_before_the_first_list_answers_clients_and_completes() {
     run(async {
-        let setup = start_node(set_short_shutdown).await;
-        let shutdown_task = spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
-        let mut client = LineConnection::connect(setup.address).await;
+        let test_node = start_node(set_short_shutdown).await;
+        let shutdown_task = spawn_local(shutdown::run(test_node.node.clone(), test_node.listener_task));
+        let mut client = LineConnection::connect(test_node.address).await;
         client.send("OPEN 0000000000000001 01 c=chat,d=300\r\n").await;
         assert!(client.read_line().await.expect("an answer").starts_with("BUSY"));
         shutdown_task.await.expect("shutdown completes");
@@ -804,11 +822,11 @@
 fn lines_received_together_with_up_reach_the_client() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         // A host that closes all connections of a node counts as failed, so one connection stays open.
-        let _other = setup.establish(9, &host).await;
+        let _other = test_node.establish(9, &host).await;
         for (id, lines) in (10..).zip([vec!["BYE"], vec!["MOVE"], vec!["hello", "BYE"], vec![]]) {
-            let mut client = setup.send_request(id, "d=20000").await;
+            let mut client = test_node.send_request(id, "d=20000").await;
             let mut server = host.accept().await;
             server.read_line().await.expect("the first line");
             let lines_after_up: String = lines.iter().map(|line| format!("{line}\r\n")).collect();
@@ -826,12 +844,12 @@
 #[test]
 fn second_response_to_a_rejected_attempt_is_dropped() {
     run(async {
-        for gap in [false, true] {
+        for after_close in [false, true] {
             let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-            let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-            let mut client = setup.send_request(1, "d=20000").await;
+            let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+            let mut client = test_node.send_request(1, "d=20000").await;
             let (mut server, other) = accept_attempt(&hosts).await;
-            if gap {
+            if after_close {
                 server.send("BUSY\r\n").await;
                 assert_eq!(server.read_line().await, None, "the attempt is closed");
                 server.0.get_mut().write_all(b"UP 99\r\n").await.unwrap_or_default();
@@ -851,8 +869,8 @@
 fn response_in_single_bytes_is_accepted_and_an_endless_one_is_not() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
-        let mut client = setup.send_request(1, "d=20000").await;
+        let (test_node, _watch) = start_ready_node(&[&hosts[0], &hosts[1]]).await;
+        let mut client = test_node.send_request(1, "d=20000").await;
         let (mut server, other) = accept_attempt(&hosts).await;
         server.0.get_mut().write_all(&[b'U'; 5_000]).await.unwrap_or_default();
         let mut server = hosts[other].accept().await;
@@ -871,16 +889,16 @@
 fn simultaneous_close_of_both_sides_ends_the_request() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (client, server) = setup.establish(1, &host).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (client, server) = test_node.establish(1, &host).await;
         server.0.get_ref().try_write(b"BYE\r\n").expect("sent");
         drop((client, server));
-        setup.wait_until_idle().await;
+        test_node.wait_until_idle().await;
         // An idle connection that the host closes while the client sends a line.
-        let (mut client, server) = setup.establish(2, &host).await;
+        let (mut client, server) = test_node.establish(2, &host).await;
         client.0.get_ref().try_write(b"M 1\r\n").expect("sent");
         drop(server);
         assert_eq!(client.read_line().await, None);
-        setup.wait_until_idle().await;
+        test_node.wait_until_idle().await;
     });
 }
--- a/crates/alderstile-node/tests/relay.rs
+++ b/crates/alderstile-node/tests/relay.rs
@@ -18,8 +18,8 @@
 fn lines_are_forwarded_unchanged_both_ways_until_bye() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let mut client = setup.send_request(1, "d=20000,g=5c0f6e1a2b3d4c59,x=1").await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let mut client = test_node.send_request(1, "d=20000,g=5c0f6e1a2b3d4c59,x=1").await;
         let mut server = host.accept().await;
         let line = server.read_line().await.expect("the first line");
         let wait = line.strip_prefix("OPEN 0000000000000001 0000000000000001 c=chat,d=").expect("unchanged");
@@ -44,8 +44,8 @@
 fn lines_sent_before_up_reach_the_host_afterwards() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let mut client = setup.send_request(1, "d=20000").await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let mut client = test_node.send_request(1, "d=20000").await;
         client.send("M 1\r\n").await;
         let mut server = host.accept().await;
         server.read_line().await.expect("the first line");
@@ -58,17 +58,17 @@
 fn close_and_reset_are_propagated_as_such() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
         // A host that closes all connections of a node counts as failed, so one connection stays open.
-        let _other = setup.establish(9, &host).await;
-        let (mut client, server) = setup.establish(1, &host).await;
+        let _other = test_node.establish(9, &host).await;
+        let (mut client, server) = test_node.establish(1, &host).await;
         drop(server);
         assert!(!client.is_reset().await);
-        let (mut client, server) = setup.establish(2, &host).await;
+        let (mut client, server) = test_node.establish(2, &host).await;
         server.reset();
         assert!(client.is_reset().await);
-        // The reset pauses the host, which is used nevertheless because there is no other.
-        let (client, mut server) = setup.establish(3, &host).await;
+        // The reset ejects the host, which is used nevertheless because there is no other.
+        let (client, mut server) = test_node.establish(3, &host).await;
         client.reset();
         assert!(server.is_reset().await);
     });
@@ -78,8 +78,8 @@
 fn client_that_shuts_down_its_sending_side_is_disconnected() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
         client.send("M 1\r\n").await;
         client.0.get_mut().shutdown().await.expect("ended");
         assert_eq!(server.read_line().await.as_deref(), Some("M 1"), "the last line is forwarded");
@@ -92,8 +92,8 @@
 fn client_whose_lines_are_not_answered_is_migrated() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
         client.send("M 1\r\n").await;
         // A load report does not count as an answer.
         server.send("LOAD 3\r\n").await;
@@ -107,8 +107,8 @@
 fn client_of_a_host_that_stops_after_an_answer_is_migrated_within_seven_seconds() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
         client.send("M 1\r\n").await;
         assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
         server.send("M 1\r\n").await;
@@ -117,8 +117,8 @@
         let limit = tokio::time::Instant::now() + Duration::from_secs(7);
         sleep(Duration::from_secs(2)).await;
         client.send("M 2\r\n").await;
-        let moved = timeout_at(limit, client.read_line()).await;
-        assert_eq!(moved.ok().flatten().as_deref(), Some("MOVE"));
+        let received = timeout_at(limit, client.read_line()).await;
+        assert_eq!(received.ok().flatten().as_deref(), Some("MOVE"));
     });
 }
 
@@ -126,10 +126,10 @@
 fn slow_client_causes_backpressure_and_loses_no_lines() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
         let line = "z".repeat(1_000);
-        // Far more than the node and the system buffer, so the host must be blocked.
+        // Far more than the node and the system can buffer, so the writes of the host must block.
         let total = 30_000;
         let sending = spawn_local({
             let line = line.clone();
@@ -153,15 +153,15 @@
 fn stalled_client_is_never_sent_move_inside_a_line() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
         let line = "z".repeat(1_000);
         let flood = spawn_local({
             let line = format!("{line}\r\n");
             async move { while server.0.get_mut().write_all(line.as_bytes()).await.is_ok() {} }
         });
         sleep(ABSENCE_WINDOW).await;
-        spawn_local(shutdown::run(setup.node.clone(), setup.listener_task));
+        spawn_local(shutdown::run(test_node.node.clone(), test_node.listener_task));
         // The flood ends when the node closes the connection to the host.
         flood.await.expect("ended");
         let mut rest = Vec::new();
--- a/crates/alderstile-node/tests/reload.rs
+++ b/crates/alderstile-node/tests/reload.rs
@@ -15,7 +15,7 @@
 mod support;
 use support::*;
 
-/// Writes a configuration to a file with this name; each test uses its own.
+/// Writes a configuration to a file with this name, which differs between tests that run concurrently.
 fn write_config(name: &str, value: &Value) -> PathBuf {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.json"));
     std::fs::write(&path, value.to_string()).expect("written");
@@ -40,25 +40,25 @@
 fn reloaded_discovery_address_is_used_at_once_and_connections_stay_open() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, mut old) = start_ready_node(&[&hosts[0]]).await;
+        let (test_node, mut old) = start_ready_node(&[&hosts[0]]).await;
         send_chunk(&mut old, &list_line(90, false, &[])).await;
-        let (mut client, mut server) = setup.establish(1, &hosts[0]).await;
+        let (mut client, mut server) = test_node.establish(1, &hosts[0]).await;
         let new = StubDiscovery::new().await;
         let path = write_config("moved", &node_config("127.0.0.1:0", &address(&new)));
-        // The environment's address applies only at the start.
-        reload(&setup.node, Some(&path), |name| {
-            (name == "ROUTER_DISCOVERY").then(|| address(&setup.discovery))
+        // The address in the environment applies only when the process starts.
+        reload(&test_node.node, Some(&path), |name| {
+            (name == "ROUTER_DISCOVERY").then(|| address(&test_node.discovery))
         });
         assert_eq!(old.read_line().await, None, "the old watch is dropped");
         // The new discovery has its own versions, which are lower.
         serve_complete_list(&new, 3, &[&hosts[1]]).await;
-        let (first, mut watch) = new.accept_call().await;
-        assert!(first.contains("stream=1&index=3"), "{first}");
-        assert!(setup.node.decisions.host(server_id("s-1")).is_none());
-        setup.establish(2, &hosts[1]).await;
+        let (request_line, mut watch) = new.accept_call().await;
+        assert!(request_line.contains("stream=1&index=3"), "{request_line}");
+        assert!(test_node.node.decisions.host(server_id("s-1")).is_none());
+        test_node.establish(2, &hosts[1]).await;
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
         send_chunk(&mut watch, &list_line(4, false, &[hosts[0].list_entry("up")])).await;
-        setup.wait_until_listed("s-1").await;
+        test_node.wait_until_listed("s-1").await;
         client.send("M 1\r\n").await;
         assert_eq!(server.read_line().await.as_deref(), Some("M 1"));
     });
@@ -68,15 +68,15 @@
 fn pending_discovery_request_is_dropped_on_reload() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let setup = start_node(|_| {}).await;
-        let (_, mut pending) = setup.discovery.accept_call().await;
+        let test_node = start_node(|_| {}).await;
+        let (_, mut pending) = test_node.discovery.accept_call().await;
         let new = StubDiscovery::new().await;
         let path = write_config("pending", &node_config("127.0.0.1:0", &address(&new)));
-        reload(&setup.node, Some(&path), |_| None);
+        reload(&test_node.node, Some(&path), |_| None);
         assert_eq!(pending.read_line().await, None);
         serve_complete_list(&new, 1, &[&host]).await;
-        setup.wait_until_ready().await;
-        setup.establish(1, &host).await;
+        test_node.wait_until_ready().await;
+        test_node.establish(1, &host).await;
     });
 }
 
@@ -84,8 +84,8 @@
 fn invalid_file_changes_nothing() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, mut watch) = start_ready_node(&[&host]).await;
-        let before = setup.node.decisions.discovery_address();
+        let (test_node, mut watch) = start_ready_node(&[&host]).await;
+        let before = test_node.node.decisions.discovery_address();
         let mut invalid = node_config("127.0.0.1:0", "127.0.0.1:1");
         invalid["limits"]["sockets"] = "many".into();
         for path in [
@@ -93,11 +93,11 @@
             write_config("none", &Value::Null),
             PathBuf::from("/nonexistent"),
         ] {
-            reload(&setup.node, Some(&path), |_| None);
-            assert_eq!(setup.node.decisions.discovery_address(), before);
+            reload(&test_node.node, Some(&path), |_| None);
+            assert_eq!(test_node.node.decisions.discovery_address(), before);
         }
         send_chunk(&mut watch, &list_line(2, false, &[])).await;
-        setup.establish(1, &host).await;
+        test_node.establish(1, &host).await;
     });
 }
 
@@ -137,7 +137,7 @@
         write_config("sighup", &value);
         hangup().await;
         new.accept_call().await;
-        assert_eq!(node.try_wait().expect("asked"), None, "the process still runs");
+        assert_eq!(node.try_wait().expect("the state of the process"), None, "the process still runs");
     });
 }
 
@@ -197,18 +197,18 @@
 }
 
 /// Returns the value and kind of a metric.
-fn metric(setup: &Setup, name: &str) -> Option<String> {
-    let (text, start) = (setup.node.admin.metrics_text(), format!("router.{name}:"));
+fn metric(test_node: &TestNode, name: &str) -> Option<String> {
+    let (text, start) = (test_node.node.admin.metrics_text(), format!("router.{name}:"));
     text.lines().find_map(|line| line.strip_prefix(&start)).map(str::to_owned)
 }
 
 /// Returns the configuration file of a node, to be modified.
-fn config_source(setup: &Setup) -> Value {
-    setup.node.config().source.clone()
+fn config_source(test_node: &TestNode) -> Value {
+    test_node.node.config().source.clone()
 }
 
-async fn first_response(setup: &Setup, id: u64, class: &str) -> Option<String> {
-    let mut client = setup.connect().await;
+async fn first_response(test_node: &TestNode, id: u64, class: &str) -> Option<String> {
+    let mut client = test_node.connect().await;
     client.send(&format!("OPEN {id:016x} {id:016x} c={class},d=20000\r\n")).await;
     client.read_line().await
 }
@@ -217,37 +217,45 @@
 fn classes_can_be_added_and_removed_and_open_connections_keep_theirs() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch) = start_ready_node(&[&host]).await;
-        let (mut client, mut server) = setup.establish(1, &host).await;
-        let mut value = config_source(&setup);
+        let (test_node, _watch) = start_ready_node(&[&host]).await;
+        let (mut client, mut server) = test_node.establish(1, &host).await;
+        let mut value = config_source(&test_node);
         let mut class = value["settings"]["classes"][1].take();
         class["name"] = "video".into();
         let presence = std::mem::replace(&mut value["settings"]["classes"], serde_json::json!([class]));
-        reload(&setup.node, Some(&write_config("classes", &value)), |_| None);
-        assert_eq!(metric(&setup, "reconfig_ok").as_deref(), Some("1|c"));
-        assert_eq!(setup.node.config().classes, ["chat", "presence", "video"], "classes keep their numbers");
-        assert_eq!(metric(&setup, "success.video").as_deref(), Some("0|c"));
+        reload(&test_node.node, Some(&write_config("classes", &value)), |_| None);
+        assert_eq!(metric(&test_node, "reconfig_ok").as_deref(), Some("1|c"));
         assert_eq!(
-            first_response(&setup, 2, "chat").await.as_deref(),
+            test_node.node.config().classes,
+            ["chat", "presence", "video"],
+            "classes keep their numbers"
+        );
+        assert_eq!(metric(&test_node, "success.video").as_deref(), Some("0|c"));
+        assert_eq!(
+            first_response(&test_node, 2, "chat").await.as_deref(),
             Some("ERR"),
             "a removed class admits no requests"
         );
         client.send("M 1\r\n").await;
-        assert_eq!(server.read_line().await.as_deref(), Some("M 1"), "its open connections are served");
-        let mut new = setup.connect().await;
+        assert_eq!(
+            server.read_line().await.as_deref(),
+            Some("M 1"),
+            "open connections of a removed class are served"
+        );
+        let mut new = test_node.connect().await;
         new.send("OPEN 3 3 c=video,d=20000\r\n").await;
-        let mut at = host.accept().await;
-        at.read_line().await.expect("the first line");
-        at.send("UP 00ff\r\n").await;
+        let mut new_server = host.accept().await;
+        new_server.read_line().await.expect("the first line");
+        new_server.send("UP 00ff\r\n").await;
         assert_eq!(new.read_line().await.as_deref(), Some("UP 00ff"));
-        assert_eq!(metric(&setup, "success.video").as_deref(), Some("1|c"));
+        assert_eq!(metric(&test_node, "success.video").as_deref(), Some("1|c"));
         // The class is added again under its old number.
         value["settings"]["classes"] = presence;
         value["settings"]["classes"][1] = serde_json::json!({"name": "presence", "aim": 1, "worth": 1.0,
             "semantics": "fragile", "give_up": 9, "stream": true});
-        reload(&setup.node, Some(&write_config("classes", &value)), |_| None);
-        assert_eq!(setup.node.config().retired_classes.iter().collect::<Vec<_>>(), ["video"]);
-        assert_eq!(setup.node.config().classes, ["chat", "presence", "video"]);
+        reload(&test_node.node, Some(&write_config("classes", &value)), |_| None);
+        assert_eq!(test_node.node.config().retired_classes.iter().collect::<Vec<_>>(), ["video"]);
+        assert_eq!(test_node.node.config().classes, ["chat", "presence", "video"]);
     });
 }
 
@@ -256,21 +264,21 @@
     run(async {
         let host = StubHost::new("s-1").await;
         let other = StubHost::new("s-2").await;
-        let (setup, _watch) = start_ready_node(&[&host, &other]).await;
+        let (test_node, _watch) = start_ready_node(&[&host, &other]).await;
         // The class becomes non-retryable while a request is at a host. The request then fails, and as it may
         // have been processed, it is not retried.
-        let mut client = setup.send_request(1, "d=20000").await;
+        let mut client = test_node.send_request(1, "d=20000").await;
         let mut first = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
         first.read_line().await.expect("the first line");
-        let mut value = config_source(&setup);
+        let mut value = config_source(&test_node);
         value["settings"]["classes"][0]["semantics"] = "fragile".into();
-        reload(&setup.node, Some(&write_config("stricter", &value)), |_| None);
+        reload(&test_node.node, Some(&write_config("stricter", &value)), |_| None);
         drop(first);
         assert_eq!(client.read_line().await.as_deref(), Some("FAILED"));
         value["settings"]["allowed"]["max_attempts"] = 1.into();
         value["settings"]["classes"][0]["semantics"] = "retryable".into();
-        reload(&setup.node, Some(&write_config("stricter", &value)), |_| None);
-        let mut client = setup.send_request(2, "d=20000").await;
+        reload(&test_node.node, Some(&write_config("stricter", &value)), |_| None);
+        let mut client = test_node.send_request(2, "d=20000").await;
         let mut only = tokio::select! { peer = host.accept() => peer, peer = other.accept() => peer };
         only.read_line().await.expect("the first line");
         only.send("BUSY\r\n").await;
@@ -278,7 +286,7 @@
             client.read_line().await.is_some_and(|line| line.starts_with("BUSY ")),
             "one attempt, rejected with a retry delay"
         );
-        assert_eq!(metric(&setup, "backend_calls").as_deref(), Some("2|c"));
+        assert_eq!(metric(&test_node, "backend_calls").as_deref(), Some("2|c"));
     });
 }
 
@@ -302,23 +310,23 @@
 fn file_with_a_missing_key_or_an_invalid_number_is_rejected_completely() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, mut watch) = start_ready_node(&[&host]).await;
-        let before = setup.node.decisions.discovery_address();
-        let good = config_source(&setup);
+        let (test_node, mut watch) = start_ready_node(&[&host]).await;
+        let before = test_node.node.decisions.discovery_address();
+        let valid = config_source(&test_node);
         let mut invalid: Vec<(String, String)> = Vec::new();
         let mut all = Vec::new();
-        pointers(&good, "", &mut all);
+        pointers(&valid, "", &mut all);
         for path in all {
             // A class may be removed.
             if ["/settings/classes/0", "/settings/classes/1"].contains(&path.as_str()) {
                 continue;
             }
-            let mut value = good.clone();
-            let (at, key) = path.rsplit_once('/').expect("a path");
-            let fields = value.pointer_mut(at).and_then(Value::as_object_mut).expect("an object");
+            let mut value = valid.clone();
+            let (parent, key) = path.rsplit_once('/').expect("a path");
+            let fields = value.pointer_mut(parent).and_then(Value::as_object_mut).expect("an object");
             fields.remove(key).expect("a value");
             invalid.push((format!("without {path}"), value.to_string()));
-            value = good.clone();
+            value = valid.clone();
             *value.pointer_mut(&path).expect("a value") = Value::Null;
             invalid.push((format!("null at {path}"), value.to_string()));
         }
@@ -332,12 +340,12 @@
             for number in
                 ["0", "-1", "1.5", "\"3\"", "\"soon\"", "null", "1e400", "18446744073709551616", "[]", "true"]
             {
-                let mut value = good.clone();
+                let mut value = valid.clone();
                 *value.pointer_mut(path).expect("a value") = "HERE".into();
                 invalid.push((format!("{number} at {path}"), value.to_string().replace("\"HERE\"", number)));
             }
         }
-        let text = good.to_string();
+        let text = valid.to_string();
         for cut in (0..text.len()).step_by(7) {
             invalid.push((format!("cut at {cut}"), text[..cut].to_owned()));
         }
@@ -346,7 +354,7 @@
         }
         // A new class without a key that all classes have.
         for key in ["aim", "worth", "give_up", "stream", "semantics"] {
-            let mut value = good.clone();
+            let mut value = valid.clone();
             let mut class = value["settings"]["classes"][0].clone();
             class["name"] = "video".into();
             class.as_object_mut().and_then(|fields| fields.remove(key)).expect("a key of a class");
@@ -354,20 +362,20 @@
             invalid.push((format!("a new class without {key}"), value.to_string()));
         }
         let path = write_config("bad", &Value::Null);
-        for (number, (what, text)) in invalid.iter().enumerate() {
+        for (number, (description, text)) in invalid.iter().enumerate() {
             // Other changes in the same file must not apply either.
             std::fs::write(&path, text.replace(&before.to_string(), "127.0.0.1:1")).expect("written");
-            reload(&setup.node, Some(&path), |_| None);
-            assert_eq!(setup.node.decisions.discovery_address(), before, "{what}");
+            reload(&test_node.node, Some(&path), |_| None);
+            assert_eq!(test_node.node.decisions.discovery_address(), before, "{description}");
             let failed = format!("{}|c", number + 1);
-            assert_eq!(metric(&setup, "reconfig_failed"), Some(failed), "{what}");
+            assert_eq!(metric(&test_node, "reconfig_failed"), Some(failed), "{description}");
         }
         std::fs::write(&path, b"\xff\xfe").expect("written");
-        reload(&setup.node, Some(&path), |_| None);
-        assert_eq!(metric(&setup, "reconfig_ok").as_deref(), Some("0|c"));
-        assert_eq!(config_source(&setup), good);
+        reload(&test_node.node, Some(&path), |_| None);
+        assert_eq!(metric(&test_node, "reconfig_ok").as_deref(), Some("0|c"));
+        assert_eq!(config_source(&test_node), valid);
         send_chunk(&mut watch, &list_line(2, false, &[])).await;
-        setup.establish(1, &host).await;
+        test_node.establish(1, &host).await;
     });
 }
 
@@ -399,14 +407,14 @@
     let successor_config = |name: &str, value: &Value| {
         Config::for_successor(&predecessor, Some(&write_config(name, value)), env).expect("a configuration")
     };
-    let same = successor_config("same", &value);
-    assert_eq!(same.discovery.port(), 8507, "the predecessor's address is more recent");
+    let unchanged = successor_config("same", &value);
+    assert_eq!(unchanged.discovery.port(), 8507, "the predecessor's address is more recent");
     let mut new = value.clone();
     new["settings"]["allowed"]["max_attempts"] = 2.into();
     assert_eq!(successor_config("new", &new).settings.max_attempts, 2);
     new["discovery"] = "127.0.0.1:8509".into();
     assert_eq!(successor_config("elsewhere", &new).discovery.port(), 8509);
-    // At a start, the lost key would get its default, and the changed value would apply too.
+    // A process without a predecessor would use the default of the missing key and apply the changed value.
     new["settings"]["obligations"].as_object_mut().expect("an object").remove("must_ask_in");
     let lacking = successor_config("lacking", &new);
     assert_eq!((lacking.settings.max_attempts, lacking.discovery.port()), (3, 8507));
--- a/crates/alderstile-node/tests/replicated_config_applied.rs
+++ b/crates/alderstile-node/tests/replicated_config_applied.rs
@@ -12,49 +12,49 @@
 fn a_version_applies_once_active_and_until_then_the_stricter_of_both_versions_applies() {
     run(async {
         let hosts = [StubHost::new("s-1").await, StubHost::new("s-2").await];
-        let (setup, _watch, replica, dir) = single_voter_node(86, &[&hosts[0], &hosts[1]]).await;
-        let is_out = |host: &str| {
-            setup
+        let (test_node, _watch, replica, dir) = single_voter_node(86, &[&hosts[0], &hosts[1]]).await;
+        let is_in_maintenance = |host: &str| {
+            test_node
                 .node
                 .decisions
                 .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id(host)))
         };
-        let max_attempts = || setup.node.config().settings.max_attempts;
+        let max_attempts = || test_node.node.config().settings.max_attempts;
         let first = document(|document| {
             document["settings"]["allowed"]["max_attempts"] = 2.into();
             document["hosts_out"] = json!(["s-1"]);
         });
         assert_eq!(propose_until_committed(&replica, &first).await, 1);
         // Committed but not active yet: the lower attempt limit and the host out of service already apply.
-        assert_eq!((replica.status().active_version, max_attempts(), is_out("s-1")), (0, 2, true));
+        assert_eq!((replica.status().active_version, max_attempts(), is_in_maintenance("s-1")), (0, 2, true));
         wait_until_active(&replica, 1).await;
-        assert_eq!((max_attempts(), is_out("s-1"), is_out("s-2")), (2, true, false));
-        assert!(setup.node.admin.metrics_text().contains("router.hosts_down:1|g"));
-        let wider = document(|document| {
+        assert_eq!((max_attempts(), is_in_maintenance("s-1"), is_in_maintenance("s-2")), (2, true, false));
+        assert!(test_node.node.admin.metrics_text().contains("router.hosts_down:1|g"));
+        let less_strict = document(|document| {
             document["settings"]["allowed"]["max_attempts"] = 5.into();
             document["settings"]["obligations"]["fall_multiple"] = 3.0.into();
             document["hosts_out"] = json!(["s-2"]);
         });
-        assert_eq!(propose_until_committed(&replica, &wider).await, 2);
+        assert_eq!(propose_until_committed(&replica, &less_strict).await, 2);
         assert_eq!(replica.status().active_version, 1);
         assert_eq!(
-            (max_attempts(), is_out("s-1"), is_out("s-2")),
+            (max_attempts(), is_in_maintenance("s-1"), is_in_maintenance("s-2")),
             (2, true, true),
             "both hosts are out until the version is active"
         );
         wait_until_active(&replica, 2).await;
-        assert_eq!((max_attempts(), is_out("s-1"), is_out("s-2")), (5, false, true));
+        assert_eq!((max_attempts(), is_in_maintenance("s-1"), is_in_maintenance("s-2")), (5, false, true));
         // The file read at SIGHUP does not override the replicated settings; its other keys apply.
         let path = dir.join("file.json");
-        let mut file = setup.node.config().source.clone();
+        let mut file = test_node.node.config().source.clone();
         file["settings"]["allowed"]["max_attempts"] = 1.into();
         file["discovery"] = "127.0.0.1:9".into();
         std::fs::write(&path, file.to_string()).expect("written file");
-        reload(&setup.node, Some(&path), |_| None);
-        assert_eq!((max_attempts(), setup.node.config().discovery.port()), (5, 9));
-        let metrics = setup.node.admin.metrics_text();
+        reload(&test_node.node, Some(&path), |_| None);
+        assert_eq!((max_attempts(), test_node.node.config().discovery.port()), (5, 9));
+        let metrics = test_node.node.admin.metrics_text();
         assert!(metrics.contains("router.agreed_version:2|g"), "{metrics}");
-        assert!(setup.node.admin.is_ready());
+        assert!(test_node.node.admin.is_ready());
         std::fs::remove_dir_all(&dir).expect("removed directory");
     });
 }
@@ -63,31 +63,31 @@
 fn a_host_taken_out_by_an_operator_stays_out_when_the_document_puts_it_back() {
     run(async {
         let host = StubHost::new("s-1").await;
-        let (setup, _watch, replica, dir) = single_voter_node(87, &[&host]).await;
-        let is_out = || {
-            setup
+        let (test_node, _watch, replica, dir) = single_voter_node(87, &[&host]).await;
+        let is_in_maintenance = || {
+            test_node
                 .node
                 .decisions
                 .with_balancer(|balancer, _| balancer.maintenance().is_in_maintenance(server_id("s-1")))
         };
         propose_until_committed(&replica, &document(|document| document["hosts_out"] = json!(["s-1"]))).await;
         wait_until_active(&replica, 1).await;
-        setup.node.admin.apply_maintenance(
+        test_node.node.admin.apply_maintenance(
             "s-1",
             alderstile_node::admin::maintenance_store::MaintenanceState::OutOfService,
         );
         propose_until_committed(&replica, &document(|_| {})).await;
         wait_until_active(&replica, 2).await;
-        assert!(is_out(), "taken out of service by an operator");
+        assert!(is_in_maintenance(), "taken out of service by an operator");
         std::fs::remove_dir_all(&dir).expect("removed directory");
     });
 }
 
 #[test]
-fn without_the_table_there_is_no_replica_and_no_metric() {
+fn without_the_control_table_there_is_no_replica_and_no_metric() {
     run(async {
-        let setup = start_node(|_| {}).await;
-        assert!(setup.node.admin.replicated_config().is_none());
-        assert!(!setup.node.admin.metrics_text().contains("agreed"));
+        let test_node = start_node(|_| {}).await;
+        assert!(test_node.node.admin.replicated_config().is_none());
+        assert!(!test_node.node.admin.metrics_text().contains("agreed"));
     });
 }
--- a/crates/alderstile-node/tests/replicated_config_compatibility.rs
+++ b/crates/alderstile-node/tests/replicated_config_compatibility.rs
@@ -77,14 +77,14 @@
 }
 
 #[test]
-fn the_admin_interface_s_json_keeps_its_keys() {
+fn json_of_the_admin_interface_keeps_its_keys() {
     for (name, status) in
         [("settings_full.json", full_status()), ("settings_empty.json", ReplicationStatus::default())]
     {
         let text = std::fs::read_to_string(fixture(name)).expect("read");
         assert_eq!(serde_json::to_string(&status).expect("JSON"), text, "{name}");
-        let read: ReplicationStatus = serde_json::from_str(&text).expect("readable");
-        assert_eq!(serde_json::to_string(&read).expect("JSON"), text, "{name}");
+        let parsed: ReplicationStatus = serde_json::from_str(&text).expect("a valid status");
+        assert_eq!(serde_json::to_string(&parsed).expect("JSON"), text, "{name}");
     }
 }
 
@@ -96,7 +96,8 @@
     assert_eq!(roles.map(role_name), ["learner", "follower", "candidate", "candidate", "leader"]);
 }
 
-async fn call(to: std::net::SocketAddr, method: &str, path: &str, body: &str) -> (String, String) {
+/// Sends an admin request; returns the status line without its reason phrase, and the body.
+async fn request(to: std::net::SocketAddr, method: &str, path: &str, body: &str) -> (String, String) {
     let mut peer = LineConnection::connect(to).await;
     let length = body.len();
     peer.send(&format!("{method} {path} HTTP/1.1\r\nHost: a\r\nContent-Length: {length}\r\n\r\n{body}"))
@@ -109,7 +110,7 @@
     (status, text)
 }
 
-/// Parses a status and clears `age_ms`, which depends on the time of the call.
+/// Parses a status and clears `age_ms`, which depends on the time of the request.
 fn without_age(text: &str) -> Value {
     let mut status: Value = serde_json::from_str(text).expect("JSON");
     assert!(status["age_ms"].is_u64() || status["age_ms"].is_null(), "{status}");
@@ -130,25 +131,25 @@
 /// its fixture.
 async fn responses() -> Vec<(&'static str, String)> {
     let host = StubHost::new("s-1").await;
-    let (setup, _watch, replica, dir) = single_voter_node(89, &[&host]).await;
+    let (test_node, _watch, replica, dir) = single_voter_node(89, &[&host]).await;
     let before = serde_json::to_string(&replica.status()).expect("JSON");
     let listener = listener::bind("127.0.0.1:0".parse().expect("an address")).expect("a port");
     let to = listener.local_addr().expect("bound");
-    spawn_local(server::run(setup.node.admin.clone(), listener));
+    spawn_local(server::run(test_node.node.admin.clone(), listener));
     let document = document(|_| {}).to_string();
     let proposed = loop {
-        let (status, text) = call(to, "POST", "/settings/after/0", &document).await;
+        let (status, text) = request(to, "POST", "/settings/after/0", &document).await;
         if status != "HTTP/1.1 409" {
             break format!("{status}\n{text}");
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     };
-    let (status, text) = call(to, "POST", "/settings/after/7", "{\"setings\": {}}").await;
+    let (status, text) = request(to, "POST", "/settings/after/7", "{\"setings\": {}}").await;
     let rejected = format!("{status}\n{text}");
     wait_until_active(&replica, 1).await;
-    let (status, after) = call(to, "GET", "/settings", "").await;
+    let (status, after) = request(to, "GET", "/settings", "").await;
     assert_eq!(status, "HTTP/1.1 200");
-    let (_, counters) = call(to, "GET", "/control/counters", "").await;
+    let (_, counters) = request(to, "GET", "/control/counters", "").await;
     std::fs::remove_dir_all(&dir).expect("removed");
     vec![
         ("settings_before.json", before),
--- a/crates/alderstile-node/tests/replicated_config_fleet.rs
+++ b/crates/alderstile-node/tests/replicated_config_fleet.rs
@@ -10,7 +10,7 @@
 use support::fleet::{Fleet, KillOnDrop};
 use support::replicated_config::{CLUSTER_KEY, document, with_attempts};
 
-/// Authentication key of the partitioned side.
+/// Authentication key of the minority side of a partition.
 const OTHER_KEY: &str = "ffeeddccbbaa99887766554433221100";
 
 #[test]
@@ -55,7 +55,7 @@
     // Without two of the three voters nothing is committed, and the other nodes keep the active version.
     fleet.kill(1);
     fleet.kill(2);
-    fleet.wait_until(&[3, 4, 5], "cut off", |status| {
+    fleet.wait_until(&[3, 4, 5], "expired leases", |status| {
         status.lease_state == "cut off" && status.active_version == 2
     });
     let (code, output) = fleet.propose(4, &with_attempts(5), None);
@@ -94,7 +94,7 @@
         fleet.write_cluster_file(n, OTHER_KEY);
         fleet.signal(n, "-HUP");
     }
-    fleet.wait_until(&[4, 5, 7], "cut off", |status| status.lease_state == "cut off");
+    fleet.wait_until(&[4, 5, 7], "expired leases", |status| status.lease_state == "cut off");
     assert_eq!(fleet.commit(6, &with_attempts(4)), 2);
     fleet.wait_active(&[1, 2, 3, 6], 2);
     let (code, output) = fleet.propose(7, &with_attempts(5), None);
@@ -114,7 +114,7 @@
     let mut fleet = Fleet::new(85, 4, 3);
     assert_eq!(fleet.commit(4, &with_attempts(2)), 1);
     fleet.wait_active(&[1, 2, 3, 4], 1);
-    // It does not vote before each of the other voters has replied.
+    // Voter 1 does not vote before both other voters have replied.
     fleet.kill(1);
     fleet.kill(2);
     std::fs::remove_file(fleet.store(1)).expect("removed");
@@ -125,16 +125,14 @@
     assert!(fleet.log(1).contains("voter hard state missing"), "{}", fleet.log(1));
     fleet.start(2);
     fleet.wait_active(&[1, 2, 3, 4], 1);
-    fleet
-        .wait_until(&[1], "a voter", |status| status.role.as_deref().is_some_and(|voter| voter != "learner"));
+    fleet.wait_until(&[1], "a voter", |status| status.role.as_deref().is_some_and(|role| role != "learner"));
     // A truncated store is renamed, and the state is recovered from the other voters.
     fleet.kill(3);
     let store = std::fs::read(fleet.store(3)).expect("read");
     std::fs::write(fleet.store(3), &store[..store.len() / 3]).expect("written");
     fleet.start(3);
     fleet.wait_active(&[3], 1);
-    fleet
-        .wait_until(&[3], "a voter", |status| status.role.as_deref().is_some_and(|voter| voter != "learner"));
+    fleet.wait_until(&[3], "a voter", |status| status.role.as_deref().is_some_and(|role| role != "learner"));
     assert!(fleet.store(3).with_extension("damaged").exists());
     assert_eq!(fleet.commit(4, &with_attempts(4)), 2);
     fleet.wait_active(&[1, 2, 3, 4], 2);
@@ -146,9 +144,10 @@
     assert_eq!(fleet.commit(2, &with_attempts(2)), 1);
     fleet.wait_active(&[1, 2, 3], 1);
     fleet.kill(1);
-    // The two processes find each other by a directory. Its path must be short.
+    // The two processes find each other through a socket in this directory. Its path must be short, as the
+    // system limits the length of a socket's path.
     let shared_dir = std::env::temp_dir().join(format!("alderstile-agreed-{}", std::process::id()));
-    std::fs::create_dir_all(&shared_dir).expect("a folder");
+    std::fs::create_dir_all(&shared_dir).expect("a directory");
     let start = |admin: &str| {
         let mut program = Command::new(env!("CARGO_BIN_EXE_alderstile"));
         program
@@ -182,7 +181,7 @@
     assert!(Command::new("kill").args(["-TERM", &pid]).status().expect("sent").success());
     assert!(predecessor.0.wait().expect("ended").success());
     wait_until(&second, "a voter", &|status| {
-        is_current(status) && status.role.as_deref().is_some_and(|voter| voter != "learner")
+        is_current(status) && status.role.as_deref().is_some_and(|role| role != "learner")
     });
     std::fs::remove_dir_all(&shared_dir).expect("removed");
 }
--- a/crates/alderstile-node/tests/shadow.rs
+++ b/crates/alderstile-node/tests/shadow.rs
@@ -10,11 +10,11 @@
         for on in [false, true] {
             let section =
                 serde_json::json!({"on": on, "settings": {"balancers": 50, "extra": {"groups": true}}});
-            let (setup, _watch) =
+            let (test_node, _watch) =
                 start_ready_node_with(&[&hosts[0], &hosts[1]], |value| value["shadow"] = section).await;
             let (mut connections, mut served) = (Vec::new(), [0, 0]);
             for id in 1..=6 {
-                let mut client = setup.send_request(id, "d=20000,g=5c0f6e1a2b3d4c59").await;
+                let mut client = test_node.send_request(id, "d=20000,g=5c0f6e1a2b3d4c59").await;
                 let (mut server, i) = tokio::select! {
                     server = hosts[0].accept() => (server, 0),
                     server = hosts[1].accept() => (server, 1),
@@ -30,7 +30,7 @@
                 [3, 3],
                 "without groups in the active settings, requests go to the least loaded host"
             );
-            let differences = setup.node.decisions.shadow_differences();
+            let differences = test_node.node.decisions.shadow_differences();
             assert_eq!(differences.is_some(), on);
             if let Some(differences) = differences {
                 // With groups, the second request would have gone to the host of the first.
--- a/crates/alderstile-node/tests/support/fleet.rs
+++ b/crates/alderstile-node/tests/support/fleet.rs
@@ -22,6 +22,7 @@
 }
 
 impl Fleet {
+    /// Creates the files of all nodes and the state of the voters, and starts the nodes.
     pub fn new(subnet: u8, count: u8, voters: u8) -> Self {
         let dir = create_test_directory(&format!("fleet-{subnet}"));
         let mut fleet = Fleet { dir, subnet, voters, running: (0..count).map(|_| None).collect() };
@@ -33,22 +34,25 @@
             if n <= voters {
                 let out = fleet.command(n, &["settings", "init"]);
                 assert!(out.status.success(), "{out:?}");
-                let again = fleet.command(n, &["settings", "init"]);
-                assert_eq!(again.status.code(), Some(2), "existing voter state is not overwritten");
+                let second_init = fleet.command(n, &["settings", "init"]);
+                assert_eq!(second_init.status.code(), Some(2), "existing voter state is not overwritten");
             }
             fleet.start(n);
         }
         fleet
     }
 
+    /// Returns the address of a node at this port.
     pub fn address(&self, n: u8, port: u16) -> String {
         format!("127.0.{}.{n}:{port}", self.subnet)
     }
 
+    /// Returns the path of the file of a node with this extension.
     pub fn file(&self, n: u8, kind: &str) -> PathBuf {
         self.dir.join(format!("{n}.{kind}"))
     }
 
+    /// Returns the path of the voter store of a node.
     pub fn store(&self, n: u8) -> PathBuf {
         VoterStore::path(&self.dir, &format!("n{n}"))
     }
@@ -70,6 +74,7 @@
         std::fs::write(self.file(n, "toml"), text).expect("written");
     }
 
+    /// Runs a command of the program with the files of a node, and returns its output.
     pub fn command(&self, n: u8, args: &[&str]) -> Output {
         let mut program = Command::new(env!("CARGO_BIN_EXE_alderstile"));
         program
@@ -81,6 +86,7 @@
         program.output().expect("run")
     }
 
+    /// Starts the process of a node, which appends to the node's log file.
     pub fn start(&mut self, n: u8) {
         let log =
             std::fs::File::options().create(true).append(true).open(self.file(n, "log")).expect("a log");
@@ -108,6 +114,7 @@
         assert!(Command::new("kill").args([signal, &pid]).status().expect("sent").success());
     }
 
+    /// Returns the status that a node reports; `None` if it does not respond.
     pub fn status(&self, n: u8) -> Option<ReplicationStatus> {
         let out = self.command(n, &["settings", "show"]);
         serde_json::from_slice(&out.stdout).ok()
@@ -160,21 +167,23 @@
         }
     }
 
+    /// Waits until all these nodes have a valid lease on this version and none has rejected a version.
     pub fn wait_active(&self, nodes: &[u8], version: u64) {
-        self.wait_until(nodes, &format!("version {version}"), |status| {
+        self.wait_until(nodes, &format!("version {version} is active"), |status| {
             status.active_version == version && status.lease_state == "counts" && status.rejection.is_none()
         });
     }
 
+    /// Waits until a voter is the leader, and returns its number.
     pub fn leader(&self) -> u8 {
         let start = Instant::now();
         loop {
-            let voter =
+            let is_leader =
                 |n: &u8| self.status(*n).is_some_and(|status| status.role.as_deref() == Some("leader"));
-            if let Some(leader) = (1..=self.voters).find(voter) {
+            if let Some(leader) = (1..=self.voters).find(is_leader) {
                 return leader;
             }
-            assert!(start.elapsed() < Duration::from_secs(60), "no leader");
+            assert!(start.elapsed() < Duration::from_secs(60), "no leader was elected");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
--- a/crates/alderstile-node/tests/support/mod.rs
+++ b/crates/alderstile-node/tests/support/mod.rs
@@ -1,7 +1,7 @@
 //! Stubs of clients, hosts and discovery on loopback, and a node under test that uses them.
 //!
 //! Tests wait for expected events without a separate time limit, so that a slow machine causes no failure.
-//! Only [`run`] limits the duration of a test, in case it is stuck.
+//! Only [`run`] limits the duration of a test, so that a stuck test fails.
 #![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::future::Future;
@@ -24,7 +24,7 @@
 pub mod processes;
 pub mod replicated_config;
 
-/// Returns a configuration as the platform writes it.
+/// Returns the configuration file of a node, as the platform writes it.
 pub fn node_config(listen: &str, discovery: &str) -> Value {
     let class = |name: &str| {
         json!({"name": name, "aim": 300000, "give_up": 1200000, "group": "all", "semantics": "retryable",
@@ -51,7 +51,7 @@
 /// Runs a test on one thread, like the node. Panics after 40 s.
 pub fn run<F: Future>(test: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    let limited = async { timeout(Duration::from_secs(40), test).await.expect("stuck") };
+    let limited = async { timeout(Duration::from_secs(40), test).await.expect("the test completes in time") };
     LocalSet::new().block_on(&runtime, limited)
 }
 
@@ -82,12 +82,13 @@
         self.0.read_to_end(&mut rest).await.is_err()
     }
 
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         self.0.get_ref().set_zero_linger().expect("an open connection");
     }
 }
 
-/// A stub host: the test sends its responses.
+/// A stub host. It sends nothing by itself: each test accepts its connections and writes its responses.
 pub struct StubHost {
     pub listener: TcpListener,
     pub name: String,
@@ -144,12 +145,12 @@
     (server, other)
 }
 
-/// Returns a line of the watch.
+/// Returns a line as discovery sends it on a watch: a complete endpoint list, or only the changed entries.
 pub fn list_line(seq: u64, whole: bool, hosts: &[Value]) -> String {
     format!("{}\n", json!({"seq": seq, "whole": whole, "hosts": hosts}))
 }
 
-/// A stub of discovery: the test sends its answers.
+/// A stub of discovery. It sends nothing by itself: each test accepts its calls and writes the answers.
 pub struct StubDiscovery(pub TcpListener);
 
 impl StubDiscovery {
@@ -157,15 +158,17 @@
         StubDiscovery(TcpListener::bind("127.0.0.1:0").await.expect("a port"))
     }
 
-    /// Accepts a call. Returns its request line and the connection, on which nothing has been answered.
+    /// Accepts a call, which is a request for the endpoint list. Returns its request line and the connection,
+    /// on which nothing has been answered yet.
     pub async fn accept_call(&self) -> (String, LineConnection) {
-        let mut peer = LineConnection(BufReader::new(self.0.accept().await.expect("a call").0));
+        let mut peer = LineConnection(BufReader::new(self.0.accept().await.expect("a connection").0));
         let first = peer.read_line().await.expect("a request");
         while peer.read_line().await.is_some_and(|line| !line.is_empty()) {}
         (first, peer)
     }
 
-    /// Accepts a call and starts a watch with the given pieces, each in a separate chunk.
+    /// Accepts a call and answers it with a watch that begins with the given pieces, each in a separate
+    /// chunk.
     pub async fn accept_watch(&self, pieces: &[&str]) -> LineConnection {
         let (_, mut peer) = self.accept_call().await;
         peer.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await;
@@ -176,23 +179,24 @@
     }
 }
 
+/// Sends a chunk of a response with chunked transfer encoding.
 pub async fn send_chunk(peer: &mut LineConnection, text: &str) {
     peer.send(&format!("{:x}\r\n{text}\r\n", text.len())).await;
 }
 
 /// A running node, and the stub of its discovery.
-pub struct Setup {
+pub struct TestNode {
     pub node: Rc<Node>,
     pub address: SocketAddr,
     pub listener_task: JoinHandle<()>,
     pub discovery: StubDiscovery,
 }
 
-/// Starts a node whose configuration is adapted by `change`.
-pub async fn start_node(change: impl FnOnce(&mut Value)) -> Setup {
+/// Starts a node whose configuration file is modified by `change`.
+pub async fn start_node(change: impl FnOnce(&mut Value)) -> TestNode {
     let discovery = StubDiscovery::new().await;
-    let at = discovery.0.local_addr().expect("bound").to_string();
-    let mut value = node_config("127.0.0.1:0", &at);
+    let discovery_address = discovery.0.local_addr().expect("bound").to_string();
+    let mut value = node_config("127.0.0.1:0", &discovery_address);
     change(&mut value);
     let node = Rc::new(Node::new(Config::from_file_value(value, |_| None).expect("a valid configuration")));
     let listener = listener::bind(node.config().listen).expect("a port");
@@ -200,32 +204,33 @@
     spawn_local(watch::run(node.decisions.clone()));
     spawn_local(node.clone().run(|_| {}));
     let listener_task = spawn_local(listener::run(node.clone(), listener));
-    Setup { node, address, listener_task, discovery }
+    TestNode { node, address, listener_task, discovery }
 }
 
 /// Starts a node with the given hosts and waits until it is ready. The watch stays open until the returned
 /// connection is dropped.
-pub async fn start_ready_node(hosts: &[&StubHost]) -> (Setup, LineConnection) {
+pub async fn start_ready_node(hosts: &[&StubHost]) -> (TestNode, LineConnection) {
     start_ready_node_with(hosts, |_| {}).await
 }
 
 pub async fn start_ready_node_with(
     hosts: &[&StubHost],
     change: impl FnOnce(&mut Value),
-) -> (Setup, LineConnection) {
-    let setup = start_node(change).await;
+) -> (TestNode, LineConnection) {
+    let test_node = start_node(change).await;
     let entries: Vec<Value> = hosts.iter().map(|host| host.list_entry("up")).collect();
-    let watch = setup.discovery.accept_watch(&[&list_line(1, true, &entries)]).await;
-    setup.wait_until_ready().await;
-    (setup, watch)
+    let watch = test_node.discovery.accept_watch(&[&list_line(1, true, &entries)]).await;
+    test_node.wait_until_ready().await;
+    (test_node, watch)
 }
 
-impl Setup {
+impl TestNode {
     pub async fn connect(&self) -> LineConnection {
         LineConnection::connect(self.address).await
     }
 
-    /// Sends a health check like the front; returns the answer, or `None` if the node closes the connection.
+    /// Sends a health check as the front does. Returns the answer, or `None` if the node closes the
+    /// connection.
     pub async fn ping(&self) -> Option<String> {
         let mut front = self.connect().await;
         front.send("PING\r\n").await;
@@ -238,14 +243,14 @@
         }
     }
 
-    /// Connects a client and sends its first line, with further parameters.
+    /// Connects a client and sends its first line with these parameters besides the class.
     pub async fn send_request(&self, id: u64, parameters: &str) -> LineConnection {
         let mut client = self.connect().await;
         client.send(&format!("OPEN {id:016x} {id:016x} c=chat,{parameters}\r\n")).await;
         client
     }
 
-    /// Waits until the node has the address of a host.
+    /// Waits until the node has received the list entry of a host.
     pub async fn wait_until_listed(&self, host: &str) {
         while self.node.decisions.host(server_id(host)).is_none() {
             sleep(Duration::from_millis(1)).await;
@@ -279,13 +284,13 @@
 
 /// Sends health checks to a process until it answers `PONG`; returns how long that took.
 pub async fn wait_until_pong(address: SocketAddr) -> Duration {
-    let began = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     loop {
         if let Ok(front) = TcpStream::connect(address).await {
             let mut front = LineConnection(BufReader::new(front));
             let sent = front.0.get_mut().write_all(b"PING\r\n").await;
             if sent.is_ok() && front.read_line().await.as_deref() == Some("PONG") {
-                return began.elapsed();
+                return started_at.elapsed();
             }
         }
         sleep(Duration::from_millis(20)).await;
--- a/crates/alderstile-node/tests/support/processes.rs
+++ b/crates/alderstile-node/tests/support/processes.rs
@@ -1,4 +1,4 @@
-//! Test support: processes of a node, and the clients, hosts and discovery that they talk to.
+//! Test support: processes of a node, and clients, hosts and discovery that run by themselves.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -50,9 +50,9 @@
                 let Some(line) = connection.read_line().await else { return };
                 let id = line.split(' ').nth(1).expect("an id").to_owned();
                 *served.borrow_mut().entry(id).or_default() += 1;
-                let _gone = connection.0.get_mut().write_all(b"UP 00ff\r\n").await;
+                let _result = connection.0.get_mut().write_all(b"UP 00ff\r\n").await;
                 while let Some(line) = connection.read_line().await {
-                    let _gone = connection.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
+                    let _result = connection.0.get_mut().write_all(format!("{line}\r\n").as_bytes()).await;
                 }
             });
         }
@@ -104,11 +104,13 @@
         }
     }
 
+    /// Returns the value of a metric of a running process.
     pub async fn metric(&self, name: &str) -> u64 {
-        self.metric_while_running(name).await.expect("metrics")
+        self.metric_if_running(name).await.expect("metrics")
     }
 
-    pub async fn metric_while_running(&self, name: &str) -> Option<u64> {
+    /// Returns the value of a metric; `None` if the process has ended.
+    pub async fn metric_if_running(&self, name: &str) -> Option<u64> {
         let (_, text) = self.admin_request("GET", "/control/counters").await?;
         let start = format!("router.{name}:");
         text.lines().find_map(|line| line.strip_prefix(&start))?.split('|').next()?.parse().ok()
@@ -142,7 +144,7 @@
 }
 
 /// Connects clients one after the other until `stop` is set; each stays until it is migrated or a timeout
-/// expires.
+/// expires. `series` is the upper half of the request ids, and a higher one lengthens the timeout.
 pub fn spawn_clients(
     address: SocketAddr,
     outcomes: Rc<RefCell<ClientOutcomes>>,
--- a/crates/alderstile-node/tests/support/replicated_config.rs
+++ b/crates/alderstile-node/tests/support/replicated_config.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 
-use super::{LineConnection, Setup, StubHost, node_config, start_ready_node};
+use super::{LineConnection, StubHost, TestNode, node_config, start_ready_node};
 
 /// The key that authenticates the members of a cluster to each other.
 pub const CLUSTER_KEY: &str = "00112233445566778899aabbccddeeff";
@@ -37,8 +37,8 @@
 pub async fn single_voter_node(
     subnet: u8,
     hosts: &[&StubHost],
-) -> (Setup, LineConnection, Rc<ConfigReplica>, PathBuf) {
-    let (setup, watch) = start_ready_node(hosts).await;
+) -> (TestNode, LineConnection, Rc<ConfigReplica>, PathBuf) {
+    let (test_node, watch) = start_ready_node(hosts).await;
     let dir = create_test_directory(&format!("alone-{subnet}"));
     let text = format!(
         "name = \"edge\"\nlisten = \"127.0.{subnet}.1:19002\"\nkeys = [\"{CLUSTER_KEY}\"]\n[control]\n\
@@ -48,20 +48,21 @@
     );
     let cluster = ClusterConfig::parse("c.toml", &text).expect("valid cluster file");
     let replication = cluster.replication.as_ref().expect("table [control]");
-    let path = VoterStore::path(&dir, &setup.node.config().name);
+    let path = VoterStore::path(&dir, &test_node.node.config().name);
     let (store, _) = VoterStore::open(&path, replication.settings.voters_digest()).expect("opened store");
     store.save(&PersistedState::genesis()).expect("saved state");
     drop(store);
     let membership =
-        Rc::new(ClusterMembership::new(&setup.node.config(), &cluster, None).expect("valid member"));
-    setup.node.admin.set_membership(membership.clone());
-    let replica = Rc::new(ConfigReplica::new(replication, &setup.node));
-    setup.node.admin.set_replicated_config(replica.clone());
-    assert!(!setup.node.admin.is_ready(), "not ready before the active version is known");
+        Rc::new(ClusterMembership::new(&test_node.node.config(), &cluster, None).expect("valid member"));
+    test_node.node.admin.set_membership(membership.clone());
+    let replica = Rc::new(ConfigReplica::new(replication, &test_node.node));
+    test_node.node.admin.set_replicated_config(replica.clone());
+    assert!(!test_node.node.admin.is_ready(), "not ready before the active version is known");
     spawn_local(replica.clone().run(membership));
-    (setup, watch, replica, dir)
+    (test_node, watch, replica, dir)
 }
 
+/// Proposes a document until it is committed, and returns its version.
 pub async fn propose_until_committed(replica: &ConfigReplica, document: &Value) -> u64 {
     loop {
         let expected_version = replica.status().committed_version;
@@ -74,13 +75,14 @@
     }
 }
 
+/// Waits until this version or a later one is active.
 pub async fn wait_until_active(replica: &ConfigReplica, version: u64) {
     while replica.status().active_version < version {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Returns a document with this attempt limit.
+/// Returns a document with this maximum number of attempts.
 pub fn with_attempts(max_attempts: u64) -> Value {
     document(|document| document["settings"]["allowed"]["max_attempts"] = max_attempts.into())
 }
--- a/crates/alderstile-node/tests/upgrade.rs
+++ b/crates/alderstile-node/tests/upgrade.rs
@@ -57,9 +57,9 @@
             sleep(Duration::from_millis(5)).await;
         }
         old.signal("-TERM").await;
-        let mut before = 0;
-        while let Some(count) = old.metric_while_running("success.chat").await {
-            before = count;
+        let mut counted_by_old = 0;
+        while let Some(count) = old.metric_if_running("success.chat").await {
+            counted_by_old = count;
             sleep(Duration::from_millis(5)).await;
         }
         let status =
@@ -80,9 +80,9 @@
         assert!(all.values().all(|times| *times == 1), "no request was served twice");
         assert_eq!(all.len() as u64, outcomes.established, "each request was served by one host");
         assert_eq!(
-            before + new.metric("success.chat").await,
+            counted_by_old + new.metric("success.chat").await,
             outcomes.established,
-            "and counted by one process"
+            "each request was counted by one process"
         );
         // A third process can take over from the second one.
         let third = Process::start(&value, &dir).await;
@@ -150,7 +150,7 @@
         let mut duplicate = LineConnection::connect(address).await;
         duplicate.send("OPEN 99 99 c=chat,d=1500\r\n").await;
         assert_eq!(duplicate.read_line().await.as_deref(), Some("ERR"));
-        let (mut client, mut server) = pairs.pop().expect("one");
+        let (mut client, mut server) = pairs.pop().expect("a pair");
         server.send("BYE\r\n").await;
         drop(server);
         assert_eq!(client.read_line().await.as_deref(), Some("BYE"));
@@ -249,7 +249,7 @@
         let mut third = Process::start(&value, &dir).await;
         let status =
             timeout(Duration::from_secs(5), third.child.wait()).await.expect("in time").expect("ended");
-        assert!(!status.success(), "a third process ends by itself");
+        assert!(!status.success(), "a third process exits while two are running");
         new.child.kill().await.expect("killed");
         let address = listen_address(&value);
         for id in 0..20 {
@@ -266,7 +266,7 @@
             let mut client = LineConnection::connect(address).await;
             client.send(&line).await;
             assert_eq!(client.read_line().await.as_deref(), Some("UP 00ff"));
-            // The id is sent within one descriptor check.
+            // Leaves time for the process that admitted the request to send its id to the other process.
             sleep(Duration::from_millis(50)).await;
             let mut duplicate = LineConnection::connect(address).await;
             duplicate.send(&line).await;
@@ -309,7 +309,9 @@
         let socket_name =
             format!("alderstile-{:016x}", alderstile_node::discovery::endpoint_list::server_id("n1").0);
         let mut stream = BufReader::new(
-            UnixStream::connect(dir.join(format!("{socket_name}.sock"))).await.expect("there"),
+            UnixStream::connect(dir.join(format!("{socket_name}.sock")))
+                .await
+                .expect("the socket of the predecessor"),
         );
         let handover_socket = UnixDatagram::bind(dir.join(format!("{socket_name}.pass"))).expect("bound");
         stream
@@ -336,13 +338,19 @@
 fn process_starts_alone_if_no_valid_predecessor_answers() {
     run(async {
         let dir = temp_dir("none");
-        let config = NodeIdentity { name: "n1".to_owned(), dir: dir.clone() };
-        assert!(upgrade::join(&config).await.expect("alone").is_none(), "no socket");
+        let identity = NodeIdentity { name: "n1".to_owned(), dir: dir.clone() };
+        assert!(
+            upgrade::join(&identity).await.expect("a start without a predecessor").is_none(),
+            "no socket"
+        );
         let name =
             format!("alderstile-{:016x}.sock", alderstile_node::discovery::endpoint_list::server_id("n1").0);
         let path = dir.join(name);
         drop(UnixListener::bind(&path).expect("bound"));
-        assert!(upgrade::join(&config).await.expect("alone").is_none(), "a stale socket");
+        assert!(
+            upgrade::join(&identity).await.expect("a start without a predecessor").is_none(),
+            "a stale socket"
+        );
         let messages: [&[u8]; 6] = [
             b"",
             b"{\"hello\":{\"version\":1",
@@ -353,7 +361,7 @@
               \"hosts\":{},\"ids\":[],\"held\":3}}\n",
         ];
         for message in messages {
-            std::fs::remove_file(&path).expect("there");
+            std::fs::remove_file(&path).expect("the previous socket");
             let listener = UnixListener::bind(&path).expect("bound");
             let serving = spawn_local(async move {
                 let (mut stream, _) = listener.accept().await.expect("a process");
@@ -364,8 +372,12 @@
                 }
                 std::future::pending::<()>().await;
             });
-            let joined = timeout(Duration::from_secs(3), upgrade::join(&config)).await.expect("in time");
-            assert!(joined.expect("alone").is_none(), "{}", String::from_utf8_lossy(message));
+            let joined = timeout(Duration::from_secs(3), upgrade::join(&identity)).await.expect("in time");
+            assert!(
+                joined.expect("a start without a predecessor").is_none(),
+                "{}",
+                String::from_utf8_lossy(message)
+            );
             serving.abort();
         }
     });
--- a/crates/alderstile-node/tests/upgrade_compatibility.rs
+++ b/crates/alderstile-node/tests/upgrade_compatibility.rs
@@ -100,7 +100,7 @@
     for key in ["spent", "lease_left", "member"] {
         assert_eq!(keys.remove(key), Some(Value::Null));
     }
-    let read: UpgradeMessage = serde_json::from_value(older).expect("an older version's");
+    let read: UpgradeMessage = serde_json::from_value(older).expect("a message of an older version");
     assert!(
         matches!(read, UpgradeMessage::State(state) if state.name == "n1" && state.retry_budget.is_none())
     );
@@ -187,7 +187,8 @@
     let mut older: Value = serde_json::from_slice(&fixture("handover/connection.json")).expect("JSON");
     let mut older = older["connection"].take();
     assert_eq!(older.as_object_mut().expect("an object").remove("number"), Some(json!(12)));
-    let connection: HandedOverConnection = serde_json::from_value(older).expect("an older version's");
+    let connection: HandedOverConnection =
+        serde_json::from_value(older).expect("a message of an older version");
     assert_eq!((connection.ack_number, connection.attempts), (None, 2));
 }
 
@@ -215,7 +216,7 @@
     });
 }
 
-/// Stops a process that has a successor, and waits until it has ended.
+/// Stops a process that has a successor, and waits until it has exited.
 async fn stop(mut old: Process) {
     sleep(Duration::from_millis(300)).await;
     old.signal("-TERM").await;
