--- a/crates/alderstile-cluster/tests/membership_datagrams.rs
+++ b/crates/alderstile-cluster/tests/membership_datagrams.rs
@@ -130,20 +130,24 @@
 }
 
 fn any_update() -> impl Strategy<Value = MemberUpdate> {
-    let small = || 1..6u64;
+    let member = || 1..6u64;
     prop_oneof![
         any_record().prop_map(MemberUpdate::Alive),
-        (small(), any::<u64>(), small()).prop_map(|(s, incarnation, by)| {
+        (member(), any::<u64>(), member()).prop_map(|(instance, incarnation, reporter)| {
             MemberUpdate::Suspect {
-                instance: InstanceId(s * 1_000),
+                instance: InstanceId(instance * 1_000),
                 incarnation,
-                reporter: InstanceId(by * 1_000),
+                reporter: InstanceId(reporter * 1_000),
             }
         }),
-        (small(), 0..4u64)
-            .prop_map(|(s, incarnation)| MemberUpdate::Dead { instance: InstanceId(s * 1_000), incarnation }),
-        (small(), any::<u64>())
-            .prop_map(|(s, incarnation)| MemberUpdate::Left { instance: InstanceId(s * 1_000), incarnation }),
+        (member(), 0..4u64).prop_map(|(instance, incarnation)| MemberUpdate::Dead {
+            instance: InstanceId(instance * 1_000),
+            incarnation
+        }),
+        (member(), any::<u64>()).prop_map(|(instance, incarnation)| MemberUpdate::Left {
+            instance: InstanceId(instance * 1_000),
+            incarnation
+        }),
     ]
 }
 
@@ -170,8 +174,8 @@
             let update_refs: Vec<&MemberUpdate> = updates.iter().collect();
             let (bytes, written) = codec().encode(header, &message, &update_refs);
             prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
-            let read = codec().decode(&bytes).expect("read");
-            prop_assert_eq!((read.header, &read.message, &read.updates[..]), (header, &message, &updates[..written]));
+            let decoded = codec().decode(&bytes).expect("a valid datagram");
+            prop_assert_eq!((decoded.header, &decoded.message, &decoded.updates[..]), (header, &message, &updates[..written]));
         }
     }
 
--- a/crates/alderstile-cluster/tests/membership_failure_detection.rs
+++ b/crates/alderstile-cluster/tests/membership_failure_detection.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_silent_member_is_suspected_before_it_is_dead_and_a_leaving_one_is_left() {
+fn a_silent_member_is_suspected_before_it_is_dead_and_a_leaving_member_has_left() {
     let mut members = vec![member(1, &[2, 3, 4]), member(2, &[1, 3, 4]), member(3, &[1, 2, 4])];
     let mut now = Micros(0);
     // Member 4 is known to the others but does not exist, so it never answers.
@@ -182,11 +182,17 @@
     let mut members = vec![member(3, &[])];
     let mut now = Micros(0);
     advance(&mut members, &mut now, Micros::from_millis(60_000));
-    let first = members[0].counters().sent;
+    let first_minute = members[0].counters().sent;
     advance(&mut members, &mut now, Micros::from_millis(600_000));
-    let later = members[0].counters().sent - first;
-    assert!(first >= 4 && later >= 5, "{first} datagrams in the first minute, {later} in the next ten");
-    assert!(later < 10 * first, "{first} datagrams in the first minute, {later} in the next ten");
+    let next_ten_minutes = members[0].counters().sent - first_minute;
+    assert!(
+        first_minute >= 4 && next_ten_minutes >= 5,
+        "{first_minute} datagrams in the first minute, {next_ten_minutes} in the next ten"
+    );
+    assert!(
+        next_ten_minutes < 10 * first_minute,
+        "{first_minute} datagrams in the first minute, {next_ten_minutes} in the next ten"
+    );
     // The seed is found once it starts.
     members.push(member(1, &[]));
     advance(&mut members, &mut now, Micros::from_millis(240_000));
--- a/crates/alderstile-cluster/tests/membership_model.rs
+++ b/crates/alderstile-cluster/tests/membership_model.rs
@@ -215,9 +215,9 @@
             Step::Start(node) => cluster.start(node),
             Step::Partition(_) | Step::Heal => {}
             Step::Pause(node, ms) => {
-                let stopped = cluster.members[node].take();
+                let paused_member = cluster.members[node].take();
                 cluster.advance(model, Micros::from_millis(ms), Some(node));
-                cluster.members[node] = stopped;
+                cluster.members[node] = paused_member;
             }
             Step::Advance(ms) => cluster.advance(model, Micros::from_millis(ms), None),
             Step::Settle => cluster.settle(model),
--- a/crates/alderstile-cluster/tests/replicated_config_cost.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_cost.rs
@@ -15,13 +15,14 @@
     mean_rate: f64,
     /// Busiest voter, bytes per second: its mean and its peak over four seconds.
     voter_rate: (f64, f64),
-    /// Busiest other node: the same two figures.
+    /// Busiest node that is not a voter, bytes per second: its mean and its peak over four seconds.
     other_rate: (f64, f64),
     /// Total bytes that the busiest node sent while the first version was distributed in full.
     first_version_bytes: u32,
 }
 
-/// Commits several changes in succession, each to a document of `size` bytes, and measures their cost.
+/// Commits `changes` versions in succession in a fleet of `count` nodes, each a document of `size` bytes and
+/// `pause` seconds after the previous one, and measures their cost.
 fn measure_changes(seed: u64, count: usize, loss: f64, size: usize, changes: u64, pause: f64) -> Cost {
     let mut cluster = SimulatedCluster::new(seed, count, 9, true);
     cluster.loss = loss;
--- a/crates/alderstile-cluster/tests/replicated_config_faults.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_faults.rs
@@ -104,8 +104,9 @@
 const DRIFT: f64 = 0.002;
 
 #[test]
-fn with_a_delay_shorter_than_the_lease_two_versions_are_acted_on_at_once() {
-    // An impossible drift that reduces the activation delay to a tenth of the lease.
+fn with_an_activation_delay_shorter_than_the_lease_two_versions_are_acted_on_at_once() {
+    // Shows that the check of the other tests detects overlaps: an impossible drift reduces the activation
+    // delay to a tenth of the lease.
     let longest = (0..10).map(|seed| random_schedule(seed, -0.82)).fold(0.0, f64::max);
     assert!(longest > 1.0, "longest overlap {longest} s: the check does not detect overlaps");
 }
--- a/crates/alderstile-cluster/tests/replicated_config_raft.rs
+++ b/crates/alderstile-cluster/tests/replicated_config_raft.rs
@@ -8,9 +8,10 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 
-fn voter(me: u8, hard_state: Option<HardState>) -> Raft {
-    let rng = Pcg64Mcg::seed_from_u64(u64::from(me));
-    Raft::new(me, 3, Micros::from_millis(500), hard_state, rng, Micros(0))
+/// Returns one of three voters; without a hard state it starts as a learner.
+fn voter(index: u8, hard_state: Option<HardState>) -> Raft {
+    let rng = Pcg64Mcg::seed_from_u64(u64::from(index));
+    Raft::new(index, 3, Micros::from_millis(500), hard_state, rng, Micros(0))
 }
 
 fn at_ms(ms: u64) -> StepTime {
--- a/crates/alderstile-cluster/tests/subsetting.rs
+++ b/crates/alderstile-cluster/tests/subsetting.rs
@@ -80,18 +80,18 @@
             );
             // Adding a node or host and removing it again move the same traffic. A host that joins must
             // receive its target load, which is the minimum that has to move.
-            let (least, moves) = (
+            let (least, moved) = (
                 min_moved_traffic(&more_nodes[n], &hosts[..h]),
                 moved_traffic((&nodes[..n], &base), (&nodes, &more_nodes)),
             );
-            let by_node = if least > 0.05 { moves / least } else { moves };
+            let moved_by_node = if least > 0.05 { moved / least } else { moved };
             let weights: f64 = hosts.iter().map(|host| host.weight).sum();
             let least = n as f64 * hosts[h].weight / weights;
-            let by_host = moved_traffic((&nodes[..n], &base), (&nodes[..n], &more_hosts)) / least;
-            worst = (worst.0.max(max_load), worst.1.max(by_node), worst.2.max(by_host));
+            let moved_by_host = moved_traffic((&nodes[..n], &base), (&nodes[..n], &more_hosts)) / least;
+            worst = (worst.0.max(max_load), worst.1.max(moved_by_node), worst.2.max(moved_by_host));
             assert!(
-                max_load < 1.05 && by_node < 1.5 && by_host < 1.5,
-                "{n} nodes, {h} hosts: load {max_load}, moved by a node {by_node}, by a host {by_host}"
+                max_load < 1.05 && moved_by_node < 1.5 && moved_by_host < 1.5,
+                "{n} nodes, {h} hosts: load {max_load}, moved by a node {moved_by_node}, by a host {moved_by_host}"
             );
         }
     }
@@ -177,8 +177,8 @@
 
 #[test]
 fn a_subset_is_spread_over_failure_groups() {
-    // With three groups of thirty hosts and subsets of six, the quota of a group is about four. A group has at
-    // most five hosts of a subset, and no subset is in a single group.
+    // With three groups of thirty hosts and subsets of six, the quota of a group is about four. A group has
+    // at most five hosts of a subset, and no subset is in a single group.
     let hosts: Vec<SubsetHost> = hosts(90)
         .into_iter()
         .enumerate()
--- a/crates/alderstile-cluster/tests/support/members.rs
+++ b/crates/alderstile-cluster/tests/support/members.rs
@@ -18,16 +18,19 @@
     format!("127.0.0.{n}:7946").parse().expect("a valid address")
 }
 
+/// Returns the record of member `n`, whose instance is `n * 1000`.
 pub fn record(n: u64) -> MemberRecord {
     let (name, zone) = (format!("n{n}").into(), "a".into());
     let (instance, address) = (InstanceId(n * 1_000), address(n));
     MemberRecord { instance, incarnation: 1, name, zone, address, config_digest: 7, metadata: [].into() }
 }
 
+/// Returns the protocol period of all members.
 pub fn period() -> Micros {
     Micros::from_millis(1_000)
 }
 
+/// Returns member `n` with this codec, which knows the given members from the start.
 pub fn member_with(n: u64, codec: DatagramCodec, known: &[u64]) -> Membership {
     let config = MembershipConfig::with_period(period());
     let seeds = vec![address(1), address(2)];
@@ -104,6 +107,7 @@
     changes
 }
 
+/// Returns the state of an instance in the view of `observer`.
 pub fn state(observer: &Membership, instance: InstanceId) -> Option<MemberState> {
     observer.peer(instance).map(|member| member.state)
 }
--- a/crates/alderstile-cluster/tests/support/simulated_cluster.rs
+++ b/crates/alderstile-cluster/tests/support/simulated_cluster.rs
@@ -99,6 +99,7 @@
 }
 
 impl SimulatedCluster {
+    /// Creates a cluster of `count` processes, of which the first `voters` are voters.
     pub fn new(seed: u64, count: usize, voters: usize, clocks_drift: bool) -> Self {
         SimulatedCluster::with_settings(
             seed,
@@ -148,16 +149,19 @@
         cluster
     }
 
+    /// Returns the current time by the clock of a process.
     pub fn local_time(&self, n: usize) -> Micros {
         let process = &self.processes[n];
         Micros(((self.now - process.started_at_us) as f64 * process.clock_rate) as u64)
     }
 
+    /// Converts a time by the clock of a process to true time, in microseconds.
     pub fn to_true_time(&self, n: usize, local: Micros) -> f64 {
         let process = &self.processes[n];
         process.started_at_us as f64 + local.0 as f64 / process.clock_rate
     }
 
+    /// Starts a process with its persisted state.
     pub fn start(&mut self, n: usize) {
         let local_voter = (n < self.voters).then_some(n as u8);
         let settings = ReplicationSettings { local_voter, ..self.settings.clone() };
@@ -175,6 +179,7 @@
         self.schedule_wake(n);
     }
 
+    /// Stops a process, which keeps only its persisted state.
     pub fn kill(&mut self, n: usize) {
         self.processes[n].core = None;
     }
@@ -183,6 +188,7 @@
         self.processes[n].paused = true;
     }
 
+    /// Resumes a paused process, which first receives the datagrams of its backlog.
     pub fn resume(&mut self, n: usize) {
         if std::mem::take(&mut self.processes[n].paused) {
             for (from, bytes) in std::mem::take(&mut self.processes[n].backlog) {
@@ -192,6 +198,7 @@
         }
     }
 
+    /// Schedules an event at a true time in microseconds.
     pub fn push(&mut self, at: u64, event: Event) {
         self.last_sequence += 1;
         let slot = self.free_slots.pop().unwrap_or_else(|| {
@@ -202,6 +209,7 @@
         self.queue.push(Reverse((at, self.last_sequence, slot)));
     }
 
+    /// Schedules the next wake of a process at its earliest timeout.
     pub fn schedule_wake(&mut self, n: usize) {
         let process = &self.processes[n];
         if let Some(core) = &process.core {
@@ -305,6 +313,7 @@
         active_spans.push(ActiveSpan { version, from_us: now, until_us: until });
     }
 
+    /// Returns whether datagrams between two processes are delivered.
     pub fn reachable(&self, a: usize, b: usize) -> bool {
         let separated = self.partitioned && self.processes[a].region != self.processes[b].region;
         !separated && !self.isolated[a] && !self.isolated[b]
@@ -329,6 +338,7 @@
         }
     }
 
+    /// Advances the simulation by this number of seconds.
     pub fn run(&mut self, seconds: f64) {
         let until = self.now + (seconds * 1e6) as u64;
         while let Some(Reverse((at, _, slot))) = self.queue.peek().copied() {
@@ -365,6 +375,7 @@
         self.now = until;
     }
 
+    /// Schedules the wake that follows another one; a paused process is checked again after 50 ms.
     pub fn reschedule_wake(&mut self, n: usize) {
         if self.processes[n].paused {
             let incarnation = self.processes[n].incarnation;
@@ -374,10 +385,12 @@
         }
     }
 
+    /// Returns a process that considers itself the leader.
     pub fn leader(&self) -> Option<usize> {
         (0..self.voters).find(|n| self.core(*n).is_some_and(|core| core.role() == Some(Role::Leader)))
     }
 
+    /// Returns the state machine of a process; `None` if it does not run.
     pub fn core(&self, n: usize) -> Option<&ReplicatedConfig> {
         self.processes[n].core.as_ref()
     }
--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -69,14 +69,14 @@
 fn timers_expire_in_order() {
     let mut balancer = Balancer::new(BalancerSettings { must_subscribe: true, ..settings() }, 7, START);
     assert!(!balancer.handle_timeout(START).watch_endpoints, "nothing is due at the start");
-    let (mut now, mut watched) = (START, 0);
+    let (mut now, mut subscriptions) = (START, 0);
     for _ in 0..20 {
         let due = balancer.poll_timeout().expect("a timer is always set");
-        assert!(due > now, "no expired timer remains");
+        assert!(due > now, "no expired timer remains set");
         now = due;
-        watched += u32::from(balancer.handle_timeout(now).watch_endpoints);
+        subscriptions += u32::from(balancer.handle_timeout(now).watch_endpoints);
     }
-    assert_eq!(watched, 1, "one subscription while it holds");
+    assert_eq!(subscriptions, 1, "one subscription while it stays open");
     balancer.on_endpoint_list(now, EndpointListKind::Failed, Vec::new());
     while !balancer.handle_timeout(now).watch_endpoints {
         now = balancer.poll_timeout().expect("a timer");
@@ -86,8 +86,9 @@
 
 #[test]
 fn pending_work_is_due_at_once() {
-    let set = BalancerSettings { gossip_allowed: true, servers_report_delay: false, ..settings() };
-    let mut balancer = balancer(set.clone(), 2);
+    let gossip_settings =
+        BalancerSettings { gossip_allowed: true, servers_report_delay: false, ..settings() };
+    let mut balancer = balancer(gossip_settings.clone(), 2);
     for _ in 0..6 {
         let (id, _) = balancer.place(START, connection_request());
         balancer.on_established(START, id, ms(10));
@@ -100,7 +101,7 @@
     assert!(balancer.handle_timeout(START).broadcasts.is_empty());
     assert!(balancer.poll_timeout() > Some(START));
     // Another node that receives the message places no connection there.
-    let mut other = self::balancer(set, 2);
+    let mut other = self::balancer(gossip_settings, 2);
     other.on_peer_message(START, 1, pending.broadcasts[0].clone());
     let first = forwarded_to(other.place(START, connection_request()).1);
     assert_eq!(forwarded_to(other.place(START, connection_request()).1), first);
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn server_after_maintenance_gets_a_connection_within_five_seconds_and_keeps_its_budget() {
+fn server_after_maintenance_gets_a_connection_within_five_seconds_and_keeps_its_slow_start_budget() {
     // A small node: six servers with ten connections each, and one request per 300 ms.
     for seed in 0..50 {
         let mut balancer = Balancer::new(settings(), seed, START);
@@ -186,16 +187,16 @@
         assert!(placed_at.first().is_some_and(|first| *first > 13), "seed {seed}: {placed_at:?}");
         // A quarter of the rate of ten connections, times the overload multiple of three, over two
         // seconds.
-        let most = placed_at
+        let max_in_window = placed_at
             .iter()
             .map(|from| placed_at.iter().filter(|at| (*from..from + 7).contains(*at)).count())
             .max();
-        assert!(most <= Some(14), "seed {seed}: {placed_at:?}");
+        assert!(max_in_window <= Some(14), "seed {seed}: {placed_at:?}");
     }
 }
 
 #[test]
-fn new_settings_keep_the_record_and_apply_to_the_next_attempt() {
+fn new_settings_keep_the_load_record_and_apply_to_the_next_attempt() {
     let mut balancer = balancer(settings(), 3);
     let (first_id, verdict) = balancer.place(START, connection_request());
     let one = forwarded_to(verdict);
@@ -257,9 +258,9 @@
 #[test]
 fn two_processes_of_a_node_share_one_retry_budget() {
     let budget = RetryBudget { min_retries: 2.0, retry_ratio: 0.0, window: ms(10_000) };
-    let set = BalancerSettings { retry_budget: Some(budget), max_attempts: 6, ..settings() };
+    let budget_settings = BalancerSettings { retry_budget: Some(budget), max_attempts: 6, ..settings() };
     let mut now = START;
-    let start = || balancer(set.clone(), 4);
+    let start = || balancer(budget_settings.clone(), 4);
     let is_retried = |balancer: &mut Balancer, now| {
         let (id, verdict) = balancer.place(now, connection_request());
         matches!(
@@ -267,25 +268,24 @@
             Verdict::Forward(..)
         )
     };
-    let (mut before, mut after) = (start(), start());
-    assert!(is_retried(&mut before, now), "the first of two retries");
+    let (mut predecessor, mut successor) = (start(), start());
+    assert!(is_retried(&mut predecessor, now), "the first of two retries");
     now = now + ms(4_000);
-    let window = before.hand_over_retry_budget(now);
-    after.take_over_retry_budget(now, window, ms(500));
-    assert!(!is_retried(&mut before, now), "the other process now has the budget");
-    assert!(is_retried(&mut after, now), "the second of two retries");
-    assert!(!is_retried(&mut after, now), "an upgrade does not double the budget");
+    let window = predecessor.hand_over_retry_budget(now);
+    successor.take_over_retry_budget(now, window, ms(500));
+    assert!(!is_retried(&mut predecessor, now), "the other process now has the budget");
+    assert!(is_retried(&mut successor, now), "the second of two retries");
+    assert!(!is_retried(&mut successor, now), "an upgrade does not double the budget");
     now = now + ms(6_500);
-    assert!(is_retried(&mut after, now), "the first retry is outside the window");
-    assert!(!is_retried(&mut after, now));
-    // The successor has ended, and its retries are unknown; so are those of a process of an older
-    // version.
-    before.take_over_retry_budget(now, None, ms(0));
+    assert!(is_retried(&mut successor, now), "the first retry is outside the window");
+    assert!(!is_retried(&mut successor, now));
+    // The successor has ended, and its retries are unknown; so are those of a process of an older version.
+    predecessor.take_over_retry_budget(now, None, ms(0));
     let mut third = start();
     third.take_over_retry_budget(now, None, ms(500));
-    assert!(!is_retried(&mut before, now) && !is_retried(&mut third, now));
+    assert!(!is_retried(&mut predecessor, now) && !is_retried(&mut third, now));
     let window = third.hand_over_retry_budget(now);
     assert_eq!(window, None, "an unknown window is not handed over");
     now = now + ms(10_100);
-    assert!(is_retried(&mut before, now));
+    assert!(is_retried(&mut predecessor, now));
 }
--- a/tests/policy/attempt_timeout.rs
+++ b/tests/policy/attempt_timeout.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn attempt_without_known_setup_time_lasts_until_the_deadline() {
-    // Guards against retries that join the end of a slow server's queue again and again.
+    // Guards against retries that join the end of a slow server's queue repeatedly.
     let mut node = Node::new(settings(), 4);
     node.send_request(request(1));
     assert!(node.last.iter().any(|action| matches!(action, Action::Forward(_, _, None))));
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -50,8 +50,8 @@
 fn nodes_that_start_together_spread_their_first_polls() {
     // Guards against an overload of the discovery service: with 23 nodes, half of the first calls
     // were rejected within half a second.
-    let set = BalancerSettings { node_count: 24, must_subscribe: true, ..settings() };
-    let first = |seed| Node::with_seed(set.clone(), 1, seed).timers.iter().map(|(at, _)| *at).max();
+    let subscribing = BalancerSettings { node_count: 24, must_subscribe: true, ..settings() };
+    let first = |seed| Node::with_seed(subscribing.clone(), 1, seed).timers.iter().map(|(at, _)| *at).max();
     let begin = ms(1_000_000);
     let after: Vec<Micros> = (0..24).filter_map(first).map(|at| at - begin).collect();
     assert!(after.iter().all(|&at| at <= ms(5_000)), "well within the maximum poll interval of ten seconds");
@@ -83,10 +83,10 @@
 
 #[test]
 fn removed_server_is_used_while_there_is_evidence_that_it_runs() {
-    let set = BalancerSettings { removal_is_advisory: true, probes_allowed: true, ..settings() };
+    let advisory = BalancerSettings { removal_is_advisory: true, probes_allowed: true, ..settings() };
     let removed = |id| Endpoint { state: EndpointState::Removed, ..entry(id) };
     let draining = |id| Endpoint { state: EndpointState::Draining, ..entry(id) };
-    let mut node = Node::new(set.clone(), 3);
+    let mut node = Node::new(advisory.clone(), 3);
     node.open(1, 1);
     (1..=3).for_each(|id| node.list(EndpointListKind::Delta, vec![removed(id)]));
     node.send_request(request(10));
@@ -120,7 +120,7 @@
         "only one attempt at first, because all nodes may have the same evidence"
     );
     // A removal after draining is final. Without advisory removals, every removal is final.
-    let mut node = Node::new(set.clone(), 1);
+    let mut node = Node::new(advisory.clone(), 1);
     node.open(1, 1);
     node.list(EndpointListKind::Delta, vec![draining(1)]);
     node.list(EndpointListKind::Delta, vec![removed(1)]);
@@ -132,7 +132,7 @@
     node.list(EndpointListKind::Delta, vec![entry(1)]);
     node.send_request(request(4));
     assert_eq!(node.server_of(4), Some(1), "ready again");
-    let mut node = Node::new(BalancerSettings { removal_is_advisory: false, ..set }, 1);
+    let mut node = Node::new(BalancerSettings { removal_is_advisory: false, ..advisory }, 1);
     node.open(1, 1);
     node.list(EndpointListKind::Delta, vec![removed(1)]);
     node.send_request(request(2));
@@ -144,10 +144,10 @@
     // Guards against probes of every server that a wrong list removed. Each of 150 nodes probed
     // each of 35 running servers once per second, which cost 0.09 to 0.22 of the service's value,
     // although connections were open at some of them.
-    let set =
+    let advisory =
         BalancerSettings { removal_is_advisory: true, probes_allowed: true, node_count: 100, ..settings() };
     let removed = |id| Endpoint { state: EndpointState::Removed, ..entry(id) };
-    let mut node = Node::new(set, 20);
+    let mut node = Node::new(advisory, 20);
     node.open(1, 1);
     node.list(EndpointListKind::Delta, vec![removed(20)]);
     node.list(EndpointListKind::Delta, (1..=15).map(removed).collect());
--- a/tests/policy/groups.rs
+++ b/tests/policy/groups.rs
@@ -110,14 +110,14 @@
 fn light_connection_leaves_its_group_if_few_servers_have_a_high_delay() {
     // Guards against grouped connections that stay on a server with a high delay although all
     // others have free capacity.
-    let migrated = |others_late: u64| {
+    let migrated = |other_slow_servers: u64| {
         let mut node = Node::new(BalancerSettings { node_count: 8, groups: true, ..settings() }, 20);
         for id in 1..=8 {
             let grouped = Request { group: Some(GroupId(1)), ..request(id) };
             node.open_as(grouped, 1);
             report_load(&mut node, id, 100.0);
         }
-        (1..=1 + others_late).for_each(|server| report_delay(&mut node, server, 900.0));
+        (1..=1 + other_slow_servers).for_each(|server| report_delay(&mut node, server, 900.0));
         pass_periods(&mut node, 1).len()
     };
     assert!(migrated(0) > 0);
--- a/tests/policy/message_delay.rs
+++ b/tests/policy/message_delay.rs
@@ -135,13 +135,17 @@
     let (_, messages) = after_slow_setup(without_delay_reports());
     let mut node = Node::new(without_delay_reports(), 2);
     (1..=4).for_each(|id| node.open(id, 2));
-    let mut unknown = messages[0].clone();
-    unknown[0] ^= 0xff;
-    let mut absurd = messages[0].clone();
-    absurd[8..].copy_from_slice(&f64::NAN.to_le_bytes());
-    for data in
-        [Vec::new(), messages[0][..15].to_vec(), [messages[0].clone(), vec![0]].concat(), unknown, absurd]
-    {
+    let mut unknown_server = messages[0].clone();
+    unknown_server[0] ^= 0xff;
+    let mut not_a_number = messages[0].clone();
+    not_a_number[8..].copy_from_slice(&f64::NAN.to_le_bytes());
+    for data in [
+        Vec::new(),
+        messages[0][..15].to_vec(),
+        [messages[0].clone(), vec![0]].concat(),
+        unknown_server,
+        not_a_number,
+    ] {
         node.event(Event::PeerMessage(1, data));
     }
     node.send_request(request(10));
@@ -154,7 +158,7 @@
 #[test]
 fn each_server_regularly_receives_a_setup_if_servers_report_no_delay() {
     // Guards against an undetected slow server: with few new clients, none was placed there.
-    let second = |settings: BalancerSettings| {
+    let server_of_second_request = |settings: BalancerSettings| {
         let mut node = Node::new(settings, 2);
         (1..=10).for_each(|id| node.open(id, 2));
         (11..=20).for_each(|id| node.open(id, 1));
@@ -169,11 +173,15 @@
         node.server_of(41)
     };
     assert_eq!(
-        second(without_delay_reports()),
+        server_of_second_request(without_delay_reports()),
         Some(1),
         "it is due for a setup, although its load is slightly higher"
     );
-    assert_eq!(second(settings()), Some(2), "the load record alone decides if servers report delays");
+    assert_eq!(
+        server_of_second_request(settings()),
+        Some(2),
+        "the load record alone decides if servers report delays"
+    );
 }
 
 #[test]
--- a/tests/policy/outlier.rs
+++ b/tests/policy/outlier.rs
@@ -18,7 +18,7 @@
     assert_ne!(node.server_of(21), Some(4), "new connections avoid it for a while");
     node.pass(ms(1_300));
     node.send_request(request(22));
-    assert_eq!(node.server_of(22), Some(4), "then it is tried again");
+    assert_eq!(node.server_of(22), Some(4), "then it receives an attempt again");
     node.end(22, Outcome::Error);
     node.pass(ms(1_300));
     node.send_request(request(23));
@@ -72,7 +72,7 @@
             node.end(id, Outcome::ConnectFailed);
         }
     }
-    assert_eq!(attempts, 2, "one at each");
+    assert_eq!(attempts, 2, "one attempt at each lost server");
 }
 
 #[test]
@@ -115,14 +115,14 @@
     node.end(100, Outcome::ConnectFailed);
     node.pass(ms(4_000));
     node.fill(101, 5);
-    let trials = (101..106).filter(|&id| node.server_of(id) == Some(2)).count();
-    assert_eq!(trials, 1, "one attempt first, whose success starts a warm-up");
-    let mut at: Vec<u64> = Vec::new();
+    let attempts = (101..106).filter(|&id| node.server_of(id) == Some(2)).count();
+    assert_eq!(attempts, 1, "one attempt first, whose success starts a warm-up");
+    let mut placed: Vec<u64> = Vec::new();
     for second in 0..10 {
         node.pass(ms(1_000));
         node.fill(200 + second * 20, 20);
         let there = (200 + second * 20..220 + second * 20).filter(|&id| node.server_of(id) == Some(2));
-        at.push(there.count() as u64);
+        placed.push(there.count() as u64);
     }
-    assert!(at[0] <= 3 && at.iter().sum::<u64>() > 10, "few at first, then more: {at:?}");
+    assert!(placed[0] <= 3 && placed.iter().sum::<u64>() > 10, "few at first, then more: {placed:?}");
 }
--- a/tests/policy/probe.rs
+++ b/tests/policy/probe.rs
@@ -74,11 +74,11 @@
 
 #[test]
 fn stalled_server_without_connections_of_this_node_is_probed_until_it_resumes() {
-    let set =
+    let probing =
         BalancerSettings { probes_allowed: true, report_fields: vec![ReportField::LoadRatio], ..settings() };
-    let mut node = Node::new(set, 2);
-    let mut probed = |peak: f64| {
-        report_delay(&mut node, 1, peak);
+    let mut node = Node::new(probing, 2);
+    let mut is_probed_and_resumes = |peak_ms: f64| {
+        report_delay(&mut node, 1, peak_ms);
         node.pass(ms(1_700));
         let mut probes = 0;
         for _ in 0..20 {
@@ -90,6 +90,9 @@
         node.event(Event::ProbeCompleted { server: ServerId(1), outcome: Outcome::Ok, report });
         node.policy.avoided_server_count(node.now) == 0 && probes > 0
     };
-    assert!(probed(6_300.0), "probed, and used again as soon as a report shows that it has resumed");
-    assert!(!probed(300.0), "an observed overload is valid for longer than a report");
+    assert!(
+        is_probed_and_resumes(6_300.0),
+        "probed, and used again as soon as a report shows that it has resumed"
+    );
+    assert!(!is_probed_and_resumes(300.0), "an observed overload is valid for longer than a report");
 }
--- a/tests/policy/rebalance.rs
+++ b/tests/policy/rebalance.rs
@@ -60,13 +60,13 @@
     // Guards against delays that sustain themselves: after 70% of 300 nodes restarted, setups of
     // reconnecting clients delayed all servers, and migrated connections returned as further
     // setups.
-    let migrated = |late_servers: u64| {
+    let migrated = |slow_servers: u64| {
         let mut node = Node::new(settings(), 3);
         for id in 1..=30 {
             node.open(id, 1 + id % 3);
             report_load(&mut node, id, 100.0);
         }
-        (1..=late_servers).for_each(|server| report_delay(&mut node, server, 500.0));
+        (1..=slow_servers).for_each(|server| report_delay(&mut node, server, 500.0));
         pass_periods(&mut node, 1).len()
     };
     assert!((6..=10).contains(&migrated(2)), "half of the connections of two servers: {}", migrated(2));
@@ -138,8 +138,8 @@
 
 #[test]
 fn last_connection_at_a_server_with_a_constant_high_delay_migrates() {
-    // Guards against connections that stay on a server with a constant high delay for its whole
-    // duration of 24 s, without any use for their clients: the excess was only a part of the load,
+    // Guards against connections that stay on a server with a constant high delay for the 24 s that it
+    // lasts, without any use for their clients: the excess was only a part of the load,
     // so the last connection never migrated.
     let mut node = Node::new(settings(), 2);
     node.open(1, 1);
--- a/tests/policy/retry_budget.rs
+++ b/tests/policy/retry_budget.rs
@@ -9,8 +9,8 @@
     // allowed 6.
     let budget = RetryBudget { min_retries: 2.0, retry_ratio: 0.1, window: ms(1_000) };
     let mut node = Node::new(BalancerSettings { retry_budget: Some(budget), ..settings() }, 4);
-    // The checker counts all attempts by itself. Each failed attempt asks for a retry, many of them
-    // at the same time.
+    // The checker in `support` counts all attempts independently. Each failed attempt asks for a retry, many
+    // of them at the same time.
     let mut retries = 0;
     for id in 1..=400 {
         node.send_request(request(id));
@@ -32,7 +32,7 @@
 
 #[test]
 fn new_or_longer_budget_waits_until_its_window_is_known() {
-    let budget = |over| Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: ms(over) });
+    let budget = |window_ms| Some(RetryBudget { min_retries: 1.0, retry_ratio: 0.0, window: ms(window_ms) });
     let mut node = Node::new(BalancerSettings { retry_budget: budget(1_000), ..settings() }, 4);
     let is_retried = |node: &mut Node, id| {
         node.send_request(request(id));
@@ -58,14 +58,17 @@
     for id in 1..=15 {
         node.send_request(request(id));
         node.end(id, Outcome::ConnectFailed);
-        assert!(node.server_of(id).is_some(), "request {id}: no server was loaded, so another one is tried");
+        assert!(
+            node.server_of(id).is_some(),
+            "request {id}: the attempt caused no load, so another server receives one"
+        );
     }
     let mut node = Node::new(settings(), 40);
-    let mut refused = 0;
+    let mut not_retried = 0;
     for id in 1..=15 {
         node.send_request(request(id));
         node.end(id, Outcome::Error);
-        refused += u32::from(node.server_of(id).is_none());
+        not_retried += u32::from(node.server_of(id).is_none());
     }
-    assert!(refused > 0, "attempts that may have caused load are counted");
+    assert!(not_retried > 0, "attempts that may have caused load are counted");
 }
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -9,8 +9,9 @@
     // Guards against an overload by many nodes that each send every cold server a connection soon:
     // with 35 nodes, 56 servers failed.
     let (nodes, warm, cold, connections) = (28, 20, 2, 100);
-    let set = BalancerSettings { node_count: nodes, ..settings() };
-    let mut nodes: Vec<Node> = (0..nodes).map(|n| Node::with_seed(set.clone(), warm, n.into())).collect();
+    let fleet_settings = BalancerSettings { node_count: nodes, ..settings() };
+    let mut nodes: Vec<Node> =
+        (0..nodes).map(|n| Node::with_seed(fleet_settings.clone(), warm, n.into())).collect();
     for node in &mut nodes {
         (0..connections).for_each(|id| node.open(10_000 + id, 1 + id % warm));
     }
@@ -62,16 +63,16 @@
 fn nodes_that_start_a_group_on_the_same_cold_server_keep_its_budget() {
     // Guards against an overload by groups: with 58 nodes, 21 connections of five groups were
     // placed on one cold server within 2 s, where its budget allowed nine, and it failed.
-    let set = BalancerSettings { node_count: 50, groups: true, ..settings() };
+    let fleet_settings = BalancerSettings { node_count: 50, groups: true, ..settings() };
     let cold = Endpoint { started: Some(ms(1_012_000)), ..entry(50) };
     let mut sends = [0; 8];
     for seed in 1..=50 {
-        let mut node = Node::with_seed(set.clone(), 49, seed);
+        let mut node = Node::with_seed(fleet_settings.clone(), 49, seed);
         let grouped = |id: u64| Request { group: Some(GroupId(1 + id % 30)), ..request(id) };
         (1..=20).for_each(|id| node.open_as(grouped(id), 1 + (seed + id) % 49));
         node.pass(ms(12_000));
         (1..=6).for_each(|id| node.end(id, Outcome::Ok));
-        // Clients that a server sends away reconnect. Their connections have not ended by
+        // Clients that are disconnected by a server reconnect. Their connections have not ended by
         // themselves, so the budget does not grow.
         for round in 0..6 {
             for id in 7..=20 {
@@ -197,7 +198,7 @@
 fn nodes_whose_clients_reconnect_together_stagger_their_attempts_at_a_warming_up_server() {
     // Guards against an overload after a batch of hosts stopped: 14 of 19 nodes sent a connection
     // each to the same cold server within 0.17 s, six times its capacity.
-    let set = BalancerSettings {
+    let fleet_settings = BalancerSettings {
         node_count: 19,
         warm_up: ms(20_000),
         warm_up_initial_capacity: 0.15,
@@ -207,7 +208,7 @@
     };
     let mut at: Vec<Micros> = Vec::new();
     for index in 0..19u32 {
-        let with_index = BalancerSettings { node_index: Some(index), ..set.clone() };
+        let with_index = BalancerSettings { node_index: Some(index), ..fleet_settings.clone() };
         let mut node = Node::with_seed(with_index, 16, u64::from(index) + 1);
         (1..=16).for_each(|id| node.open(id, id));
         let started = Some(node.now);
@@ -228,12 +229,12 @@
     let start = at[0];
     assert!(at.len() >= 10, "it receives connections before it is warm: {}", at.len());
     for (i, &from) in at.iter().enumerate() {
-        // A half utilized warm server could have 38 connections and fill up within 20 s. The
+        // A half-utilized warm server could have 38 connections and fill up within 20 s. The
         // warming-up server withstands twice its share of that rate.
         let share = 0.15 + 0.85 * ((from - start).as_secs_f64() / 20.0 + 0.05).min(1.0);
         let within = at[i..].iter().filter(|&&t| t < from + ms(1_000)).count();
-        let most = 2.0 * share * 38.0 / 20.0;
-        assert!(within as f64 <= most + 1.0, "{within} in a second where {most} are allowed");
+        let allowed = 2.0 * share * 38.0 / 20.0;
+        assert!(within as f64 <= allowed + 1.0, "{within} in a second where {allowed} are allowed");
     }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,5 @@
-//! The four rules hold under arbitrary valid events and are checked for each action (see
-//! `support`).
+//! The rules for attempts and answers, which `support` checks for each action, hold under arbitrary valid
+//! events.
 
 mod support;
 
@@ -100,7 +100,7 @@
     let mut node = Node::new(deployment_settings(deployment), servers);
     let mut active: Vec<u64> = Vec::new();
     let mut all = Vec::new();
-    let mut next = 1;
+    let mut next_id = 1;
     for op in ops {
         active.retain(|&id| node.has_request(id));
         let pick = |i: usize| active.get(i % active.len().max(1)).copied();
@@ -114,10 +114,10 @@
                     group,
                     expected_load: load,
                     time_remaining,
-                    ..request(next)
+                    ..request(next_id)
                 });
-                active.push(next);
-                next += 1;
+                active.push(next_id);
+                next_id += 1;
             }
             Op::Establish(i) => {
                 let latency = ms(i as u64 % 400);
@@ -141,7 +141,8 @@
                 let state = [EndpointState::Removed, EndpointState::Ready, EndpointState::Draining]
                     [usize::from(state)];
                 // Start times may be in the past or in the future.
-                let started = start_offset.map(|off| Micros(node.now.0.saturating_add_signed(off * 1_000)));
+                let started =
+                    start_offset.map(|offset| Micros(node.now.0.saturating_add_signed(offset * 1_000)));
                 node.list(EndpointListKind::Delta, vec![Endpoint { state, started, ..entry(server) }]);
             }
             Op::FullList(servers) => node.list(EndpointListKind::Full, (1..=servers).map(entry).collect()),
--- a/tests/shadow.rs
+++ b/tests/shadow.rs
@@ -8,21 +8,22 @@
 mod support;
 use support::{entry, ms, request, settings};
 
-/// Runs a script of small numbers. Returns the verdicts and actions of the active instance, and the
-/// differences.
+/// Runs a script, each step of which is a kind of event, the connection or server that it concerns, and a
+/// value such as a time or a load. Returns the verdicts and actions of the active instance, and the
+/// differences of the shadow instance.
 fn run_script(
     script: &[(u8, u8, u8)],
-    set: &BalancerSettings,
+    active: &BalancerSettings,
     shadow: Option<BalancerSettings>,
 ) -> (Vec<String>, Option<Differences>) {
     let mut now = ms(1_000_000);
-    let mut balancer = Balancer::with_shadow(set.clone(), shadow, 7, now);
+    let mut balancer = Balancer::with_shadow(active.clone(), shadow, 7, now);
     balancer.on_endpoint_list(now, EndpointListKind::Full, (1..=9).map(entry).collect());
     let (mut log, mut open) = (Vec::new(), Vec::<(RequestId, ServerId)>::new());
-    for &(what, which, value) in script {
+    for &(kind, which, value) in script {
         now = now + ms(u64::from(value));
         let chosen = (!open.is_empty()).then(|| usize::from(which) % open.len().max(1));
-        match (what % 8, chosen) {
+        match (kind % 8, chosen) {
             (0..=2, _) => {
                 let group = Some(GroupId(1 + u64::from(which % 5)));
                 let connection_request = ConnectionRequest {
@@ -89,18 +90,18 @@
 proptest! {
     #[test]
     fn active_instance_acts_alike_with_and_without_shadow(script in prop::collection::vec(any::<(u8, u8, u8)>(), 0..200)) {
-        let set = settings();
-        let (without_shadow, none) = run_script(&script, &set, None);
-        prop_assert_eq!(none, None);
-        let (with_shadow, differences) = run_script(&script, &set, Some(grouping_settings()));
+        let active = settings();
+        let (without_shadow, no_differences) = run_script(&script, &active, None);
+        prop_assert_eq!(no_differences, None);
+        let (with_shadow, differences) = run_script(&script, &active, Some(grouping_settings()));
         prop_assert_eq!(&without_shadow, &with_shadow);
         prop_assert!(differences.is_some_and(|differences| differences.total() <= differences.decisions));
     }
 
     #[test]
     fn equal_settings_lead_to_no_differences(script in prop::collection::vec(any::<(u8, u8, u8)>(), 0..200)) {
-        for set in [settings(), grouping_settings()] {
-            let (_, differences) = run_script(&script, &set, Some(set.clone()));
+        for equal in [settings(), grouping_settings()] {
+            let (_, differences) = run_script(&script, &equal, Some(equal.clone()));
             prop_assert_eq!(differences.map(|differences| differences.total()), Some(0));
         }
     }
@@ -117,9 +118,9 @@
     assert!((5..=9).contains(&differences.different_server), "{differences}");
     assert_eq!(differences.total(), differences.different_server, "{differences}");
     // Without allowed attempts, the shadow instance rejects everything.
-    let set = settings();
+    let active = settings();
     let mut balancer =
-        Balancer::with_shadow(set, Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, ms(0));
+        Balancer::with_shadow(active, Some(BalancerSettings { max_attempts: 0, ..settings() }), 7, ms(0));
     balancer.on_endpoint_list(ms(0), EndpointListKind::Full, (1..=9).map(entry).collect());
     let connection_request = ConnectionRequest {
         class: 0,
@@ -137,7 +138,7 @@
 
 #[test]
 fn shadow_instance_records_connections_where_they_really_are() {
-    // It rejects all requests and still knows which clients it would migrate from a draining
+    // The shadow instance rejects all requests and still knows which clients it would migrate from a draining
     // server.
     let mut now = ms(1_000);
     let mut balancer =
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,6 +1,6 @@
-//! Attempts of all nodes together at a cold server: within any overload window, they stay within
-//! its budget of N, plus a random excess of at most twice the square root of N and two, for any
-//! number of nodes and any distribution of requests.
+//! Attempts of all nodes together at a cold server: within any overload window, they stay within its budget
+//! of N, plus a random excess of at most 2 * sqrt(N) + 2, for any number of nodes and any distribution of
+//! requests.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use support::{Node, entry, ms, request, settings};
 
-/// Servers that are warm all the time, and servers that start.
+/// Number of servers that are warm all the time, and of servers that start.
 const WARM: u64 = 20;
 const COLD: u64 = 4;
 /// Mean duration of a connection in seconds, and the number of groups.
@@ -44,24 +44,24 @@
 /// the server's start.
 fn simulate(fleet: Fleet, seed: u64) -> Vec<Vec<Micros>> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let set = BalancerSettings { node_count: fleet.nodes, groups: fleet.groups, ..settings() };
+    let fleet_settings = BalancerSettings { node_count: fleet.nodes, groups: fleet.groups, ..settings() };
     let start = |n: usize, seed: u64| {
-        let set = BalancerSettings { node_index: Some(n as u32), ..set.clone() };
-        Node::with_seed(set, WARM, seed)
+        let fleet_settings = BalancerSettings { node_index: Some(n as u32), ..fleet_settings.clone() };
+        Node::with_seed(fleet_settings, WARM, seed)
     };
     let mut nodes: Vec<Node> = (0..fleet.nodes as usize).map(|n| start(n, seed * 1_000 + n as u64)).collect();
     // One node in five receives four times as many requests as the others.
     let node_by_weight: Vec<usize> =
         (0..nodes.len()).flat_map(|n| vec![n; if n % 5 == 0 { 4 } else { 1 }]).collect();
     let mut sent = vec![Vec::new(); COLD as usize];
-    let mut next = 0;
+    let mut next_id = 0;
     let mut clients: Vec<Client> = Vec::new();
     let grouped = |id: u64, draw: u64| Request { group: Some(GroupId(1 + draw % GROUPS)), ..request(id) };
     for _ in 0..fleet.connections {
-        next += 1;
+        next_id += 1;
         let node = node_by_weight[rng.random_range(0..node_by_weight.len())];
-        nodes[node].open_as(grouped(next, rng.random()), rng.random_range(1..=WARM));
-        clients.push(Client { node, id: next });
+        nodes[node].open_as(grouped(next_id, rng.random()), rng.random_range(1..=WARM));
+        clients.push(Client { node, id: next_id });
     }
     let start_time = nodes[0].now;
     let (mut elapsed, mut reconnecting) = (Micros(0), 0);
@@ -72,13 +72,13 @@
             let new: Vec<Endpoint> = new.collect();
             nodes.iter_mut().for_each(|node| node.list(EndpointListKind::Delta, new.clone()));
         }
-        let cold = elapsed >= TIME_BEFORE_START;
-        // Connections that end are replaced by new ones. Clients that are sent away, or whose node
+        let cold_servers_started = elapsed >= TIME_BEFORE_START;
+        // Connections that end are replaced by new ones. Clients that a burst disconnects, or whose node
         // restarts, reconnect.
-        let burst = cold && fleet.burst == Some(elapsed - TIME_BEFORE_START);
+        let burst = cold_servers_started && fleet.burst == Some(elapsed - TIME_BEFORE_START);
         let mut arriving = std::mem::take(&mut reconnecting);
-        let second = elapsed.0 % 1_000_000 == 0;
-        if fleet.restarts && cold && second {
+        let is_full_second = elapsed.0 % 1_000_000 == 0;
+        if fleet.restarts && cold_servers_started && is_full_second {
             let n = ((elapsed - TIME_BEFORE_START).0 / 1_000_000 * 4) as usize % nodes.len();
             let now = nodes[n].now;
             let times: Vec<Vec<Micros>> =
@@ -106,12 +106,12 @@
             arriving += 1;
         }
         for _ in 0..arriving {
-            next += 1;
+            next_id += 1;
             let node = node_by_weight[rng.random_range(0..node_by_weight.len())];
-            nodes[node].send_request(grouped(next, rng.random()));
-            nodes[node].establish(next);
-            match nodes[node].server_of(next) {
-                Some(_) => clients.push(Client { node, id: next }),
+            nodes[node].send_request(grouped(next_id, rng.random()));
+            nodes[node].establish(next_id);
+            match nodes[node].server_of(next_id) {
+                Some(_) => clients.push(Client { node, id: next_id }),
                 None => reconnecting += 1,
             }
         }
@@ -135,18 +135,26 @@
 /// Returns the maximum by which the attempts in a window exceed the allowed number, including the
 /// random excess; negative if they never do.
 fn excess(fleet: Fleet, times: &[Micros]) -> f64 {
-    let set = settings();
+    let fleet_settings = settings();
     // With groups, each connection adds the work of up to one group.
     let work_factor = if fleet.groups { 2.0 } else { 1.0 };
-    let duration =
-        if fleet.groups { MEAN_DURATION_S } else { MEAN_DURATION_S.min(set.warm_up.as_secs_f64()) };
+    let duration = if fleet.groups {
+        MEAN_DURATION_S
+    } else {
+        MEAN_DURATION_S.min(fleet_settings.warm_up.as_secs_f64())
+    };
     let arrival_rate = HEADROOM * work_factor * fleet.connections as f64 / WARM as f64 / duration;
     let over = |(i, &from): (usize, &Micros)| {
-        let to = from + set.overload_window;
+        let to = from + fleet_settings.overload_window;
         let attempts = times[i..].iter().filter(|&&at| at < to).count() as f64;
-        let progress = (from + set.overload_window.scale(0.5)).as_secs_f64() / set.warm_up.as_secs_f64();
-        let share = set.warm_up_initial_capacity + (1.0 - set.warm_up_initial_capacity) * progress.min(1.0);
-        let n = set.overload_multiple * share * arrival_rate * set.overload_window.as_secs_f64();
+        let progress = (from + fleet_settings.overload_window.scale(0.5)).as_secs_f64()
+            / fleet_settings.warm_up.as_secs_f64();
+        let share = fleet_settings.warm_up_initial_capacity
+            + (1.0 - fleet_settings.warm_up_initial_capacity) * progress.min(1.0);
+        let n = fleet_settings.overload_multiple
+            * share
+            * arrival_rate
+            * fleet_settings.overload_window.as_secs_f64();
         attempts - (n + 2.0 * n.sqrt() + 2.0)
     };
     times.iter().enumerate().map(over).fold(f64::NEG_INFINITY, f64::max)
@@ -187,7 +195,8 @@
         }
     }
     println!(
-        "{nodes} nodes: {all} attempts at cold servers, {} over, at most {max_excess:.1} beyond",
+        "{nodes} nodes: {all} attempts at cold servers, {} cold servers over their budget, at most \
+         {max_excess:.1} attempts beyond it",
         over.len()
     );
     assert!(over.is_empty(), "{over:#?}");
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,8 @@
-//! Shared test support: settings, shorthand for events, and a checker that applies the four rules
-//! to all actions.
-#![allow(dead_code, reason = "each test file uses a part")]
+//! Shared test support: settings, shorthand for events, and a checker of all actions. The rules that it
+//! checks: requests are sent only to servers that the endpoint list allows; each request has at most one
+//! attempt at a time and is answered exactly once; a request that may have been executed is retried only as
+//! its class allows; the limits of attempts, retries and other settings are kept.
+#![allow(dead_code, reason = "each test file uses only some of the items")]
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -100,6 +102,7 @@
     listed: BTreeMap<ServerId, Endpoint>,
     sends_while_warming_up: BTreeMap<ServerId, Vec<Micros>>,
     pub timers: Vec<(Micros, TimerToken)>,
+    /// Actions of the last event.
     pub last: Vec<Action>,
     /// Migrated connections whose end has not been reported yet.
     migrating: Vec<(RequestId, ServerId)>,
@@ -140,6 +143,7 @@
         node
     }
 
+    /// Reports an endpoint list to the policy.
     pub fn list(&mut self, kind: EndpointListKind, entries: Vec<Endpoint>) {
         if matches!(kind, EndpointListKind::Full | EndpointListKind::Cached) {
             self.listed.values_mut().for_each(|e| e.state = EndpointState::Removed);
@@ -155,6 +159,7 @@
         self.event(Event::EndpointList(kind, entries));
     }
 
+    /// Reports an event to the policy, and checks the resulting actions.
     pub fn event(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.policy.handle(self.now, event, &mut actions);
@@ -167,10 +172,12 @@
         self.event(Event::Request(request));
     }
 
+    /// Reports an existing connection at a server.
     pub fn open(&mut self, id: u64, server: u64) {
         self.open_as(request(id), server);
     }
 
+    /// Reports an existing connection of this request at a server.
     pub fn open_as(&mut self, request: Request, server: u64) {
         let state =
             RequestState { attempt_at: Some(ServerId(server)), open: true, ..RequestState::default() };
@@ -178,10 +185,12 @@
         self.event(Event::ExistingConnection(request, ServerId(server)));
     }
 
+    /// Reports that the attempt in flight was established, after 10 ms.
     pub fn establish(&mut self, id: u64) {
         self.establish_after(id, ms(10));
     }
 
+    /// Reports that the attempt in flight was established after this time.
     pub fn establish_after(&mut self, id: u64, latency: Micros) {
         if let Some(state) = self.requests.get_mut(&RequestId(id))
             && let Some(server) = state.attempt_at
@@ -235,6 +244,7 @@
         self.now = until;
     }
 
+    /// Returns the server of the attempt in flight or of the connection.
     pub fn server_of(&self, id: u64) -> Option<u64> {
         self.requests.get(&RequestId(id)).and_then(|state| state.attempt_at).map(|server| server.0)
     }
@@ -243,6 +253,8 @@
         self.requests.contains_key(&RequestId(id))
     }
 
+    /// Returns the Retry-After time, if any, with which the last event rejected the request; the outer option
+    /// is `None` if it did not.
     pub fn rejected(&self, id: u64) -> Option<Option<Micros>> {
         self.last.iter().find_map(|action| match action {
             Action::Reject(r, wait) if r.0 == id => Some(*wait),
@@ -250,14 +262,16 @@
         })
     }
 
+    /// Returns the connections that the last event migrated.
     pub fn migrations(&self) -> Vec<u64> {
-        let moved = |action: &Action| match action {
+        let migrated = |action: &Action| match action {
             Action::Migrate(id) => Some(id.0),
             _ => None,
         };
-        self.last.iter().filter_map(moved).collect()
+        self.last.iter().filter_map(migrated).collect()
     }
 
+    /// Returns the times of the attempts at a server during its warm-up.
     pub fn sends_while_warming_up(&self, server: u64) -> &[Micros] {
         self.sends_while_warming_up.get(&ServerId(server)).map_or(&[], Vec::as_slice)
     }
@@ -321,6 +335,7 @@
         self.last = actions;
     }
 
+    /// Records that a request is answered or fails, which may happen once and not during an attempt.
     fn answer(&mut self, id: RequestId) -> RequestState {
         let state = self.requests.remove(&id).unwrap_or_else(|| panic!("{id:?} answered, but unknown"));
         assert!(state.attempt_at.is_none(), "{id:?} answered with an attempt in flight");
@@ -368,12 +383,12 @@
             match class.idempotency {
                 Idempotency::Idempotent => {}
                 Idempotency::NotIdempotent => panic!("{id:?} sent again though it may have been executed"),
-                Idempotency::Deduplicated(group) => {
+                Idempotency::Deduplicated(scope) => {
                     assert!(
                         self.now < sent + class.dedup_window,
                         "{id:?} sent again after its deduplication window"
                     );
-                    assert!(match group {
+                    assert!(match scope {
                         DedupScope::All => true,
                         DedupScope::Zone => first.zone == entry.zone,
                         DedupScope::Cell => first.cell == entry.cell,
@@ -394,13 +409,13 @@
 
 /// Passes `n` periods and returns all migrated connections.
 pub fn pass_periods(node: &mut Node, n: u64) -> Vec<u64> {
-    let mut moved = Vec::new();
+    let mut migrated = Vec::new();
     for _ in 0..n * 10 {
         node.last.clear();
         node.pass(ms(100));
-        moved.extend(node.migrations());
+        migrated.extend(node.migrations());
     }
-    moved
+    migrated
 }
 
 pub fn connections_by_server(node: &Node, ids: std::ops::Range<u64>) -> BTreeMap<u64, usize> {
