--- a/crates/alderstile-lab/src/charts.rs
+++ b/crates/alderstile-lab/src/charts.rs
@@ -15,7 +15,7 @@
 /// Errors of drawing a chart.
 #[derive(Debug, Error)]
 pub enum ChartError {
-    /// No x is above 0, or neither a y nor the limit is: an axis would have no range.
+    /// No x value is above 0, or no y value and no limit is, so an axis would have no range.
     #[error("drawing {file} failed: no values above 0 on an axis")]
     NoPoints {
         /// Path of the chart.
--- a/crates/alderstile-lab/src/compare.rs
+++ b/crates/alderstile-lab/src/compare.rs
@@ -1,5 +1,5 @@
-//! Comparison of load-balancing strategies: each plays the same emulated schedule at the same seeds, on all
-//! cores.
+//! Comparison of load-balancing strategies: the same emulated schedule is run with each strategy and the same
+//! seeds, in parallel on all cores.
 
 use std::path::Path;
 use std::sync::Mutex;
@@ -70,7 +70,8 @@
         self.runs.iter().filter_map(|metrics| metrics.traffic.as_ref()).map(metric).collect()
     }
 
-    /// Estimates the difference of the served share to another strategy, paired by seed.
+    /// Estimates by how much the served share exceeds that of another strategy, from pairs of runs with the
+    /// same seed.
     pub fn served_share_gain(&self, other: &StrategyResults) -> Estimate {
         let served_share =
             |result: &StrategyResults| result.traffic_values(emulated::TrafficMetrics::served_share);
@@ -80,7 +81,7 @@
     }
 }
 
-/// Plays a schedule with each strategy at `seeds` consecutive seeds, starting at the schedule's own seed.
+/// Runs a schedule with each strategy and `seeds` consecutive seeds, starting at the schedule's own seed.
 ///
 /// # Errors
 ///
--- a/crates/alderstile-lab/src/emulated/discovery.rs
+++ b/crates/alderstile-lab/src/emulated/discovery.rs
@@ -172,7 +172,7 @@
         }
     }
 
-    /// Ends a host's process; its nodes and discovery learn of it later.
+    /// Ends a host's process; discovery and the nodes with connections to the host learn of it later.
     pub(super) fn stop_host(&mut self, host: usize) {
         for ((client, serial), (node, _)) in self.traffic.hosts[host].stop() {
             if let Some(delay) = self.draw_link_delay(Party::Host(host), Party::Node(node)) {
--- a/crates/alderstile-lab/src/emulated/hosts.rs
+++ b/crates/alderstile-lab/src/emulated/hosts.rs
@@ -1,9 +1,9 @@
 //! An emulated host: cores, a work queue, a connection limit, a cold start and failure from overload. No I/O,
 //! no clock.
 //!
-//! The host is a fluid model. All work, from connection setups at once and from open connections
-//! continuously, joins one queue in order of arrival, and the cores process it; the backlog delays every
-//! setup and every message alike (the workload process of a single-server queue: Kleinrock, *Queueing
+//! The host is a fluid model. All work joins one queue in order of arrival, and the cores process it: a
+//! connection setup adds its work at once, an open connection adds work continuously. The backlog delays
+//! every setup and every message alike (the workload process of a single-server queue: Kleinrock, *Queueing
 //! Systems* I, 1975). A process that has just started has only a fraction of its full capacity, which grows
 //! linearly (warm-up of virtual machines: Barrett et al., OOPSLA 2017). A host that is overloaded while cold
 //! fails, as retries and new connections would keep it overloaded (Bronson et al., "Metastable failures",
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! The same plan and strategy give the same history, byte for byte, on any machine: all randomness derives
 //! from the plan's seed, all events are in one order, and no result depends on the machine's clock or the
-//! iteration order of a hash map. A schedule emulates only what it names: without hosts and clients the
-//! membership protocol runs alone, and without `[members]` it does not run.
+//! iteration order of a hash map. Only what a schedule contains is emulated: without hosts and clients
+//! the membership protocol runs alone, and without `[members]` it does not run.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::{BTreeMap, BinaryHeap};
@@ -75,7 +75,7 @@
     pub traffic: Option<TrafficMetrics>,
 }
 
-/// An event in the queue. Events of one time are handled in the order in which they were scheduled.
+/// An event in the queue. Events at the same time are handled in the order in which they were scheduled.
 struct ScheduledEvent {
     /// Microseconds since the start of the run.
     at: u64,
@@ -160,7 +160,7 @@
     (seconds * 1e6).round() as u64
 }
 
-/// Runs a plan with one load-balancing strategy, writes what happens to `history` and returns the metrics.
+/// Runs a plan with one load-balancing strategy, records its events in `history` and returns the metrics.
 ///
 /// # Errors
 ///
@@ -430,8 +430,10 @@
         }
     }
 
-    /// Records a node's view of another if it has changed: the best state among the processes of the other
-    /// node.
+    /// Records a node's view of another node if it has changed.
+    ///
+    /// The view is the first state, in the order of [`MemberState`], that a process of the other node has: a
+    /// node with an alive process is alive, even if its earlier processes are dead.
     fn record_member_view(&mut self, node: usize, change: &MembershipChange) {
         let instance = match change {
             MembershipChange::Joined(instance)
--- a/crates/alderstile-lab/src/emulated/requests.rs
+++ b/crates/alderstile-lab/src/emulated/requests.rs
@@ -19,12 +19,12 @@
 const CLIENT_TIMEOUT_MARGIN: u64 = 1_500_000;
 /// Time within which a message must be answered for a client to count as served, microseconds.
 const MESSAGE_TIMEOUT: u64 = 1_000_000;
-/// Samples without anything from the host after which the node closes the connection and tells its client to
-/// migrate.
+/// Number of consecutive samples without data from the host after which the node closes the connection and
+/// tells its client to migrate.
 const MAX_SILENT_HOST_SAMPLES: u32 = 9;
-/// Samples without anything from the node after which the client closes the connection.
+/// Number of consecutive samples without data from the node after which the client closes the connection.
 const MAX_SILENT_NODE_SAMPLES: u32 = 16;
-/// Delay of an event that must not overtake an answer in flight, until it is tried again, microseconds.
+/// Delay after which an event that must not overtake an answer in flight is handled again, microseconds.
 const ANSWER_IN_FLIGHT_DELAY: u64 = 2_000;
 /// Longest delay before a rejected client reconnects, microseconds.
 const MAX_RECONNECT_DELAY: u64 = 2_000_000;
@@ -157,7 +157,7 @@
         (state.silent_samples, state.sent_at) = (0, self.now);
         let (serial, class_name) = (state.serial, class.class.clone());
         self.record_event(HistoryEvent::Open {
-            id: request_name(client, serial),
+            id: history_id(client, serial),
             client,
             class: class_name,
             node,
@@ -183,12 +183,12 @@
     }
 
     pub(super) fn record_closed(&mut self, client: usize, reason: &str) {
-        let id = request_name(client, self.traffic.clients[client].serial);
+        let id = history_id(client, self.traffic.clients[client].serial);
         self.record_event(HistoryEvent::Closed { id, how: reason.to_owned() });
     }
 
     pub(super) fn record_answer(&mut self, client: usize, answer: &str, receipt: Option<String>) {
-        let id = request_name(client, self.traffic.clients[client].serial);
+        let id = history_id(client, self.traffic.clients[client].serial);
         self.record_event(HistoryEvent::Answer { id, what: answer.to_owned(), receipt });
     }
 
@@ -314,14 +314,14 @@
         {
             self.close_host_connection(client, serial);
             self.traffic.clients[client].state = RequestState::AtNode;
-            self.handle_balancer_event(node, request.ended(host, Outcome::Timeout, false));
+            self.handle_balancer_event(node, request.ended_event(host, Outcome::Timeout, false));
         }
     }
 
     fn client_timeout(&mut self, request: OpenRequest) {
         let OpenRequest { client, serial, reconnect_delay, .. } = request;
         if !self.traffic.clients[client].up_received {
-            self.record_event(HistoryEvent::GaveUp { id: request_name(client, serial) });
+            self.record_event(HistoryEvent::GaveUp { id: history_id(client, serial) });
             self.finish_request(
                 client,
                 serial,
@@ -350,7 +350,7 @@
         };
         let receipt = setup_time.map(|_| self.next_receipt(host));
         if let Some(receipt) = receipt.clone() {
-            self.record_event(HistoryEvent::Executed { host, id: request_name(client, serial), receipt });
+            self.record_event(HistoryEvent::Executed { host, id: history_id(client, serial), receipt });
         }
         if let Some(delay) = self.draw_link_delay(Party::Host(host), Party::Node(node)) {
             let event = RequestEvent::AttemptResult { attempt, outcome, receipt };
@@ -382,7 +382,7 @@
         }
         if outcome != Outcome::Ok {
             self.traffic.clients[client].state = RequestState::AtNode;
-            return self.handle_balancer_event(node, request.ended(host, outcome, false));
+            return self.handle_balancer_event(node, request.ended_event(host, outcome, false));
         }
         let (load, latency) = (state.load, Micros(self.now - state.sent_at));
         self.traffic.clients[client].state = RequestState::Established(host);
@@ -425,11 +425,11 @@
             RequestState::Attempting(host) if !state.up_received => {
                 self.close_host_connection(client, serial);
                 self.traffic.clients[client].state = RequestState::AtNode;
-                self.handle_balancer_event(node, request.ended(host, Outcome::Reset, false));
+                self.handle_balancer_event(node, request.ended_event(host, Outcome::Reset, false));
             }
             RequestState::Established(host) => {
                 self.record_closed(client, "end");
-                let event = request.ended(host, Outcome::Reset, true);
+                let event = request.ended_event(host, Outcome::Reset, true);
                 self.finish_request(client, serial, Some(event), Some(reconnect_delay));
             }
             _ => {}
@@ -441,7 +441,8 @@
         if let RequestState::Established(host) = self.traffic.clients[client].state {
             self.record_closed(client, if by_client { "silent" } else { "move" });
             let disconnected = Event::ClientDisconnected(request.id());
-            let event = if by_client { disconnected } else { request.ended(host, Outcome::Reset, true) };
+            let event =
+                if by_client { disconnected } else { request.ended_event(host, Outcome::Reset, true) };
             self.finish_request(client, serial, Some(event), Some(reconnect_delay));
         }
     }
@@ -450,7 +451,7 @@
         let OpenRequest { client, serial, reconnect_delay, .. } = request;
         if let RequestState::Established(host) = self.traffic.clients[client].state {
             self.record_closed(client, "move");
-            let event = request.ended(host, Outcome::Cancelled, true);
+            let event = request.ended_event(host, Outcome::Cancelled, true);
             self.finish_request(client, serial, Some(event), Some(reconnect_delay));
         }
     }
@@ -471,12 +472,12 @@
         request_id(self.client, self.serial)
     }
 
-    fn ended(self, host: usize, outcome: Outcome, closed: bool) -> Event {
+    fn ended_event(self, host: usize, outcome: Outcome, closed: bool) -> Event {
         Event::Ended { id: self.id(), server: server_id(host), outcome, closed, report: Vec::new() }
     }
 }
 
 /// Returns a request's ID in the history.
-fn request_name(client: usize, serial: u32) -> String {
+fn history_id(client: usize, serial: u32) -> String {
     format!("{:08x}{serial:08x}", client + 1)
 }
--- a/crates/alderstile-lab/src/emulated/strategies.rs
+++ b/crates/alderstile-lab/src/emulated/strategies.rs
@@ -88,7 +88,7 @@
     }
 }
 
-/// Returns the true load of a host relative to its capacity. Only the oracle uses it.
+/// A function that returns the true load of a host relative to its capacity. Only the oracle uses it.
 pub type TrueLoad<'a> = &'a dyn Fn(ServerId) -> f64;
 
 /// The load balancer of one node.
--- a/crates/alderstile-lab/src/emulated/traffic.rs
+++ b/crates/alderstile-lab/src/emulated/traffic.rs
@@ -25,8 +25,7 @@
 use crate::history::{Event as HistoryEvent, ProcessChange};
 use crate::schedule::{Feature, Idempotency as ScheduleIdempotency, Party, Plan};
 
-/// Time after which a connection to a host that is not established has failed, microseconds: the default of a
-/// real node.
+/// Time within which a connection to a host must be established, microseconds: the default of a real node.
 const CONNECT_TIMEOUT: u64 = 250_000;
 /// Time after the notification during which a draining host may still receive new connections, seconds.
 const DRAIN_GRACE_S: f64 = 0.5;
@@ -75,12 +74,12 @@
 }
 
 impl TrafficMetrics {
-    /// Share of the samples with demand in which the client was served.
+    /// Returns the share of the samples with demand in which the client was served.
     pub fn served_share(&self) -> f64 {
         self.served_samples as f64 / self.demand_samples.max(1) as f64
     }
 
-    /// Mean and 99th percentile of the time from a request to its `UP`, seconds.
+    /// Returns the mean and the 99th percentile of the time from a request to its `UP`, seconds.
     pub fn setup_latency_s(&self) -> (f64, f64) {
         let mut all = self.setup_latencies_s.clone();
         all.sort_unstable_by(f32::total_cmp);
@@ -88,7 +87,7 @@
         (mean, all.get(all.len() * 99 / 100).map_or(0.0, |s| f64::from(*s)))
     }
 
-    /// Mean over time of the connections on the busiest host relative to its fair share.
+    /// Returns the mean over time of the connections on the busiest host relative to its fair share.
     pub fn mean_imbalance(&self) -> f64 {
         self.imbalance.0 / self.imbalance.1.max(1) as f64
     }
@@ -141,8 +140,8 @@
     FinalAnswer { receipt: Option<String>, status: &'static str, retry_after: u64 },
     /// The node learns that the process of the request's host has ended.
     HostEnded,
-    /// A party gives up a connection on which nothing arrives: the client leaves, or the node tells the
-    /// client to migrate.
+    /// A party closes a connection on which nothing has arrived for some time: the client, or the node, which
+    /// tells the client to migrate.
     SilenceTimeout { by_client: bool },
     /// The client is told to migrate.
     Migration,
@@ -217,7 +216,7 @@
     pub(super) clients: BTreeSet<usize>,
     /// Events that arrived while the process was paused.
     pub(super) deferred_events: Vec<TrafficEvent>,
-    /// When the front end last got an answer from the node.
+    /// When the node last answered the front end.
     pub(super) last_answer: Option<u64>,
     pub(super) discovery_faults: DiscoveryFaults,
     /// State of each host as last received from discovery.
@@ -239,7 +238,7 @@
     pub(super) nodes: Vec<TrafficNode>,
     /// Nodes to which the front end sends clients, with the running sum of their weights.
     pub(super) available_nodes: Vec<(usize, f64)>,
-    /// When discovery has answered all list requests so far.
+    /// When discovery will have answered all list requests received so far.
     pub(super) discovery_idle_at: u64,
     /// Number of receipts that hosts have given.
     pub(super) receipts: u64,
@@ -259,7 +258,7 @@
 }
 
 impl TrafficModel {
-    /// Creates the parties of a plan: no hosts and no clients if the plan lacks either.
+    /// Creates the nodes, hosts and clients of a plan; no hosts and no clients if the plan lacks either.
     pub(super) fn new(plan: &Plan, spec: &StrategySpec) -> Self {
         let has = |feature| spec.features.contains(&feature) || plan.subsetting.enabled.contains(&feature);
         let subsetting = SubsettingParams {
@@ -364,7 +363,7 @@
     }
 }
 
-/// Returns a node as other nodes know it for subsetting.
+/// Returns the description of a node that subsetting uses, without traffic.
 fn subset_node(plan: &Plan, node: usize) -> SubsetNode {
     let zone = (node % plan.zones.len()) as u16;
     SubsetNode { name: format!("n{node}").into(), zone, traffic: 0.0 }
@@ -531,8 +530,8 @@
         }
     }
 
-    /// Ends the balancer of a node. Its clients' connections are closed; with `graceful`, clients are told to
-    /// come again.
+    /// Ends the balancer of a node and the requests of its clients. With `graceful`, the clients are told to
+    /// migrate or are rejected; otherwise their connections are reset.
     pub(super) fn end_traffic_node(&mut self, node: usize, graceful: bool) {
         let state = &mut self.traffic.nodes[node];
         (state.balancer, state.ready, state.stopped_gracefully) = (None, false, graceful);
@@ -683,7 +682,7 @@
         }
     }
 
-    /// Rejects or fails a request: sends the client its final answer.
+    /// Sends the client the final answer of a request that is rejected or has failed.
     fn send_negative_answer(
         &mut self,
         node: usize,
--- a/crates/alderstile-lab/src/hollow/mod.rs
+++ b/crates/alderstile-lab/src/hollow/mod.rs
@@ -5,9 +5,9 @@
 //! Hundreds of hollow nodes share one process and run in one cluster with real `alderstile` processes. Both
 //! send the same datagrams under the same keys, so a node cannot tell whether a peer is hollow or real.
 //!
-//! [`HollowNodes`] distributes the nodes over a few threads. Each node runs [`Membership`] and optionally an
-//! [`ExtraCore`] on a separate socket, so that another protocol core can be measured at any number of nodes
-//! through an adapter of a few calls.
+//! [`HollowNodes`] distributes the nodes over a few threads. Each node runs [`Membership`], and optionally an
+//! [`ExtraCore`] on a separate socket: an implementation of this trait makes it possible to measure another
+//! protocol core with any number of nodes.
 //!
 //! ```text
 //! let extra_cores: ExtraCoreFactory = Arc::new(|spec| Some(Box::new(MyCore::new(spec))));
@@ -61,7 +61,7 @@
     fn next_timeout(&self) -> Micros;
     /// Does the work that is due at `now` and returns the datagrams to send.
     ///
-    /// The core may read the node's membership and set its metadata or digest of the settings.
+    /// The core may read the node's membership and set the node's metadata or the digest of its settings.
     fn handle_timeout(&mut self, now: Micros, members: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)>;
     /// Processes a received datagram and returns the datagrams to send.
     fn handle_datagram(
@@ -139,7 +139,7 @@
     /// Creates each node's extra core.
     pub extra_cores: ExtraCoreFactory,
     /// Nodes that each node knows at its first start, with no updates about them left to disseminate. Empty
-    /// if nodes know their seeds alone.
+    /// if nodes know only their seeds.
     pub known_nodes: Arc<Vec<NodeSpec>>,
 }
 
@@ -336,7 +336,8 @@
     /// Number of starts of each node.
     starts: RefCell<BTreeMap<usize, u64>>,
     observations: RefCell<Vec<Observation>>,
-    /// Processes and the digests of which each node's first observation is recorded.
+    /// Digests to watch, each with the process that announces it. The first time that a node learns of one is
+    /// recorded as an observation.
     watched: RefCell<Vec<(InstanceId, u64)>>,
 }
 
@@ -398,7 +399,8 @@
             Command::Start(spec) => {
                 let number = spec.number;
                 if let Err(error) = self.start(spec).await {
-                    // The run goes on: to other nodes, this one is a member that never joined.
+                    // The run continues without this node: to the others it is a member that did not join
+                    // or has died.
                     tracing::error!(node = number, error = %error, "hollow node start failed");
                 }
             }
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -47,14 +47,14 @@
 enum Command {
     /// Run a schedule and check its history
     ///
-    /// Exits with 0 if no rule was violated, 1 if one was, 2 if nothing was run.
+    /// Exits with 0 if no rule was violated, 1 if one was, 2 if an error occurred.
     Run {
         /// Schedule, a TOML file
         file: PathBuf,
         /// What the schedule is run on
         #[arg(long = "on", value_name = "ON", value_enum, default_value = "processes")]
         target: Target,
-        /// Seed, overrides that of the file
+        /// Seed; overrides that of the file
         #[arg(long)]
         seed: Option<u64>,
         /// Load-balancing strategy of emulated nodes: module, random, least, two, subset, oracle;
@@ -73,7 +73,7 @@
     },
     /// Compare load-balancing strategies on emulated schedules, at the same seeds
     ///
-    /// Exits with 0, or 2 if nothing was compared.
+    /// Exits with 0, or 2 if an error occurred.
     Compare {
         /// Schedules, TOML files
         #[arg(required = true)]
@@ -92,7 +92,8 @@
     },
     /// Measure membership at several cluster sizes, with hollow and real nodes
     ///
-    /// Exits with 0, or 2 if nothing was measured. Tables are written to NAME.csv and NAME.md.
+    /// Exits with 0, or 2 if an error occurred or nothing was measured. Tables are written to NAME.csv and
+    /// NAME.md.
     Scale {
         /// Plan of the runs and their sizes, a TOML file
         file: PathBuf,
@@ -114,7 +115,7 @@
     ///
     /// Exits with 0, or 2 if a measurement failed; the results before it are kept.
     Measure {
-        /// Use small sizes, for a run of seconds
+        /// Use small sizes, for a run of a few seconds
         #[arg(long)]
         short: bool,
         /// Directory for the tables
@@ -168,9 +169,9 @@
     }
 }
 
-/// Executes a command. Returns whether no rule was violated, or the message of an error.
+/// Executes a command. Returns whether all checks passed, or the message of an error.
 ///
-/// Commands that check no rules return `true`.
+/// Commands that check nothing return `true`.
 fn execute(command: Command) -> Result<bool, String> {
     match command {
         Command::Run { file, target, seed, strategy, out, program, program_args } => {
--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -30,8 +30,8 @@
 use crate::schedule::ScheduleError;
 use crate::tables::Row;
 
-/// Largest socket limit configured for the node. It is lower where the system's descriptor limit less 100 is
-/// lower, as a node needs some descriptors for other purposes.
+/// Largest socket limit configured for the node. If the system's descriptor limit is lower, the limit is 100
+/// below that, as a node needs some descriptors for other purposes.
 const MAX_SOCKETS: u64 = 19_900;
 /// Maximum number of concurrent connection setups while clients are connected before a measurement.
 const MAX_CONCURRENT_SETUPS: usize = 100;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns small sizes, for a run of seconds.
+    /// Returns small sizes, for a run of a few seconds.
     pub fn short() -> Self {
         MeasurePlan {
             connections: vec![50, 200],
@@ -103,7 +103,7 @@
 /// Errors that end the measurements early.
 #[derive(Debug, Error)]
 pub enum MeasureError {
-    /// The system refused a resource, or the node did not start.
+    /// Creating a file, a socket, a thread or a runtime failed, or the node did not start.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// No loopback addresses are available for the node and its hosts.
@@ -381,7 +381,8 @@
     Ok(rows)
 }
 
-/// Sends complete endpoint lists that omit one host, a different one each time, and then the full list again.
+/// Repeatedly sends the node a complete endpoint list in which one host is missing, a different host each
+/// time, and then one with all hosts.
 async fn measure_list_updates(bed: &TestBed, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
     let (mut durations, mut cpu) = (Vec::new(), Vec::new());
     let idle_cpu = {
@@ -493,7 +494,7 @@
             self.tasks.borrow_mut().push(spawn_local(async move {
                 let mut rng = Pcg64Mcg::seed_from_u64(number as u64);
                 loop {
-                    // The client reconnects whatever ended its connection.
+                    // The client reconnects no matter why its connection ended.
                     let _ = this.run_connection().await;
                     this.interruptions.set(this.interruptions.get() + 1);
                     sleep(RECONNECT_DELAY + Duration::from_millis(rng.random_range(0..RECONNECT_JITTER_MS)))
--- a/crates/alderstile-lab/src/real.rs
+++ b/crates/alderstile-lab/src/real.rs
@@ -10,7 +10,7 @@
 
 use crate::processes::nodes::admin_get;
 
-/// Timeout of a call to the admin address; a node that exceeds it has no reading at that time.
+/// Timeout of a call to the admin address; if a node exceeds it, this reading of its counters is missing.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Resource usage of a process as the kernel reports it.
--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -36,8 +36,8 @@
 
 /// UDP port of membership.
 const MEMBERSHIP_PORT: u16 = 7_946;
-/// Interval at which the nodes are polled for what they know; the resolution of the delays measured at real
-/// nodes.
+/// Interval at which the nodes are polled for their number of members; the resolution of the delays measured
+/// at real nodes.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time over which the starts of the hollow nodes are spread.
 const START_SPREAD: Duration = Duration::from_secs(1);
@@ -55,7 +55,7 @@
 /// Errors that end scale runs early.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// The system refused a resource that a run needs.
+    /// Creating a file, a socket, a thread or a runtime failed.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// No loopback addresses are available for the run.
@@ -90,7 +90,7 @@
     Interrupted,
 }
 
-/// Runs all sizes of the plan. The rows of each size are passed to `done` as the size ends.
+/// Runs all sizes of the plan. The rows of each size are passed to `done` when its run ends.
 ///
 /// # Errors
 ///
@@ -317,15 +317,19 @@
         self.push_row(row);
     }
 
-    /// Returns the timeout for a change to reach all nodes: well above the bound that membership guarantees.
+    /// Returns the timeout for a change to reach all nodes. It grows with the logarithm of the number of
+    /// members, as the time that suspicion and gossip need does, and is well above that time.
     fn learn_timeout(&self) -> Duration {
         let periods = 30.0 + 10.0 * (self.size.members as f64).log2();
-        // With short periods, delays of a busy machine must not count as changes that were never learned.
+        // With short periods, a busy machine may delay a change by many periods. The minimum keeps such a
+        // change from being counted as not learned.
         Duration::from_secs_f64(periods * self.plan.period_s()).max(MIN_LEARN_TIMEOUT)
     }
 
-    /// Returns the time after which gossip about a change that all nodes know has ended: each node sends each
-    /// change 3 log2(N) times, about twice per period.
+    /// Returns the time after which gossip about a change that all nodes know has ended.
+    ///
+    /// Each of N nodes sends each change 3 log2(N) times. It sends about two datagrams per period, so this
+    /// time, 3 log2(N) periods, is about twice the time needed.
     fn settle_time(&self) -> Duration {
         let periods = 3.0 * (self.size.members as f64).log2();
         Duration::from_secs_f64(periods * self.plan.period_s())
@@ -435,8 +439,8 @@
         Ok(())
     }
 
-    /// Starts the hollow members within [`START_SPREAD`] and the real ones at the same time, with three members as
-    /// seeds, and waits until all see each other.
+    /// Starts the hollow members within [`START_SPREAD`] and, during that time, the real ones. Three members
+    /// are the seeds. Waits until all members list each other.
     async fn start_all(&mut self) -> io::Result<()> {
         let phase = "start of all";
         info!(members = self.size.members, real = self.size.real, "scale run started");
@@ -458,7 +462,7 @@
         while let Some(started) = starts.join_next().await {
             started.map_err(io::Error::other).flatten()?;
         }
-        let known = self.wait_until_all_see(phase, start, self.size.members).await;
+        let complete = self.wait_for_member_count(phase, start, self.size.members).await;
         let to = self.snapshot().await;
         // The counters of each node start at 0, so their values are the totals of this phase.
         let span = (to.at - start).as_secs_f64();
@@ -469,23 +473,27 @@
         self.record_values(phase, "bytes out in the busiest second", &peaks);
         let cpu = (to.cpu() - from.cpu()).as_secs_f64() / self.hollow_alive.len().max(1) as f64;
         self.record(phase, "processor time a hollow node (us)", cpu * 1e6);
-        if !known {
+        if !complete {
             warn!(members = self.size.members, "cluster start incomplete: not all members see each other");
         }
         Ok(())
     }
 
-    /// Waits until every node counts `members` members, and records when the hollow and the real nodes did.
+    /// Waits until every node lists `members` members, and records the time until the hollow nodes, and each
+    /// real node, list them.
     ///
-    /// Returns whether all of them did before the timeout.
-    async fn wait_until_all_see(&mut self, phase: &str, start: Micros, members: usize) -> bool {
+    /// Returns whether all nodes list them before the timeout.
+    async fn wait_for_member_count(&mut self, phase: &str, start: Micros, members: usize) -> bool {
         let deadline = start + Micros(u64::try_from(self.learn_timeout().as_micros()).unwrap_or(u64::MAX));
         let (mut hollow, mut real) = (None, vec![None; self.real.len()]);
         loop {
             let now = self.network.now();
             let samples = self.hollows.sample().await;
-            let counts: Vec<usize> =
-                samples.iter().flat_map(|l| &l.nodes).map(|l| l.stats.alive + l.stats.suspect).collect();
+            let counts: Vec<usize> = samples
+                .iter()
+                .flat_map(|thread| &thread.nodes)
+                .map(|node| node.stats.alive + node.stats.suspect)
+                .collect();
             if counts.len() == self.hollow_alive.len() && counts.iter().all(|&count| count == members) {
                 hollow.get_or_insert(now);
             }
@@ -508,23 +516,28 @@
         }
     }
 
-    /// Polls the real nodes and stores in `known` the time at which each first counted `members` members.
-    async fn poll_real_nodes(&self, known: &mut [Option<Micros>], members: usize) {
-        for (node, known) in self.real.iter().zip(known).filter(|(_, known)| known.is_none()) {
+    /// Polls the real nodes and stores in `listed_at` the time at which each first listed `members` members.
+    async fn poll_real_nodes(&self, listed_at: &mut [Option<Micros>], members: usize) {
+        for (node, listed_at) in self.real.iter().zip(listed_at).filter(|(_, listed_at)| listed_at.is_none())
+        {
             let Some(admin) = node.process.borrow().as_ref().map(|process| process.admin) else { continue };
             let Some(figures) = read_counters(admin).await else { continue };
             let counter = |name: &str| figures.get(name).copied().unwrap_or_default();
             if counter("members_alive") + counter("members_suspect") == members as u64 {
-                *known = Some(self.network.now());
+                *listed_at = Some(self.network.now());
             }
         }
     }
 
-    fn record_real_delays(&mut self, phase: &str, figure: &str, start: Micros, known: &[Option<Micros>]) {
-        let after: Vec<f64> = known.iter().flatten().map(|at| (*at - start).as_secs_f64()).collect();
+    fn record_real_delays(&mut self, phase: &str, figure: &str, start: Micros, listed_at: &[Option<Micros>]) {
+        let after: Vec<f64> = listed_at.iter().flatten().map(|at| (*at - start).as_secs_f64()).collect();
         self.record_values(phase, figure, &after);
-        if !known.is_empty() {
-            self.record(phase, "real nodes that did not know in time", (known.len() - after.len()) as f64);
+        if !listed_at.is_empty() {
+            self.record(
+                phase,
+                "real nodes that did not know in time",
+                (listed_at.len() - after.len()) as f64,
+            );
         }
     }
 
@@ -536,8 +549,8 @@
         self.record_values(phase, "memory a real node (KB)", &real);
     }
 
-    /// Waits until the nodes send little more than in the quiet phase: gossip about earlier changes has
-    /// ended. Stops after [`MAX_GOSSIP_PERIODS`].
+    /// Waits until the gossip about earlier changes has ended, that is until the nodes send little more than
+    /// in the quiet phase. Stops waiting after [`MAX_GOSSIP_PERIODS`].
     async fn wait_for_gossip_end(&mut self, phase: &str) {
         let start = self.network.now();
         let deadline = Duration::from_secs_f64(MAX_GOSSIP_PERIODS * self.plan.period_s());
@@ -555,7 +568,8 @@
         }
     }
 
-    /// Records the size and the delay of an operator's call for all members.
+    /// Records the size and the latency of each real node's answer to `/members`, with which operators list
+    /// all members.
     async fn record_operator_view(&mut self, phase: &str) {
         let (mut bytes, mut spans) = (Vec::new(), Vec::new());
         for node in &self.real {
@@ -572,16 +586,17 @@
         self.record_values(phase, "view for operators after (ms)", &spans);
     }
 
-    /// Waits until each observer has learned each change, by subject, and returns the observations.
+    /// Waits until each observer has learned each change, and returns the observations. The keys of `changes`
+    /// are the subjects.
     ///
-    /// With `real` it also waits until each real node counts this number of members, and returns when they
-    /// did.
+    /// With `real_members` it also waits until each real node lists this number of members, and returns when
+    /// each one first did.
     async fn wait_until_learned(
         &mut self,
         phase: &str,
         observers: &BTreeSet<usize>,
         changes: &BTreeMap<usize, (ObservedChange, Micros)>,
-        real: Option<usize>,
+        real_members: Option<usize>,
     ) -> (Vec<Observation>, Vec<Option<Micros>>) {
         let start = changes.values().map(|(_, at)| *at).fold(Micros(0), Micros::max);
         let deadline = start + Micros(u64::try_from(self.learn_timeout().as_micros()).unwrap_or(u64::MAX));
@@ -591,7 +606,7 @@
             .filter(|(observer, subject)| observer != subject)
             .collect();
         let mut observations = Vec::new();
-        let mut real_known = vec![None; if real.is_some() { self.real.len() } else { 0 }];
+        let mut real_listed_at = vec![None; if real_members.is_some() { self.real.len() } else { 0 }];
         loop {
             for seen in self.hollows.take_observations().await {
                 let matches_change = changes
@@ -603,20 +618,20 @@
                     observations.push(seen);
                 }
             }
-            if let Some(members) = real {
-                self.poll_real_nodes(&mut real_known, members).await;
+            if let Some(members) = real_members {
+                self.poll_real_nodes(&mut real_listed_at, members).await;
             }
             let now = self.network.now();
-            if pending.is_empty() && real_known.iter().all(Option::is_some) || now > deadline {
+            if pending.is_empty() && real_listed_at.iter().all(Option::is_some) || now > deadline {
                 self.record(phase, "pairs not known in time", pending.len() as f64);
-                return (observations, real_known);
+                return (observations, real_listed_at);
             }
             sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Records how long each change took to reach half of the nodes and all of them, and each death to be
-    /// suspected first.
+    /// Records the time until each change reached half of the nodes, the time until it reached all of them,
+    /// and for deaths the time until the first suspicion.
     fn record_propagation(
         &mut self,
         phase: &str,
--- a/crates/alderstile-lab/src/scale/phases.rs
+++ b/crates/alderstile-lab/src/scale/phases.rs
@@ -71,8 +71,8 @@
         self.record_loss_and_return("zone lost", "zone back", changes, from).await;
     }
 
-    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes see
-    /// them.
+    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes
+    /// list them.
     ///
     /// `lost` and `back` are the names of the two phases; `from` is the snapshot before the first death.
     async fn record_loss_and_return(
@@ -102,10 +102,10 @@
         self.record_real_delays(back, "a real node counts right after (s)", at, &real);
         let after = self.snapshot().await;
         self.record_costs(back, &to, &after);
-        self.wait_until_all_see(back, at, self.size.members).await;
+        self.wait_for_member_count(back, at, self.size.members).await;
     }
 
-    /// Partitions the two regions, then heals the partition and waits until all nodes see each other.
+    /// Partitions the two regions, then heals the partition and waits until all nodes list each other.
     pub(super) async fn run_partition(&mut self) {
         let phase = "regions parted";
         info!(members = self.size.members, partition_s = self.plan.partition_s, "region partition started");
@@ -143,7 +143,7 @@
         let phase = "regions joined";
         let at = self.network.now();
         self.network.set_partitioned(false);
-        self.wait_until_all_see(phase, at, self.size.members).await;
+        self.wait_for_member_count(phase, at, self.size.members).await;
         let after = self.snapshot().await;
         self.record_costs(phase, &to, &after);
     }
--- a/crates/alderstile-lab/src/scale/plan.rs
+++ b/crates/alderstile-lab/src/scale/plan.rs
@@ -32,8 +32,8 @@
     pub seed: u64,
     /// Sizes, one run each, in this order.
     pub sizes: Vec<Size>,
-    /// Number of members reserved as control nodes, spread over all zones. At present they act like all other
-    /// members.
+    /// Number of members reserved as control nodes, spread over all zones. They run the same protocol as the
+    /// other members, but are always hollow, and only the loss of a zone kills them.
     #[serde(rename = "control")]
     pub control_nodes: usize,
     /// Number of zones; members are assigned to them in turn.
@@ -141,7 +141,8 @@
                 return invalid(
                     &format!("sizes[{i}].real"),
                     &format!(
-                        "at most {}, since real nodes are in the first region and are not control nodes",
+                        "at most {}: real nodes are in the first region, not in the last zone, and not control \
+                         nodes",
                         MAX_REAL.min(eligible_real)
                     ),
                 );
@@ -158,7 +159,7 @@
             }
         }
         if plan.zones == 0 || plan.zones > 100 || plan.zones_of_first_region > plan.zones {
-            return invalid("zones", "1 to 100, and zones_of_first_region not above it");
+            return invalid("zones", "1 to 100, and at least zones_of_first_region");
         }
         if !(50..=60_000).contains(&plan.period_ms) {
             return invalid("period_ms", "50 to 60000");
--- a/crates/alderstile-lab/src/tables.rs
+++ b/crates/alderstile-lab/src/tables.rs
@@ -185,7 +185,7 @@
 ///
 /// # Errors
 ///
-/// If the directory can't be made or a file can't be written.
+/// If the directory can't be created or a file can't be written.
 pub fn write(dir: &Path, name: &str, rows: &[Row]) -> io::Result<()> {
     std::fs::create_dir_all(dir)?;
     std::fs::write(dir.join(format!("{name}.csv")), csv(rows))?;
--- a/crates/alderstile-lab/tests/hosts.rs
+++ b/crates/alderstile-lab/tests/hosts.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn host_at_its_connection_limit_rejects_and_overloaded_cold_host_fails() {
+fn host_at_its_connection_limit_rejects_clients_and_load_of_overloaded_cold_host_exceeds_1() {
     let mut host = host();
     host.start(0);
     for client in 0..50 {
--- a/crates/alderstile-lab/tests/subsetting.rs
+++ b/crates/alderstile-lab/tests/subsetting.rs
@@ -71,7 +71,7 @@
     assert_eq!(
         measure("", "module+subsets"),
         (subset_used, subset_served),
-        "a feature of the schedule or of the strategy"
+        "a feature has the same effect in the strategy as in the schedule"
     );
 }
 
