--- a/crates/alderstile-lab/src/emulated/traffic.rs
+++ b/crates/alderstile-lab/src/emulated/traffic.rs
@@ -621,10 +621,11 @@
 
     fn execute_action(&mut self, node: usize, action: Action) {
         let incarnation = self.traffic.nodes[node].incarnation;
-        let split = |id: RequestId| ((id.0 >> SERIAL_BITS) as usize, id.0 as u32 & ((1 << SERIAL_BITS) - 1));
+        let split_id =
+            |id: RequestId| ((id.0 >> SERIAL_BITS) as usize, id.0 as u32 & ((1 << SERIAL_BITS) - 1));
         match action {
             Action::Forward(id, server, _) => {
-                let ((client, serial), host) = (split(id), server.0 as usize - 1);
+                let ((client, serial), host) = (split_id(id), server.0 as usize - 1);
                 let state = &mut self.traffic.clients[client];
                 state.attempts += 1;
                 state.state = RequestState::Attempting(host);
@@ -648,11 +649,11 @@
                 self.schedule_traffic(self.now + next.0, request_event(client, serial, next.1));
             }
             Action::Reject(id, retry_after) => {
-                self.send_negative_answer(node, split(id), "busy", retry_after.map_or(0, |after| after.0))
+                self.send_negative_answer(node, split_id(id), "busy", retry_after.map_or(0, |after| after.0))
             }
-            Action::Fail(id) => self.send_negative_answer(node, split(id), "failed", 0),
+            Action::Fail(id) => self.send_negative_answer(node, split_id(id), "failed", 0),
             Action::Migrate(id) => {
-                let (client, serial) = split(id);
+                let (client, serial) = split_id(id);
                 self.traffic.metrics.migrations += 1;
                 if let Some(delay) = self.draw_link_delay(Party::Node(node), Party::Clients) {
                     self.schedule_traffic(
--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -198,7 +198,7 @@
     hosts: StubHosts,
     discovery: Rc<Discovery>,
     clients: Rc<StubClients>,
-    _folder: RunDir,
+    _run_dir: RunDir,
     _addresses: LoopbackAddresses,
 }
 
@@ -209,7 +209,7 @@
     measurement: impl AsyncFnOnce(&TestBed) -> Result<Vec<Row>, MeasureError>,
 ) -> Result<Vec<Row>, MeasureError> {
     let addresses = LoopbackAddresses::reserve().await?;
-    let folder = RunDir::new(20_000 + hosts as u32)?;
+    let run_dir = RunDir::new(20_000 + hosts as u32)?;
     let host_addresses: Vec<SocketAddr> = (0..hosts).map(|host| addresses.extended(host, 9_100)).collect();
     let history = Rc::new(History::unread());
     let entries = vec![HostEntry { health: "up", zone: "here".to_owned(), started_ms: 0 }; hosts];
@@ -217,19 +217,19 @@
     let discovery = Discovery::new(entries, 1, Duration::ZERO, history.clone(), move |_, host: usize| {
         dial_addresses[host]
     });
-    let list = addresses.extended(0, 8_500);
+    let discovery_address = addresses.extended(0, 8_500);
     let discovery_task = spawn_local({
         let discovery = discovery.clone();
         async move {
-            if let Err(error) = discovery.answer(0, list).await {
+            if let Err(error) = discovery.answer(0, discovery_address).await {
                 warn!(%error, "stub discovery failed");
             }
         }
     });
-    let dir = folder.path().join("n0");
+    let dir = run_dir.path().join("n0");
     std::fs::create_dir_all(&dir)?;
     let listen = addresses.extended(0, 9_000);
-    let mut config = nodes::node_config("n0", listen, list, lab_settings(&["here".to_owned()])?);
+    let mut config = nodes::node_config("n0", listen, discovery_address, lab_settings(&["here".to_owned()])?);
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     config["limits"]["sockets"] =
         limit.map_or(MAX_SOCKETS, |max| max.saturating_sub(100).min(MAX_SOCKETS)).into();
@@ -252,10 +252,10 @@
         hosts,
         discovery,
         clients: StubClients::new(listen),
-        _folder: folder,
+        _run_dir: run_dir,
         _addresses: addresses,
     };
-    let done = match node.start().await {
+    let result = match node.start().await {
         Ok(()) => measurement(&bed).await,
         Err(error) => Err(error.into()),
     };
@@ -265,7 +265,7 @@
         process.kill().await;
     }
     discovery_task.abort();
-    done
+    result
 }
 
 impl TestBed {
@@ -649,7 +649,7 @@
         stream.readable().await?;
         match stream.try_read(data) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/alderstile-lab/src/scale/phases.rs
+++ b/crates/alderstile-lab/src/scale/phases.rs
@@ -114,9 +114,9 @@
         let at = self.network.now();
         self.network.set_partitioned(true);
         sleep(Duration::from_secs_f64(self.plan.partition_s)).await;
-        let seen = self.hollows.take_observations().await;
+        let observations = self.hollows.take_observations().await;
         let mut death_delays: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-        for seen in seen.iter().filter(|seen| seen.change == ObservedChange::Died) {
+        for seen in observations.iter().filter(|seen| seen.change == ObservedChange::Died) {
             if self.plan.region_of(seen.observer) != self.plan.region_of(seen.subject) {
                 death_delays.insert((seen.observer, seen.subject), (seen.at - at).as_secs_f64());
             }
@@ -127,7 +127,7 @@
             |region| (0..self.size.members).filter(|n| self.plan.region_of(*n) == region).count();
         let pairs = alive_in_region(0) * members_in_region(1) + alive_in_region(1) * members_in_region(0);
         let delays: Vec<f64> = death_delays.values().copied().collect();
-        let false_deaths = seen.iter().filter(|seen| seen.change == ObservedChange::Died);
+        let false_deaths = observations.iter().filter(|seen| seen.change == ObservedChange::Died);
         let false_deaths = false_deaths
             .filter(|s| self.plan.region_of(s.observer) == self.plan.region_of(s.subject))
             .count();
