--- a/crates/alderstile-lab/benches/emulated.rs
+++ b/crates/alderstile-lab/benches/emulated.rs
@@ -25,7 +25,7 @@
         let plan = plan(nodes);
         group.throughput(Throughput::Elements(nodes as u64 * 1_000 / 3));
         group.bench_with_input(BenchmarkId::new("nodes", nodes), &plan, |b, plan| {
-            b.iter(|| black_box(run(plan, &Way::Module.into(), &History::unread())));
+            b.iter(|| black_box(run(plan, &Way::Module.into(), &History::discard())));
         });
     }
     group.finish();
--- a/crates/alderstile-lab/src/compare.rs
+++ b/crates/alderstile-lab/src/compare.rs
@@ -90,7 +90,7 @@
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let work = || {
         while let Some(&(plan, way)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let sums = emulated::run(&plans[plan], way, &History::unread());
+            let sums = emulated::run(&plans[plan], way, &History::discard());
             // A thread that panics takes the whole comparison with it.
             done.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((way, plan, sums));
         }
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -425,7 +425,7 @@
         if self.nodes[node].seen[of] != seen {
             self.nodes[node].seen[of] = seen;
             let state = seen.map_or("unknown".to_owned(), |state| state.to_string());
-            self.write(Event::MemberView { node, of, state });
+            self.write(Event::MemberView { node, observed: of, state });
         }
     }
 
--- a/crates/alderstile-lab/src/history.rs
+++ b/crates/alderstile-lab/src/history.rs
@@ -1,4 +1,4 @@
-//! What happened in a run, as one file of JSON records: the only thing that checkers read.
+//! Histories: the events of a run as a file of JSON lines, which is the only input of the checkers.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,308 +12,309 @@
 
 use crate::schedule::{FaultKind, Idempotency, Party, PlannedFault};
 
-/// A line: when, in seconds from the start, and what.
+/// One line of a history: an event and its time.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
     /// Seconds from the start of the run.
     pub t: f64,
-    /// What happened.
+    /// Event.
     #[serde(flatten)]
     pub event: Event,
 }
 
-/// What may happen.
+/// Events of a run.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 #[serde(tag = "e", rename_all = "snake_case")]
 pub enum Event {
-    /// The first record.
+    /// The run starts: the first record of a history.
     Run {
-        /// The schedule's title.
+        /// Title of the schedule.
         title: String,
-        /// Its seed.
+        /// Seed of the run.
         seed: u64,
         /// `processes` or `emulated`.
         on: String,
-        /// How long clients come, seconds.
+        /// How long clients send requests, in seconds.
         length_s: f64,
-        /// Nodes.
+        /// Number of nodes.
         nodes: usize,
-        /// Hosts.
+        /// Number of hosts.
         hosts: usize,
-        /// Classes and what they allow.
+        /// Classes of clients, and whether their requests may be executed more than once.
         classes: BTreeMap<String, Idempotency>,
-        /// How long after a notice something new may still reach a draining host, seconds.
+        /// How long after a notification a draining host may still receive new requests, in seconds.
         grace_s: f64,
-        /// The members' protocol period, seconds; 0 where no members know of each other.
+        /// Protocol period of the membership, in seconds; 0 if the nodes do not form a cluster.
         period_s: f64,
     },
-    /// The last line: a file without it was cut short.
+    /// The run ended: the last record; a history without it is incomplete.
     End {},
     /// A fault begins or ends.
     Fault {
-        /// Its kind.
+        /// Kind of the fault.
         kind: FaultKind,
         /// Whether it begins.
         begins: bool,
-        /// Whom it hits.
+        /// Targets.
         on: Vec<Party>,
-        /// From whom.
+        /// Sending parties of a link fault.
         from: Vec<Party>,
-        /// To whom.
+        /// Receiving parties of a link fault.
         to: Vec<Party>,
     },
-    /// A process of a node.
+    /// A process of a node changed state.
     Process {
-        /// The node.
+        /// Node.
         node: usize,
-        /// What became of it.
+        /// The change.
         #[serde(rename = "what")]
         change: ProcessChange,
-        /// How it ended, where it ended.
+        /// Exit status, if the process ended.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         #[serde(rename = "how")]
         status: Option<String>,
     },
-    /// A request's last byte is on its way.
+    /// A client sends a request; recorded before the last byte is sent.
     Open {
-        /// Its id.
+        /// Request id.
         id: String,
-        /// The client.
+        /// Client.
         client: usize,
-        /// The class.
+        /// Class.
         class: String,
-        /// The node.
+        /// Node.
         node: usize,
-        /// How long its client waits, seconds.
+        /// How long the client waits for its answer, in seconds.
         wait_s: f64,
     },
-    /// A client could not reach a node.
+    /// A client failed to connect to a node.
     #[serde(rename = "unreached")]
     ConnectFailed {
-        /// The client.
+        /// Client.
         client: usize,
-        /// The node.
+        /// Node.
         node: usize,
     },
-    /// A client has an answer.
+    /// A client received an answer.
     Answer {
-        /// The request.
+        /// Request id.
         id: String,
-        /// `up`, `busy`, `failed`, `err`, or the record.
+        /// `up`, `busy`, `failed` or `err`; any other line as it was received.
         what: String,
-        /// What the host gave, of `up`.
+        /// Receipt of the host, for `up`.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         receipt: Option<String>,
     },
-    /// A client gave up waiting for its answer.
+    /// A client stopped waiting for its answer.
     GaveUp {
-        /// The request.
+        /// Request id.
         id: String,
     },
-    /// A request's connection has ended at the client.
+    /// The connection of a request ended at its client.
     Closed {
-        /// The request.
+        /// Request id.
         id: String,
-        /// `bye`, `move`, `end`, `reset`, `left`.
+        /// `bye`, `move`, `end`, `reset`, `left` or `silent`.
         how: String,
     },
-    /// Every half second a client that wants to be served has or hasn't been.
+    /// Half-second sample of one client that wants to be served.
     #[serde(rename = "beat")]
     ServedSample {
-        /// The client.
+        /// Client.
         client: usize,
-        /// Whether it was.
+        /// Whether it was served.
         ok: bool,
     },
-    /// Every half second, of all clients that want to be served, those that are: in place of many beats.
+    /// Half-second sample of all clients; replaces one sample per client in emulated runs.
     #[serde(rename = "served")]
     ServedTotal {
-        /// Those that are.
+        /// Clients that are served.
         #[serde(rename = "ok")]
         served: usize,
-        /// Of so many.
+        /// Clients that want to be served.
         #[serde(rename = "of")]
         wanting: usize,
     },
-    /// An emulated host was pushed over while cold, or runs again.
+    /// An emulated host crashed from overload during its warm-up, or runs again.
     #[serde(rename = "host")]
     HostState {
-        /// The host.
+        /// Host.
         host: usize,
-        /// It fell.
+        /// Whether it crashed; otherwise it runs again.
         #[serde(rename = "fell")]
         failed: bool,
     },
-    /// A host took a request's line in: it may have an effect from now on.
+    /// A host received a request: the request may have an effect from now on.
     #[serde(rename = "ran")]
     Executed {
-        /// The host.
+        /// Host.
         host: usize,
-        /// The request.
+        /// Request id.
         id: String,
-        /// What the host gives for it.
+        /// Receipt that the host returns for it.
         receipt: String,
     },
-    /// A node has been told of a host.
+    /// Discovery sent a node the state of a host.
     #[serde(rename = "told")]
     HostUpdate {
-        /// The node.
+        /// Node.
         node: usize,
-        /// The host.
+        /// Host.
         host: usize,
         /// `up`, `draining` or `removed`.
         health: String,
     },
-    /// A process of a member says how it sees another.
+    /// The state that a member reports for another member changed.
     #[serde(rename = "view")]
     MemberView {
-        /// The node.
+        /// Node.
         node: usize,
-        /// The other node's name.
-        of: usize,
-        /// `alive`, `suspect`, `dead`, `left`; `unknown` before it heard of it.
+        /// Number of the observed node.
+        #[serde(rename = "of")]
+        observed: usize,
+        /// `alive`, `suspect`, `dead` or `left`; `unknown` before the first report.
         state: String,
     },
 }
 
 impl Event {
-    /// A fault begins or ends.
+    /// Returns the event for the beginning or the end of a fault.
     pub fn fault(fault: &PlannedFault, begins: bool) -> Self {
-        let list = |set: &BTreeSet<Party>| set.iter().copied().collect();
-        let (on, from, to) = (list(&fault.on), list(&fault.from), list(&fault.to));
+        let sorted = |set: &BTreeSet<Party>| set.iter().copied().collect();
+        let (on, from, to) = (sorted(&fault.on), sorted(&fault.from), sorted(&fault.to));
         Event::Fault { kind: fault.kind, begins, on, from, to }
     }
 }
 
-/// What becomes of a process.
+/// State changes of a process.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum ProcessChange {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It answers the front.
+    /// It accepts clients.
     Ready,
-    /// It was told to stop.
+    /// It was requested to stop.
     Stopping,
     /// It was killed by the lab.
     Killed,
-    /// It has ended.
+    /// It exited.
     Ended,
-    /// It stands still.
+    /// It was suspended.
     Paused,
-    /// It goes on.
+    /// It was resumed.
     Resumed,
-    /// A second one of the same node was started beside it.
+    /// A second process of the same node was started to replace it.
     #[serde(rename = "beside")]
     ReplacementStarted,
-    /// It was told to read its settings again.
+    /// It was requested to reload its settings.
     Reloaded,
 }
 
-/// Where events go.
+/// Writer of a history.
 pub struct History {
-    began: Instant,
-    /// None where nobody reads it.
+    started: Instant,
+    /// None if events are discarded.
     file: Option<RefCell<BufWriter<File>>>,
-    failed: RefCell<Option<io::Error>>,
+    first_error: RefCell<Option<io::Error>>,
 }
 
 impl History {
-    /// A new file; its clock begins now.
+    /// Creates a history file; the clock of the run starts now.
     ///
     /// # Errors
     ///
     /// If the file can't be created.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = Some(RefCell::new(BufWriter::new(File::create(path)?)));
-        Ok(History { began: Instant::now(), file, failed: RefCell::default() })
+        Ok(History { started: Instant::now(), file, first_error: RefCell::default() })
     }
 
-    /// A history that nobody reads: for runs of which only sums are wanted.
-    pub fn unread() -> Self {
-        History { began: Instant::now(), file: None, failed: RefCell::default() }
+    /// Creates a history that discards all events, for runs of which only the totals are used.
+    pub fn discard() -> Self {
+        History { started: Instant::now(), file: None, first_error: RefCell::default() }
     }
 
-    /// Seconds since the start.
+    /// Returns the seconds since the start of the run.
     pub fn now(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started.elapsed().as_secs_f64()
     }
 
-    /// Writes what happens now.
+    /// Records an event that happens now.
     pub fn add(&self, event: Event) {
         self.add_at(self.now(), event);
     }
 
-    /// Writes what happened at a time of the run.
+    /// Records an event that happened at `t` seconds from the start of the run.
     pub fn add_at(&self, t: f64, event: Event) {
         let Some(file) = &self.file else { return };
-        // Microseconds: more digits are noise.
-        let line = Record { t: (t * 1e6).round() / 1e6, event };
+        // Times are recorded in microseconds: further digits are noise.
+        let record = Record { t: (t * 1e6).round() / 1e6, event };
         let mut file = file.borrow_mut();
-        let done = serde_json::to_writer(&mut *file, &line).map_err(io::Error::from);
-        if let Err(error) = done.and_then(|()| file.write_all(b"\n")) {
-            // A disk that is full must not pass for a run in which nothing happened.
-            self.failed.borrow_mut().get_or_insert(error);
+        let result = serde_json::to_writer(&mut *file, &record).map_err(io::Error::from);
+        if let Err(error) = result.and_then(|()| file.write_all(b"\n")) {
+            // Keep the first error: a full disk must not look like a run without events.
+            self.first_error.borrow_mut().get_or_insert(error);
         }
     }
 
-    /// Writes the last line; says whether all was written.
+    /// Records the end of the run and flushes the file.
     ///
     /// # Errors
     ///
     /// The first failure to write a record.
     pub fn finish(&self) -> io::Result<()> {
         self.add(Event::End {});
-        self.written()
+        self.flush()
     }
 
-    /// Says whether all was written.
+    /// Flushes the file.
     ///
     /// # Errors
     ///
     /// The first failure to write a record.
-    pub fn written(&self) -> io::Result<()> {
+    pub fn flush(&self) -> io::Result<()> {
         self.file.as_ref().map_or(Ok(()), |file| file.borrow_mut().flush())?;
-        self.failed.borrow_mut().take().map_or(Ok(()), Err)
+        self.first_error.borrow_mut().take().map_or(Ok(()), Err)
     }
 }
 
-/// Why a history can't be checked.
+/// Errors of reading a history.
 #[derive(Debug, Error)]
 pub enum HistoryError {
     /// The file can't be read.
     #[error("{0}: {1}")]
     File(String, io::Error),
-    /// A line is none.
+    /// A line is not a valid record.
     #[error("{0}:{1}: {2}")]
     Record(String, usize, serde_json::Error),
-    /// Nothing tells what run it is.
-    #[error("{0}:1: no run stands in the first line")]
+    /// The first record is not the start of a run.
+    #[error("{0}:1: the first record is not a run")]
     NoRun(String),
-    /// The last line is missing.
-    #[error("{0}:{1}: cut short: the last line is not the run's end")]
-    CutShort(String, usize),
+    /// The last record is missing.
+    #[error("{0}:{1}: incomplete history: the last record is not the end of the run")]
+    Incomplete(String, usize),
 }
 
 /// Reads a complete history.
 ///
 /// # Errors
 ///
-/// If the file can't be read, a line of it is no event, or the first or the last line is missing.
+/// If the file can't be read, a line is not a valid record, or the first or the last record is missing.
 pub fn read(path: &Path) -> Result<Vec<Record>, HistoryError> {
     let file = path.display().to_string();
-    let open = File::open(path).map_err(|error| HistoryError::File(file.clone(), error))?;
+    let opened = File::open(path).map_err(|error| HistoryError::File(file.clone(), error))?;
     let mut records: Vec<Record> = Vec::new();
-    for (i, line) in BufReader::new(open).lines().enumerate() {
+    for (i, line) in BufReader::new(opened).lines().enumerate() {
         let line = line.map_err(|error| HistoryError::File(file.clone(), error))?;
-        let line = serde_json::from_str(&line).map_err(|e| HistoryError::Record(file.clone(), i + 1, e))?;
-        records.push(line);
+        let record = serde_json::from_str(&line).map_err(|e| HistoryError::Record(file.clone(), i + 1, e))?;
+        records.push(record);
     }
     if !matches!(records.first(), Some(Record { event: Event::Run { .. }, .. })) {
         return Err(HistoryError::NoRun(file));
     }
     match records.last() {
         Some(Record { event: Event::End {}, .. }) => Ok(records),
-        _ => Err(HistoryError::CutShort(file, records.len())),
+        _ => Err(HistoryError::Incomplete(file, records.len())),
     }
 }
--- a/crates/alderstile-lab/src/links.rs
+++ b/crates/alderstile-lab/src/links.rs
@@ -1,68 +1,68 @@
-//! What faults do to ways, without I/O: the same for real processes and emulated ones.
+//! Effect of faults on links, without I/O; used by runs on processes and by emulated runs.
 
 use std::collections::BTreeMap;
 
 use crate::schedule::{FaultKind, LinkDefaults, Party, PlannedFault};
 
-/// What a way does now.
+/// Current properties of a link in one direction.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkState {
-    /// Nothing passes.
+    /// Whether the link is blocked.
     pub cut: bool,
-    /// The share that is lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
-    /// How much later all comes, seconds.
+    /// Delay, in seconds.
     pub delay_s: f64,
-    /// Up to so much later besides, seconds.
+    /// Maximum additional random delay, in seconds.
     pub jitter_s: f64,
-    /// The share that comes twice.
+    /// Share of datagrams that are duplicated.
     pub duplicate: f64,
-    /// The share that is overtaken.
+    /// Share of datagrams that are reordered.
     pub reorder: f64,
-    /// The share that is damaged.
+    /// Share of datagrams that are damaged.
     pub damage: f64,
 }
 
-/// The faults of ways that hold now.
+/// Link faults that are active.
 #[derive(Clone, Debug, Default)]
 pub struct LinkFaults {
     base: LinkDefaults,
-    held: BTreeMap<usize, PlannedFault>,
+    active: BTreeMap<usize, PlannedFault>,
 }
 
 impl LinkFaults {
-    /// No faults beyond these ways.
+    /// Returns a set without faults; `base` applies to all links.
     pub fn new(base: LinkDefaults) -> Self {
-        LinkFaults { base, held: BTreeMap::new() }
+        LinkFaults { base, active: BTreeMap::new() }
     }
 
-    /// A fault begins, under a number of its own.
+    /// Adds a fault under a unique number; [`FaultKind::Heal`] removes all instead.
     pub fn begin(&mut self, number: usize, fault: &PlannedFault) {
         if fault.kind == FaultKind::Heal {
-            self.held.clear();
+            self.active.clear();
         } else {
-            self.held.insert(number, fault.clone());
+            self.active.insert(number, fault.clone());
         }
     }
 
-    /// It ends.
+    /// Removes the fault with this number.
     pub fn end(&mut self, number: usize) {
-        self.held.remove(&number);
+        self.active.remove(&number);
     }
 
-    /// Whether any fault holds.
+    /// Returns whether any fault is active.
     pub fn any(&self) -> bool {
-        !self.held.is_empty()
+        !self.active.is_empty()
     }
 
-    /// What the way from one to the other does.
+    /// Returns the properties of the link from `from` to `to` under all active faults.
     pub fn link(&self, from: Party, to: Party) -> LinkState {
         let (delay_s, jitter_s) = (self.base.delay_ms / 1e3, self.base.jitter_ms / 1e3);
         let mut link = LinkState { delay_s, jitter_s, loss: self.base.loss, ..LinkState::default() };
-        for fault in self.held.values() {
-            let forth = fault.from.contains(&from) && fault.to.contains(&to);
-            let back = fault.from.contains(&to) && fault.to.contains(&from);
-            if !(forth || (back && fault.kind == FaultKind::Cut)) {
+        for fault in self.active.values() {
+            let forward = fault.from.contains(&from) && fault.to.contains(&to);
+            let reverse = fault.from.contains(&to) && fault.to.contains(&from);
+            if !(forward || (reverse && fault.kind == FaultKind::Cut)) {
                 continue;
             }
             match fault.kind {
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use alderstile_lab::check::{Report, Views, check};
+use alderstile_lab::check::{MembershipReport, Report, check};
 use alderstile_lab::compare::{Figure, Row, compare};
 use alderstile_lab::emulated::{self, Choice, Sums, Traffic};
 use alderstile_lab::history::{self, History};
@@ -177,7 +177,7 @@
             let history = Rc::new(history);
             if let On::Emulated = on {
                 let sums = emulated::run(&plan, &choose, &history).map_err(|error| error.to_string())?;
-                history.written().map_err(|error| format!("{}: {error}", path.display()))?;
+                history.flush().map_err(|error| format!("{}: {error}", path.display()))?;
                 let kept = checked(&path)?;
                 print_sums(&sums);
                 return Ok(kept);
@@ -261,8 +261,8 @@
         print_served(report);
     }
 
-    if let Some(views) = &report.membership {
-        print_views(views);
+    if let Some(membership) = &report.membership {
+        print_membership(membership);
     }
     match report.violations.first() {
         None => println!("  rules kept"),
@@ -288,14 +288,14 @@
     println!("  {:<28} {until}", "95% served again from");
 }
 
-fn print_views(views: &Views) {
+fn print_membership(membership: &MembershipReport) {
     let row = |name: &str, spans: &[f64]| {
         if spans.is_empty() {
             return;
         }
         let (sum, most) = spans.iter().fold((0.0, 0.0f64), |(sum, most), span| (sum + span, most.max(*span)));
         let mean = sum / spans.len() as f64;
-        let periods = |s: f64| s / views.period_s;
+        let periods = |s: f64| s / membership.period_s;
         println!(
             "  {name:<28} {mean:.3} s in the mean ({:.2} periods), {most:.3} s at most ({:.1}), of {}",
             periods(mean),
@@ -303,13 +303,13 @@
             spans.len()
         );
     };
-    row("a death suspected after", &views.suspicion_delays_s);
-    row("known to all after", &views.detection_delays_s);
+    row("a death suspected after", &membership.suspicion_delays_s);
+    row("known to all after", &membership.detection_delays_s);
     println!(
         "  {:<28} {}, the longest for {:.3} s",
-        "held dead though well", views.false_positives, views.longest_false_positive_s
+        "held dead though well", membership.false_positives, membership.longest_false_positive_s
     );
-    println!("  {:<28} {:.3} s at most", "held dead after a disturbance", views.longest_recovery_s);
+    println!("  {:<28} {:.3} s at most", "held dead after a disturbance", membership.longest_recovery_s);
 }
 
 fn print_rows(rows: &[Row]) {
--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -196,7 +196,7 @@
     let addresses = LoopbackAddresses::reserve().await?;
     let folder = RunDir::new(20_000 + hosts as u32)?;
     let at: Vec<SocketAddr> = (0..hosts).map(|host| addresses.extended(host, 9_100)).collect();
-    let history = Rc::new(History::unread());
+    let history = Rc::new(History::discard());
     let entries = vec![HostEntry { health: "up", zone: "here".to_owned(), started_ms: 0 }; hosts];
     let dial = at.clone();
     let discovery =
@@ -205,7 +205,7 @@
     let answers = spawn_local({
         let discovery = discovery.clone();
         async move {
-            if let Err(error) = discovery.answer(0, list).await {
+            if let Err(error) = discovery.serve(0, list).await {
                 warn!("discovery: {error}");
             }
         }
--- a/crates/alderstile-lab/src/processes/addresses.rs
+++ b/crates/alderstile-lab/src/processes/addresses.rs
@@ -1,4 +1,4 @@
-//! Loopback addresses of a run and of all who take part in it.
+//! Loopback addresses of a run and of its parties.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -8,47 +8,62 @@
 
 use super::RunError;
 
-/// Loopback addresses that no other run uses.
+/// A range of loopback addresses that no other run uses.
 pub(crate) struct LoopbackAddresses {
-    second: u8,
-    /// Held as long as the run, so that no other takes them.
+    /// Second octet of the addresses, which identifies the run.
+    octet: u8,
+    /// Bound for the duration of the run, so that no other run reserves the range.
     _lock: TcpListener,
 }
 
-/// What an address is for.
+/// Purpose of an address; the value is the third octet.
 #[derive(Clone, Copy)]
 pub(super) enum Role {
+    /// Listeners of nodes.
     Node = 1,
+    /// Proxies in front of the nodes, to which clients connect.
     Front = 2,
+    /// Proxies behind the nodes, through which they reach hosts, discovery and other members.
     Back = 3,
+    /// Stub hosts.
     Host = 4,
+    /// Stub discovery.
     Discovery = 5,
 }
 
-/// Runs of this process so far: each has addresses and a folder of its own.
+/// Counter from which each run of this process takes a separate address range and directory.
 pub(super) static RUNS: AtomicU32 = AtomicU32::new(0);
 
 impl LoopbackAddresses {
+    /// Reserves a range.
+    ///
+    /// # Errors
+    ///
+    /// If all 100 ranges are in use.
     pub(crate) async fn reserve() -> Result<Self, RunError> {
-        let first = std::process::id().wrapping_mul(31).wrapping_add(RUNS.fetch_add(1, Ordering::Relaxed));
-        let mut last = None;
+        let start = std::process::id().wrapping_mul(31).wrapping_add(RUNS.fetch_add(1, Ordering::Relaxed));
+        let mut last_error = None;
         for step in 0..100u32 {
-            let second = 100 + ((first.wrapping_add(step)) % 100) as u8;
-            match TcpListener::bind((Ipv4Addr::new(127, second, 0, 1), 7_000)).await {
-                Ok(lock) => return Ok(LoopbackAddresses { second, _lock: lock }),
-                Err(error) => last = Some(error),
+            let octet = 100 + ((start.wrapping_add(step)) % 100) as u8;
+            match TcpListener::bind((Ipv4Addr::new(127, octet, 0, 1), 7_000)).await {
+                Ok(lock) => return Ok(LoopbackAddresses { octet, _lock: lock }),
+                Err(error) => last_error = Some(error),
             }
         }
-        Err(RunError::Io("no addresses left".to_owned(), last.unwrap_or(io::ErrorKind::AddrInUse.into())))
+        Err(RunError::Io(
+            "no loopback addresses available".to_owned(),
+            last_error.unwrap_or(io::ErrorKind::AddrInUse.into()),
+        ))
     }
 
-    /// Beyond those: for up to 40,000 parties of a run that has no others.
+    /// Returns an address for one of up to 40,000 parties, in runs that do not use [`Self::at`].
     pub(crate) fn extended(&self, number: usize, port: u16) -> SocketAddr {
-        (Ipv4Addr::new(127, self.second, 16 + (number / 200) as u8, 1 + (number % 200) as u8), port).into()
+        (Ipv4Addr::new(127, self.octet, 16 + (number / 200) as u8, 1 + (number % 200) as u8), port).into()
     }
 
-    pub(super) fn at(&self, kind: Role, number: usize, port: u16) -> SocketAddr {
-        // At most a hundred parties of one kind.
-        (Ipv4Addr::new(127, self.second, kind as u8, 10 + number as u8), port).into()
+    /// Returns the address of a party and port for a purpose.
+    pub(super) fn at(&self, role: Role, number: usize, port: u16) -> SocketAddr {
+        // There are at most 100 parties of one kind.
+        (Ipv4Addr::new(127, self.octet, role as u8, 10 + number as u8), port).into()
     }
 }
--- a/crates/alderstile-lab/src/processes/clients.rs
+++ b/crates/alderstile-lab/src/processes/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients, and the front that deals them out among the nodes.
+//! Stub clients, and the selector that distributes them among the nodes like a front load balancer.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -12,85 +12,87 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use super::hosts::say;
+use super::hosts::write_line;
 use crate::history::{Event, History};
 use crate::schedule::ClientClass;
 
-/// The front asks each node this often, and waits this long for its answer.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// A node that has not answered for this long is dealt no more clients.
-const NOTICED: Duration = Duration::from_secs(2);
-/// A client that wants to be served says something this often, and is asked this often whether it was.
-const BEAT: Duration = Duration::from_millis(500);
-/// A line has to be answered within this.
-const LINE: Duration = Duration::from_secs(1);
-/// What a client still waits for its answer after the time that it told the node.
-const LATER: Duration = Duration::from_millis(1_500);
+/// Interval of health checks of each node, and their timeout.
+const HEALTH_CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// A node that has not answered a health check for this long receives no more clients.
+const UNHEALTHY_AFTER: Duration = Duration::from_secs(2);
+/// Interval at which a connected client sends a line, and at which each client is sampled.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of the answer to a line.
+const LINE_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a client waits for its answer beyond the deadline in its request.
+const DEADLINE_GRACE: Duration = Duration::from_millis(1_500);
 
-/// Deals clients out.
+/// Selects a node for each request by health checks, like a load balancer in front of the nodes.
 pub struct NodeSelector {
     nodes: Vec<SocketAddr>,
-    heard: RefCell<Vec<Option<Instant>>>,
+    /// Last successful health check of each node.
+    answered: RefCell<Vec<Option<Instant>>>,
 }
 
 impl NodeSelector {
-    /// A front for nodes at these addresses.
+    /// Returns a selector for nodes at these addresses.
     pub fn new(nodes: Vec<SocketAddr>) -> Rc<Self> {
-        let heard = RefCell::new(vec![None; nodes.len()]);
-        Rc::new(NodeSelector { nodes, heard })
+        let answered = RefCell::new(vec![None; nodes.len()]);
+        Rc::new(NodeSelector { nodes, answered })
     }
 
-    /// Asks one node, until it is dropped.
-    pub async fn watch(self: Rc<Self>, node: usize) {
+    /// Checks the health of one node, until the future is dropped.
+    pub async fn check_health(self: Rc<Self>, node: usize) {
         loop {
-            let next = Instant::now() + ASK_EVERY;
-            if matches!(timeout(ASK_EVERY, ping(self.nodes[node])).await, Ok(Ok(true))) {
-                self.heard.borrow_mut()[node] = Some(Instant::now());
+            let next = Instant::now() + HEALTH_CHECK_INTERVAL;
+            if matches!(timeout(HEALTH_CHECK_INTERVAL, ping(self.nodes[node])).await, Ok(Ok(true))) {
+                self.answered.borrow_mut()[node] = Some(Instant::now());
             }
             sleep_until(next).await;
         }
     }
 
-    /// Whether it answered of late.
-    fn serves(&self, node: usize) -> bool {
-        self.heard.borrow()[node].is_some_and(|at| at.elapsed() < NOTICED)
+    /// Returns whether a node answered a health check recently.
+    fn is_healthy(&self, node: usize) -> bool {
+        self.answered.borrow()[node].is_some_and(|at| at.elapsed() < UNHEALTHY_AFTER)
     }
 
-    fn pick(&self, rng: &mut Pcg64Mcg) -> usize {
-        let serving: Vec<usize> = (0..self.nodes.len()).filter(|&node| self.serves(node)).collect();
-        match serving.len() {
+    /// Selects a random healthy node; any node if none is healthy.
+    fn select(&self, rng: &mut Pcg64Mcg) -> usize {
+        let healthy: Vec<usize> = (0..self.nodes.len()).filter(|&node| self.is_healthy(node)).collect();
+        match healthy.len() {
             0 => rng.random_range(0..self.nodes.len()),
-            n => serving[rng.random_range(0..n)],
+            n => healthy[rng.random_range(0..n)],
         }
     }
 }
 
-/// Asks a node as a front does: whether it serves.
-pub async fn ping(at: SocketAddr) -> io::Result<bool> {
-    let mut stream = BufReader::new(TcpStream::connect(at).await?);
-    say(&mut stream, "PING").await?;
+/// Sends the health check of a front load balancer to a node; returns whether the node serves.
+pub async fn ping(address: SocketAddr) -> io::Result<bool> {
+    let mut stream = BufReader::new(TcpStream::connect(address).await?);
+    write_line(&mut stream, "PING").await?;
     let mut line = String::new();
     stream.read_line(&mut line).await?;
     Ok(line.trim_end() == "PONG")
 }
 
-/// One client.
+/// One stub client.
 pub struct Client {
-    /// Its number.
+    /// Number of the client.
     pub number: usize,
-    /// What kind of client.
+    /// Class of the client.
     pub class: ClientClass,
-    /// Who deals it out.
+    /// Selects a node for each request.
     pub selector: Rc<NodeSelector>,
-    /// What happens to it.
+    /// Receives the client's events.
     pub history: Rc<History>,
-    /// No more is wanted from then on.
+    /// End of the run: no request is sent after this time.
     pub until: Instant,
-    /// Whether it wants to be served, and when it last was.
+    /// State that is sampled.
     pub state: Rc<ClientState>,
 }
 
-/// What a client wants and has.
+/// Whether a client wants to be served, and when it was served last.
 #[derive(Default)]
 pub struct ClientState {
     wants: Cell<bool>,
@@ -98,62 +100,65 @@
 }
 
 impl ClientState {
-    fn is_served(&self) {
+    fn set_served(&self) {
         self.served.set(Some(Instant::now()));
     }
 }
 
-/// How a request ended.
-enum End {
-    /// It had all it wanted.
+/// Result of a request.
+enum RequestResult {
+    /// The client kept its connection as long as it wanted.
     Done,
-    /// It is to come again after that time.
-    Again(Duration),
+    /// The client retries after this time.
+    Retry(Duration),
 }
 
 impl Client {
-    /// Comes and goes until the end of the run.
+    /// Opens connections, one after the other, until the end of the run.
     pub async fn run(self, seed: u64) {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let drawn = |rng: &mut Pcg64Mcg, mean: f64| {
-            // Exponential, cut off at five times the mean: the longest rest must not outlast a run.
+        let draw = |rng: &mut Pcg64Mcg, mean: f64| {
+            // Exponential, limited to five times the mean, so that no pause outlasts a run.
             Duration::from_secs_f64(mean * (-(1.0 - rng.random::<f64>()).ln()).min(5.0))
         };
-        let mut ids = 0u64;
-        // Clients don't all come in one moment.
-        sleep(drawn(&mut rng, self.class.rest_s)).await;
+        let mut requests = 0u64;
+        // Clients don't all start at the same time.
+        sleep(draw(&mut rng, self.class.rest_s)).await;
         while Instant::now() < self.until {
-            let till = (Instant::now() + drawn(&mut rng, self.class.hold_s)).min(self.until);
+            let till = (Instant::now() + draw(&mut rng, self.class.hold_s)).min(self.until);
             self.state.wants.set(true);
-            let mut again = false;
+            let mut retry = false;
             while Instant::now() < till {
-                ids += 1;
-                let id = format!("{:08x}{ids:08x}", self.number + 1);
-                let end = self.request(&id, again, till, &mut rng).await;
-                again = true;
-                match end {
-                    End::Done => break,
-                    End::Again(wait) => sleep(wait.min(till.saturating_duration_since(Instant::now()))).await,
+                requests += 1;
+                let id = format!("{:08x}{requests:08x}", self.number + 1);
+                let result = self.request(&id, retry, till, &mut rng).await;
+                retry = true;
+                match result {
+                    RequestResult::Done => break,
+                    RequestResult::Retry(wait) => {
+                        sleep(wait.min(till.saturating_duration_since(Instant::now()))).await
+                    }
                 }
             }
             self.state.wants.set(false);
-            sleep(drawn(&mut rng, self.class.rest_s)).await;
+            sleep(draw(&mut rng, self.class.rest_s)).await;
         }
     }
 
-    async fn request(&self, id: &str, again: bool, till: Instant, rng: &mut Pcg64Mcg) -> End {
-        let node = self.selector.pick(rng);
+    /// Sends one request and uses its connection.
+    async fn request(&self, id: &str, retry: bool, till: Instant, rng: &mut Pcg64Mcg) -> RequestResult {
+        let node = self.selector.select(rng);
         let wait = Duration::from_millis(self.class.wait_ms);
-        let soon = Duration::from_secs_f64(0.05 + 0.15 * rng.random::<f64>());
+        let retry_delay = Duration::from_secs_f64(0.05 + 0.15 * rng.random::<f64>());
         let Ok(Ok(stream)) = timeout(wait, TcpStream::connect(self.selector.nodes[node])).await else {
             self.history.add(Event::ConnectFailed { client: self.number, node });
-            return End::Again(soon);
+            return RequestResult::Retry(retry_delay);
         };
         stream.set_nodelay(true).unwrap_or_default();
         let mut stream = BufReader::new(stream);
-        let (class, more) = (&self.class.class, if again { ",again=1" } else { "" });
-        let line = format!("OPEN {id} {id} c={class},d={}{more}", self.class.wait_ms);
-        // The checker's clock starts before the last byte is out, so that no host can run the request before.
+        let (class, options) = (&self.class.class, if retry { ",again=1" } else { "" });
+        let line = format!("OPEN {id} {id} c={class},d={}{options}", self.class.wait_ms);
+        // Recorded before the last byte is sent, so that no host can execute the request before this event.
         self.history.add(Event::Open {
             id: id.to_owned(),
             client: self.number,
@@ -162,24 +167,24 @@
             wait_s: wait.as_secs_f64(),
         });
         let closed = |how: &str| self.history.add(Event::Closed { id: id.to_owned(), how: how.to_owned() });
-        let deadline = Instant::now() + wait + LATER;
+        let deadline = Instant::now() + wait + DEADLINE_GRACE;
         let mut answer = String::new();
         let answered = async {
-            say(&mut stream, &line).await?;
+            write_line(&mut stream, &line).await?;
             stream.read_line(&mut answer).await
         };
         match timeout_at(deadline, answered).await {
             Err(_) => {
                 self.history.add(Event::GaveUp { id: id.to_owned() });
-                return End::Again(soon);
+                return RequestResult::Retry(retry_delay);
             }
             Ok(Err(_)) => {
                 closed("reset");
-                return End::Again(soon);
+                return RequestResult::Retry(retry_delay);
             }
             Ok(Ok(0)) => {
                 closed("end");
-                return End::Again(soon);
+                return RequestResult::Retry(retry_delay);
             }
             Ok(Ok(_)) => {}
         }
@@ -194,56 +199,60 @@
         let receipt = (what == "up").then(|| rest.to_owned());
         self.history.add(Event::Answer { id: id.to_owned(), what: what.to_owned(), receipt });
         if what != "up" {
-            // A final answer is the last word: more would be against the rules.
-            let mut more = String::new();
-            if let Ok(Ok(1..)) = timeout(LINE, stream.read_line(&mut more)).await {
-                let what = more.trim_end().to_owned();
+            // Wait for a second answer, which would violate the rules, as this one is final.
+            let mut second = String::new();
+            if let Ok(Ok(1..)) = timeout(LINE_TIMEOUT, stream.read_line(&mut second)).await {
+                let what = second.trim_end().to_owned();
                 self.history.add(Event::Answer { id: id.to_owned(), what, receipt: None });
             }
-            let asked = rest.parse().map_or(soon, Duration::from_millis);
-            return End::Again(asked.max(soon).min(Duration::from_secs(2)));
+            let requested_delay = rest.parse().map_or(retry_delay, Duration::from_millis);
+            return RequestResult::Retry(requested_delay.max(retry_delay).min(Duration::from_secs(2)));
         }
-        self.state.is_served();
-        let (how, end) = self.talk(&mut stream, till).await;
+        self.state.set_served();
+        let (how, result) = self.use_connection(&mut stream, till).await;
         closed(how);
-        match end {
-            End::Again(_) => End::Again(soon),
+        match result {
+            RequestResult::Retry(_) => RequestResult::Retry(retry_delay),
             done => done,
         }
     }
 
-    /// Says a line now and then until it has had all it wanted, or the connection ends.
-    async fn talk(&self, stream: &mut BufReader<TcpStream>, till: Instant) -> (&'static str, End) {
-        let again = End::Again(Duration::ZERO);
+    /// Sends lines at an interval until the client leaves or the connection ends. Returns how it ended.
+    async fn use_connection(
+        &self,
+        stream: &mut BufReader<TcpStream>,
+        till: Instant,
+    ) -> (&'static str, RequestResult) {
+        let retry = RequestResult::Retry(Duration::ZERO);
         let mut unanswered: Option<Instant> = None;
-        let mut next = Instant::now() + BEAT;
-        // Kept over time-outs: a line may come in two pieces.
+        let mut next = Instant::now() + SAMPLE_INTERVAL;
+        // Kept across timeouts, as a line may arrive in two parts.
         let mut line = Vec::new();
         loop {
             let read = timeout_at(next.min(till), stream.read_until(b'\n', &mut line)).await;
             match read {
-                Ok(Ok(0)) => return ("end", again),
-                Ok(Err(_)) => return ("reset", again),
+                Ok(Ok(0)) => return ("end", retry),
+                Ok(Err(_)) => return ("reset", retry),
                 Ok(Ok(_)) => match line.trim_ascii_end() {
-                    b"MOVE" => return ("move", again),
-                    b"BYE" => return ("bye", again),
-                    said if said.starts_with(b"LOAD ") => {}
+                    b"MOVE" => return ("move", retry),
+                    b"BYE" => return ("bye", retry),
+                    line if line.starts_with(b"LOAD ") => {}
                     _ => {
                         unanswered = None;
-                        self.state.is_served();
+                        self.state.set_served();
                     }
                 },
-                Err(_) if Instant::now() >= till => return ("left", End::Done),
+                Err(_) if Instant::now() >= till => return ("left", RequestResult::Done),
                 Err(_) => {
-                    // What has not been answered for long is given up by the client as well.
-                    if unanswered.is_some_and(|at| at.elapsed() > 8 * LINE) {
-                        return ("silent", again);
+                    // A client closes a connection on which a line was not answered for long.
+                    if unanswered.is_some_and(|at| at.elapsed() > 8 * LINE_TIMEOUT) {
+                        return ("silent", retry);
                     }
-                    if say(stream, "M").await.is_err() {
-                        return ("reset", again);
+                    if write_line(stream, "M").await.is_err() {
+                        return ("reset", retry);
                     }
                     unanswered.get_or_insert_with(Instant::now);
-                    next = Instant::now() + BEAT;
+                    next = Instant::now() + SAMPLE_INTERVAL;
                     continue;
                 }
             }
@@ -252,17 +261,17 @@
     }
 }
 
-/// Writes down every half second whether a client that wants to be served was.
-pub async fn beats(number: usize, state: Rc<ClientState>, history: Rc<History>, until: Instant) {
+/// Records every half second whether a client that wants to be served was served.
+pub async fn sample_service(number: usize, state: Rc<ClientState>, history: Rc<History>, until: Instant) {
     let mut next = Instant::now();
     let mut wanted = false;
     while next < until {
-        next += BEAT;
+        next += SAMPLE_INTERVAL;
         sleep_until(next).await;
         let wants = state.wants.get();
-        // One that has only just come is not waiting yet.
+        // Only clients that also wanted to be served one interval ago count as waiting.
         if wants && wanted {
-            let ok = state.served.get().is_some_and(|at| at.elapsed() < LINE);
+            let ok = state.served.get().is_some_and(|at| at.elapsed() < LINE_TIMEOUT);
             history.add(Event::ServedSample { client: number, ok });
         }
         wanted = wants;
--- a/crates/alderstile-lab/src/processes/configuration.rs
+++ b/crates/alderstile-lab/src/processes/configuration.rs
@@ -1,4 +1,4 @@
-//! The files that nodes are started with: the cluster's and the settings.
+//! Configuration files of the nodes: the cluster file and the settings.
 
 use serde_json::{Value, json};
 
@@ -6,17 +6,18 @@
 use super::addresses::{LoopbackAddresses, Role};
 use crate::schedule::{Feature, Idempotency, Members, Plan, Subsetting};
 
-/// A member's file: others know it by its address at the lab.
+/// Returns the cluster file of a member; it advertises the address of its proxy.
 pub(super) fn cluster(
     members: &Members,
     subsetting: &Subsetting,
-    at: &LoopbackAddresses,
+    addresses: &LoopbackAddresses,
     number: usize,
     nodes: usize,
 ) -> String {
-    let (listen, advertise) = (at.at(Role::Node, number, MEMBERS), at.at(Role::Back, number, MEMBERS));
+    let (listen, advertise) =
+        (addresses.at(Role::Node, number, MEMBERS), addresses.at(Role::Back, number, MEMBERS));
     let seeds: Vec<String> =
-        (0..nodes.min(3)).map(|node| format!("\"{}\"", at.at(Role::Back, node, MEMBERS))).collect();
+        (0..nodes.min(3)).map(|node| format!("\"{}\"", addresses.at(Role::Back, node, MEMBERS))).collect();
     let subsets = match subsetting.enabled.contains(&Feature::Subsets) {
         true => format!(
             "[subsets]\nsize = {}\nusers = {}\nzones_first = {}\nhold_s = {:?}\n",
@@ -37,7 +38,7 @@
     )
 }
 
-/// The settings that all nodes have, in the form of a node's file.
+/// Returns the settings that all nodes share, as in the configuration file of a node.
 pub(crate) fn settings(plan: &Plan) -> Value {
     let classes: Vec<Value> = plan
         .clients
--- a/crates/alderstile-lab/src/processes/faults.rs
+++ b/crates/alderstile-lab/src/processes/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a schedule on real processes: of links, nodes' processes, discovery lists and hosts.
+//! Injection of scheduled faults into a run on processes: links, node processes, discovery lists and hosts.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -17,13 +17,13 @@
 use crate::history::Event;
 use crate::schedule::{FaultKind, FaultTarget, Party, PlannedFault};
 
-/// A host that was drained is up again this long after it ended.
-const DRAINED: Duration = Duration::from_secs(1);
+/// Delay until a drained host starts again after its end.
+const RESTART_AFTER_DRAIN: Duration = Duration::from_secs(1);
 
 impl Lab {
-    /// Begins a fault; returns what sees to its end.
+    /// Begins a fault; returns the tasks that end it.
     pub(super) fn begin(&self, number: usize, fault: &PlannedFault) -> Vec<JoinHandle<()>> {
-        info!("{}: {} {}", fault.kind, shown(&fault.on), shown_way(fault));
+        info!(kind = %fault.kind, on = %names(&fault.on), link = %link_names(fault), "fault begun");
         self.history.add(Event::fault(fault, true));
         match fault.kind.target() {
             FaultTarget::Link => self.begin_link_fault(number, fault),
@@ -33,12 +33,16 @@
         }
     }
 
-    /// Ends a fault after its span, if it has one: undoes it and adds its end to the history.
-    fn end_after_span(&self, fault: &PlannedFault, undo: impl FnOnce() + 'static) -> Option<JoinHandle<()>> {
-        let span = Duration::from_secs_f64(fault.for_s?);
+    /// Ends a fault after its duration, if it has one: undoes it and records its end.
+    fn end_after_duration(
+        &self,
+        fault: &PlannedFault,
+        undo: impl FnOnce() + 'static,
+    ) -> Option<JoinHandle<()>> {
+        let duration = Duration::from_secs_f64(fault.for_s?);
         let (history, end) = (self.history.clone(), Event::fault(fault, false));
         Some(spawn_local(async move {
-            sleep(span).await;
+            sleep(duration).await;
             undo();
             history.add(end);
         }))
@@ -47,26 +51,26 @@
     fn begin_link_fault(&self, number: usize, fault: &PlannedFault) -> Vec<JoinHandle<()>> {
         self.links.change(|faults| faults.begin(number, fault));
         let links = self.links.clone();
-        let end = self.end_after_span(fault, move || links.change(|faults| faults.end(number)));
+        let end = self.end_after_duration(fault, move || links.change(|faults| faults.end(number)));
         end.into_iter().collect()
     }
 
     fn begin_process_fault(&self, fault: &PlannedFault) -> Vec<JoinHandle<()>> {
-        let span = fault.for_s.map(Duration::from_secs_f64);
+        let duration = fault.for_s.map(Duration::from_secs_f64);
         let mut tasks = Vec::new();
-        for node in self.named_nodes(fault) {
-            tasks.push(spawn_local(process_fault(node, fault.kind, span)));
+        for node in self.target_nodes(fault) {
+            tasks.push(spawn_local(process_fault(node, fault.kind, duration)));
         }
-        tasks.extend(self.end_after_span(fault, || {}));
+        tasks.extend(self.end_after_duration(fault, || {}));
         tasks
     }
 
     fn begin_list_fault(&self, fault: &PlannedFault) -> Vec<JoinHandle<()>> {
-        let nodes: Vec<usize> = self.named_nodes(fault).iter().map(|node| node.number).collect();
-        let hosts: Vec<usize> = fault.hosts.iter().filter_map(host_of).collect();
+        let nodes: Vec<usize> = self.target_nodes(fault).iter().map(|node| node.number).collect();
+        let hosts: Vec<usize> = fault.hosts.iter().filter_map(host_number).collect();
         let (kind, late) = (fault.kind, Duration::from_secs_f64(fault.ms / 1e3));
         let discovery = self.discovery.clone();
-        let set = move |begins: bool| {
+        let apply = move |begins: bool| {
             for &node in &nodes {
                 discovery.set_faults(node, |faults| match kind {
                     FaultKind::ListLate => faults.extra_delay = if begins { late } else { Duration::ZERO },
@@ -80,53 +84,58 @@
                 });
             }
         };
-        set(true);
-        self.end_after_span(fault, move || set(false)).into_iter().collect()
+        apply(true);
+        self.end_after_duration(fault, move || apply(false)).into_iter().collect()
     }
 
     fn begin_host_fault(&self, fault: &PlannedFault) -> Vec<JoinHandle<()>> {
-        let span = fault.for_s.map(Duration::from_secs_f64);
+        let duration = fault.for_s.map(Duration::from_secs_f64);
         let mut tasks = Vec::new();
-        for host in fault.on.iter().filter_map(host_of).filter_map(|h| self.hosts.get(h)) {
+        for host in fault.on.iter().filter_map(host_number).filter_map(|h| self.hosts.get(h)) {
             let (host, discovery) = (host.clone(), self.discovery.clone());
             let slow = Duration::from_secs_f64(fault.ms / 1e3);
-            tasks.push(spawn_local(host_fault(host, discovery, fault.kind, span, slow)));
+            tasks.push(spawn_local(host_fault(host, discovery, fault.kind, duration, slow)));
         }
-        tasks.extend(self.end_after_span(fault, || {}));
+        tasks.extend(self.end_after_duration(fault, || {}));
         tasks
     }
 
-    fn named_nodes(&self, fault: &PlannedFault) -> Vec<Rc<Node>> {
-        let number = |actor: &Party| if let Party::Node(n) = actor { Some(*n) } else { None };
+    /// Returns the nodes that a fault targets.
+    fn target_nodes(&self, fault: &PlannedFault) -> Vec<Rc<Node>> {
+        let number = |party: &Party| if let Party::Node(n) = party { Some(*n) } else { None };
         fault.on.iter().filter_map(number).filter_map(|n| self.nodes.get(n).cloned()).collect()
     }
 }
 
-fn host_of(actor: &Party) -> Option<usize> {
-    if let Party::Host(h) = actor { Some(*h) } else { None }
+/// Returns the number of a host; `None` for other parties.
+fn host_number(party: &Party) -> Option<usize> {
+    if let Party::Host(h) = party { Some(*h) } else { None }
 }
 
-fn shown(set: &BTreeSet<Party>) -> String {
-    let names: Vec<String> = set.iter().map(Party::to_string).collect();
-    names.join(" ")
+/// Returns the names of the parties, separated by spaces.
+fn names(set: &BTreeSet<Party>) -> String {
+    let list: Vec<String> = set.iter().map(Party::to_string).collect();
+    list.join(" ")
 }
 
-fn shown_way(fault: &PlannedFault) -> String {
+/// Returns both ends of the links that a link fault acts on; empty for other faults.
+fn link_names(fault: &PlannedFault) -> String {
     if fault.kind.target() != FaultTarget::Link {
         return String::new();
     }
-    format!("from {} to {}", shown(&fault.from), shown(&fault.to))
+    format!("from {} to {}", names(&fault.from), names(&fault.to))
 }
 
-async fn process_fault(node: Rc<Node>, kind: FaultKind, span: Option<Duration>) {
-    let began = Instant::now();
-    let failed = |error: io::Error| warn!("{kind} of n{}: {error}", node.number);
+/// Applies a fault to the process of a node, and undoes it after its duration.
+async fn process_fault(node: Rc<Node>, kind: FaultKind, duration: Option<Duration>) {
+    let started = Instant::now();
+    let failed = |error: io::Error| warn!(%kind, node = node.number, %error, "fault not applied");
     match kind {
         FaultKind::Kill => node.kill().await,
         FaultKind::Stop => node.stop().await,
         FaultKind::Replace => return node.replace().await.unwrap_or_else(failed),
         FaultKind::Reload => {
-            // Another file than the one before: attempts change between two and three.
+            // The file must differ from the previous one: the number of attempts alternates between 2 and 3.
             let changed = node.reload(|config| {
                 let attempts = &mut config["settings"]["allowed"]["max_attempts"];
                 *attempts = json!(if *attempts == json!(3) { 2 } else { 3 });
@@ -135,8 +144,8 @@
         }
         _ => node.pause(true),
     }
-    let Some(span) = span else { return };
-    sleep_until(began + span).await;
+    let Some(duration) = duration else { return };
+    sleep_until(started + duration).await;
     if kind == FaultKind::Pause {
         node.pause(false);
     } else {
@@ -144,17 +153,18 @@
     }
 }
 
+/// Applies a fault to a host, and undoes it after its duration.
 async fn host_fault(
     host: Rc<Host>,
     discovery: Rc<Discovery>,
     kind: FaultKind,
-    span: Option<Duration>,
+    duration: Option<Duration>,
     slow: Duration,
 ) {
     let number = host.number();
-    let came_back = async || {
+    let restart = async || {
         if let Err(error) = host.start().await {
-            warn!("h{number}: {error}");
+            warn!(host = number, %error, "host not restarted");
         }
         discovery.set(number, "up", true);
     };
@@ -162,18 +172,18 @@
         FaultKind::HostKill => {
             host.kill();
             discovery.set(number, "removed", false);
-            if let Some(span) = span {
-                sleep(span).await;
-                came_back().await;
+            if let Some(duration) = duration {
+                sleep(duration).await;
+                restart().await;
             }
         }
         FaultKind::HostDrain => {
             discovery.set(number, "draining", false);
-            sleep(span.unwrap_or_default()).await;
+            sleep(duration.unwrap_or_default()).await;
             host.kill();
             discovery.set(number, "removed", false);
-            sleep(DRAINED).await;
-            came_back().await;
+            sleep(RESTART_AFTER_DRAIN).await;
+            restart().await;
         }
         _ => {
             let before = host.behavior.get();
@@ -184,8 +194,8 @@
                 _ => behavior.refuses = true,
             }
             host.behavior.set(behavior);
-            if let Some(span) = span {
-                sleep(span).await;
+            if let Some(duration) = duration {
+                sleep(duration).await;
                 host.behavior.set(before);
             }
         }
--- a/crates/alderstile-lab/src/processes/hosts.rs
+++ b/crates/alderstile-lab/src/processes/hosts.rs
@@ -1,4 +1,4 @@
-//! Stand-in hosts: they set connections up, answer each line, and do what faults say.
+//! Stub hosts: they accept requests, answer each line, and apply host faults.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,39 +14,40 @@
 
 use crate::history::{Event, History};
 
-/// How a host behaves.
+/// Behavior of a host under faults.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Behavior {
-    /// It takes that much longer for everything.
+    /// Additional delay of every response.
     pub slow: Duration,
-    /// It says nothing.
+    /// Whether the host does not respond.
     pub silent: bool,
-    /// It turns new connections away.
+    /// Whether the host rejects new requests.
     pub refuses: bool,
 }
 
-/// One stand-in host.
+/// One stub host.
 pub struct Host {
     number: usize,
-    at: SocketAddr,
+    address: SocketAddr,
     setup: Duration,
     history: Rc<History>,
-    /// How it behaves.
+    /// Current behavior.
     pub behavior: Cell<Behavior>,
-    /// Where it is reached; nowhere while it is down.
+    /// Address of the host; `None` while it is down.
     pub up: watch::Sender<Option<SocketAddr>>,
-    /// Ends with the process that it stands for.
+    /// Task that accepts connections; it represents the process of the host.
     process: RefCell<Option<JoinHandle<()>>>,
+    /// Dropped when the process ends, which resets its connections.
     ended: RefCell<watch::Sender<()>>,
     receipts: Cell<u64>,
 }
 
 impl Host {
-    /// A host that is down.
-    pub fn new(number: usize, at: SocketAddr, setup: Duration, history: Rc<History>) -> Rc<Self> {
+    /// Returns a host that is down.
+    pub fn new(number: usize, address: SocketAddr, setup: Duration, history: Rc<History>) -> Rc<Self> {
         Rc::new(Host {
             number,
-            at,
+            address,
             setup,
             history,
             behavior: Cell::default(),
@@ -57,14 +58,14 @@
         })
     }
 
-    /// Its number.
+    /// Returns the number of the host.
     pub fn number(&self) -> usize {
         self.number
     }
 
-    /// Starts its process.
+    /// Starts the host: listens and serves connections.
     pub async fn start(self: &Rc<Self>) -> io::Result<()> {
-        let listener = TcpListener::bind(self.at).await?;
+        let listener = TcpListener::bind(self.address).await?;
         self.ended.replace(watch::Sender::new(()));
         let host = self.clone();
         self.process.replace(Some(spawn_local(async move {
@@ -74,19 +75,19 @@
                 spawn_local(async move {
                     let mut stream = BufReader::new(stream);
                     tokio::select! {
-                        // An end of the other side is the end here too.
+                        // When the other side ends the connection, the host ends it too.
                         _ = host.serve(&mut stream) => {}
-                        // A process that dies resets its connections.
+                        // A process that is killed resets its connections.
                         _ = ended.changed() => stream.get_ref().set_zero_linger().unwrap_or_default(),
                     }
                 });
             }
         })));
-        self.up.send_replace(Some(self.at));
+        self.up.send_replace(Some(self.address));
         Ok(())
     }
 
-    /// Ends its process: connections are reset, new ones refused.
+    /// Kills the host: connections are reset and new ones refused.
     pub fn kill(&self) {
         self.up.send_replace(None);
         if let Some(process) = self.process.take() {
@@ -95,6 +96,7 @@
         self.ended.replace(watch::Sender::new(()));
     }
 
+    /// Serves one connection.
     async fn serve(&self, stream: &mut BufReader<TcpStream>) -> io::Result<()> {
         let mut line = String::new();
         if stream.read_line(&mut line).await? == 0 {
@@ -102,21 +104,21 @@
         }
         let id = match line.split(' ').collect::<Vec<_>>()[..] {
             ["OPEN", id, _, _] => id.to_owned(),
-            _ => return say(stream, "SYNTAX").await,
+            _ => return write_line(stream, "SYNTAX").await,
         };
         let behavior = self.behavior.get();
         if behavior.silent {
             std::future::pending::<()>().await;
         }
         if behavior.refuses {
-            return say(stream, "BUSY").await;
+            return write_line(stream, "BUSY").await;
         }
         self.receipts.set(self.receipts.get() + 1);
         let receipt = format!("{:02x}{:010x}", self.number, self.receipts.get());
-        // From here on it may have an effect, whatever becomes of the answer.
+        // From here on the request may have an effect, whether or not the answer arrives.
         self.history.add(Event::Executed { host: self.number, id, receipt: receipt.clone() });
         sleep(self.setup + behavior.slow).await;
-        say(stream, &format!("UP {receipt}")).await?;
+        write_line(stream, &format!("UP {receipt}")).await?;
         loop {
             line.clear();
             if stream.read_line(&mut line).await? == 0 {
@@ -125,13 +127,13 @@
             let behavior = self.behavior.get();
             if !behavior.silent {
                 sleep(behavior.slow).await;
-                say(stream, "OK").await?;
+                write_line(stream, "OK").await?;
             }
         }
     }
 }
 
 /// Writes a line.
-pub async fn say(stream: &mut BufReader<TcpStream>, line: &str) -> io::Result<()> {
+pub async fn write_line(stream: &mut BufReader<TcpStream>, line: &str) -> io::Result<()> {
     stream.get_mut().write_all(format!("{line}\r\n").as_bytes()).await
 }
--- a/crates/alderstile-lab/src/processes/nodes.rs
+++ b/crates/alderstile-lab/src/processes/nodes.rs
@@ -1,4 +1,5 @@
-//! The processes of nodes: started, told, killed, and never left behind.
+//! Node processes: starts, signals, kills and observes them. A dropped process is killed, so none outlives a
+//! run.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -21,90 +22,92 @@
 use super::clients::ping;
 use crate::history::{Event, History, ProcessChange};
 
-/// A process that answers no front after this long has failed to start.
-const START: Duration = Duration::from_secs(10);
-/// How often a process is asked how it sees the members.
-const LOOK: Duration = Duration::from_millis(50);
-/// How often a process that starts is asked.
-const ASK: Duration = Duration::from_millis(10);
+/// A process that accepts no clients after this long has failed to start; also the timeout of one request to
+/// it.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Interval at which the membership view of a process is read.
+const VIEW_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval of readiness checks of a process that starts.
+const READY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A node and where its things are.
+/// A node: its files, its addresses and its process.
 pub struct Node {
-    /// Its number.
+    /// Number of the node.
     pub number: usize,
-    /// The program.
+    /// Program of the node.
     pub program: PathBuf,
-    /// Where its file, its logs and its private folder are.
+    /// Directory of its configuration file, logs and temporary files.
     pub dir: PathBuf,
-    /// What stands in its file; SIGHUP makes it read the file as written last.
+    /// Content of its configuration file; the process reloads the file on SIGHUP.
     pub config: RefCell<Value>,
-    /// Where it listens.
+    /// Address on which it accepts clients.
     pub listen: SocketAddr,
-    /// Where operators reach its processes, in turns.
+    /// Admin addresses; successive processes alternate between them.
     pub admin: [SocketAddr; 2],
-    /// Further arguments of `serve`.
+    /// Additional arguments of `serve`.
     pub args: Vec<String>,
-    /// What happens to it.
+    /// Receives the node's events.
     pub history: Rc<History>,
-    /// The process that serves.
+    /// Process that serves; `None` while the node is down.
     pub process: RefCell<Option<Rc<Process>>>,
-    /// Processes started so far.
+    /// Number of processes started so far.
     pub started: Cell<usize>,
-    /// Where it is reached.
+    /// Address of the node; `None` while it is down.
     pub up: watch::Sender<Option<SocketAddr>>,
 }
 
-/// One process.
+/// A process of a node.
 pub struct Process {
     pid: Pid,
     ended: watch::Receiver<bool>,
     kill: Rc<Notify>,
-    /// It is meant to end: its end is no crash.
+    /// Whether the process is expected to exit; otherwise its exit is a crash.
     expected: Rc<Cell<bool>>,
-    /// Where operators reach it.
+    /// Admin address.
     pub admin: SocketAddr,
 }
 
 impl Process {
-    /// Sends a signal, unless the process has ended.
+    /// Sends a signal, unless the process has exited.
     pub fn signal(&self, signal: Signal) {
         if !*self.ended.borrow() {
-            // A process that ends in this moment needs none.
+            // An error means that the process has just exited.
             let _ = kill_process(self.pid, signal);
         }
     }
 
-    /// Its number in the system.
+    /// Returns its process id.
     pub fn pid(&self) -> i32 {
         self.pid.as_raw_nonzero().get()
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits until it has exited.
     pub async fn kill(&self) {
         self.expected.set(true);
         self.kill.notify_one();
-        self.gone().await;
+        self.exited().await;
     }
 
-    /// Waits until it has ended.
-    pub async fn gone(&self) {
+    /// Waits until the process has exited.
+    pub async fn exited(&self) {
         let mut ended = self.ended.clone();
-        // The task that holds the process ends with it.
+        // An error means that the task that waits for the process has ended, and with it the process.
         let _ = ended.wait_for(|ended| *ended).await;
     }
 }
 
 impl Node {
-    /// Writes its file and starts a process; returns when it answers fronts.
+    /// Writes the configuration file and starts a process; returns when it accepts clients.
     pub async fn start(self: &Rc<Self>) -> io::Result<()> {
         let process = self.spawn()?;
         self.process.replace(Some(process.clone()));
         self.history.add(Event::Process { node: self.number, change: ProcessChange::Started, status: None });
         self.up.send_replace(Some(self.listen));
-        self.until_ready(&process, || ping(self.listen)).await
+        self.wait_until_ready(&process, || ping(self.listen)).await
     }
 
-    /// Starts a second process beside the first, tells the first to stop when the second serves, and waits for that.
+    /// Replaces the process: starts a second one, requests the first to stop when the second is ready, and waits
+    /// until the first has exited.
     pub async fn replace(self: &Rc<Self>) -> io::Result<()> {
         let Some(before) = self.process.borrow().clone() else { return Ok(()) };
         let process = self.spawn()?;
@@ -113,26 +116,26 @@
             change: ProcessChange::ReplacementStarted,
             status: None,
         });
-        self.until_ready(&process, || ready(process.admin)).await?;
+        self.wait_until_ready(&process, || is_ready(process.admin)).await?;
         self.process.replace(Some(process));
         before.expected.set(true);
         self.history.add(Event::Process { node: self.number, change: ProcessChange::Stopping, status: None });
         before.signal(Signal::TERM);
-        before.gone().await;
+        before.exited().await;
         Ok(())
     }
 
-    /// Tells its process to stop and waits for that.
+    /// Requests the process to stop and waits until it has exited.
     pub async fn stop(&self) {
         let Some(process) = self.process.take() else { return };
         process.expected.set(true);
         self.history.add(Event::Process { node: self.number, change: ProcessChange::Stopping, status: None });
         process.signal(Signal::TERM);
-        process.gone().await;
+        process.exited().await;
         self.up.send_replace(None);
     }
 
-    /// Ends its process at once.
+    /// Kills the process.
     pub async fn kill(&self) {
         let Some(process) = self.process.take() else { return };
         self.history.add(Event::Process { node: self.number, change: ProcessChange::Killed, status: None });
@@ -140,7 +143,7 @@
         process.kill().await;
     }
 
-    /// Stops it where it stands, or lets it go on.
+    /// Suspends or resumes the process.
     pub fn pause(&self, pause: bool) {
         let Some(process) = self.process.borrow().clone() else { return };
         let change = if pause { ProcessChange::Paused } else { ProcessChange::Resumed };
@@ -148,10 +151,10 @@
         process.signal(if pause { Signal::STOP } else { Signal::CONT });
     }
 
-    /// Writes another file and makes its process read it.
+    /// Changes the configuration file and makes the process reload it.
     pub fn reload(&self, change: impl FnOnce(&mut Value)) -> io::Result<()> {
         change(&mut self.config.borrow_mut());
-        self.write()?;
+        self.write_config()?;
         self.history.add(Event::Process { node: self.number, change: ProcessChange::Reloaded, status: None });
         if let Some(process) = self.process.borrow().clone() {
             process.signal(Signal::HUP);
@@ -159,52 +162,55 @@
         Ok(())
     }
 
-    /// Asks its process again and again how it sees the other members, and writes down what changes.
+    /// Reads the membership view of the process at an interval, and records its changes.
     pub async fn watch_view(self: Rc<Self>) {
-        let mut seen: BTreeMap<usize, String> = BTreeMap::new();
-        let mut of = None;
+        let mut reported: BTreeMap<usize, String> = BTreeMap::new();
+        let mut pid = None;
         loop {
-            sleep(LOOK).await;
+            sleep(VIEW_INTERVAL).await;
             let Some(process) = self.process.borrow().clone() else {
-                (seen, of) = (BTreeMap::new(), None);
+                (reported, pid) = (BTreeMap::new(), None);
                 continue;
             };
-            // Another process begins with a view of its own.
-            if of != Some(process.pid) {
-                (seen, of) = (BTreeMap::new(), Some(process.pid));
+            // A new process starts with an empty view.
+            if pid != Some(process.pid) {
+                (reported, pid) = (BTreeMap::new(), Some(process.pid));
             }
-            // One that stands still answers nobody: what it sees is not known meanwhile.
-            let Ok(Ok((200, view))) = timeout(START, admin_get(process.admin, "/members")).await else {
+            // A suspended process does not answer: its view is unknown meanwhile.
+            let Ok(Ok((200, view))) = timeout(START_TIMEOUT, admin_get(process.admin, "/members")).await
+            else {
                 continue;
             };
-            for (node, state) in states(&view) {
-                if seen.get(&node) != Some(&state) {
-                    seen.insert(node, state.clone());
-                    self.history.add(Event::MemberView { node: self.number, of: node, state });
+            for (node, state) in node_states(&view) {
+                if reported.get(&node) != Some(&state) {
+                    reported.insert(node, state.clone());
+                    self.history.add(Event::MemberView { node: self.number, observed: node, state });
                 }
             }
         }
     }
 
-    fn file(&self) -> PathBuf {
+    fn config_path(&self) -> PathBuf {
         self.dir.join("config.json")
     }
 
-    fn write(&self) -> io::Result<()> {
-        let beside = self.dir.join("config.json.new");
-        std::fs::write(&beside, self.config.borrow().to_string())?;
-        std::fs::rename(beside, self.file())
+    /// Replaces the configuration file atomically.
+    fn write_config(&self) -> io::Result<()> {
+        let temporary = self.dir.join("config.json.new");
+        std::fs::write(&temporary, self.config.borrow().to_string())?;
+        std::fs::rename(temporary, self.config_path())
     }
 
+    /// Starts a process, and a task that records its exit.
     fn spawn(self: &Rc<Self>) -> io::Result<Rc<Process>> {
-        self.write()?;
+        self.write_config()?;
         let number = self.started.get();
         self.started.set(number + 1);
         let admin = self.admin[number % 2];
         let log = std::fs::File::create(self.dir.join(format!("{number}.log")))?;
         let mut child = Command::new(&self.program)
             .args(["serve", "--config"])
-            .arg(self.file())
+            .arg(self.config_path())
             .args(&self.args)
             .env_clear()
             .env("TMPDIR", &self.dir)
@@ -215,33 +221,37 @@
             .kill_on_drop(true)
             .spawn()?;
         let pid = child.id().and_then(|id| i32::try_from(id).ok()).and_then(Pid::from_raw);
-        let pid = pid.ok_or_else(|| io::Error::other("the process has no number"))?;
-        let (ended, end) = watch::channel(false);
+        let pid = pid.ok_or_else(|| io::Error::other("the process has no id"))?;
+        let (ended_sender, ended) = watch::channel(false);
         let (kill, expected) = (Rc::new(Notify::new()), Rc::new(Cell::new(false)));
-        let process =
-            Rc::new(Process { pid, ended: end, kill: kill.clone(), expected: expected.clone(), admin });
+        let process = Rc::new(Process { pid, ended, kill: kill.clone(), expected: expected.clone(), admin });
         let node = self.clone();
         spawn_local(async move {
-            let how = wait(&mut child, &kill).await;
-            let how = if expected.get() { how } else { format!("by itself: {how}") };
+            let status = wait(&mut child, &kill).await;
+            let status = if expected.get() { status } else { format!("by itself: {status}") };
             node.history.add(Event::Process {
                 node: node.number,
                 change: ProcessChange::Ended,
-                status: Some(how),
+                status: Some(status),
             });
-            ended.send_replace(true);
+            ended_sender.send_replace(true);
         });
         Ok(process)
     }
 
-    async fn until_ready<F: Future<Output = io::Result<bool>>>(
+    /// Waits until a process is ready, which `check` asks for.
+    ///
+    /// # Errors
+    ///
+    /// If the process exits, or is not ready within its start timeout.
+    async fn wait_until_ready<F: Future<Output = io::Result<bool>>>(
         &self,
         process: &Process,
-        asks: impl Fn() -> F,
+        check: impl Fn() -> F,
     ) -> io::Result<()> {
-        let last = Instant::now() + START;
+        let deadline = Instant::now() + START_TIMEOUT;
         loop {
-            if matches!(timeout(START, asks()).await, Ok(Ok(true))) {
+            if matches!(timeout(START_TIMEOUT, check()).await, Ok(Ok(true))) {
                 self.history.add(Event::Process {
                     node: self.number,
                     change: ProcessChange::Ready,
@@ -249,21 +259,30 @@
                 });
                 return Ok(());
             }
-            if *process.ended.borrow() || Instant::now() > last {
-                let what = if *process.ended.borrow() { "ended" } else { "did not get ready" };
+            if *process.ended.borrow() || Instant::now() > deadline {
+                let problem = if *process.ended.borrow() {
+                    "ended before it was ready"
+                } else {
+                    "was not ready in time"
+                };
                 let log = self.dir.join(format!("{}.log", self.started.get() - 1));
-                return Err(io::Error::other(format!("n{} {what}: see {}", self.number, log.display())));
+                return Err(io::Error::other(format!(
+                    "process of n{} {problem}, see {}",
+                    self.number,
+                    log.display()
+                )));
             }
-            sleep(ASK).await;
+            sleep(READY_INTERVAL).await;
         }
     }
 }
 
+/// Waits until a process exits, and kills it when notified; returns its exit status.
 async fn wait(child: &mut Child, kill: &Notify) -> String {
     let status = tokio::select! {
         status = child.wait() => status,
         () = kill.notified() => {
-            // It may have ended by itself in this moment.
+            // An error means that the process has just exited by itself.
             child.start_kill().unwrap_or_default();
             child.wait().await
         }
@@ -271,12 +290,12 @@
     status.map_or_else(|error| error.to_string(), |status| status.to_string())
 }
 
-/// Asks a process at its operators' address whether it serves.
-pub async fn ready(admin: SocketAddr) -> io::Result<bool> {
+/// Returns whether the process with this admin address is ready.
+pub async fn is_ready(admin: SocketAddr) -> io::Result<bool> {
     Ok(admin_get(admin, "/control/ready").await?.0 == 200)
 }
 
-/// A GET at an operators' address: the status and the body.
+/// Sends a GET request to an admin address; returns the status and the body.
 pub async fn admin_get(admin: SocketAddr, path: &str) -> io::Result<(u16, String)> {
     let mut stream = TcpStream::connect(admin).await?;
     stream
@@ -288,11 +307,11 @@
     Ok((status, text.split_once("\r\n\r\n").map(|(_, body)| body.to_owned()).unwrap_or_default()))
 }
 
-/// How each node is seen: the best of what is told of its processes.
-fn states(view: &str) -> BTreeMap<usize, String> {
+/// Returns the state of each node in a membership view: the best state of its processes.
+fn node_states(view: &str) -> BTreeMap<usize, String> {
     let view: Value = serde_json::from_str(view).unwrap_or_default();
     let mut states: BTreeMap<usize, String> = BTreeMap::new();
-    // `alive`, `dead`, `left`, `suspect`: the living ones first.
+    // From best to worst.
     let rank = |state: &str| ["alive", "suspect", "dead", "left"].iter().position(|known| *known == state);
     for member in view["members"].as_array().into_iter().flatten() {
         let name = member["name"].as_str().and_then(|name| name.strip_prefix('n')?.parse().ok());
@@ -305,24 +324,24 @@
     states
 }
 
-/// A node's file.
+/// Returns the configuration file of a node.
 pub fn node_config(name: &str, listen: SocketAddr, discovery: SocketAddr, settings: Value) -> Value {
     json!({"name": name, "listen": listen, "discovery": discovery, "limits": {"sockets": 1024},
            "settings": settings})
 }
 
-/// A folder of a run; it goes with its owner.
+/// Temporary directory of a run, removed when dropped.
 pub struct RunDir(PathBuf);
 
 impl RunDir {
-    /// A new one.
+    /// Creates a directory; `number` makes its name unique within this process.
     pub fn new(number: u32) -> io::Result<Self> {
         let dir = std::env::temp_dir().join(format!("alderstile-lab-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         Ok(RunDir(dir))
     }
 
-    /// Where it is.
+    /// Returns its path.
     pub fn path(&self) -> &Path {
         &self.0
     }
@@ -330,7 +349,7 @@
 
 impl Drop for RunDir {
     fn drop(&mut self) {
-        // What can't be taken away stays where temporary things go.
+        // What can't be removed stays in the system's temporary directory.
         let _ = std::fs::remove_dir_all(&self.0);
     }
 }
--- a/crates/alderstile-lab/src/processes/proxies.rs
+++ b/crates/alderstile-lab/src/processes/proxies.rs
@@ -1,9 +1,11 @@
-//! The links between processes: everything that one process sends another passes a forwarder of the lab, which is
-//! where faults of links act.
+//! Proxies between processes: all traffic from one process to another passes a proxy of the lab, which
+//! applies the link faults.
 //!
-//! On streams a lost piece comes [`RETRANSMIT`] later, as the sender's system would send it again; nothing of a stream is
-//! doubled, overtaken or damaged, as no system would hand that on. While a link is cut bytes wait, ends and resets too, and new
-//! connections never come up: the forwarder's queue of connections is kept full, so that the system drops what knocks.
+//! On streams, a lost chunk is delayed by [`RETRANSMIT_DELAY`], like a retransmission by the sender's system.
+//! Chunks of a stream are never duplicated, reordered or damaged, as no TCP implementation delivers such
+//! data. While a link is cut, bytes wait, as do the ends and resets of streams, and new connections are never
+//! established: the accept queue of the proxy's listener is kept full, so that the system drops connection
+//! requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -24,18 +26,19 @@
 use crate::links::{LinkFaults, LinkState};
 use crate::schedule::{LinkDefaults, Party};
 
-/// A lost piece of a stream comes this much later: the shortest retransmission time of common systems.
-const RETRANSMIT: Duration = Duration::from_millis(200);
-/// Pieces of a stream that wait while a link is late or cut.
-const PIECES: usize = 64;
-/// The longest piece of a stream, and the longest datagram.
-const PIECE: usize = 16 << 10;
-/// Connections that wait at a forwarder's door.
+/// Additional delay of a lost chunk of a stream: the shortest retransmission timeout of common systems.
+const RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
+/// Number of chunks of a stream that are buffered while a link is delayed or cut.
+const MAX_BUFFERED_CHUNKS: usize = 64;
+/// Maximum size of a chunk of a stream, and of a datagram, in bytes.
+const MAX_CHUNK_BYTES: usize = 16 << 10;
+/// Backlog of a proxy's listener, in connections.
 const BACKLOG: i32 = 128;
-/// A connection that has not come up by then waits in vain: the door is full.
-const FULL: Duration = Duration::from_millis(40);
+/// Timeout of connecting to a listener whose accept queue is being filled: a connection that is not
+/// established by then shows that the queue is full.
+const QUEUE_FULL_TIMEOUT: Duration = Duration::from_millis(40);
 
-/// The links of a run on processes.
+/// Links of a run on processes, with their active faults.
 pub struct Links {
     faults: RefCell<LinkFaults>,
     rng: RefCell<Pcg64Mcg>,
@@ -43,61 +46,63 @@
 }
 
 impl Links {
-    /// Links without faults.
+    /// Returns links without faults; `base` applies to all of them.
     pub fn new(base: LinkDefaults, seed: u64) -> Rc<Self> {
         let rng = RefCell::new(Pcg64Mcg::seed_from_u64(seed));
         Rc::new(Links { faults: RefCell::new(LinkFaults::new(base)), rng, changed: watch::Sender::new(()) })
     }
 
-    /// Changes the faults that hold.
+    /// Changes the active faults and notifies the proxies.
     pub fn change(&self, change: impl FnOnce(&mut LinkFaults)) {
         change(&mut self.faults.borrow_mut());
         self.changed.send_replace(());
     }
 
-    /// What a link does now.
+    /// Returns the current properties of the link from `from` to `to`.
     pub fn link(&self, from: Party, to: Party) -> LinkState {
         self.faults.borrow().link(from, to)
     }
 
+    /// Draws a number from 0 to 1.
     fn chance(&self) -> f64 {
         self.rng.borrow_mut().random()
     }
 
-    /// How much later something comes.
-    fn late(&self, link: &LinkState) -> Duration {
+    /// Draws the delay of one chunk or datagram.
+    fn delay(&self, link: &LinkState) -> Duration {
         Duration::from_secs_f64(link.delay_s + link.jitter_s * self.chance())
     }
 
-    /// Waits until something holds of the faults.
-    async fn until(&self, holds: impl Fn(&Self) -> bool) {
+    /// Waits until the faults satisfy a condition.
+    async fn wait_until(&self, condition: impl Fn(&Self) -> bool) {
         let mut changed = self.changed.subscribe();
-        while !holds(self) {
+        while !condition(self) {
             if changed.changed().await.is_err() {
                 return;
             }
         }
     }
 
-    fn shut(&self, one: Party, other: Party) -> bool {
+    /// Returns whether a link is cut in any direction.
+    fn is_cut(&self, one: Party, other: Party) -> bool {
         self.link(one, other).cut || self.link(other, one).cut
     }
 }
 
-/// The door of one link for connections: who knocks at `at` is led to `target`, while there is one.
+/// Proxy for the connections of one link: forwards connections to `listen` to `target`, while there is one.
 pub struct StreamProxy {
-    /// Who knocks.
+    /// Connecting party.
     pub from: Party,
-    /// Who is behind it.
+    /// Party behind the proxy.
     pub to: Party,
-    /// Where the door is.
-    pub at: SocketAddr,
-    /// Where it leads; nowhere while the process behind it is down: connections are refused.
+    /// Address on which the proxy listens.
+    pub listen: SocketAddr,
+    /// Address of the process behind the proxy; `None` while it is down: connections are refused.
     pub target: watch::Receiver<Option<SocketAddr>>,
 }
 
 impl StreamProxy {
-    /// Opens the door and keeps it, until it is dropped.
+    /// Listens and forwards connections, until the future is dropped.
     pub async fn serve(mut self, links: Rc<Links>) -> io::Result<()> {
         loop {
             let Some(target) = *self.target.borrow_and_update() else {
@@ -106,52 +111,55 @@
                 }
                 continue;
             };
-            let listener = TcpListener::bind(self.at).await?;
-            let led = async {
+            let listener = TcpListener::bind(self.listen).await?;
+            let forwarded = async {
                 loop {
-                    if links.shut(self.from, self.to) {
-                        let filled = jam(&listener, self.at).await?;
-                        links.until(|links| !links.shut(self.from, self.to)).await;
-                        open(&listener, filled).await?;
+                    if links.is_cut(self.from, self.to) {
+                        let filled = fill_accept_queue(&listener, self.listen).await?;
+                        links.wait_until(|links| !links.is_cut(self.from, self.to)).await;
+                        empty_accept_queue(&listener, filled).await?;
                     }
-                    let cut = links.until(|links| links.shut(self.from, self.to));
+                    let cut = links.wait_until(|links| links.is_cut(self.from, self.to));
                     let stream = tokio::select! {
                         accepted = listener.accept() => accepted?.0,
                         () = cut => continue,
                     };
-                    spawn_local(carry(links.clone(), self.from, self.to, stream, target));
+                    spawn_local(forward_connection(links.clone(), self.from, self.to, stream, target));
                 }
             };
-            let moved = async {
+            let target_changed = async {
                 while *self.target.borrow_and_update() == Some(target) {
                     if self.target.changed().await.is_err() {
-                        // Nobody will ever move it.
+                        // The target can't change any more.
                         std::future::pending::<()>().await;
                     }
                 }
             };
-            let failed: io::Result<()> = tokio::select! { done = led => done, () = moved => Ok(()) };
-            failed?;
+            let result: io::Result<()> =
+                tokio::select! { done = forwarded => done, () = target_changed => Ok(()) };
+            result?;
         }
     }
 }
 
-/// Fills the queue of a listener.
-async fn jam(listener: &TcpListener, at: SocketAddr) -> io::Result<Vec<TcpStream>> {
+/// Fills the accept queue of a listener, so that the system drops further connection requests. Returns the
+/// connections that fill it.
+async fn fill_accept_queue(listener: &TcpListener, listen: SocketAddr) -> io::Result<Vec<TcpStream>> {
     rustix::net::listen(listener, 0)?;
     let mut filled = Vec::new();
-    while let Ok(Ok(stream)) = timeout(FULL, TcpStream::connect(at)).await {
+    while let Ok(Ok(stream)) = timeout(QUEUE_FULL_TIMEOUT, TcpStream::connect(listen)).await {
         filled.push(stream);
     }
     Ok(filled)
 }
 
-/// Empties it again; what else came through meanwhile is lost with it.
-async fn open(listener: &TcpListener, filled: Vec<TcpStream>) -> io::Result<()> {
+/// Empties the accept queue again; connections of others that entered the queue meanwhile are dropped as
+/// well.
+async fn empty_accept_queue(listener: &TcpListener, filled: Vec<TcpStream>) -> io::Result<()> {
     rustix::net::listen(listener, BACKLOG)?;
     let mut own: BTreeSet<SocketAddr> = filled.iter().filter_map(|stream| stream.local_addr().ok()).collect();
     while !own.is_empty() {
-        match timeout(FULL, listener.accept()).await {
+        match timeout(QUEUE_FULL_TIMEOUT, listener.accept()).await {
             Ok(accepted) => own.remove(&accepted?.1),
             Err(_) => break,
         };
@@ -159,10 +167,16 @@
     Ok(())
 }
 
-/// Carries one connection.
-async fn carry(links: Rc<Links>, from: Party, to: Party, inbound: TcpStream, target: SocketAddr) {
+/// Forwards one connection in both directions.
+async fn forward_connection(
+    links: Rc<Links>,
+    from: Party,
+    to: Party,
+    inbound: TcpStream,
+    target: SocketAddr,
+) {
     let Ok(outbound) = TcpStream::connect(target).await else {
-        // The process behind it went down in this moment.
+        // The process behind the proxy has just exited.
         inbound.set_zero_linger().unwrap_or_default();
         return;
     };
@@ -171,28 +185,28 @@
     }
     let ((in_read, in_write), (out_read, out_write)) = (inbound.into_split(), outbound.into_split());
     let broken = Cell::new(false);
-    let there = pump(&links, from, to, in_read, out_write, &broken);
-    let back = pump(&links, to, from, out_read, in_write, &broken);
-    // An end passes on by itself; a reset ends both directions.
-    tokio::pin!(there, back);
-    let (mut there_done, mut back_done) = (false, false);
-    while !(broken.get() || there_done && back_done) {
+    let forward = forward_stream(&links, from, to, in_read, out_write, &broken);
+    let reverse = forward_stream(&links, to, from, out_read, in_write, &broken);
+    // The end of a stream is forwarded in its own direction; a reset ends both directions.
+    tokio::pin!(forward, reverse);
+    let (mut forward_done, mut reverse_done) = (false, false);
+    while !(broken.get() || forward_done && reverse_done) {
         tokio::select! {
-            () = &mut there, if !there_done => there_done = true,
-            () = &mut back, if !back_done => back_done = true,
+            () = &mut forward, if !forward_done => forward_done = true,
+            () = &mut reverse, if !reverse_done => reverse_done = true,
         }
     }
 }
 
-/// What passes a pump.
-enum Piece {
+/// A part of a stream.
+enum Chunk {
     Bytes(Vec<u8>),
     End,
     Reset,
 }
 
-/// Carries one direction until its end; marks the connection as broken where it was reset.
-async fn pump(
+/// Forwards one direction of a connection until its end; marks the connection as broken if it was reset.
+async fn forward_stream(
     links: &Links,
     from: Party,
     to: Party,
@@ -200,40 +214,40 @@
     mut write: OwnedWriteHalf,
     broken: &Cell<bool>,
 ) {
-    let (send, mut receive) = mpsc::channel(PIECES);
+    let (send, mut receive) = mpsc::channel(MAX_BUFFERED_CHUNKS);
     let reading = async {
         let mut due = Instant::now();
         loop {
-            let mut piece = vec![0; PIECE];
-            let piece = match read.read(&mut piece).await {
-                Ok(0) => Piece::End,
+            let mut chunk = vec![0; MAX_CHUNK_BYTES];
+            let chunk = match read.read(&mut chunk).await {
+                Ok(0) => Chunk::End,
                 Ok(n) => {
-                    piece.truncate(n);
-                    Piece::Bytes(piece)
+                    chunk.truncate(n);
+                    Chunk::Bytes(chunk)
                 }
-                Err(_) => Piece::Reset,
+                Err(_) => Chunk::Reset,
             };
             let link = links.link(from, to);
-            let lost = if links.chance() < link.loss { RETRANSMIT } else { Duration::ZERO };
-            // A stream keeps its order.
-            due = due.max(Instant::now() + links.late(&link) + lost);
-            let last = !matches!(piece, Piece::Bytes(_));
-            if send.send((due, piece)).await.is_err() || last {
+            let retransmission = if links.chance() < link.loss { RETRANSMIT_DELAY } else { Duration::ZERO };
+            // Chunks of a stream stay in order.
+            due = due.max(Instant::now() + links.delay(&link) + retransmission);
+            let last = !matches!(chunk, Chunk::Bytes(_));
+            if send.send((due, chunk)).await.is_err() || last {
                 break;
             }
         }
         drop(send);
     };
     let writing = async {
-        while let Some((due, piece)) = receive.recv().await {
+        while let Some((due, chunk)) = receive.recv().await {
             sleep_until(due).await;
-            links.until(|links| !links.link(from, to).cut).await;
-            let done = match piece {
-                Piece::Bytes(bytes) => write.write_all(&bytes).await,
-                Piece::End => write.shutdown().await,
-                Piece::Reset => Err(io::ErrorKind::ConnectionReset.into()),
+            links.wait_until(|links| !links.link(from, to).cut).await;
+            let result = match chunk {
+                Chunk::Bytes(bytes) => write.write_all(&bytes).await,
+                Chunk::End => write.shutdown().await,
+                Chunk::Reset => Err(io::ErrorKind::ConnectionReset.into()),
             };
-            if done.is_err() {
+            if result.is_err() {
                 broken.set(true);
                 write.as_ref().set_zero_linger().unwrap_or_default();
                 return;
@@ -246,36 +260,40 @@
     }
 }
 
-/// The datagrams of all members. Each member is known to the others by an address of the lab's; what comes there
-/// goes on to the member's own from the sender's known one.
+/// Proxy for the datagrams of all members. Each member advertises an address of the proxy; datagrams to it
+/// are sent on to the member's own address, from the advertised address of the sender.
 pub struct DatagramProxy {
-    /// Each member's socket of the lab's.
-    known: Vec<Rc<UdpSocket>>,
-    /// Each member's own address.
-    own: Vec<SocketAddr>,
+    /// Sockets on the advertised addresses, by member.
+    advertised: Vec<Rc<UdpSocket>>,
+    /// Addresses on which the members listen.
+    members: Vec<SocketAddr>,
     links: Rc<Links>,
 }
 
 impl DatagramProxy {
-    /// Opens the known addresses; `own` are the members' own ones.
-    pub async fn open(links: Rc<Links>, known: &[SocketAddr], own: Vec<SocketAddr>) -> io::Result<Rc<Self>> {
+    /// Binds the advertised addresses; `members` are the addresses on which the members listen.
+    pub async fn open(
+        links: Rc<Links>,
+        advertised: &[SocketAddr],
+        members: Vec<SocketAddr>,
+    ) -> io::Result<Rc<Self>> {
         let mut sockets = Vec::new();
-        for at in known {
-            sockets.push(Rc::new(UdpSocket::bind(at).await?));
+        for address in advertised {
+            sockets.push(Rc::new(UdpSocket::bind(address).await?));
         }
-        Ok(Rc::new(DatagramProxy { known: sockets, own, links }))
+        Ok(Rc::new(DatagramProxy { advertised: sockets, members, links }))
     }
 
-    /// Carries what comes for one member, until it is dropped.
-    pub async fn carry(self: Rc<Self>, to: usize) {
-        let mut data = vec![0; PIECE];
+    /// Forwards the datagrams to one member, until the future is dropped.
+    pub async fn forward(self: Rc<Self>, to: usize) {
+        let mut data = vec![0; MAX_CHUNK_BYTES];
         loop {
-            let Ok((length, from)) = self.known[to].recv_from(&mut data).await else {
-                // A member that is down refuses what was sent to it.
+            let Ok((length, from)) = self.advertised[to].recv_from(&mut data).await else {
+                // Sending to a member that is down makes the socket report that the datagram was refused.
                 sleep(Duration::from_millis(1)).await;
                 continue;
             };
-            let Some(sender) = self.own.iter().position(|own| *own == from) else { continue };
+            let Some(sender) = self.members.iter().position(|member| *member == from) else { continue };
             let link = self.links.link(Party::Node(sender), Party::Node(to));
             if link.cut || self.links.chance() < link.loss {
                 continue;
@@ -287,14 +305,14 @@
             }
             let copies = 1 + usize::from(self.links.chance() < link.duplicate);
             for _ in 0..copies {
-                let overtaken =
+                let reorder_delay =
                     if self.links.chance() < link.reorder { 3.0 * link.delay_s + 0.01 } else { 0.0 };
-                let late = self.links.late(&link) + Duration::from_secs_f64(overtaken);
-                let (mail, bytes) = (self.clone(), bytes.clone());
+                let delay = self.links.delay(&link) + Duration::from_secs_f64(reorder_delay);
+                let (proxy, bytes) = (self.clone(), bytes.clone());
                 spawn_local(async move {
-                    sleep(late).await;
-                    // One that is lost on its last metre is lost.
-                    let _ = mail.known[sender].send_to(&bytes, mail.own[to]).await;
+                    sleep(delay).await;
+                    // Datagrams may get lost: a failure to send one is ignored.
+                    let _ = proxy.advertised[sender].send_to(&bytes, proxy.members[to]).await;
                 });
             }
         }
--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -204,7 +204,7 @@
         };
         let before = own_resident();
         let hollows = Hollows::new(runs.threads, &setup)?;
-        let history = Rc::new(History::unread());
+        let history = Rc::new(History::discard());
         let list = at.extended(0, 8_500);
         let entry = HostEntry { health: "up", zone: zone(0), started_ms: 0 };
         let host = at.extended(0, 9_009);
@@ -212,7 +212,7 @@
         let mut discovery = Vec::new();
         if !numbers.is_empty() {
             discovery.push(spawn_local(async move {
-                if let Err(error) = list_of.answer(0, list).await {
+                if let Err(error) = list_of.serve(0, list).await {
                     warn!("discovery: {error}");
                 }
             }));
--- a/crates/alderstile-lab/src/schedule/errors.rs
+++ b/crates/alderstile-lab/src/schedule/errors.rs
@@ -1,75 +1,76 @@
-//! Why a schedule can't be played, with the place in its file.
+//! Errors of schedules, with their position in the file.
 
 use std::ops::Range;
 
 use thiserror::Error;
 
-/// Why a schedule can't be played. Its text is for a person: file, line and key.
+/// An invalid or unreadable schedule. The message names the file, the line and the key.
 #[derive(Debug, Error)]
 pub enum ScheduleError {
     /// The file can't be read.
     #[error("{file}: {error}")]
     File {
-        /// Its path.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// Cause.
         error: std::io::Error,
     },
-    /// A key is unknown or has a value that can't be used.
+    /// A key is unknown or its value is invalid.
     #[error("{file}:{line}: {key}: {what}")]
     Key {
-        /// The file's path.
+        /// Path of the file.
         file: String,
-        /// The line, from 1.
+        /// Line number, starting at 1.
         line: usize,
-        /// The key's path.
+        /// Path of the key, such as `faults[0].on`.
         key: String,
-        /// What is wrong, and what is wanted.
+        /// What is wrong and which values are allowed.
         what: String,
     },
 }
 
-/// Why a word names no party of a run.
+/// A word that selects no party of a run.
 #[derive(Debug, Error)]
 pub enum PartyError {
-    /// The word is no party's name.
-    #[error("{0:?} names no party")]
+    /// The word is not the name of a party.
+    #[error("unknown party {0:?}: expected a node (n0), a host (h0), discovery or clients")]
     Unknown(String),
-    /// The zone is not one of the schedule's.
-    #[error("{0:?}: no such zone")]
+    /// The zone is not defined by the schedule.
+    #[error("unknown zone in {0:?}")]
     Zone(String),
-    /// The share of the nodes is no number from 0 to 1.
-    #[error("{0:?}: a share from 0 to 1 is wanted")]
+    /// The share of the nodes is not a number from 0 to 1.
+    #[error("invalid share in {0:?}: expected a number from 0 to 1")]
     Share(String),
-    /// The word before the colon is unknown.
-    #[error("{0:?}: zone:NAME or share:0.3 is wanted")]
+    /// The prefix before the colon is unknown.
+    #[error("unknown selector {0:?}: expected zone:NAME or share:NUMBER")]
     Selector(String),
-    /// The node's number is beyond the last.
-    #[error("there are nodes n0 to n{last}")]
+    /// The node number is out of range.
+    #[error("unknown node: expected n0 to n{last}")]
     Node {
-        /// The last node's number.
+        /// Number of the last node.
         last: usize,
     },
-    /// The host's number is beyond the last.
-    #[error("there are {count} hosts, from h0 on")]
+    /// The host number is out of range.
+    #[error("unknown host: the schedule has {count} hosts, numbered from h0")]
     Host {
-        /// How many hosts there are.
+        /// Number of hosts.
         count: usize,
     },
 }
 
-/// A schedule's text, to say where an error is.
+/// The text of a schedule, used to report the position of an error.
 pub(super) struct SourceText<'a> {
     pub(super) file: &'a str,
     pub(super) text: &'a str,
 }
 
 impl SourceText<'_> {
-    /// An error at a place of the text. The line named is that of `key` behind the place, where it stands there.
+    /// Returns an error for `key` of the table at `span`. The reported line is that of the key if the table
+    /// contains it, otherwise the first line of `span`.
     pub(super) fn error(&self, span: Range<usize>, key: &str, what: impl Into<String>) -> ScheduleError {
         let start = span.start.min(self.text.len());
         let word = key.rsplit('.').next().unwrap_or_default();
-        // A table's span is its head alone; it goes on to the next one.
+        // The span of a table covers only its header; its keys follow up to the next header.
         let lines = self.text.get(start..).unwrap_or_default().lines().enumerate();
         let mut table = lines.take_while(|(i, line)| *i == 0 || !line.starts_with('['));
         let within = table.find(|(_, line)| line.trim_start().starts_with(word)).map_or(0, |(i, _)| i);
--- a/crates/alderstile-lab/src/schedule/mod.rs
+++ b/crates/alderstile-lab/src/schedule/mod.rs
@@ -1,7 +1,7 @@
-//! Schedules: what a run consists of and which faults come when, as a TOML file.
+//! Schedules: TOML files that define the participants of a run and when faults are injected.
 //!
-//! The format is described in `docs/lab.md`. A file is checked whole before anything runs; an error names the line
-//! and the key.
+//! `docs/lab.md` describes the format. A file is validated completely before anything runs; an error names
+//! the line and the key.
 
 mod errors;
 mod faults;
@@ -18,11 +18,11 @@
     ClientClass, Feature, Hosts, Idempotency, LinkDefaults, Members, Nodes, Schedule, Subsetting,
 };
 
-/// Processes that one machine is asked to bear.
+/// Maximum number of nodes in a run on processes, which all run on one machine.
 pub const MAX_PROCESSES: usize = 20;
-/// Emulated nodes.
+/// Maximum number of emulated nodes, and of hosts.
 pub const MAX_EMULATED_NODES: usize = 10_000;
-/// Times that one fault may come again.
+/// Maximum number of occurrences of a repeated fault.
 const MAX_REPETITIONS: f64 = 100_000.0;
-/// The longest run, seconds: a day.
+/// Maximum length of a run, in seconds: one day.
 const MAX_RUN_S: f64 = 86_400.0;
--- a/crates/alderstile-lab/src/schedule/parties.rs
+++ b/crates/alderstile-lab/src/schedule/parties.rs
@@ -1,4 +1,4 @@
-//! The parties of a run and the words that name them.
+//! Parties of a run (nodes, hosts, discovery, clients) and the selectors that name them in a schedule.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -9,17 +9,17 @@
 
 use super::errors::PartyError;
 
-/// A party of a run.
+/// A party of a run: the target of a fault, or one end of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub enum Party {
-    /// A node, from 0.
+    /// A node, by its number from 0.
     Node(usize),
-    /// A host, from 0.
+    /// A host, by its number from 0.
     Host(usize),
-    /// The list's service.
+    /// The discovery service, which sends host lists to the nodes.
     Discovery,
-    /// All clients.
+    /// All clients together.
     Clients,
 }
 
@@ -35,8 +35,8 @@
 }
 
 impl From<Party> for String {
-    fn from(actor: Party) -> Self {
-        actor.to_string()
+    fn from(party: Party) -> Self {
+        party.to_string()
     }
 }
 
@@ -44,7 +44,7 @@
     type Error = PartyError;
     fn try_from(text: String) -> Result<Self, PartyError> {
         let number = |rest: &str| rest.parse().ok();
-        let of = |text: &str| match text {
+        let parse = |text: &str| match text {
             "discovery" => Some(Party::Discovery),
             "clients" => Some(Party::Clients),
             _ => {
@@ -52,11 +52,11 @@
                 node.or_else(|| text.strip_prefix('h').and_then(number).map(Party::Host))
             }
         };
-        of(&text).ok_or(PartyError::Unknown(text))
+        parse(&text).ok_or(PartyError::Unknown(text))
     }
 }
 
-/// Who there is.
+/// The parties that a schedule defines.
 pub(super) struct Parties<'a> {
     pub(super) nodes: usize,
     pub(super) hosts: usize,
@@ -64,8 +64,8 @@
 }
 
 impl Parties<'_> {
-    /// Those that a word names.
-    fn named(&self, word: &str, rng: &mut Pcg64Mcg) -> Result<Vec<Party>, PartyError> {
+    /// Returns the parties that one selector names; draws those of `share:`.
+    fn select(&self, word: &str, rng: &mut Pcg64Mcg) -> Result<Vec<Party>, PartyError> {
         let nodes = || (0..self.nodes).map(Party::Node);
         let hosts = || (0..self.hosts).map(Party::Host);
         match word.split_once(':') {
@@ -75,7 +75,7 @@
                 let within = |n: usize| n % self.zones.len() == zone;
                 Ok(nodes()
                     .chain(hosts())
-                    .filter(|actor| matches!(actor, Party::Node(n) | Party::Host(n) if within(*n)))
+                    .filter(|party| matches!(party, Party::Node(n) | Party::Host(n) if within(*n)))
                     .collect())
             }
             Some(("share", share)) => {
@@ -92,23 +92,25 @@
             None => match Party::try_from(word.to_owned())? {
                 Party::Node(n) if n >= self.nodes => Err(PartyError::Node { last: self.nodes - 1 }),
                 Party::Host(h) if h >= self.hosts => Err(PartyError::Host { count: self.hosts }),
-                actor => Ok(vec![actor]),
+                party => Ok(vec![party]),
             },
         }
     }
 
-    pub(super) fn all_named(
+    /// Returns the parties that any of the selectors names.
+    pub(super) fn select_all(
         &self,
         words: &[String],
         rng: &mut Pcg64Mcg,
     ) -> Result<BTreeSet<Party>, PartyError> {
         words.iter().try_fold(BTreeSet::new(), |mut set, word| {
-            set.extend(self.named(word, rng)?);
+            set.extend(self.select(word, rng)?);
             Ok(set)
         })
     }
 
-    pub(super) fn everyone(&self) -> BTreeSet<Party> {
+    /// Returns all parties.
+    pub(super) fn all(&self) -> BTreeSet<Party> {
         let nodes = (0..self.nodes).map(Party::Node);
         nodes.chain((0..self.hosts).map(Party::Host)).chain([Party::Discovery, Party::Clients]).collect()
     }
--- a/crates/alderstile-lab/src/schedule/plan.rs
+++ b/crates/alderstile-lab/src/schedule/plan.rs
@@ -1,42 +1,42 @@
-//! The checked schedule that a run plays.
+//! Validated schedules, ready to run.
 
 use super::faults::PlannedFault;
 use super::parties::Party;
 use super::schema::{ClientClass, Hosts, LinkDefaults, Members, Subsetting};
 
-/// A schedule that has been checked, with everything drawn that a seed decides.
+/// A validated schedule with all random choices made from its seed.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What it shows.
+    /// Short description of what the run shows.
     pub title: String,
-    /// The seed.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// How long clients come, seconds.
+    /// How long clients send requests, in seconds.
     pub length_s: f64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Names of the zones.
+    /// Names of the zones; node and host number i are in zone i modulo the number of zones.
     pub zones: Vec<String>,
     /// See [`Nodes::traffic`](super::Nodes::traffic).
     pub traffic: Vec<f64>,
-    /// The members, where the nodes know of each other.
+    /// Membership settings, if the nodes form a cluster.
     pub members: Option<Members>,
-    /// What nodes share out.
+    /// Subsetting settings.
     pub subsetting: Subsetting,
-    /// The hosts.
+    /// Hosts.
     pub hosts: Hosts,
-    /// The clients.
+    /// Clients, by class.
     pub clients: Vec<ClientClass>,
-    /// The ways before faults.
+    /// Properties of every link before faults.
     pub links: LinkDefaults,
-    /// The time line, by time.
+    /// All occurrences of all faults, ordered by time.
     pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
-    /// The zone of a party, by its number; clients and discovery are in none.
-    pub fn zone(&self, actor: Party) -> Option<usize> {
-        match actor {
+    /// Returns the index of the zone of a party; clients and discovery belong to none.
+    pub fn zone(&self, party: Party) -> Option<usize> {
+        match party {
             Party::Node(n) | Party::Host(n) => Some(n % self.zones.len()),
             Party::Discovery | Party::Clients => None,
         }
--- a/crates/alderstile-lab/src/schedule/schema.rs
+++ b/crates/alderstile-lab/src/schedule/schema.rs
@@ -1,4 +1,4 @@
-//! The schedule as written in TOML: its tables, keys and defaults.
+//! TOML schema of schedules: tables, keys and default values.
 
 use clap::ValueEnum;
 use serde::{Deserialize, Serialize};
@@ -7,80 +7,80 @@
 use super::MAX_RUN_S;
 use super::faults::Fault;
 
-/// A schedule as it stands in the file.
+/// A schedule as written in its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// What it shows, in a line.
+    /// Short description of what the run shows, in one line.
     pub title: String,
-    /// For all that is drawn.
-    #[serde(default = "one")]
+    /// Seed of all random choices.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// How long clients come, seconds.
+    /// How long clients send requests, in seconds.
     pub length_s: Spanned<f64>,
-    /// The nodes.
+    /// Nodes.
     pub nodes: Nodes,
-    /// The members, where the nodes know of each other.
+    /// Membership settings; without them the nodes do not form a cluster.
     pub members: Option<Spanned<Members>>,
-    /// What nodes share out among themselves.
+    /// Subsetting settings.
     #[serde(default)]
     #[serde(rename = "choices")]
     pub subsetting: Option<Spanned<Subsetting>>,
-    /// The hosts.
+    /// Hosts.
     #[serde(default = "no_hosts")]
     pub hosts: Spanned<Hosts>,
-    /// The clients.
+    /// Clients, by class.
     #[serde(default)]
     pub clients: Vec<Spanned<ClientClass>>,
-    /// The ways between all parties, before faults.
+    /// Properties of the links between all parties, before faults.
     #[serde(default)]
     #[serde(rename = "ways")]
     pub links: LinkDefaults,
-    /// The time line.
+    /// Faults.
     #[serde(default)]
     pub faults: Vec<Spanned<Fault>>,
 }
 
-/// The nodes of a run.
+/// Nodes of a run.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Nodes {
-    /// How many.
+    /// Number of nodes.
     pub count: Spanned<usize>,
-    /// Names of the zones; node and host number i are in zone i modulo their number.
+    /// Names of the zones; node and host number i are in zone i modulo the number of zones.
     #[serde(default = "one_zone")]
     pub zones: Vec<String>,
-    /// How many clients come to a node beside others, over and over; emulated only.
+    /// Share of the clients per node relative to the other nodes, repeated cyclically; emulated runs only.
     #[serde(default = "even")]
     pub traffic: Vec<f64>,
 }
 
-/// What nodes share out among themselves, where a run has that part on.
+/// Subsetting: which hosts each node uses, if the feature is enabled.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Subsetting {
-    /// The parts that are on; `compare` may name others.
+    /// Enabled features; `compare` can enable others.
     #[serde(rename = "on")]
     pub enabled: Vec<Feature>,
-    /// Hosts that a node uses.
+    /// Number of hosts that a node uses.
     #[serde(rename = "size")]
     pub hosts_per_node: usize,
-    /// Nodes that use a host, at least.
+    /// Minimum number of nodes that use a host.
     #[serde(rename = "users")]
     pub nodes_per_host: usize,
-    /// Hosts of the own zone first.
+    /// Whether hosts of the node's own zone are preferred.
     #[serde(rename = "zones_first")]
     pub prefer_own_zone: bool,
-    /// How long a host that was added is kept, seconds.
+    /// How long a host that was added to a subset is retained, in seconds.
     #[serde(rename = "hold_s")]
     pub added_host_retention_s: f64,
 }
 
-/// A part of what nodes share out.
+/// An optional feature of the nodes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, PartialOrd, Ord, ValueEnum)]
 #[serde(rename_all = "snake_case")]
 pub enum Feature {
-    /// Each node uses a part of the hosts
+    /// Each node uses a subset of the hosts
     Subsets,
 }
 
@@ -96,19 +96,19 @@
     }
 }
 
-/// How nodes know of each other.
+/// Membership settings of the nodes.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Members {
-    /// The protocol period, milliseconds.
+    /// Protocol period, in milliseconds.
     pub period_ms: u64,
-    /// The least time of a suspicion, in periods for each power of ten of the number.
+    /// Minimum duration of a suspicion, in periods per power of ten of the number of members.
     pub suspicion: f64,
-    /// Whether members trust themselves less when their probes fail; emulated only.
+    /// Whether members lower their local health when their probes fail; emulated runs only.
     pub local_health: bool,
-    /// Whether all know all at the start; emulated only.
+    /// Whether all members know each other at the start; emulated runs only.
     pub know_all: bool,
-    /// Clocks run faster or slower by up to this share; emulated only.
+    /// Maximum deviation of the clock rate, as a share of the nominal rate; emulated runs only.
     pub clock_rate: f64,
 }
 
@@ -118,43 +118,44 @@
     }
 }
 
-/// The hosts of a run. What follows `told_after_ms` is emulated only: stand-ins on processes have no capacity.
+/// Hosts of a run. The settings after `told_after_ms` apply to emulated runs only: stub hosts of runs on
+/// processes have no capacity limit.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Hosts {
-    /// How many.
+    /// Number of hosts.
     pub count: usize,
-    /// How long a host takes to set a connection up, milliseconds; emulated, of one core.
+    /// How long a host takes to set up a connection, in milliseconds; in emulated runs the time of one core.
     pub setup_ms: f64,
-    /// How long discovery takes to tell of a change, milliseconds.
+    /// Delay until discovery notifies nodes of a change, in milliseconds.
     #[serde(rename = "told_after_ms")]
     pub notify_delay_ms: f64,
-    /// Calls for the whole list that discovery answers in a second.
+    /// Requests for the full list that discovery answers per second.
     #[serde(rename = "list_calls_a_second")]
     pub list_requests_per_second: f64,
-    /// Sizes of hosts, over and over.
+    /// Relative sizes of the hosts, repeated cyclically.
     pub weights: Vec<f64>,
-    /// Cores of a host of weight 1.
+    /// Number of cores of a host of weight 1.
     pub cores: f64,
-    /// Connections that a host of weight 1 holds at most.
+    /// Maximum number of connections of a host of weight 1.
     #[serde(rename = "cap")]
     pub max_connections: f64,
-    /// A host turns set-ups away that would wait longer, milliseconds.
+    /// Maximum queueing time of a setup, in milliseconds; a host rejects a setup that would wait longer.
     #[serde(rename = "queue_ms")]
     pub max_queue_ms: f64,
-    /// A host that has started is warm after this, seconds.
+    /// Warm-up time of a host after its start, in seconds.
     #[serde(rename = "cold_s")]
     pub warm_up_s: f64,
-    /// The share of its capacity that it starts with.
+    /// Share of its capacity that a host has at the start of its warm-up.
     #[serde(rename = "cold_from")]
     pub warm_up_initial: f64,
-    /// A cold host that is asked for this multiple of what it can do ...
+    /// Load, as a multiple of its current capacity, at which a host that is warming up crashes ...
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// ... over this span falls, seconds.
+    /// ... if the load lasts for this long, in seconds.
     #[serde(rename = "overload_for_s")]
     pub overload_window_s: f64,
-    /// One that fell starts again after this, seconds.
+    /// Delay until a host that crashed starts again, in seconds.
     pub restart_s: f64,
 }
 
@@ -179,81 +180,81 @@
 }
 
 impl Hosts {
-    /// The first key whose value can't be used, and what is wanted.
+    /// Returns the first key with an invalid value, and the allowed values.
     pub(super) fn first_invalid_key(&self) -> Option<(&'static str, &'static str)> {
-        let above = |value: f64, most: f64| value > 0.0 && value <= most;
+        let within = |value: f64, max: f64| value > 0.0 && value <= max;
         let checks = [
             ("setup_ms", (0.0..=60_000.0).contains(&self.setup_ms), "0 to 60000"),
             ("told_after_ms", (0.0..=600_000.0).contains(&self.notify_delay_ms), "0 to 600000"),
-            ("list_calls_a_second", above(self.list_requests_per_second, 1e6), "above 0, at most 1000000"),
+            ("list_calls_a_second", within(self.list_requests_per_second, 1e6), "above 0, at most 1000000"),
             (
                 "weights",
-                !self.weights.is_empty() && self.weights.iter().all(|w| above(*w, 1e3)),
+                !self.weights.is_empty() && self.weights.iter().all(|w| within(*w, 1e3)),
                 "above 0, at most 1000",
             ),
-            ("cores", above(self.cores, 1e4), "above 0, at most 10000"),
-            ("cap", above(self.max_connections, 1e9), "above 0, at most 1000000000"),
-            ("queue_ms", above(self.max_queue_ms, 6e5), "above 0, at most 600000"),
-            ("cold_s", above(self.warm_up_s, MAX_RUN_S), "seconds above 0"),
-            ("cold_from", above(self.warm_up_initial, 1.0), "a share above 0"),
-            ("fall_multiple", above(self.overload_multiple, 1e6), "above 0, at most 1000000"),
-            ("overload_for_s", above(self.overload_window_s, MAX_RUN_S), "seconds above 0"),
-            ("restart_s", above(self.restart_s, MAX_RUN_S), "seconds above 0"),
+            ("cores", within(self.cores, 1e4), "above 0, at most 10000"),
+            ("cap", within(self.max_connections, 1e9), "above 0, at most 1000000000"),
+            ("queue_ms", within(self.max_queue_ms, 6e5), "above 0, at most 600000"),
+            ("cold_s", within(self.warm_up_s, MAX_RUN_S), "seconds above 0, at most 86400"),
+            ("cold_from", within(self.warm_up_initial, 1.0), "a share above 0, at most 1"),
+            ("fall_multiple", within(self.overload_multiple, 1e6), "above 0, at most 1000000"),
+            ("overload_for_s", within(self.overload_window_s, MAX_RUN_S), "seconds above 0, at most 86400"),
+            ("restart_s", within(self.restart_s, MAX_RUN_S), "seconds above 0, at most 86400"),
         ];
-        checks.into_iter().find(|(_, fine, _)| !fine).map(|(key, _, wanted)| (key, wanted))
+        checks.into_iter().find(|(_, valid, _)| !valid).map(|(key, _, allowed)| (key, allowed))
     }
 }
 
-/// Clients of one class, each of which comes again when its connection has ended.
+/// Clients of one class. Each client opens a new connection some time after its previous one has ended.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClientClass {
-    /// The class's name.
+    /// Name of the class.
     pub class: String,
-    /// Whether a request may be repeated.
+    /// Whether a request may be executed more than once.
     #[serde(rename = "semantics")]
     pub idempotency: Idempotency,
-    /// How many.
+    /// Number of clients.
     pub count: usize,
-    /// How long a connection is wanted, seconds, in the mean.
-    #[serde(default = "three")]
+    /// Mean duration for which a client keeps a connection, in seconds.
+    #[serde(default = "default_hold_s")]
     pub hold_s: f64,
-    /// How long a client rests before it comes again, seconds, in the mean.
-    #[serde(default = "half")]
+    /// Mean pause between two connections of a client, in seconds.
+    #[serde(default = "default_rest_s")]
     pub rest_s: f64,
-    /// How long it waits for its answer, milliseconds.
+    /// How long a client waits for its answer, in milliseconds.
     #[serde(default = "two_seconds")]
     pub wait_ms: u64,
-    /// The work that a connection asks of its host, in microseconds a second in the mean; emulated only.
+    /// Mean load of a connection on its host, in microseconds of work per second; emulated runs only.
     #[serde(default)]
     pub load_us: f64,
 }
 
-/// Whether a request may be repeated.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Idempotency {
-    /// At will.
+    /// It may be executed any number of times.
     #[serde(rename = "retryable")]
     Idempotent,
-    /// It may run once at most.
+    /// It may be executed at most once.
     #[serde(rename = "fragile")]
     NotIdempotent,
 }
 
-/// What every way does before faults.
+/// Properties of every link before faults.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LinkDefaults {
-    /// One way, milliseconds.
+    /// Delay in one direction, in milliseconds.
     pub delay_ms: f64,
-    /// Up to so much more, drawn for each datagram or piece of a stream, milliseconds.
+    /// Maximum additional delay, drawn per datagram or chunk of a stream, in milliseconds.
     pub jitter_ms: f64,
-    /// The share of datagrams that is lost.
+    /// Share of datagrams that are lost.
     pub loss: f64,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 fn one_zone() -> Vec<String> {
@@ -265,10 +266,10 @@
 fn no_hosts() -> Spanned<Hosts> {
     Spanned::new(0..0, Hosts::default())
 }
-fn three() -> f64 {
+fn default_hold_s() -> f64 {
     3.0
 }
-fn half() -> f64 {
+fn default_rest_s() -> f64 {
     0.5
 }
 fn two_seconds() -> u64 {
--- a/crates/alderstile-lab/tests/choices.rs
+++ b/crates/alderstile-lab/tests/choices.rs
@@ -5,7 +5,7 @@
 use alderstile_lab::emulated::{Choice, run};
 use alderstile_lab::history::History;
 use alderstile_lab::schedule::Plan;
-use support::{node, play};
+use support::{node, run_schedule};
 
 const FAULTS: &str = r#"
 [[faults]]
@@ -50,7 +50,7 @@
 
 #[test]
 fn processes_that_use_a_part_of_the_hosts_keep_the_rules() {
-    let report = play(&schedule("\"subsets\""), node(), &[]).expect("a run");
+    let report = run_schedule(&schedule("\"subsets\""), node(), &[]).expect("a run");
     assert_eq!(report.violations, [], "{report:?}");
     assert!(report.served.is_some_and(|share| share > 0.85), "{report:?}");
 }
@@ -60,7 +60,7 @@
     let used = |on: &str, choice: &str| {
         let plan = Plan::parse("test", &schedule(on), None).expect("a fine schedule");
         let choice: Choice = choice.parse().expect("a choice");
-        let sums = run(&plan, &choice, &History::unread()).expect("a run");
+        let sums = run(&plan, &choice, &History::discard()).expect("a run");
         let traffic = sums.traffic.expect("clients");
         (traffic.used.0 / traffic.used.1 as f64, traffic.share())
     };
--- a/crates/alderstile-lab/tests/members.rs
+++ b/crates/alderstile-lab/tests/members.rs
@@ -1,4 +1,4 @@
-//! Members that know of each other, in simulated time and as processes.
+//! Membership of the nodes under faults, in emulated runs and on processes.
 
 mod support;
 
@@ -6,7 +6,7 @@
 
 use alderstile_lab::check::Report;
 use alderstile_lab::emulated::Way;
-use support::{node, play};
+use support::{node, run_schedule};
 
 const FAULTS: &str = r#"
 [[faults]]
@@ -53,82 +53,86 @@
     )
 }
 
-/// The history's text and the report of an emulated run.
+/// Emulates a schedule; returns the bytes of its history and its report.
 fn emulate(schedule: &str, seed: u64) -> (Vec<u8>, Report) {
     let (history, report, _) = support::emulate(schedule, Way::Module, seed);
     (history, report)
 }
 
 #[test]
-fn the_same_schedule_and_seed_give_the_same_history_to_the_byte() {
-    let one = schedule(40, 30.0, FAULTS);
+fn the_same_schedule_and_seed_give_a_byte_identical_history() {
+    let text = schedule(40, 30.0, FAULTS);
     let runs: Vec<_> = (0..4)
         .map(|_| {
             thread::spawn({
-                let one = one.clone();
-                move || emulate(&one, 7).0
+                let text = text.clone();
+                move || emulate(&text, 7).0
             })
         })
         .collect();
-    let first = emulate(&one, 7).0;
+    let first = emulate(&text, 7).0;
     for run in runs {
         assert!(run.join().expect("a run") == first);
     }
-    assert!(emulate(&one, 8).0 != first, "and another seed another one");
+    assert!(emulate(&text, 8).0 != first, "another seed gives another history");
 }
 
 #[test]
-fn emulated_members_hear_of_deaths_splits_and_returns_in_their_time() {
+fn emulated_members_detect_deaths_splits_and_returns_in_time() {
     for seed in 1..=20 {
         let (_, report) = emulate(&schedule(40, 30.0, FAULTS), seed);
         assert!(report.passed(), "seed {seed}: {:?}", report.violations);
-        let views = report.membership.expect("views");
-        assert_eq!(views.detection_delays_s.len(), 1, "seed {seed}: all know of the one that was killed");
+        let membership = report.membership.expect("a membership report");
+        assert_eq!(membership.detection_delays_s.len(), 1, "seed {seed}: all members detect the killed node");
     }
 }
 
 #[test]
-fn emulated_members_that_know_nobody_all_find_each_other() {
-    let alone = schedule(40, 30.0, "").replace("period_ms = 200", "period_ms = 200\nknow_all = false");
-    let (history, report) = emulate(&alone, 3);
+fn emulated_members_without_initial_knowledge_find_each_other() {
+    let unknown = schedule(40, 30.0, "").replace("period_ms = 200", "period_ms = 200\nknow_all = false");
+    let (history, report) = emulate(&unknown, 3);
     assert!(report.passed(), "{:?}", report.violations);
     let text = String::from_utf8(history).expect("text");
-    assert_eq!(text.matches("\"state\":\"alive\"").count(), 40 * 39, "each has heard of each");
+    assert_eq!(
+        text.matches("\"state\":\"alive\"").count(),
+        40 * 39,
+        "each member reports each other member alive"
+    );
 }
 
 #[test]
-fn clocks_that_run_at_different_rates_cost_nobody_its_life() {
+fn different_clock_rates_cause_no_false_positive() {
     let rates = schedule(30, 60.0, "").replace("period_ms = 200", "period_ms = 200\nclock_rate = 0.2");
     let (_, report) = emulate(&rates, 5);
     assert!(
-        report.passed() && report.membership.expect("views").false_positives == 0,
+        report.passed() && report.membership.expect("a membership report").false_positives == 0,
         "{:?}",
         report.violations
     );
 }
 
 #[test]
-fn processes_see_each_other_through_a_kill_a_pause_a_split_and_a_planned_stop() {
-    let report = play(&schedule(6, 16.0, FAULTS), node(), &[]).expect("a run");
+fn processes_track_each_other_through_a_kill_a_pause_a_split_and_a_planned_stop() {
+    let report = run_schedule(&schedule(6, 16.0, FAULTS), node(), &[]).expect("a run");
     assert!(report.passed(), "{:#?}", report.violations);
     assert!(report.served > Some(0.5), "{report:?}");
     assert_eq!(
-        report.membership.expect("views").detection_delays_s.len(),
+        report.membership.expect("a membership report").detection_delays_s.len(),
         1,
-        "all know of the one that was killed"
+        "all members detect the killed node"
     );
 }
 
 #[test]
-fn a_replacement_is_the_same_member() {
+fn a_replacement_process_is_the_same_member() {
     let faults = "[[faults]]\nat_s = 2.0\nkind = \"replace\"\non = [\"n1\"]\n\
                   [[faults]]\nat_s = 5.0\nkind = \"replace\"\non = [\"n1\"]\n";
-    let report = play(&schedule(3, 9.0, faults), node(), &[]).expect("a run");
+    let report = run_schedule(&schedule(3, 9.0, faults), node(), &[]).expect("a run");
     assert!(report.passed(), "{:#?}", report.violations);
-    let views = report.membership.expect("views");
+    let membership = report.membership.expect("a membership report");
     assert_eq!(
-        (views.false_positives, views.detection_delays_s.len()),
+        (membership.false_positives, membership.detection_delays_s.len()),
         (0, 0),
-        "nobody held it dead: {views:?}"
+        "no member reported it dead: {membership:?}"
     );
 }
--- a/crates/alderstile-lab/tests/processes.rs
+++ b/crates/alderstile-lab/tests/processes.rs
@@ -1,4 +1,4 @@
-//! Several real processes with faults between them, and that nothing of a run stays behind.
+//! Runs on real processes under faults, and their cleanup: no process outlives a run.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-use support::{Folder, left_behind, node, play};
+use support::{TempDir, node, remaining_processes, run_schedule};
 
 fn schedule(faults: &str) -> String {
     format!(
@@ -30,16 +30,17 @@
     )
 }
 
-fn kept(faults: &str) {
-    let report = play(&schedule(faults), node(), &[]).expect("a run");
+/// Asserts that a run with these faults violates no rule.
+fn assert_no_violation(faults: &str) {
+    let report = run_schedule(&schedule(faults), node(), &[]).expect("a run");
     assert!(report.passed(), "{:#?}", report.violations);
-    // Wide: what is at stake here is that they are served at all.
+    // The limits are generous: this only checks that clients are served at all.
     assert!(report.requests > 30 && report.served > Some(0.5), "{report:#?}");
 }
 
 #[test]
-fn killed_paused_and_stopped_nodes_break_no_rule() {
-    kept(
+fn killed_paused_and_stopped_nodes_violate_no_rule() {
+    assert_no_violation(
         r#"
 [[faults]]
 at_s = 1.0
@@ -69,8 +70,8 @@
 }
 
 #[test]
-fn cut_and_late_ways_break_no_rule() {
-    kept(
+fn cut_and_delayed_links_violate_no_rule() {
+    assert_no_violation(
         r#"
 [[faults]]
 at_s = 1.0
@@ -101,8 +102,8 @@
 }
 
 #[test]
-fn lists_that_lie_and_hosts_that_fail_break_no_rule() {
-    kept(
+fn wrong_lists_and_failing_hosts_violate_no_rule() {
+    assert_no_violation(
         r#"
 [[faults]]
 at_s = 1.0
@@ -136,19 +137,19 @@
 }
 
 #[test]
-fn a_run_that_is_interrupted_leaves_no_process_behind() {
-    let folder = Folder::new();
-    let file = folder.0.join("schedule.toml");
-    // A process that stands still can't end by itself.
+fn an_interrupted_run_leaves_no_process_behind() {
+    let dir = TempDir::new();
+    let file = dir.0.join("schedule.toml");
+    // A suspended process can't exit by itself.
     let paused = "[[faults]]\nat_s = 0.2\nfor_s = 30.0\nkind = \"pause\"\non = [\"n0\"]\n";
     std::fs::write(&file, schedule(paused)).expect("written");
     let mut lab = Command::new(support::lab());
-    let lab = lab.arg("run").arg(&file).arg("--out").arg(folder.0.join("out")).arg("--program").arg(node());
+    let lab = lab.arg("run").arg(&file).arg("--out").arg(dir.0.join("out")).arg("--program").arg(node());
     let mut lab = lab.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("the lab");
-    let named = format!("alderstile-lab-{}-", lab.id());
-    let began = Instant::now();
-    while left_behind(&named).len() < 4 {
-        assert!(began.elapsed() < Duration::from_secs(20), "four nodes run");
+    let dir_name = format!("alderstile-lab-{}-", lab.id());
+    let started = Instant::now();
+    while remaining_processes(&dir_name).len() < 4 {
+        assert!(started.elapsed() < Duration::from_secs(20), "four nodes have started");
         sleep(Duration::from_millis(50));
     }
     sleep(Duration::from_millis(700));
@@ -156,11 +157,11 @@
     rustix::process::kill_process(pid, rustix::process::Signal::INT).expect("interrupted");
     let status = lab.wait().expect("it ends");
     assert_eq!(status.code(), Some(2), "nothing was checked");
-    assert_eq!(left_behind(&named), Vec::<String>::new());
+    assert_eq!(remaining_processes(&dir_name), Vec::<String>::new());
 }
 
 #[test]
-fn a_program_that_does_not_start_ends_the_run_with_its_name() {
-    let error = play(&schedule(""), "/bin/false".into(), &[]).expect_err("no node");
+fn a_program_that_does_not_start_ends_the_run_with_an_error() {
+    let error = run_schedule(&schedule(""), "/bin/false".into(), &[]).expect_err("no node starts");
     assert!(error.to_string().contains("ended"), "{error}");
 }
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -19,7 +19,7 @@
 use alderstile_lab::scale::{self, Runs};
 use alderstile_lab::slopes;
 use alderstile_lab::tables::{self, Row};
-use support::{Folder, lab, left_behind, node};
+use support::{TempDir, lab, node, remaining_processes};
 
 const SMALL: &str = r#"
 title = "a test"
@@ -65,7 +65,7 @@
     assert!((0.5..2.0).contains(&(real.mean / hollow.mean)), "{real:?} {hollow:?}");
     // Other tests of this process have processes of their own.
     let named = format!("alderstile-lab-{}-10016", std::process::id());
-    assert_eq!(left_behind(&named), Vec::<String>::new());
+    assert_eq!(remaining_processes(&named), Vec::<String>::new());
 }
 
 #[test]
@@ -91,7 +91,7 @@
     assert_eq!(of(100.0, "return of all", "not served after a minute"), 0.0);
     assert!(of(100.0, "return of all", "times turned away or cut off") >= 100.0, "all were cut off");
     let named = format!("alderstile-lab-{}-200", std::process::id());
-    assert_eq!(left_behind(&named), Vec::<String>::new());
+    assert_eq!(remaining_processes(&named), Vec::<String>::new());
 }
 
 #[test]
@@ -100,7 +100,7 @@
     let rows = [at(1_000.0, 5_500.0), at(100.0, 1_000.0), at(500.0, 3_000.0)];
     let table = slopes::table(&rows);
     assert!(table.contains("| connections | 100: 1000; 500: 3000; 1000: 5500 | 500 | 5 | 0 |"), "{table}");
-    let out = Folder::new();
+    let out = TempDir::new();
     assert_eq!(slopes::charts(&out.0, &rows).expect("drawn"), ["node-memory.svg"]);
     let drawn = std::fs::read_to_string(out.0.join("node-memory.svg")).expect("a file");
     assert!(drawn.starts_with("<svg") && drawn.contains("connections"));
@@ -226,7 +226,7 @@
 
 #[test]
 fn an_interrupt_ends_the_run_with_what_was_measured_and_leaves_nothing_behind() {
-    let out = Folder::new();
+    let out = TempDir::new();
     let file = out.0.join("two.toml");
     // Two sizes, each far longer than the test; the first has figures by the time of its news.
     let sizes = "sizes = [{ members = 18, real = 1 }, { members = 19, real = 1 }]";
@@ -245,7 +245,7 @@
     let mut said = BufReader::new(child.stderr.take().expect("its log")).lines();
     let news = said.find(|line| line.as_ref().is_ok_and(|line| line.contains("pieces of news")));
     assert!(news.is_some(), "it gets to the news");
-    assert!(!left_behind(&named).is_empty(), "a real node is there");
+    assert!(!remaining_processes(&named).is_empty(), "a real node is there");
     let last = Instant::now() + Duration::from_secs(30);
     let pid = rustix::process::Pid::from_child(&child);
     rustix::process::kill_process(pid, rustix::process::Signal::INT).expect("a signal");
@@ -254,8 +254,8 @@
     let rows = tables::read(&out.0.join("scale.csv")).expect("the first size's figures");
     assert!(rows.iter().all(|row| row.size == 18.0) && rows.iter().any(|row| row.phase == "quiet"));
     // The system takes killed processes away a moment later.
-    while !left_behind(&named).is_empty() {
-        assert!(Instant::now() < last, "{:?}", left_behind(&named));
+    while !remaining_processes(&named).is_empty() {
+        assert!(Instant::now() < last, "{:?}", remaining_processes(&named));
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(Instant::now() < last, "the second size is not begun");
