--- a/crates/alderstile-lab/tests/support/mod.rs
+++ b/crates/alderstile-lab/tests/support/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 
 use alderstile_lab::check::{Report, check};
-use alderstile_lab::emulated::{self, Sums, Way};
+use alderstile_lab::emulated::{self, RunMetrics, Strategy};
 use alderstile_lab::history::{History, read};
 use alderstile_lab::processes::{self, Options, RunError};
 use alderstile_lab::schedule::Plan;
@@ -63,14 +63,14 @@
 }
 
 /// Emulates a schedule; returns the bytes of its history, its report and its totals.
-pub fn emulate(schedule: &str, way: Way, seed: u64) -> (Vec<u8>, Report, Sums) {
+pub fn emulate(schedule: &str, strategy: Strategy, seed: u64) -> (Vec<u8>, Report, RunMetrics) {
     let plan = Plan::parse("test", schedule, Some(seed)).expect("a valid schedule");
     let out = TempDir::new();
     let path = out.0.join("history.jsonl");
     let history = History::create(&path).expect("a file");
-    let sums = emulated::run(&plan, &way.into(), &history).expect("a run");
+    let metrics = emulated::run(&plan, &strategy.into(), &history).expect("a run");
     history.flush().expect("written");
-    (std::fs::read(&path).expect("a file"), check(&read(&path).expect("a complete history")), sums)
+    (std::fs::read(&path).expect("a file"), check(&read(&path).expect("a complete history")), metrics)
 }
 
 /// Runs a schedule on processes and checks its history.
--- a/crates/alderstile-node/src/proxy/migration.rs
+++ b/crates/alderstile-node/src/proxy/migration.rs
@@ -1,4 +1,5 @@
-//! Requests to the relays of established clients to migrate their client or to hand it over.
+//! Signals to the relays of established clients: each tells a relay to migrate its client or to hand over its
+//! connection.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -13,7 +14,7 @@
 #[derive(Default)]
 pub struct MigrationSignal {
     requested: Notify,
-    /// The reason, if not the policy requested the migration.
+    /// The reason; `None` if the policy requested the migration, or while none is requested.
     reason: Cell<Option<TerminationReason>>,
 }
 
@@ -38,15 +39,15 @@
 #[derive(Default)]
 pub struct EstablishedClients {
     signals: RefCell<BTreeMap<RequestId, Rc<MigrationSignal>>>,
-    /// Set once all clients are to migrate: the reason.
-    all: Cell<Option<TerminationReason>>,
+    /// The reason why all clients migrate; `None` until [`EstablishedClients::migrate_all`] is called.
+    all_reason: Cell<Option<TerminationReason>>,
 }
 
 impl EstablishedClients {
     /// Registers a client until the guard is dropped.
     pub fn add(self: &Rc<Self>, id: RequestId) -> EstablishedClient {
         let signal = Rc::new(MigrationSignal::default());
-        self.all.get().into_iter().for_each(|reason| signal.request(reason));
+        self.all_reason.get().into_iter().for_each(|reason| signal.request(reason));
         self.signals.borrow_mut().insert(id, signal.clone());
         EstablishedClient { clients: self.clone(), id, signal }
     }
@@ -63,7 +64,8 @@
         }
     }
 
-    /// Requests the migration of up to `count` clients that have no request with a reason yet.
+    /// Requests the migration of up to `count` clients, not counting those already signalled with a reason. A
+    /// client whose migration the policy requested gets this reason instead.
     pub fn migrate_some(&self, count: usize, reason: TerminationReason) {
         let signals = self.signals.borrow();
         let not_requested = signals.values().filter(|signal| signal.reason.get().is_none());
@@ -72,7 +74,7 @@
 
     /// Requests the migration of all clients, and of each that is added later.
     pub fn migrate_all(&self, reason: TerminationReason) {
-        self.all.set(Some(reason));
+        self.all_reason.set(Some(reason));
         self.migrate_some(usize::MAX, reason);
     }
 }
