--- a/crates/alderstile-lab/benches/emulated.rs
+++ b/crates/alderstile-lab/benches/emulated.rs
@@ -26,7 +26,7 @@
         let plan = plan(nodes);
         group.throughput(Throughput::Elements(nodes as u64 * 1_000 / 3));
         group.bench_with_input(BenchmarkId::new("nodes", nodes), &plan, |b, plan| {
-            b.iter(|| black_box(run(plan, &Strategy::Alderstile.into(), &History::unread())));
+            b.iter(|| black_box(run(plan, &Strategy::Alderstile.into(), &History::discard())));
         });
     }
     group.finish();
--- a/crates/alderstile-lab/src/compare.rs
+++ b/crates/alderstile-lab/src/compare.rs
@@ -99,7 +99,7 @@
     let (next, finished) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     let worker = || {
         while let Some(&(plan, strategy)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-            let metrics = emulated::run(&plans[plan], strategy, &History::unread());
+            let metrics = emulated::run(&plans[plan], strategy, &History::discard());
             // A poisoned lock is harmless: a panic of one worker fails the whole comparison when the scope
             // joins it.
             finished.lock().unwrap_or_else(|poisoned| poisoned.into_inner()).push((strategy, plan, metrics));
--- a/crates/alderstile-lab/src/emulated/mod.rs
+++ b/crates/alderstile-lab/src/emulated/mod.rs
@@ -454,7 +454,7 @@
         if self.nodes[node].recorded_views[subject] != view {
             self.nodes[node].recorded_views[subject] = view;
             let state = view.map_or("unknown".to_owned(), |state| state.to_string());
-            self.record_event(Event::MemberView { node, of: subject, state });
+            self.record_event(Event::MemberView { node, observed: subject, state });
         }
     }
 
--- a/crates/alderstile-lab/src/main.rs
+++ b/crates/alderstile-lab/src/main.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use alderstile_lab::check::{Report, Views, check};
+use alderstile_lab::check::{MembershipReport, Report, check};
 use alderstile_lab::compare::{Estimate, StrategyResults, compare};
 use alderstile_lab::emulated::{self, RunMetrics, StrategySpec, TrafficMetrics};
 use alderstile_lab::history::{self, History};
@@ -189,7 +189,7 @@
             let history = Rc::new(history);
             if let Target::Emulated = target {
                 let metrics = emulated::run(&plan, &strategy, &history).map_err(|error| error.to_string())?;
-                history.written().map_err(|error| format!("{}: {error}", path.display()))?;
+                history.flush().map_err(|error| format!("{}: {error}", path.display()))?;
                 let passed = check_file(&path)?;
                 print_run_metrics(&metrics);
                 return Ok(passed);
@@ -274,8 +274,8 @@
         print_request_summary(report);
     }
 
-    if let Some(views) = &report.membership {
-        print_membership_summary(views);
+    if let Some(membership) = &report.membership {
+        print_membership_summary(membership);
     }
     match report.violations.first() {
         None => println!("  no rule violated"),
@@ -301,14 +301,14 @@
     println!("  {:<28} {recovery}", "at least 95% served");
 }
 
-fn print_membership_summary(views: &Views) {
+fn print_membership_summary(membership: &MembershipReport) {
     let print_delays = |name: &str, spans: &[f64]| {
         if spans.is_empty() {
             return;
         }
         let (sum, max) = spans.iter().fold((0.0, 0.0f64), |(sum, max), span| (sum + span, max.max(*span)));
         let mean = sum / spans.len() as f64;
-        let periods = |s: f64| s / views.period_s;
+        let periods = |s: f64| s / membership.period_s;
         println!(
             "  {name:<28} mean {mean:.3} s ({:.2} periods), maximum {max:.3} s ({:.1}), of {}",
             periods(mean),
@@ -316,13 +316,13 @@
             spans.len()
         );
     };
-    print_delays("death suspected after", &views.suspicion_delays_s);
-    print_delays("death known to all after", &views.detection_delays_s);
+    print_delays("death suspected after", &membership.suspicion_delays_s);
+    print_delays("death known to all after", &membership.detection_delays_s);
     println!(
         "  {:<28} {}, longest {:.3} s",
-        "false positives", views.false_positives, views.longest_false_positive_s
+        "false positives", membership.false_positives, membership.longest_false_positive_s
     );
-    println!("  {:<28} maximum {:.3} s", "recovery after a disturbance", views.longest_recovery_s);
+    println!("  {:<28} maximum {:.3} s", "recovery after a disturbance", membership.longest_recovery_s);
 }
 
 fn print_comparison(rows: &[StrategyResults]) {
--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -211,7 +211,7 @@
     let addresses = LoopbackAddresses::reserve().await?;
     let run_dir = RunDir::new(20_000 + hosts as u32)?;
     let host_addresses: Vec<SocketAddr> = (0..hosts).map(|host| addresses.extended(host, 9_100)).collect();
-    let history = Rc::new(History::unread());
+    let history = Rc::new(History::discard());
     let entries = vec![HostEntry { health: "up", zone: "here".to_owned(), started_ms: 0 }; hosts];
     let dial_addresses = host_addresses.clone();
     let discovery = Discovery::new(entries, 1, Duration::ZERO, history.clone(), move |_, host: usize| {
@@ -221,7 +221,7 @@
     let discovery_task = spawn_local({
         let discovery = discovery.clone();
         async move {
-            if let Err(error) = discovery.answer(0, discovery_address).await {
+            if let Err(error) = discovery.serve(0, discovery_address).await {
                 warn!(%error, "stub discovery failed");
             }
         }
--- a/crates/alderstile-lab/src/scale/mod.rs
+++ b/crates/alderstile-lab/src/scale/mod.rs
@@ -228,7 +228,7 @@
         };
         let initial_memory = resident_memory();
         let hollows = HollowNodes::new(plan.threads, &config)?;
-        let history = Rc::new(History::unread());
+        let history = Rc::new(History::discard());
         let discovery_address = addresses.extended(0, 8_500);
         let entry = HostEntry { health: "up", zone: zone(0), started_ms: 0 };
         let host = addresses.extended(0, 9_009);
@@ -237,7 +237,7 @@
         let mut discovery = Vec::new();
         if !real_numbers.is_empty() {
             discovery.push(spawn_local(async move {
-                if let Err(error) = stub_discovery.answer(0, discovery_address).await {
+                if let Err(error) = stub_discovery.serve(0, discovery_address).await {
                     warn!(%error, "stub discovery failed");
                 }
             }));
--- a/crates/alderstile-lab/tests/scale.rs
+++ b/crates/alderstile-lab/tests/scale.rs
@@ -20,7 +20,7 @@
 use alderstile_lab::scale::{self, ScalePlan};
 use alderstile_lab::slopes;
 use alderstile_lab::tables::{self, Row};
-use support::{Folder, lab, left_behind, node};
+use support::{TempDir, lab, node, remaining_processes};
 
 const SMALL_PLAN: &str = r#"
 title = "a test"
@@ -67,7 +67,7 @@
     assert!((0.5..2.0).contains(&(real.mean / hollow.mean)), "{real:?} {hollow:?}");
     // Only this test's processes count: other tests of this process start nodes at the same time.
     let run_dir_prefix = format!("alderstile-lab-{}-10016", std::process::id());
-    assert_eq!(left_behind(&run_dir_prefix), Vec::<String>::new());
+    assert_eq!(remaining_processes(&run_dir_prefix), Vec::<String>::new());
 }
 
 #[test]
@@ -97,7 +97,7 @@
         "all clients were disconnected"
     );
     let run_dir_prefix = format!("alderstile-lab-{}-200", std::process::id());
-    assert_eq!(left_behind(&run_dir_prefix), Vec::<String>::new());
+    assert_eq!(remaining_processes(&run_dir_prefix), Vec::<String>::new());
 }
 
 #[test]
@@ -106,7 +106,7 @@
     let rows = [at(1_000.0, 5_500.0), at(100.0, 1_000.0), at(500.0, 3_000.0)];
     let table = slopes::table(&rows);
     assert!(table.contains("| connections | 100: 1000; 500: 3000; 1000: 5500 | 500 | 5 | 0 |"), "{table}");
-    let out = Folder::new();
+    let out = TempDir::new();
     assert_eq!(slopes::charts(&out.0, &rows).expect("drawn"), ["node-memory.svg"]);
     let drawn = std::fs::read_to_string(out.0.join("node-memory.svg")).expect("a file");
     assert!(drawn.starts_with("<svg") && drawn.contains("connections"));
@@ -243,7 +243,7 @@
 
 #[test]
 fn interrupt_ends_the_run_keeps_measured_rows_and_leaves_no_processes() {
-    let out = Folder::new();
+    let out = TempDir::new();
     let file = out.0.join("two.toml");
     // Each of the two sizes runs far longer than the test. The first has recorded rows when its configuration
     // changes start.
@@ -264,7 +264,7 @@
     let news =
         log_lines.find(|line| line.as_ref().is_ok_and(|line| line.contains("configuration changes started")));
     assert!(news.is_some(), "the run reaches the configuration changes");
-    assert!(!left_behind(&run_dir_prefix).is_empty(), "a real node is running");
+    assert!(!remaining_processes(&run_dir_prefix).is_empty(), "a real node is running");
     let deadline = Instant::now() + Duration::from_secs(30);
     let pid = rustix::process::Pid::from_child(&child);
     rustix::process::kill_process(pid, rustix::process::Signal::INT).expect("a signal");
@@ -273,8 +273,8 @@
     let rows = tables::read(&out.0.join("scale.csv")).expect("rows of the first size");
     assert!(rows.iter().all(|row| row.size == 18.0) && rows.iter().any(|row| row.phase == "quiet"));
     // Killed processes remain visible for a short time.
-    while !left_behind(&run_dir_prefix).is_empty() {
-        assert!(Instant::now() < deadline, "{:?}", left_behind(&run_dir_prefix));
+    while !remaining_processes(&run_dir_prefix).is_empty() {
+        assert!(Instant::now() < deadline, "{:?}", remaining_processes(&run_dir_prefix));
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(Instant::now() < deadline, "the second size is not started");
