--- a/crates/alderstile-lab/src/measure.rs
+++ b/crates/alderstile-lab/src/measure.rs
@@ -30,8 +30,8 @@
 use crate::schedule::ScheduleError;
 use crate::tables::Row;
 
-/// Largest socket limit configured for the node. It is lower where the system's descriptor limit less 100 is
-/// lower, as a node needs some descriptors for other purposes.
+/// Largest socket limit configured for the node. If the system's descriptor limit is lower, the limit is 100
+/// below that, as a node needs some descriptors for other purposes.
 const MAX_SOCKETS: u64 = 19_900;
 /// Maximum number of concurrent connection setups while clients are connected before a measurement.
 const MAX_CONCURRENT_SETUPS: usize = 100;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns small sizes, for a run of seconds.
+    /// Returns small sizes, for a run of a few seconds.
     pub fn short() -> Self {
         MeasurePlan {
             connections: vec![50, 200],
@@ -103,7 +103,7 @@
 /// Errors that end the measurements early.
 #[derive(Debug, Error)]
 pub enum MeasureError {
-    /// The system refused a resource, or the node did not start.
+    /// Creating a file, a socket, a thread or a runtime failed, or the node did not start.
     #[error(transparent)]
     Io(#[from] io::Error),
     /// No loopback addresses are available for the node and its hosts.
@@ -198,7 +198,7 @@
     hosts: StubHosts,
     discovery: Rc<Discovery>,
     clients: Rc<StubClients>,
-    _folder: RunDir,
+    _run_dir: RunDir,
     _addresses: LoopbackAddresses,
 }
 
@@ -209,27 +209,27 @@
     measurement: impl AsyncFnOnce(&TestBed) -> Result<Vec<Row>, MeasureError>,
 ) -> Result<Vec<Row>, MeasureError> {
     let addresses = LoopbackAddresses::reserve().await?;
-    let folder = RunDir::new(20_000 + hosts as u32)?;
+    let run_dir = RunDir::new(20_000 + hosts as u32)?;
     let host_addresses: Vec<SocketAddr> = (0..hosts).map(|host| addresses.extended(host, 9_100)).collect();
-    let history = Rc::new(History::unread());
+    let history = Rc::new(History::discard());
     let entries = vec![HostEntry { health: "up", zone: "here".to_owned(), started_ms: 0 }; hosts];
     let dial_addresses = host_addresses.clone();
     let discovery = Discovery::new(entries, 1, Duration::ZERO, history.clone(), move |_, host: usize| {
         dial_addresses[host]
     });
-    let list = addresses.extended(0, 8_500);
+    let discovery_address = addresses.extended(0, 8_500);
     let discovery_task = spawn_local({
         let discovery = discovery.clone();
         async move {
-            if let Err(error) = discovery.answer(0, list).await {
+            if let Err(error) = discovery.serve(0, discovery_address).await {
                 warn!(%error, "stub discovery failed");
             }
         }
     });
-    let dir = folder.path().join("n0");
+    let dir = run_dir.path().join("n0");
     std::fs::create_dir_all(&dir)?;
     let listen = addresses.extended(0, 9_000);
-    let mut config = nodes::node_config("n0", listen, list, lab_settings(&["here".to_owned()])?);
+    let mut config = nodes::node_config("n0", listen, discovery_address, lab_settings(&["here".to_owned()])?);
     let limit = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
     config["limits"]["sockets"] =
         limit.map_or(MAX_SOCKETS, |max| max.saturating_sub(100).min(MAX_SOCKETS)).into();
@@ -252,10 +252,10 @@
         hosts,
         discovery,
         clients: StubClients::new(listen),
-        _folder: folder,
+        _run_dir: run_dir,
         _addresses: addresses,
     };
-    let done = match node.start().await {
+    let result = match node.start().await {
         Ok(()) => measurement(&bed).await,
         Err(error) => Err(error.into()),
     };
@@ -265,7 +265,7 @@
         process.kill().await;
     }
     discovery_task.abort();
-    done
+    result
 }
 
 impl TestBed {
@@ -381,7 +381,8 @@
     Ok(rows)
 }
 
-/// Sends complete endpoint lists that omit one host, a different one each time, and then the full list again.
+/// Repeatedly sends the node a complete endpoint list in which one host is missing, a different host each
+/// time, and then one with all hosts.
 async fn measure_list_updates(bed: &TestBed, hosts: usize, count: usize) -> Result<Vec<Row>, MeasureError> {
     let (mut durations, mut cpu) = (Vec::new(), Vec::new());
     let idle_cpu = {
@@ -493,7 +494,7 @@
             self.tasks.borrow_mut().push(spawn_local(async move {
                 let mut rng = Pcg64Mcg::seed_from_u64(number as u64);
                 loop {
-                    // The client reconnects whatever ended its connection.
+                    // The client reconnects no matter why its connection ended.
                     let _ = this.run_connection().await;
                     this.interruptions.set(this.interruptions.get() + 1);
                     sleep(RECONNECT_DELAY + Duration::from_millis(rng.random_range(0..RECONNECT_JITTER_MS)))
@@ -648,7 +649,7 @@
         stream.readable().await?;
         match stream.try_read(data) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            done => return done,
+            result => return result,
         }
     }
 }
--- a/crates/alderstile-lab/src/scale/phases.rs
+++ b/crates/alderstile-lab/src/scale/phases.rs
@@ -71,8 +71,8 @@
         self.record_loss_and_return("zone lost", "zone back", changes, from).await;
     }
 
-    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes see
-    /// them.
+    /// Waits until all nodes have learned the deaths, starts the members again, and waits until all nodes
+    /// list them.
     ///
     /// `lost` and `back` are the names of the two phases; `from` is the snapshot before the first death.
     async fn record_loss_and_return(
@@ -102,10 +102,10 @@
         self.record_real_delays(back, "a real node counts right after (s)", at, &real);
         let after = self.snapshot().await;
         self.record_costs(back, &to, &after);
-        self.wait_until_all_see(back, at, self.size.members).await;
+        self.wait_for_member_count(back, at, self.size.members).await;
     }
 
-    /// Partitions the two regions, then heals the partition and waits until all nodes see each other.
+    /// Partitions the two regions, then heals the partition and waits until all nodes list each other.
     pub(super) async fn run_partition(&mut self) {
         let phase = "regions parted";
         info!(members = self.size.members, partition_s = self.plan.partition_s, "region partition started");
@@ -114,9 +114,9 @@
         let at = self.network.now();
         self.network.set_partitioned(true);
         sleep(Duration::from_secs_f64(self.plan.partition_s)).await;
-        let seen = self.hollows.take_observations().await;
+        let observations = self.hollows.take_observations().await;
         let mut death_delays: BTreeMap<(usize, usize), f64> = BTreeMap::new();
-        for seen in seen.iter().filter(|seen| seen.change == ObservedChange::Died) {
+        for seen in observations.iter().filter(|seen| seen.change == ObservedChange::Died) {
             if self.plan.region_of(seen.observer) != self.plan.region_of(seen.subject) {
                 death_delays.insert((seen.observer, seen.subject), (seen.at - at).as_secs_f64());
             }
@@ -127,7 +127,7 @@
             |region| (0..self.size.members).filter(|n| self.plan.region_of(*n) == region).count();
         let pairs = alive_in_region(0) * members_in_region(1) + alive_in_region(1) * members_in_region(0);
         let delays: Vec<f64> = death_delays.values().copied().collect();
-        let false_deaths = seen.iter().filter(|seen| seen.change == ObservedChange::Died);
+        let false_deaths = observations.iter().filter(|seen| seen.change == ObservedChange::Died);
         let false_deaths = false_deaths
             .filter(|s| self.plan.region_of(s.observer) == self.plan.region_of(s.subject))
             .count();
@@ -143,7 +143,7 @@
         let phase = "regions joined";
         let at = self.network.now();
         self.network.set_partitioned(false);
-        self.wait_until_all_see(phase, at, self.size.members).await;
+        self.wait_for_member_count(phase, at, self.size.members).await;
         let after = self.snapshot().await;
         self.record_costs(phase, &to, &after);
     }
