--- a/tests/balancer.rs
+++ b/tests/balancer.rs
@@ -47,16 +47,16 @@
 fn requests_have_unique_ids_and_count_at_their_servers() {
     let mut balancer = balancer(settings(), 2);
     let (first, verdict) = balancer.place(START, connection_request());
-    let one = forwarded_to(verdict);
+    let first_server = forwarded_to(verdict);
     balancer.on_established(START, first, ms(10));
     let (second, verdict) = balancer.place(START, connection_request());
     assert_ne!(first, second);
-    assert_ne!(forwarded_to(verdict), one, "the other server has the lower load");
+    assert_ne!(forwarded_to(verdict), first_server, "the other server has the lower load");
     balancer.on_client_disconnected(START, second);
-    balancer.on_connection_ended(START, first, one, Outcome::Ok);
-    let adopted = balancer.adopt_connection(START, connection_request(), one);
+    balancer.on_connection_ended(START, first, first_server, Outcome::Ok);
+    let adopted = balancer.adopt_connection(START, connection_request(), first_server);
     assert!(adopted != first && adopted != second);
-    assert_ne!(forwarded_to(balancer.place(START, connection_request()).1), one);
+    assert_ne!(forwarded_to(balancer.place(START, connection_request()).1), first_server);
 }
 
 #[test]
@@ -199,25 +199,28 @@
 fn new_settings_keep_the_load_record_and_apply_to_the_next_attempt() {
     let mut balancer = balancer(settings(), 3);
     let (first_id, verdict) = balancer.place(START, connection_request());
-    let one = forwarded_to(verdict);
+    let first_server = forwarded_to(verdict);
     balancer.on_established(START, first_id, ms(10));
     let (id, verdict) = balancer.place(START, connection_request());
-    let two = forwarded_to(verdict);
+    let second_server = forwarded_to(verdict);
     let mut fewer_attempts = BalancerSettings { max_attempts: 1, ..settings() };
     fewer_attempts.classes.push(support::class(Idempotency::NotIdempotent));
     balancer.apply_settings(START, fewer_attempts, None);
-    let verdict = balancer.on_attempt_failed(START, id, two, Outcome::Rejected);
+    let verdict = balancer.on_attempt_failed(START, id, second_server, Outcome::Rejected);
     assert!(matches!(verdict, Verdict::Reject(Some(_))), "no second attempt: {verdict:?}");
     let (_, verdict) = balancer.place(START, ConnectionRequest { class: 1, ..connection_request() });
-    assert!(forwarded_to(verdict) != one, "its connections are still recorded, and the new class is served");
+    assert!(
+        forwarded_to(verdict) != first_server,
+        "its connections are still recorded, and the new class is served"
+    );
     // With a stricter class, a request that may have been executed is not retried.
     let (id, verdict) = balancer.place(START, connection_request());
-    let three = forwarded_to(verdict);
+    let third_server = forwarded_to(verdict);
     let mut strict = settings();
     strict.classes =
         vec![support::class(Idempotency::NotIdempotent), support::class(Idempotency::NotIdempotent)];
     balancer.apply_settings(START, strict, None);
-    assert_eq!(balancer.on_attempt_failed(START, id, three, Outcome::Reset), Verdict::Fail);
+    assert_eq!(balancer.on_attempt_failed(START, id, third_server, Outcome::Reset), Verdict::Fail);
 }
 
 #[test]
--- a/tests/load_signal.rs
+++ b/tests/load_signal.rs
@@ -56,17 +56,17 @@
 
 #[test]
 fn low_value_without_a_second_is_a_load() {
-    for next in [500, 900, 1_700, 3_000] {
+    for gap_ms in [500, 900, 1_700, 3_000] {
         let mut classifier = classifier();
         assert_eq!(classifier.classify(at(500), A, SERVER, 96.2), None);
         // Reported on another connection, for another server, or outside the interval.
-        let other = if next == 900 { ServerId(8) } else { SERVER };
+        let other = if gap_ms == 900 { ServerId(8) } else { SERVER };
         let due = classifier.next_expiry().expect("an expiry time");
-        let expired = classifier.take_expired(due.min(at(500 + next)));
-        let later = classifier.classify(at(500 + next), B, other, 96.2);
-        assert!(!matches!(later, Some(LoadSignal::Delay(..))), "{next}");
+        let expired = classifier.take_expired(due.min(at(500 + gap_ms)));
+        let later = classifier.classify(at(500 + gap_ms), B, other, 96.2);
+        assert!(!matches!(later, Some(LoadSignal::Delay(..))), "{gap_ms}");
         let all = [expired, classifier.take_expired(at(9_000))].concat();
-        assert!(all.contains(&LoadSignal::Load(A, 96.2)), "{next}: {all:?}");
+        assert!(all.contains(&LoadSignal::Load(A, 96.2)), "{gap_ms}: {all:?}");
     }
 }
 
@@ -133,10 +133,15 @@
 fn light_loads_slightly_outside_the_interval_of_delay_reports_are_loads() {
     // Guards against clients that become idle 40 ms off the interval: their host was considered to
     // have a delay of 4.7 s.
-    for next in [1_460, 1_475, 1_525, 1_540] {
+    for next_at_ms in [1_460, 1_475, 1_525, 1_540] {
         let mut classifier = classifier();
         assert_eq!(classifier.classify(at(500), A, SERVER, 2_084.0), None);
-        assert_eq!(classifier.classify(at(next), B, SERVER, 2_085.0), None, "after {} ms", next - 500);
+        assert_eq!(
+            classifier.classify(at(next_at_ms), B, SERVER, 2_085.0),
+            None,
+            "after {} ms",
+            next_at_ms - 500
+        );
         assert_eq!(
             classifier.take_expired(at(9_000)),
             [LoadSignal::Load(A, 2_084.0), LoadSignal::Load(B, 2_085.0)]
--- a/tests/policy/attempt_timeout.rs
+++ b/tests/policy/attempt_timeout.rs
@@ -75,6 +75,6 @@
         node.establish_after(id, ms(200));
     }
     node.send_request(Request { time_remaining: ms(6_000), ..request(40) });
-    let sent = |action: &Action| matches!(action, Action::Forward(_, _, Some(t)) if (700_000..900_000).contains(&t.0));
-    assert!(node.last.iter().any(sent), "four typical setups: {:?}", node.last);
+    let has_expected_timeout = |action: &Action| matches!(action, Action::Forward(_, _, Some(t)) if (700_000..900_000).contains(&t.0));
+    assert!(node.last.iter().any(has_expected_timeout), "four typical setups: {:?}", node.last);
 }
--- a/tests/policy/endpoints.rs
+++ b/tests/policy/endpoints.rs
@@ -10,11 +10,11 @@
 fn invalid_weights_and_duplicate_entries_of_a_list_have_no_effect() {
     let mut node =
         Node::new(BalancerSettings { weight_meaning: WeightMeaning::NominalCapacity, ..settings() }, 0);
-    let mut lines: Vec<Endpoint> = (1..=4).chain(1..=4).map(entry).collect();
-    for (line, weight) in lines.iter_mut().zip([f64::NAN, f64::INFINITY, -1.0, 0.0].repeat(2)) {
-        line.weight = weight;
+    let mut endpoints: Vec<Endpoint> = (1..=4).chain(1..=4).map(entry).collect();
+    for (endpoint, weight) in endpoints.iter_mut().zip([f64::NAN, f64::INFINITY, -1.0, 0.0].repeat(2)) {
+        endpoint.weight = weight;
     }
-    node.list(EndpointListKind::Full, lines);
+    node.list(EndpointListKind::Full, endpoints);
     node.fill(1, 8);
     assert!(connections_by_server(&node, 1..9).values().all(|&n| n == 2), "all have a weight of one");
     node.list(EndpointListKind::Full, (1..=20_000).map(entry).collect());
@@ -51,11 +51,12 @@
     // Guards against an overload of the discovery service: with 23 nodes, half of the first calls
     // were rejected within half a second.
     let subscribing = BalancerSettings { node_count: 24, must_subscribe: true, ..settings() };
-    let first = |seed| Node::with_seed(subscribing.clone(), 1, seed).timers.iter().map(|(at, _)| *at).max();
-    let begin = ms(1_000_000);
-    let after: Vec<Micros> = (0..24).filter_map(first).map(|at| at - begin).collect();
-    assert!(after.iter().all(|&at| at <= ms(5_000)), "well within the maximum poll interval of ten seconds");
-    let early = after.iter().filter(|&&at| at < ms(1_100)).count();
+    let first_poll =
+        |seed| Node::with_seed(subscribing.clone(), 1, seed).timers.iter().map(|(at, _)| *at).max();
+    let start = ms(1_000_000);
+    let delays: Vec<Micros> = (0..24).filter_map(first_poll).map(|at| at - start).collect();
+    assert!(delays.iter().all(|&at| at <= ms(5_000)), "well within the maximum poll interval of ten seconds");
+    let early = delays.iter().filter(|&&at| at < ms(1_100)).count();
     assert!(early < 12, "{early} of 24 in the first second");
 }
 
--- a/tests/policy/groups.rs
+++ b/tests/policy/groups.rs
@@ -51,8 +51,8 @@
             node.establish(id);
             report_load(&mut node, id, if id % 2 == 0 { 130.0 } else { 60.0 });
         }
-        let at = node.server_of(1).expect("it is placed");
-        report_delay(&mut node, at, 900.0);
+        let server = node.server_of(1).expect("it is placed");
+        report_delay(&mut node, server, 900.0);
         pass_periods(&mut node, 1).into_iter().filter(|id| id % 2 == 1).count()
     };
     assert!(migrated(1) > 0, "a single node also frees the group's work");
--- a/tests/policy/slow_start.rs
+++ b/tests/policy/slow_start.rs
@@ -40,19 +40,19 @@
     }
     let connections_per_warm_server = (nodes.len() as u64 * connections / warm) as f64;
     for server in warm + 1..=warm + cold {
-        let mut at: Vec<Micros> =
+        let mut sent_at: Vec<Micros> =
             nodes.iter().flat_map(|node| node.sends_while_warming_up(server).to_vec()).collect();
-        at.sort();
+        sent_at.sort();
         assert!(
-            at.len() as f64 > connections_per_warm_server,
+            sent_at.len() as f64 > connections_per_warm_server,
             "it receives connections before it is warm: {}",
-            at.len()
+            sent_at.len()
         );
         // Warm servers can handle at least their current load. The attempts within two seconds must
         // stay below three times that.
-        for (i, &from) in at.iter().enumerate() {
+        for (i, &from) in sent_at.iter().enumerate() {
             let share = 0.25 + 0.75 * ((from - start).as_secs_f64() / 10.0).min(1.0);
-            let sent = at[i..].iter().filter(|&&t| t < from + ms(2_000)).count();
+            let sent = sent_at[i..].iter().filter(|&&t| t < from + ms(2_000)).count();
             let budget = 3.0 * share * connections_per_warm_server;
             assert!(sent as f64 <= budget, "{sent} sent within two seconds of a budget of {budget:.1}");
         }
@@ -206,7 +206,7 @@
         overload_window: ms(1_000),
         ..settings()
     };
-    let mut at: Vec<Micros> = Vec::new();
+    let mut sent_at: Vec<Micros> = Vec::new();
     for index in 0..19u32 {
         let with_index = BalancerSettings { node_index: Some(index), ..fleet_settings.clone() };
         let mut node = Node::with_seed(with_index, 16, u64::from(index) + 1);
@@ -223,16 +223,16 @@
             }
             node.pass(ms(1_000));
         }
-        at.extend(node.sends_while_warming_up(20));
+        sent_at.extend(node.sends_while_warming_up(20));
     }
-    at.sort();
-    let start = at[0];
-    assert!(at.len() >= 10, "it receives connections before it is warm: {}", at.len());
-    for (i, &from) in at.iter().enumerate() {
+    sent_at.sort();
+    let start = sent_at[0];
+    assert!(sent_at.len() >= 10, "it receives connections before it is warm: {}", sent_at.len());
+    for (i, &from) in sent_at.iter().enumerate() {
         // A half-utilized warm server could have 38 connections and fill up within 20 s. The
         // warming-up server withstands twice its share of that rate.
         let share = 0.15 + 0.85 * ((from - start).as_secs_f64() / 20.0 + 0.05).min(1.0);
-        let within = at[i..].iter().filter(|&&t| t < from + ms(1_000)).count();
+        let within = sent_at[i..].iter().filter(|&&t| t < from + ms(1_000)).count();
         let allowed = 2.0 * share * 38.0 / 20.0;
         assert!(within as f64 <= allowed + 1.0, "{within} in a second where {allowed} are allowed");
     }
